--- a/core/rowstore/avoidance.go
+++ b/core/rowstore/avoidance.go
@@ -6,50 +6,50 @@
 	"github.com/pkg/errors"
 )
 
-// Figures of avoidance.
 const (
-	// avoidTime is how long a relay that failed is not asked again, twice as long
-	// with each further failure, up to longestAvoid: asking one whose VM is gone
-	// costs the wait for it.
-	avoidTime    = 2 * time.Second
-	longestAvoid = 16 * time.Second
-	// noCopyAvoid is the same for a relay that answers but has no young copy: its
-	// word costs little, and it is the first to hear when the store is back.
-	noCopyAvoid = 200 * time.Millisecond
-	// mostFailures bounds the doubling.
-	mostFailures = 3
+	// baseBackoff is how long a failed relay is not called. It doubles with each further failure up
+	// to maxBackoff, since each call to a VM that is gone costs a timeout.
+	baseBackoff = 2 * time.Second
+	maxBackoff  = 16 * time.Second
+	// noCopyBackoff is the back-off for a relay that answers but has no fresh copy. Its answer is
+	// cheap, and the relay is among the first to see the store recover.
+	noCopyBackoff = 200 * time.Millisecond
+	// maxBackoffDoublings limits the doubling.
+	maxBackoffDoublings = 3
 )
 
-// avoidance knows which relays failed lately, by name. Its owner guards it.
-type avoidance map[string]avoided
+// relayBackoffs holds the back-off state of relays that failed recently, by name. It is not safe
+// for concurrent use.
+type relayBackoffs map[string]backoff
 
-// avoided is a relay that failed: until when it is not asked, and how often it
-// failed in a row.
-type avoided struct {
-	until time.Time
-	times int
+// backoff is the state of a failed relay: the end of its back-off, and the number of consecutive
+// failures.
+type backoff struct {
+	until    time.Time
+	failures int
 }
 
-// has tells whether a relay is avoided now.
-func (a avoidance) has(relay string) bool {
-	return !time.Now().After(a[relay].until)
+// isBackedOff reports whether a relay must not be called now.
+func (b relayBackoffs) isBackedOff(name string) bool {
+	return !time.Now().After(b[name].until)
 }
 
-// note notes how a call to a relay ended.
-func (a avoidance) note(relay string, err error) {
+// record records the result of a call to a relay.
+func (b relayBackoffs) record(name string, err error) {
 	switch {
 	case err == nil:
-		delete(a, relay)
+		delete(b, name)
 	case errors.Is(err, ErrNoCopy):
-		a[relay] = avoided{
-			until: time.Now().Add(noCopyAvoid),
+		b[name] = backoff{
+			until: time.Now().Add(noCopyBackoff),
 		}
-	case a.has(relay):
-		// A daemon follows several tables; calls that failed together are one failure.
+	case b.isBackedOff(name):
+		// A daemon follows several tables, so several calls fail together; they count as one
+		// failure.
 	default:
-		known := a[relay]
-		known.until = time.Now().Add(min(avoidTime<<known.times, longestAvoid))
-		known.times = min(known.times+1, mostFailures)
-		a[relay] = known
+		entry := b[name]
+		entry.until = time.Now().Add(min(baseBackoff<<entry.failures, maxBackoff))
+		entry.failures = min(entry.failures+1, maxBackoffDoublings)
+		b[name] = entry
 	}
 }
--- a/core/rowstore/batcher.go
+++ b/core/rowstore/batcher.go
@@ -8,92 +8,91 @@
 	"github.com/pkg/errors"
 )
 
-// Batcher writes rows of many daemons in few transactions: rows that come within a
-// moment are written together, such as those by which all daemons list themselves at a start
-// of the whole system. Rows are written without conditions; of two for one key the
-// later counts. Use NewBatcher.
+// Batcher combines rows that are written at about the same time into few transactions, such as the
+// rows by which all daemons register when the whole system starts. Rows are written without
+// conditions; of two rows with the same key the later one is written. Use NewBatcher.
 type Batcher struct {
-	store Store
-	most  int
+	store   Store
+	maxRows int
 
 	mutex   sync.Mutex
-	waiting []waitingRow
+	pending []pendingRow
 }
 
-// waitingRow is a row that waits to be written, and who waits for it.
-type waitingRow struct {
-	row  Row
-	done chan error
+// pendingRow is a row to be written, and the channel that receives the result.
+type pendingRow struct {
+	row    Row
+	result chan error
 }
 
-// Figures of a batcher.
 const (
-	// batchTime is how long the first row waits for others. Daemons that start together
-	// do so within some tenths of a second, but until the first is listed they ask the store.
-	batchTime = 40 * time.Millisecond
-	// batchCall bounds one transaction.
-	batchCall = time.Second
+	// batchDelay is how long the first row waits for others. Daemons that start together do so
+	// within some tenths of a second, but until the first of them is registered they all call the
+	// store.
+	batchDelay = 40 * time.Millisecond
+	// commitTimeout limits one transaction.
+	commitTimeout = time.Second
 )
 
-// NewBatcher returns a batcher that writes at most so many rows at once.
-func NewBatcher(store Store, most int) *Batcher {
+// NewBatcher returns a batcher that writes at most maxRows rows in one transaction.
+func NewBatcher(store Store, maxRows int) *Batcher {
 	return &Batcher{
-		store: store,
-		most:  most,
+		store:   store,
+		maxRows: maxRows,
 	}
 }
 
-// Write writes a row, soon and together with others. It fails with ErrRefused or
-// ErrUnknown, or where ctx ends first.
+// Write writes a row together with others after batchDelay. It fails with ErrRefused or ErrUnknown;
+// if ctx ends first, the error is ErrUnknown.
 func (b *Batcher) Write(ctx context.Context, row Row) error {
-	done := make(chan error, 1)
+	result := make(chan error, 1)
 	b.mutex.Lock()
-	b.waiting = append(b.waiting, waitingRow{
-		row:  row,
-		done: done,
+	b.pending = append(b.pending, pendingRow{
+		row:    row,
+		result: result,
 	})
-	if len(b.waiting) == 1 {
-		time.AfterFunc(batchTime, b.flush)
+	if len(b.pending) == 1 {
+		time.AfterFunc(batchDelay, b.flush)
 	}
 	b.mutex.Unlock()
 	select {
-	case err := <-done:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return errors.Wrap(ErrUnknown, "write row with others")
+		return errors.Wrap(ErrUnknown, "write row in a batch")
 	}
 }
 
-// flush writes all rows that wait.
+// flush writes all pending rows.
 func (b *Batcher) flush() {
 	b.mutex.Lock()
-	waiting := b.waiting
-	b.waiting = nil
+	pending := b.pending
+	b.pending = nil
 	b.mutex.Unlock()
-	for len(waiting) > 0 {
-		size := min(len(waiting), b.most)
-		err := b.commit(waiting[:size])
-		for _, one := range waiting[:size] {
-			one.done <- err
+	for len(pending) > 0 {
+		size := min(len(pending), b.maxRows)
+		err := b.commit(pending[:size])
+		for _, entry := range pending[:size] {
+			entry.result <- err
 		}
-		waiting = waiting[size:]
+		pending = pending[size:]
 	}
 }
 
-// commit writes some rows in one transaction.
-func (b *Batcher) commit(batch []waitingRow) error {
-	place := map[string]int{}
+// commit writes a batch of rows in one transaction.
+func (b *Batcher) commit(batch []pendingRow) error {
+	indexByKey := map[string]int{}
 	var rows []Row
-	for _, one := range batch {
-		key := one.row.Table + "/" + one.row.Key
-		if i, isThere := place[key]; isThere {
-			rows[i] = one.row
+	for _, entry := range batch {
+		key := entry.row.Table + "/" + entry.row.Key
+		if i, isDuplicate := indexByKey[key]; isDuplicate {
+			rows[i] = entry.row
 			continue
 		}
-		place[key] = len(rows)
-		rows = append(rows, one.row)
+		indexByKey[key] = len(rows)
+		rows = append(rows, entry.row)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), batchCall)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	_, err := b.store.Commit(ctx, Transaction{
 		Writes: rows,
--- a/core/rowstore/batcher_test.go
+++ b/core/rowstore/batcher_test.go
@@ -11,27 +11,27 @@
 	"headcourse/core/rowstore"
 )
 
-// committing is a store that notes its transactions.
-type committing struct {
+// recordingStore records the rows of its transactions.
+type recordingStore struct {
 	rowstore.Store
 	rows [][]rowstore.Row
 	err  error
 }
 
-// Commit notes the rows written.
-func (c *committing) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
+// Commit records the rows.
+func (c *recordingStore) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
 	c.rows = append(c.rows, transaction.Writes)
 	return rowstore.Revision{
 		Version: int64(len(c.rows)),
 	}, c.err
 }
 
-// writeAll writes rows of so many keys at the same moment, and returns the errors.
-func writeAll(batcher *rowstore.Batcher, keys, each int) []error {
-	told := make(chan error, keys*each)
-	for i := range keys * each {
+// writeAll writes perKey rows for each key at the same moment, and returns the errors.
+func writeAll(batcher *rowstore.Batcher, keys, perKey int) []error {
+	results := make(chan error, keys*perKey)
+	for i := range keys * perKey {
 		go func() {
-			told <- batcher.Write(context.Background(), rowstore.Row{
+			results <- batcher.Write(context.Background(), rowstore.Row{
 				Table: "daemons",
 				Key:   strconv.Itoa(i % keys),
 				Value: []byte("{}"),
@@ -39,16 +39,17 @@
 		}()
 	}
 	var errs []error
-	for range keys * each {
-		errs = append(errs, <-told)
+	for range keys * perKey {
+		errs = append(errs, <-results)
 	}
 	return errs
 }
 
-// Each of 295 daemons that started together cost a call of the store to list itself.
-func TestRowsOfManyDaemonsAreWrittenTogether(t *testing.T) {
+// Guards against one store call per daemon when all daemons register at the same moment, as 295
+// did.
+func TestBatcherWritesConcurrentRowsInFewTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &committing{}
+		store := &recordingStore{}
 		for _, err := range writeAll(rowstore.NewBatcher(store, 98), 295, 1) {
 			qt.Assert(t, err, qt.IsNil)
 		}
@@ -64,10 +65,10 @@
 	})
 }
 
-// A transaction may not write one row twice.
-func TestRowThatComesTwiceIsWrittenOnce(t *testing.T) {
+// Guards against a transaction that writes the same row twice, which is invalid.
+func TestBatcherWritesDuplicateKeyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &committing{}
+		store := &recordingStore{}
 		for _, err := range writeAll(rowstore.NewBatcher(store, 98), 1, 3) {
 			qt.Assert(t, err, qt.IsNil)
 		}
@@ -76,9 +77,9 @@
 	})
 }
 
-func TestFailureIsToldToAllOfTheBatch(t *testing.T) {
+func TestBatcherReturnsFailureToAllWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &committing{
+		store := &recordingStore{
 			err: rowstore.ErrRefused,
 		}
 		for _, err := range writeAll(rowstore.NewBatcher(store, 98), 5, 1) {
--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -8,68 +8,69 @@
 	"github.com/pkg/errors"
 )
 
-// Times of a chain.
 const (
-	// relayTime is how much longer than the wait a relay's answer may take.
-	relayTime = 400 * time.Millisecond
-	// hurriedTime is how long the store must have been waited for to count as failing:
-	// relays that say nothing may have used up the time of the call.
-	hurriedTime = 300 * time.Millisecond
-	// longestRelayed is the longest wait asked of a relay: one that has died
-	// without a word is noticed soon after.
-	longestRelayed = time.Second
-	// readPatience bounds reading a table from relays: a daemon that has just started
-	// serves nobody until it has read. Others may start at the same moment, on VMs with a
-	// fifth of a core.
-	readPatience = 400 * time.Millisecond
-	// readRelays is how many relays are asked meanwhile, again and again.
-	readRelays = 2
+	// relayMargin is added to the wait of a feed to get the timeout of a call to a relay.
+	relayMargin = 400 * time.Millisecond
+	// minStoreWait is the shortest time after which a call to the store that hit its deadline
+	// counts as a failure of the store. A shorter call shows only that unresponsive relays used up
+	// its time.
+	minStoreWait = 300 * time.Millisecond
+	// maxRelayWait is the longest wait that is asked of a relay, so that a relay that died is
+	// detected soon.
+	maxRelayWait = time.Second
+	// relayReadTimeout is the first timeout for reading a table from relays. A daemon that has just
+	// started serves no requests until it has read its tables. Other daemons may start at the same
+	// moment on VMs with a fifth of a core.
+	relayReadTimeout = 400 * time.Millisecond
+	// relaysPerRead is how many relays a read calls in turn until one answers.
+	relaysPerRead = 2
 )
 
-// errStale reports that a relay's copy is too old, errFormerEra that it is of before a
-// restore of the store that this daemon knows of.
+// errStale reports that a relay's copy is too old. errFormerEra reports that the copy predates a
+// restore of the store that this daemon has seen.
 var (
 	errStale     = errors.Wrap(ErrNoCopy, "its copy is too old")
 	errFormerEra = errors.Wrap(ErrNoCopy, "its copy is of a former era")
 )
 
-// Chain reads tables from the first relay that answers with a young copy, and
-// from the store itself where there is none, or this daemon is a relay. Standbys are
-// asked where every relay answers that it has none. A failed
-// relay costs one short wait; the store is always the last resort, so relays can
-// only save calls, never cost an answer. Where the store turns this daemon away, it asks
-// its fallbacks: they have a copy if it serves one of them. What comes from them is given
-// to nobody (IsSecondHand), or two daemons would follow each other. Use NewChain.
+// Chain reads tables from the first relay that has a fresh copy, and from the store if no relay has
+// one or this daemon is the first relay. Standbys are called if relays answer that they have no
+// copy. A failed relay costs one short timeout. The store is always the last resort, so relays only
+// save calls and never make a read fail. If the store fails for this daemon, the chain calls the
+// fallbacks, which have a copy if the store serves one of them. Copies that come from fallbacks are
+// not served to other daemons (IsSecondHand); otherwise two daemons would follow each other. Use
+// NewChain.
 type Chain struct {
-	// IsDirect, if set, tells of tables whose changes are wanted as soon as the store
-	// tells them, past the relays; set before use.
+	// IsDirect, if set, selects tables whose changes are followed at the store itself, without
+	// relays, to see them as early as possible; relays are used while the store fails. Set it
+	// before use.
 	IsDirect func(table string) bool
-	// IsUrgent, if set, tells of tables that are asked for as often as those whose age is
-	// bounded, while the store fails; set before use.
+	// IsUrgent, if set, selects tables that are retried as often as age-bounded ones while the
+	// store fails. Set it before use.
 	IsUrgent func(table string) bool
-	// Sharing, if set, returns how many daemons would ask the store like this one where
-	// their relays have no copy; set before use.
+	// Sharing, if set, returns how many daemons call the store in the same way as this one if their
+	// relays have no copy. Set it before use.
 	Sharing func() int
-	// Patience is how long a read waits for relays at least; set before use. When the
-	// whole system starts there is nobody to serve yet.
+	// Patience is the minimum time that a read tries relays before it calls the store. Set it
+	// before use. At a start of the whole system it can be long, since there are no requests to
+	// serve yet.
 	Patience time.Duration
 
 	store Reader
 	clock *Freshness
-	// limits says how old a copy of a table may be; tables not in it may be of
-	// any age.
-	limits map[string]time.Duration
-
-	mutex sync.Mutex
-	peers Peers
-	avoid avoidance
-	// isSecondHand tells that the last answer came from a fallback.
+	// maxAges holds the maximum age of a copy by table; tables without an entry may be of any age.
+	maxAges map[string]time.Duration
+
+	mutex    sync.Mutex
+	peers    Peers
+	backoffs relayBackoffs
+	// isSecondHand is set if the last answer came from a fallback.
 	isSecondHand bool
-	// restraint decides when the store itself may be asked.
-	restraint restraint
-	// direct and relayed count answers by where they came from.
-	direct  int64
-	relayed int64
+	// limiter decides when the store itself may be called.
+	limiter storeLimiter
+	// storeCalls counts the calls to the store, relayAnswers the answers that came from relays.
+	storeCalls   int64
+	relayAnswers int64
 }
 
 // Relay is another daemon that answers from its copy.
@@ -78,124 +79,124 @@
 	Reader Reader
 }
 
-// Peers are the daemons that one daemon asks, each in the order in which they are asked.
+// Peers are the daemons that one daemon calls, each group in call order.
 type Peers struct {
-	// Relays are asked before the store; none where this daemon is the first relay.
+	// Relays are called before the store. The first relay has none.
 	Relays []Relay
-	// Standbys are asked where relays answer that they have no copy.
+	// Standbys are called if relays answer that they have no copy.
 	Standbys []Relay
-	// Fallbacks are those that ask this daemon in their turn. They are asked where the
-	// store fails this one.
+	// Fallbacks are daemons that call this one. They are called if the store fails for this daemon.
 	Fallbacks []Relay
 }
 
-// NewChain returns a chain that has no relays yet. clock must be proved by calls
-// to the store itself. Copies of the tables in limits must be younger than that.
-func NewChain(store Reader, clock *Freshness, limits map[string]time.Duration) *Chain {
+// NewChain returns a chain without relays. Calls to the store itself must update clock. maxAges
+// holds the maximum age of a copy by table.
+func NewChain(store Reader, clock *Freshness, maxAges map[string]time.Duration) *Chain {
 	return &Chain{
-		store:  store,
-		clock:  clock,
-		limits: limits,
-		avoid:  avoidance{},
+		store:    store,
+		clock:    clock,
+		maxAges:  maxAges,
+		backoffs: relayBackoffs{},
 	}
 }
 
-// SetPeers replaces the daemons that this one asks.
+// SetPeers replaces the daemons that this one calls.
 func (c *Chain) SetPeers(peers Peers) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.peers = peers
 }
 
-// IsSecondHand tells whether this daemon's copies come from daemons that ask it.
+// IsSecondHand reports whether this daemon's copies come from daemons that call it.
 func (c *Chain) IsSecondHand() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.isSecondHand
 }
 
-// tookFrom notes whether the last answer came from a fallback.
-func (c *Chain) tookFrom(isFallback bool) {
+// recordSource records whether the last answer came from a fallback.
+func (c *Chain) recordSource(isFallback bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.isSecondHand = isFallback
 }
 
-// Counts returns how many answers came from the store, and how many from relays.
-func (c *Chain) Counts() (direct, relayed int64) {
+// Counts returns the number of calls to the store and of answers from relays.
+func (c *Chain) Counts() (storeCalls, relayAnswers int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.direct, c.relayed
+	return c.storeCalls, c.relayAnswers
 }
 
-// usable returns the relays that did not fail lately.
-func (c *Chain) usable() []Relay {
+// availableRelays returns the relays that are not backed off.
+func (c *Chain) availableRelays() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.withoutAvoided(c.peers.Relays)
+	return c.withoutBackedOff(c.peers.Relays)
 }
 
-// usableStandbys returns the standbys that did not fail lately, where a relay has said
-// lately that it has no copy. Relays that say nothing have used up the time of a call.
-func (c *Chain) usableStandbys() []Relay {
+// availableStandbys returns the standbys that are not backed off, or none unless a relay has
+// answered recently that it has no copy. Unresponsive relays have used up the time of a call.
+func (c *Chain) availableStandbys() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.restraint.lacksCopies(time.Now()) {
+	if !c.limiter.relaysLackCopies(time.Now()) {
 		return nil
 	}
-	return c.withoutAvoided(c.peers.Standbys)
+	return c.withoutBackedOff(c.peers.Standbys)
 }
 
-// usableFallbacks returns the fallbacks that did not fail lately, where the store did.
-func (c *Chain) usableFallbacks() []Relay {
+// availableFallbacks returns the fallbacks that are not backed off, or none unless the store has
+// failed recently.
+func (c *Chain) availableFallbacks() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.restraint.hasFailed(time.Now()) {
+	if !c.limiter.failedRecently(time.Now()) {
 		return nil
 	}
-	return c.withoutAvoided(c.peers.Fallbacks)
+	return c.withoutBackedOff(c.peers.Fallbacks)
 }
 
-// withoutAvoided returns those that did not fail lately. The mutex is held.
-func (c *Chain) withoutAvoided(relays []Relay) []Relay {
-	var usable []Relay
+// withoutBackedOff returns the daemons that are not backed off. The mutex must be held.
+func (c *Chain) withoutBackedOff(relays []Relay) []Relay {
+	var available []Relay
 	for _, relay := range relays {
-		if !c.avoid.has(relay.Name) {
-			usable = append(usable, relay)
+		if !c.backoffs.isBackedOff(relay.Name) {
+			available = append(available, relay)
 		}
 	}
-	return usable
+	return available
 }
 
-// note counts a relay's answer, or avoids one that failed.
-func (c *Chain) note(relay string, err error) {
+// recordRelayResult counts a relay's answer, or backs off from a relay that failed.
+func (c *Chain) recordRelayResult(name string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.avoid.note(relay, err)
+	c.backoffs.record(name, err)
 	switch {
 	case errors.Is(err, ErrNoCopy):
-		c.restraint.observeNoCopy(time.Now())
+		c.limiter.observeNoCopy(time.Now())
 	case err == nil:
-		c.relayed++
+		c.relayAnswers++
 	}
 }
 
-// errNotItsTurn reports that relays have no copy yet, and that it is for others to ask the
-// store for it.
-var errNotItsTurn = errors.Wrap(ErrRefused, "relays have no copy, and others ask the store for it")
+// errWaitForRelays reports that relays have no copy yet, and that other daemons are to read it from
+// the store.
+var errWaitForRelays = errors.Wrap(ErrRefused, "relays have no copy yet, and other daemons read it from the store")
 
-// Read reads a table. Relays are asked before the store for a short time only, or for
-// Patience where that is longer. Where they answer, but have no copy yet, they are asked again
-// for as long as the store is left to others, each time for twice as long: when all daemons start
-// at one moment, hundreds that read a large table from the store would keep the relays waiting for
-// it, and a large table takes long to send.
+// Read reads a table. It tries relays for relayReadTimeout, or for Patience if that is longer, and
+// then the store. If relays answer but have no copy, and other daemons are to read the table from
+// the store, Read tries the relays again, each time twice as long. When all daemons start at the
+// same moment, hundreds of reads of a large table would saturate the store's link and delay the
+// relays.
 func (c *Chain) Read(ctx context.Context, table string) (Result, error) {
-	for patience := max(readPatience, c.Patience); ; patience += patience {
-		result, err := c.readOnce(ctx, table, patience)
-		if !errors.Is(err, errNotItsTurn) {
+	for timeout := max(relayReadTimeout, c.Patience); ; timeout += timeout {
+		result, err := c.readOnce(ctx, table, timeout)
+		if !errors.Is(err, errWaitForRelays) {
 			return result, err
 		}
-		timer := time.NewTimer(turnPause)
+		timer := time.NewTimer(roundRobinPause)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -205,47 +206,47 @@
 	}
 }
 
-// relayedPart returns the part of a read's time that one relay may take to send a table: one that
-// begins to send it is not cut off soon. A follower gives a read longer after one that was not
-// answered in time.
-func relayedPart(ctx context.Context) time.Duration {
+// relayReadLimit returns the share of a read's time that one relay may take to send a table, so
+// that a relay that has begun to send is not cut off early. After a timeout a Follower gives the
+// next read more time.
+func relayReadLimit(ctx context.Context) time.Duration {
 	const parts = 2
-	end, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		return longestRelayed
+		return maxRelayWait
 	}
-	return time.Until(end) / parts
+	return time.Until(deadline) / parts
 }
 
-// readOnce reads a table from relays, which are asked for so long, or from the store.
-func (c *Chain) readOnce(ctx context.Context, table string, patience time.Duration) (Result, error) {
-	relays := c.usable()
-	var first []Relay
+// readOnce reads a table once, from relays for up to timeout, or else from the store.
+func (c *Chain) readOnce(ctx context.Context, table string, timeout time.Duration) (Result, error) {
+	relays := c.availableRelays()
+	var joined []Relay
 	if len(relays) > 0 {
-		first = []Relay{
-			inTurn(relays[:min(readRelays, len(relays))], patience),
+		joined = []Relay{
+			roundRobinRelay(relays[:min(relaysPerRead, len(relays))], timeout),
 		}
 	}
-	return c.ask(ctx, table, sources{
-		relays:    first,
+	return c.callInOrder(ctx, table, sources{
+		relays:    joined,
 		standbys:  noRelays,
 		fallbacks: noRelays,
-		limit:     max(patience, relayedPart(ctx)),
+		timeout:   max(timeout, relayReadLimit(ctx)),
 	}, func(ctx context.Context, from Reader) (Result, error) {
 		return from.Read(ctx, table)
 	})
 }
 
-// HasRelays tells whether the chain knows any daemon to ask before the store.
+// HasRelays reports whether the chain has any daemon to call before the store.
 func (c *Chain) HasRelays() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.peers.Relays) > 0
 }
 
-// sample reads the first rows of a table from the store, if it may be asked now.
+// sample reads the first rows of a table from the store, if the limiter admits the call.
 func (c *Chain) sample(ctx context.Context, table string, rows int, from Sampler) (result Result, isWhole bool, err error) {
-	result, err = c.askStore(ctx, table, func(ctx context.Context, _ Reader) (Result, error) {
+	result, err = c.callStore(ctx, table, func(ctx context.Context, _ Reader) (Result, error) {
 		var sampled Result
 		var sampleErr error
 		sampled, isWhole, sampleErr = from.Sample(ctx, table, rows)
@@ -254,123 +255,122 @@
 	return result, isWhole, err
 }
 
-// inTurn joins relays to one that asks them in turn until one answers, for so long.
-func inTurn(relays []Relay, patience time.Duration) Relay {
+// roundRobinRelay returns a relay that calls the given ones in turn until one answers or timeout
+// passes.
+func roundRobinRelay(relays []Relay, timeout time.Duration) Relay {
 	readers := make([]Reader, len(relays))
 	for i, relay := range relays {
 		readers[i] = relay.Reader
 	}
 	return Relay{
 		Name: relays[0].Name,
-		Reader: turns{
-			readers:  readers,
-			patience: patience,
+		Reader: roundRobin{
+			readers: readers,
+			timeout: timeout,
 		},
 	}
 }
 
-// Feed follows a table. A relay whose copy must be young is asked for half of
-// the limit at most, so that one that is cut off is noticed in time.
+// Feed follows a table. A relay whose copy must be fresh is asked to wait for half of the maximum
+// age at most, so that a relay that is cut off is detected in time.
 func (c *Chain) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
-	relayed := min(wait, longestRelayed)
-	if limit, ok := c.limits[table]; ok {
-		relayed = min(wait, limit/2)
+	relayWait := min(wait, maxRelayWait)
+	if maxAge, ok := c.maxAges[table]; ok {
+		relayWait = min(wait, maxAge/2)
 	}
 	sources := sources{
-		relays:    c.usable(),
-		standbys:  c.usableStandbys,
-		fallbacks: c.usableFallbacks,
-		limit:     relayed + relayTime,
+		relays:    c.availableRelays(),
+		standbys:  c.availableStandbys,
+		fallbacks: c.availableFallbacks,
+		timeout:   relayWait + relayMargin,
 	}
-	if c.IsDirect != nil && c.IsDirect(table) && !c.hasFailed() {
+	if c.IsDirect != nil && c.IsDirect(table) && !c.storeFailedRecently() {
 		sources.relays = nil
 		sources.standbys = noRelays
 	}
-	return c.ask(ctx, table, sources, func(ctx context.Context, from Reader) (Result, error) {
+	return c.callInOrder(ctx, table, sources, func(ctx context.Context, from Reader) (Result, error) {
 		if from == c.store {
-			return from.Feed(ctx, table, since, waitLeft(ctx, wait))
+			return from.Feed(ctx, table, since, remainingWait(ctx, wait))
 		}
-		return from.Feed(ctx, table, since, relayed)
+		return from.Feed(ctx, table, since, relayWait)
 	})
 }
 
-// waitLeft returns how long the store may be asked to wait for changes: relays may have
-// used up a part of the call's time, and an answer that comes too late would be taken for
-// a failure of the store.
-func waitLeft(ctx context.Context, wait time.Duration) time.Duration {
-	end, ok := ctx.Deadline()
+// remainingWait returns how long the store may be asked to wait for changes. Relays may have used
+// up a part of the call's time, and a late answer would count as a failure of the store.
+func remainingWait(ctx context.Context, wait time.Duration) time.Duration {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return wait
 	}
-	return max(0, min(wait, time.Until(end)-feedMargin))
+	return max(0, min(wait, time.Until(deadline)-feedTimeoutMargin))
 }
 
-// callTo makes one call to a relay, or to the store.
-type callTo func(ctx context.Context, to Reader) (Result, error)
+// readerCall makes one call to a relay or to the store.
+type readerCall func(ctx context.Context, to Reader) (Result, error)
 
-// sources are whom a call is made to before the store.
+// sources are the daemons that are called before the store.
 type sources struct {
 	relays []Relay
-	// standbys and fallbacks return those to be asked after the relays, when it is their
-	// turn.
+	// standbys and fallbacks return the daemons to call after the relays. They are evaluated only
+	// when needed.
 	standbys  func() []Relay
 	fallbacks func() []Relay
-	// limit bounds a call to one of them.
-	limit time.Duration
+	// timeout limits a call to one of them.
+	timeout time.Duration
 }
 
-// noRelays stands for sources that are not asked.
+// noRelays is used for sources that are not called.
 func noRelays() []Relay {
 	return nil
 }
 
-// ask makes a call to the relays in turn, then to the standbys, to the fallbacks, and then
-// to the store.
-func (c *Chain) ask(ctx context.Context, table string, from sources, call callTo) (Result, error) {
-	result, err := c.askRelays(ctx, table, from.relays, from.limit, call)
-	if isUnanswered(ctx, err) {
-		result, err = c.askRelays(ctx, table, from.standbys(), from.limit, call)
+// callInOrder calls the relays in turn, then the standbys, then the fallbacks, and then the store.
+func (c *Chain) callInOrder(ctx context.Context, table string, sources sources, call readerCall) (Result, error) {
+	result, err := c.callRelays(ctx, table, sources.relays, sources.timeout, call)
+	if isLeftToNext(ctx, err) {
+		result, err = c.callRelays(ctx, table, sources.standbys(), sources.timeout, call)
 	}
-	if !isUnanswered(ctx, err) {
-		c.tookFrom(false)
+	if !isLeftToNext(ctx, err) {
+		c.recordSource(false)
 		return result, err
 	}
-	result, err = c.askRelays(ctx, table, from.fallbacks(), from.limit, call)
-	if !isUnanswered(ctx, err) {
-		c.tookFrom(true)
+	result, err = c.callRelays(ctx, table, sources.fallbacks(), sources.timeout, call)
+	if !isLeftToNext(ctx, err) {
+		c.recordSource(true)
 		return result, err
 	}
-	result, err = c.askStore(ctx, table, call)
+	result, err = c.callStore(ctx, table, call)
 	if err == nil {
-		c.tookFrom(false)
+		c.recordSource(false)
 	}
 	return result, err
 }
 
-// errUnanswered reports that none of some daemons answered with a young copy.
-var errUnanswered = errors.New("no other daemon answers")
+// errNoPeerAnswered reports that none of the called daemons answered with a fresh copy.
+var errNoPeerAnswered = errors.New("no other daemon answers")
 
-// isUnanswered tells whether it is left to others to answer a call.
-func isUnanswered(ctx context.Context, err error) bool {
-	return errors.Is(err, errUnanswered) && ctx.Err() == nil
+// isLeftToNext reports whether the next source is to be called.
+func isLeftToNext(ctx context.Context, err error) bool {
+	return errors.Is(err, errNoPeerAnswered) && ctx.Err() == nil
 }
 
-// askRelays makes a call to some daemons in turn, for a time at most to each. It fails
-// with errUnanswered where none answers with a young copy.
-func (c *Chain) askRelays(ctx context.Context, table string, relays []Relay, limit time.Duration, call callTo) (Result, error) {
+// callRelays calls daemons in turn, each with a timeout. It fails with errNoPeerAnswered if none
+// answers with a fresh copy.
+func (c *Chain) callRelays(ctx context.Context, table string, relays []Relay, timeout time.Duration, call readerCall) (Result, error) {
 	for _, relay := range relays {
 		sent := c.clock.Now()
-		limited, cancel := context.WithTimeout(ctx, limit)
+		limited, cancel := context.WithTimeout(ctx, timeout)
 		result, err := call(limited, relay.Reader)
 		cancel()
 		if errors.Is(err, ErrCompacted) {
 			return result, err
 		}
 		if err == nil {
-			c.date(sent, result)
+			c.observeStoreClock(sent, result)
 			err = c.checkAge(table, result)
 		}
-		c.note(relay.Name, err)
+		c.recordRelayResult(relay.Name, err)
 		if err == nil {
 			return result, nil
 		}
@@ -378,100 +378,101 @@
 			return Result{}, ErrUnknown
 		}
 	}
-	return Result{}, errUnanswered
+	return Result{}, errNoPeerAnswered
 }
 
-// askStore makes a call to the store, if it may be asked now.
-func (c *Chain) askStore(ctx context.Context, table string, call callTo) (Result, error) {
-	if !c.mayAsk(table) {
-		if c.lacksCopies() {
-			return Result{}, errNotItsTurn
+// callStore calls the store, if the limiter admits the call.
+func (c *Chain) callStore(ctx context.Context, table string, call readerCall) (Result, error) {
+	if !c.admitStoreCall(table) {
+		if c.relaysLackCopies() {
+			return Result{}, errWaitForRelays
 		}
-		return Result{}, errors.Wrap(ErrRefused, "no relay answers and the store failed lately")
+		return Result{}, errors.Wrap(ErrRefused, "no relay answers and the store failed recently")
 	}
 	began := time.Now()
 	result, err := call(ctx, c.store)
-	if !isBrokenOff(ctx, time.Since(began)) {
-		c.noteDirect(err)
+	if !isCutShort(ctx, time.Since(began)) {
+		c.recordStoreResult(err)
 	}
 	return result, err
 }
 
-// isBrokenOff tells whether a call to the store that took so long was ended by the daemon
-// itself, which says nothing of the store: its caller stopped, or relays had used up its
-// time. A connection that is cut at once is another matter: the store did that.
-func isBrokenOff(ctx context.Context, took time.Duration) bool {
+// isCutShort reports whether this daemon itself ended a call to the store, because its caller
+// stopped or relays had used up its time. Such a call says nothing about the store. A connection
+// that is closed at once is a failure of the store.
+func isCutShort(ctx context.Context, duration time.Duration) bool {
 	err := ctx.Err()
-	return errors.Is(err, context.Canceled) || (err != nil && took < hurriedTime)
+	return errors.Is(err, context.Canceled) || (err != nil && duration < minStoreWait)
 }
 
-// date learns from a relay's answer what the store's clock showed at the latest when
-// the relay was asked.
-func (c *Chain) date(sent time.Time, result Result) {
+// observeStoreClock updates the clock with a relay's upper bound of the store's clock at the time
+// the relay was called.
+func (c *Chain) observeStoreClock(sent time.Time, result Result) {
 	if result.Latest > 0 {
 		c.clock.Prove(result.Era, sent, result.Latest)
 	}
 }
 
-// mayAsk tells whether the store itself may be asked now, and notes that it is.
-func (c *Chain) mayAsk(table string) bool {
-	sharing := 1
+// admitStoreCall reports whether the store itself may be called now, and records the call.
+func (c *Chain) admitStoreCall(table string) bool {
+	contenders := 1
 	if c.Sharing != nil {
-		sharing = c.Sharing()
+		contenders = c.Sharing()
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	_, isLimited := c.limits[table]
-	isLimited = isLimited || (c.IsUrgent != nil && c.IsUrgent(table))
-	mayAsk := c.restraint.mayAsk(time.Now(), surroundings{
-		isLimited: isLimited,
-		relays:    len(c.peers.Relays),
-		standbys:  len(c.peers.Standbys),
-		sharing:   sharing,
+	_, isAgeBounded := c.maxAges[table]
+	isAgeBounded = isAgeBounded || (c.IsUrgent != nil && c.IsUrgent(table))
+	isAdmitted := c.limiter.admit(time.Now(), storeCall{
+		isAgeBounded: isAgeBounded,
+		relays:       len(c.peers.Relays),
+		standbys:     len(c.peers.Standbys),
+		contenders:   contenders,
 	})
-	if mayAsk {
-		c.direct++
+	if isAdmitted {
+		c.storeCalls++
 	}
-	return mayAsk
+	return isAdmitted
 }
 
-// lacksCopies tells whether a relay answered lately that it has no copy.
-func (c *Chain) lacksCopies() bool {
+// relaysLackCopies reports whether a relay answered recently that it has no copy, while the store
+// has not failed.
+func (c *Chain) relaysLackCopies() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.restraint.lacksCopies(time.Now()) && !c.restraint.hasFailed(time.Now())
+	return c.limiter.relaysLackCopies(time.Now()) && !c.limiter.failedRecently(time.Now())
 }
 
-// hasFailed tells whether the store failed lately, so that it is asked rarely.
-func (c *Chain) hasFailed() bool {
+// storeFailedRecently reports whether the store failed recently, so that calls to it are limited.
+func (c *Chain) storeFailedRecently() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.restraint.hasFailed(time.Now())
+	return c.limiter.failedRecently(time.Now())
 }
 
-// noteDirect notes how a call to the store ended.
-func (c *Chain) noteDirect(err error) {
+// recordStoreResult records the result of a call to the store.
+func (c *Chain) recordStoreResult(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil || errors.Is(err, ErrCompacted) {
-		c.restraint.answered()
+		c.limiter.recordSuccess()
 		return
 	}
-	c.restraint.failed(time.Now())
+	c.limiter.recordFailure(time.Now())
 }
 
-// checkAge returns errFormerEra for a copy of a former era, and errStale for one that is
-// too old, or cannot be dated.
+// checkAge returns errFormerEra for a copy of a former era, and errStale for a copy that is too old
+// or cannot be dated.
 func (c *Chain) checkAge(table string, result Result) error {
 	if result.Era < c.clock.Era() {
 		return errFormerEra
 	}
-	limit, ok := c.limits[table]
+	maxAge, ok := c.maxAges[table]
 	if !ok {
 		return nil
 	}
-	when := c.clock.When(result.Era, result.Now)
-	if when.IsZero() || c.clock.Since(when) > limit {
+	shownAt := c.clock.When(result.Era, result.Now)
+	if shownAt.IsZero() || c.clock.Since(shownAt) > maxAge {
 		return errStale
 	}
 	return nil
--- a/core/rowstore/fake_test.go
+++ b/core/rowstore/fake_test.go
@@ -8,24 +8,24 @@
 	"headcourse/core/rowstore"
 )
 
-// fakeStore is a store of one table that can be down, slow, or have forgotten
-// its history. Its clock runs with the test's.
+// fakeStore is a store with one table that can be down, slow, or lack its history. Its clock runs
+// with the test's.
 type fakeStore struct {
-	mutex   sync.Mutex
-	started time.Time
-	rows    map[string]rowstore.Row
-	history []rowstore.Row
-	era     int64
-	version int64
-	floor   int64
-	isDown  bool
-	// isCut tells that connections are cut at once, so that calls get no answer.
-	isCut     bool
-	delay     time.Duration
-	stale     int64
-	calls     int
-	changed   chan struct{}
-	isRelayed bool
+	mutex        sync.Mutex
+	started      time.Time
+	rows         map[string]rowstore.Row
+	history      []rowstore.Row
+	era          int64
+	version      int64
+	historyStart int64
+	isDown       bool
+	// isCut makes calls end at once without an answer, like closed connections.
+	isCut      bool
+	delay      time.Duration
+	versionLag int64
+	calls      int
+	changed    chan struct{}
+	isRelayed  bool
 }
 
 // newFakeStore returns an empty store.
@@ -38,7 +38,7 @@
 	}
 }
 
-// put writes a row; an empty value removes it.
+// put writes a row, or removes it if value is empty.
 func (f *fakeStore) put(key, value string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -60,22 +60,22 @@
 	f.changed = make(chan struct{})
 }
 
-// count returns how many calls there were.
-func (f *fakeStore) count() int {
+// callCount returns the number of calls so far.
+func (f *fakeStore) callCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.calls
 }
 
-// set changes how the store behaves.
-func (f *fakeStore) set(change func(f *fakeStore)) {
+// update changes the behaviour of the store.
+func (f *fakeStore) update(change func(f *fakeStore)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change(f)
 }
 
-// begin waits for the delay and returns an error if the store is down.
-func (f *fakeStore) begin(ctx context.Context) error {
+// delayOrFail waits for the delay and returns an error if the store is down or cut.
+func (f *fakeStore) delayOrFail(ctx context.Context) error {
 	f.mutex.Lock()
 	f.calls++
 	delay, isDown, isCut := f.delay, f.isDown, f.isCut
@@ -94,12 +94,12 @@
 	return nil
 }
 
-// result returns a result with some rows. The mutex is held.
+// result returns a result with the given rows. The mutex must be held.
 func (f *fakeStore) result(rows []rowstore.Row) rowstore.Result {
 	return rowstore.Result{
 		Rows:      rows,
 		Era:       f.era,
-		Version:   f.version - f.stale,
+		Version:   f.version - f.versionLag,
 		Now:       time.Since(f.started),
 		IsRelayed: f.isRelayed,
 	}
@@ -107,7 +107,7 @@
 
 // Read returns all rows.
 func (f *fakeStore) Read(ctx context.Context, _ string) (rowstore.Result, error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.delayOrFail(ctx); err != nil {
 		return rowstore.Result{}, err
 	}
 	f.mutex.Lock()
@@ -119,27 +119,27 @@
 	return f.result(all), nil
 }
 
-// Feed returns changes.
+// Feed returns changes since a revision.
 func (f *fakeStore) Feed(ctx context.Context, _ string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.delayOrFail(ctx); err != nil {
 		return rowstore.Result{}, err
 	}
 	deadline := time.After(wait)
 	for {
 		f.mutex.Lock()
-		if since.Era != f.era || since.Version < f.floor {
+		if since.Era != f.era || since.Version < f.historyStart {
 			f.mutex.Unlock()
 			return rowstore.Result{}, rowstore.ErrCompacted
 		}
-		var news []rowstore.Row
+		var changes []rowstore.Row
 		for _, row := range f.history {
 			if row.Version > since.Version {
-				news = append(news, row)
+				changes = append(changes, row)
 			}
 		}
-		result, changed := f.result(news), f.changed
+		result, changed := f.result(changes), f.changed
 		f.mutex.Unlock()
-		if len(news) > 0 {
+		if len(changes) > 0 {
 			return result, nil
 		}
 		select {
--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -7,66 +7,66 @@
 	"github.com/pkg/errors"
 )
 
-// Times of a follower.
 const (
-	// feedMargin is how much longer than the wait an answer may take: the
-	// store's own 4 ms, links, and a slow store's twentyfold.
-	feedMargin = 700 * time.Millisecond
-	// readTime bounds reading a whole table, of thousands of rows on a slow store; it
-	// is not the time that a feed waits, which may be much longer. Each read that is not
-	// answered in time is given twice as long at the next try, up to longestRead: a table
-	// that takes longer once would never be read else.
-	readTime    = 1500 * time.Millisecond
-	longestRead = 12 * time.Second
-	// retryWait is the pause after a failed call, so that a store that refuses
-	// costs each VM three calls a second.
-	retryWait = 300 * time.Millisecond
+	// feedTimeoutMargin is added to the wait of a feed to get the call's timeout. It covers the
+	// store's 4 ms, the network, and a store that is twenty times slower than usual.
+	feedTimeoutMargin = 700 * time.Millisecond
+	// baseReadTimeout is the first timeout for reading a whole table, which may hold thousands of
+	// rows on a slow store. It is independent of the wait of a feed, which may be much longer. The
+	// timeout doubles after each read that times out, up to maxReadTimeout; otherwise a table that
+	// takes longer than the first timeout would never be read.
+	baseReadTimeout = 1500 * time.Millisecond
+	maxReadTimeout  = 12 * time.Second
+	// retryPause is the pause after a failed call. It limits a VM to about three calls a second to
+	// a store that refuses them.
+	retryPause = 300 * time.Millisecond
 )
 
-// Follower keeps up with one table: it reads the table once and then follows
-// its changes. A table never goes back within an era: answers older than what was seen, as
-// a lagging copy of the store gives them, are dropped. In a new era it is read anew, also
-// where its version is lower.
+// Follower keeps a reader up to date with one table: it reads the table once and then follows its
+// changes. Within an era the table never goes back: answers older than the known revision, such as
+// those of a lagging store replica, are rejected. In a new era the table is read again even if its
+// version is lower.
 type Follower struct {
 	Store Reader
 	Table string
-	// Wait is how long one call waits for changes; Settle, if set, tells the pause
-	// after changes, which lets further changes come with the next call.
+	// Wait is how long one feed call waits for changes. Settle, if set, returns the pause after
+	// changes, which lets the next call return several changes at once.
 	Wait   time.Duration
 	Settle func() time.Duration
-	// Whole is told all rows after a read, Changed the rows of a feed, both with
-	// the revision and the time as of which it is true. A feed without changes
-	// calls Changed with none.
+	// Whole receives all rows after a read, and Changed the rows of a feed, both with their
+	// revision and the local time as of which they are valid. Changed also receives feeds without
+	// rows.
 	Whole   func(rows []Row, at Revision, asOf time.Time)
 	Changed func(rows []Row, at Revision, asOf time.Time)
-	// Restored, if set, is called in place of Whole in a new era: rows may be older than what
-	// was known. Rewrite, if set, tells how long their owners take to write again what the
-	// copy lacks; then the table is read once more.
+	// Restored, if set, is called instead of Whole in a new era, in which rows may be older than
+	// those known before. Rewrite, if set, returns how long the owners of rows take to write what
+	// the restored store lacks; after that time the table is read once more.
 	Restored func(rows []Row, at Revision, asOf time.Time)
 	Rewrite  func() time.Duration
-	// Merge, if set, returns what a table that was read anew is taken for: a restored
-	// store may lack rows that nobody may forget.
+	// Merge, if set, returns the result that replaces a full read, since a restored store may lack
+	// rows that must not be lost.
 	Merge func(Result) Result
-	// Hub, if set, is given every result, so that other daemons can follow it.
+	// Hub, if set, receives every accepted result, so that other daemons can follow it.
 	Hub *Hub
-	// EraChanged, if set, is told when the table was read anew in another era, before Whole.
+	// EraChanged, if set, is called before Whole when the table was read in a new era.
 	EraChanged func(former, next Revision)
-	// Dropped, if set, is told each answer that is not taken, and what was known.
+	// Dropped, if set, receives each rejected answer and the known revision.
 	Dropped func(answer Result, known Revision)
-	// Failed is told each failed call, Recovered the first good one after it.
+	// Failed receives the error of each failed call. Recovered is called at the first success after
+	// failures, with the time since the first failure.
 	Failed    func(err error)
 	Recovered func(away time.Duration)
 	Clock     *Freshness
 
-	known Revision
-	// isRead tells that changes may be followed, wasRead that the table was ever read.
-	isRead  bool
-	wasRead bool
-	// readAgainAt is when the table is read once more after a restore; zero: not at all.
-	readAgainAt time.Time
-	failingAt   time.Time
-	// unanswered counts the reads in a row that were not answered in time.
-	unanswered int
+	revision Revision
+	// canFollow is set while feeds can continue from revision, hasRead once the table was read.
+	canFollow bool
+	hasRead   bool
+	// rereadAt is when the table is read once more after a restore; zero if it is not.
+	rereadAt     time.Time
+	failingSince time.Time
+	// readTimeouts counts consecutive reads that timed out.
+	readTimeouts int
 }
 
 // Run follows the table until ctx ends.
@@ -83,67 +83,67 @@
 // step makes one call and returns the pause after it.
 func (f *Follower) step(ctx context.Context) time.Duration {
 	sent := f.Clock.Now()
-	result, err := f.call(ctx)
+	result, err := f.readOrFeed(ctx)
 	if errors.Is(err, ErrCompacted) {
-		f.isRead = false
+		f.canFollow = false
 		return 0
 	}
 	if err != nil {
-		f.noteFailure(err, sent)
-		return retryWait
+		f.recordFailure(err, sent)
+		return retryPause
 	}
-	f.noteSuccess()
+	f.recordSuccess()
 	asOf := f.asOf(sent, result)
-	if result.Revision().Compare(f.known) < 0 || result.Era < f.Clock.Era() {
+	if result.Revision().Compare(f.revision) < 0 || result.Era < f.Clock.Era() {
 		if f.Dropped != nil {
-			f.Dropped(result, f.known)
+			f.Dropped(result, f.revision)
 		}
-		return retryWait
+		return retryPause
 	}
-	if f.isRead && result.Era != f.known.Era {
-		// Changes in another era say nothing about the rows that it lacks.
-		f.isRead = false
+	if f.canFollow && result.Era != f.revision.Era {
+		// Changes of another era do not include the rows that were lost by the restore.
+		f.canFollow = false
 		return 0
 	}
-	if !f.isRead && f.Merge != nil {
+	if !f.canFollow && f.Merge != nil {
 		result = f.Merge(result)
 	}
-	former := f.known
-	f.known = result.Revision()
+	previous := f.revision
+	f.revision = result.Revision()
 	if f.Hub != nil {
-		f.Hub.Take(f.Table, result, !f.isRead, asOf)
+		f.Hub.Take(f.Table, result, !f.canFollow, asOf)
 	}
-	if !f.isRead {
-		f.takeWhole(result.Rows, former, asOf)
+	if !f.canFollow {
+		f.applySnapshot(result.Rows, previous, asOf)
 		return 0
 	}
-	f.Changed(result.Rows, f.known, asOf)
+	f.Changed(result.Rows, f.revision, asOf)
 	if len(result.Rows) > 0 && f.Settle != nil {
 		return f.Settle()
 	}
 	return 0
 }
 
-// takeWhole tells all rows after a read.
-func (f *Follower) takeWhole(rows []Row, former Revision, asOf time.Time) {
-	isNewEra := f.wasRead && f.known.Era != former.Era
-	f.isRead = true
-	f.wasRead = true
+// applySnapshot passes on all rows after a read.
+func (f *Follower) applySnapshot(rows []Row, previous Revision, asOf time.Time) {
+	isNewEra := f.hasRead && f.revision.Era != previous.Era
+	f.canFollow = true
+	f.hasRead = true
 	if isNewEra && f.EraChanged != nil {
-		f.EraChanged(former, f.known)
+		f.EraChanged(previous, f.revision)
 	}
 	if isNewEra && f.Rewrite != nil {
-		f.readAgainAt = time.Now().Add(f.Rewrite())
+		f.rereadAt = time.Now().Add(f.Rewrite())
 	}
-	if f.Restored != nil && (isNewEra || !f.readAgainAt.IsZero()) {
-		f.Restored(rows, f.known, asOf)
+	if f.Restored != nil && (isNewEra || !f.rereadAt.IsZero()) {
+		f.Restored(rows, f.revision, asOf)
 		return
 	}
-	f.Whole(rows, f.known, asOf)
+	f.Whole(rows, f.revision, asOf)
 }
 
-// asOf returns a local time at which a result was surely true. A copy's answer
-// proves nothing about the store's clock, but can be dated by it.
+// asOf returns a local time as of which a result is valid. An answer from a copy proves nothing
+// about the store's clock, but the clock's known readings date it.
 func (f *Follower) asOf(sent time.Time, result Result) time.Time {
 	if result.IsRelayed {
 		return f.Clock.When(result.Era, result.Now)
@@ -151,79 +151,79 @@
 	return f.Clock.Prove(result.Era, sent, result.Now)
 }
 
-// call reads the table, or waits for its changes.
-func (f *Follower) call(ctx context.Context) (Result, error) {
+// readOrFeed reads the table, or waits for its changes.
+func (f *Follower) readOrFeed(ctx context.Context) (Result, error) {
 	wait := f.Wait
-	if !f.readAgainAt.IsZero() {
-		wait = max(0, min(wait, time.Until(f.readAgainAt)))
+	if !f.rereadAt.IsZero() {
+		wait = max(0, min(wait, time.Until(f.rereadAt)))
 	}
-	if wait == 0 && !f.readAgainAt.IsZero() {
-		f.readAgainAt = time.Time{}
-		f.isRead = false
+	if wait == 0 && !f.rereadAt.IsZero() {
+		f.rereadAt = time.Time{}
+		f.canFollow = false
 	}
-	if !f.isRead {
+	if !f.canFollow {
 		return f.read(ctx)
 	}
-	if !f.failingAt.IsZero() {
-		// The store may be silent: ask briefly, so that its return is noticed.
+	if !f.failingSince.IsZero() {
+		// The store may not be answering: a call without a wait detects its recovery sooner.
 		wait = 0
 	}
 	return f.feed(ctx, wait)
 }
 
-// feed waits for changes, but no longer once another table shows that the store was restored.
+// feed waits for changes, and stops waiting when another table shows that the store was restored.
 func (f *Follower) feed(ctx context.Context, wait time.Duration) (Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+feedMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+feedTimeoutMargin)
 	defer cancel()
-	ended := f.Clock.EraEnded(f.known.Era)
+	eraEnded := f.Clock.EraEnded(f.revision.Era)
 	go func() {
 		select {
-		case <-ended:
+		case <-eraEnded:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	result, err := f.Store.Feed(ctx, f.Table, f.known, wait)
+	result, err := f.Store.Feed(ctx, f.Table, f.revision, wait)
 	select {
-	case <-ended:
+	case <-eraEnded:
 		return Result{}, ErrCompacted
 	default:
 		return result, err
 	}
 }
 
-// read reads the table.
+// read reads the table and adjusts the timeout of the next read.
 func (f *Follower) read(ctx context.Context) (Result, error) {
-	const mostDoublings = 3
-	limited, cancel := context.WithTimeout(ctx, min(longestRead, readTime<<min(f.unanswered, mostDoublings)))
+	const maxDoublings = 3
+	limited, cancel := context.WithTimeout(ctx, min(maxReadTimeout, baseReadTimeout<<min(f.readTimeouts, maxDoublings)))
 	defer cancel()
 	result, err := f.Store.Read(limited, f.Table)
 	if err != nil && limited.Err() != nil {
-		f.unanswered++
+		f.readTimeouts++
 	} else {
-		f.unanswered = 0
+		f.readTimeouts = 0
 	}
 	return result, err
 }
 
-// noteFailure tells a failed call.
-func (f *Follower) noteFailure(err error, at time.Time) {
-	if f.failingAt.IsZero() {
-		f.failingAt = at
+// recordFailure reports a failed call.
+func (f *Follower) recordFailure(err error, sent time.Time) {
+	if f.failingSince.IsZero() {
+		f.failingSince = sent
 	}
 	if f.Failed != nil {
 		f.Failed(err)
 	}
 }
 
-// noteSuccess tells the first good call after failed ones.
-func (f *Follower) noteSuccess() {
-	if f.failingAt.IsZero() {
+// recordSuccess reports the first successful call after failures.
+func (f *Follower) recordSuccess() {
+	if f.failingSince.IsZero() {
 		return
 	}
-	away := time.Since(f.failingAt)
-	f.failingAt = time.Time{}
+	downtime := time.Since(f.failingSince)
+	f.failingSince = time.Time{}
 	if f.Recovered != nil {
-		f.Recovered(away)
+		f.Recovered(downtime)
 	}
 }
--- a/core/rowstore/freshness.go
+++ b/core/rowstore/freshness.go
@@ -7,85 +7,84 @@
 	"headcourse/core/boottime"
 )
 
-// Freshness tells how old a view of the store is, without comparing clocks.
+// Freshness tracks how old a view of the store is, without comparing clocks of different VMs.
 //
-// Every answer carries the store's steady clock. An answer cannot have been
-// produced before its call was sent; so a call sent at s whose answer shows n
-// proves that the store's clock shows n no earlier than s, and that it shows
-// n+d no earlier than s+d. The latest such proof dates every later answer, also
-// one that was long on its way. A store that is restored may have its clock back too, so
-// proofs count within one era. The zero value knows nothing.
+// Every answer carries the store's monotonic clock. An answer is not produced before its call is
+// sent. So a call sent at local time s whose answer shows n proves that the store's clock shows n
+// no earlier than s, and n+d no earlier than s+d. The latest such proof dates every later answer,
+// even one that was delayed on its way. A restore may also set back the store's clock, so proofs
+// are valid within one era only. The zero value has no proof.
 type Freshness struct {
-	// Clock goes on while the machine is suspended, as the store's does: by one that does
-	// not, each sleep would make later answers seem as much younger. Set it before use.
+	// Clock must include time for which the VM was suspended, as the store's clock does. Otherwise
+	// each suspension would make later answers seem that much younger. Set it before use.
 	Clock boottime.Clock
 
 	mutex sync.Mutex
-	// era is the newest era of which a proof is known, zero the latest proven local
-	// time at which the store's clock was 0 in it.
-	era  int64
-	zero time.Time
-	// eraEnded is closed when a newer era is known; nil: nobody waits for it.
+	// era is the newest era with a proof. clockZero is the latest proven local time at which the
+	// store's clock was 0 in that era.
+	era       int64
+	clockZero time.Time
+	// eraEnded is closed when a newer era is observed; nil if nothing waits for it.
 	eraEnded chan struct{}
-	isKnown  bool
-	asOf     time.Time
+	hasProof bool
+	viewAsOf time.Time
 }
 
-// Now returns the present, by the clock that all of its times are of.
+// Now returns the present time of Clock, by which all times of this type are measured.
 func (f *Freshness) Now() time.Time {
 	return f.Clock.Now()
 }
 
-// Since returns how long ago such a time is.
+// Since returns the time that has passed since t, a time of Clock.
 func (f *Freshness) Since(t time.Time) time.Duration {
 	return f.Clock.Since(t)
 }
 
-// Prove notes that a call sent at sent was answered when the store's clock
-// showed now in an era, and returns a local time at which the answer was surely true;
-// the zero time where a newer era is known.
-func (f *Freshness) Prove(era int64, sent time.Time, now time.Duration) time.Time {
+// Prove records that a call sent at sent was answered when the store's clock showed storeTime in an
+// era. It returns a local time as of which the answer is valid, or the zero time if a newer era is
+// known.
+func (f *Freshness) Prove(era int64, sent time.Time, storeTime time.Duration) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if era < f.era {
 		return time.Time{}
 	}
-	zero := sent.Add(-now)
-	if f.isKnown && era > f.era && f.eraEnded != nil {
+	clockZero := sent.Add(-storeTime)
+	if f.hasProof && era > f.era && f.eraEnded != nil {
 		close(f.eraEnded)
 		f.eraEnded = nil
 	}
-	if !f.isKnown || era > f.era || zero.After(f.zero) {
+	if !f.hasProof || era > f.era || clockZero.After(f.clockZero) {
 		f.era = era
-		f.zero = zero
-		f.isKnown = true
+		f.clockZero = clockZero
+		f.hasProof = true
 	}
-	return f.zero.Add(now)
+	return f.clockZero.Add(storeTime)
 }
 
-// When returns the local time at which the store's clock showed now in an era, or a little
-// before it; the zero time where no call has proved anything of that era yet.
-func (f *Freshness) When(era int64, now time.Duration) time.Time {
+// When returns a local time at or slightly before the one at which the store's clock showed
+// storeTime in an era. It returns the zero time if no call has proved anything about that era.
+func (f *Freshness) When(era int64, storeTime time.Duration) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if !f.isKnown || era != f.era {
+	if !f.hasProof || era != f.era {
 		return time.Time{}
 	}
-	return f.zero.Add(now)
+	return f.clockZero.Add(storeTime)
 }
 
-// Era returns the newest era of which a proof is known.
+// Era returns the newest era with a proof.
 func (f *Freshness) Era() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.era
 }
 
-// EraEnded returns a channel that is closed when an era is known that is newer than one.
+// EraEnded returns a channel that is closed when an era newer than era is known.
 func (f *Freshness) EraEnded(era int64) <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.isKnown && f.era > era {
+	if f.hasProof && f.era > era {
 		ended := make(chan struct{})
 		close(ended)
 		return ended
@@ -96,30 +95,30 @@
 	return f.eraEnded
 }
 
-// Latest returns what the store's clock shows now at the latest in an era, and false if
-// nothing was proved of it. Another daemon that is told so in an answer can date answers as
-// well without a call to the store of its own: when it asked, the clock showed no more.
+// Latest returns an upper bound of the store's clock now in an era, and false if there is no proof
+// for it. Another daemon that receives this bound in an answer can date answers without a call to
+// the store of its own, because the store's clock showed no more when it sent its call.
 func (f *Freshness) Latest(era int64) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.Clock.Since(f.zero), f.isKnown && era == f.era
+	return f.Clock.Since(f.clockZero), f.hasProof && era == f.era
 }
 
-// Confirm notes that the view is complete as of a time.
+// Confirm records that the view is complete as of a time.
 func (f *Freshness) Confirm(asOf time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if asOf.After(f.asOf) {
-		f.asOf = asOf
+	if asOf.After(f.viewAsOf) {
+		f.viewAsOf = asOf
 	}
 }
 
-// Age returns how old the view may be, and false if nothing was ever confirmed.
+// Age returns the maximum age of the view, and false if nothing was confirmed yet.
 func (f *Freshness) Age() (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.asOf.IsZero() {
+	if f.viewAsOf.IsZero() {
 		return 0, false
 	}
-	return f.Clock.Since(f.asOf), true
+	return f.Clock.Since(f.viewAsOf), true
 }
--- a/core/rowstore/hub.go
+++ b/core/rowstore/hub.go
@@ -8,152 +8,152 @@
 	"time"
 )
 
-// Hub is a copy of tables that other daemons read and follow, so that a few
-// daemons follow the store for all. It implements Reader; what it answers is as
-// old as its copy, and says so by the store's clock. The zero value is empty and
-// safe for concurrent use.
+// Hub holds copies of tables that other daemons read and follow, so that only a few daemons follow
+// the store. It implements Reader. Its results are as old as the copies and carry the store's
+// clock, by which the caller dates them. The zero value is empty and safe for concurrent use.
 type Hub struct {
-	// ContactLimit is the time without any answer of the store after which no
-	// copy is given to others: the daemon may be cut off from it. 0: no limit.
+	// ContactLimit is the longest time without an answer from the store after which copies are
+	// still served, since the daemon may be cut off from the store. 0 means no limit.
 	ContactLimit time.Duration
-	// Clock, if set, dates the store's clock for those who ask.
+	// Clock, if set, supplies the upper bound of the store's clock for results.
 	Clock *Freshness
-	// IsSecondHand, if set, tells that the copy comes from daemons that ask this one: it
-	// is given to nobody.
+	// IsSecondHand, if set, reports that the copies come from daemons that call this one. Such
+	// copies are not served.
 	IsSecondHand func() bool
 
 	mutex sync.Mutex
-	// contact is the latest time at which any copy was surely true.
-	contact time.Time
-	tables  map[string]*copied
+	// lastContact is the latest local time as of which any copy is known to be valid.
+	lastContact time.Time
+	tables      map[string]*tableCopy
 }
 
-// copied is the copy of one table.
-type copied struct {
-	rows    map[string]Row
-	gone    []Row
-	era     int64
-	version int64
-	now     time.Duration
-	// floor is the version from which on all changes are known.
-	floor   int64
-	changed chan struct{}
+// tableCopy is the copy of one table.
+type tableCopy struct {
+	rows      map[string]Row
+	removed   []Row
+	era       int64
+	version   int64
+	storeTime time.Duration
+	// historyStart is the version since which all changes are known.
+	historyStart int64
+	changed      chan struct{}
 }
 
-// lookAgain is how often a waiting feed looks whether the store is still heard.
-const lookAgain = 200 * time.Millisecond
+// contactCheckInterval is how often a waiting feed checks that the copy may still be served.
+const contactCheckInterval = 200 * time.Millisecond
 
-// keepGone bounds how many removed rows are remembered; who asks for older
-// changes reads the table.
-const keepGone = 2000
+// maxRemovedRows limits how many removed rows are remembered. A caller that asks for older changes
+// has to read the table.
+const maxRemovedRows = 2000
 
-// Take takes the result of a read, or of a feed in the same era, into the copy.
+// Take applies the result of a read (isWhole), or of a feed in the same era, to the copy.
 func (h *Hub) Take(table string, result Result, isWhole bool, asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	known := h.table(table)
+	cached := h.table(table)
 	if isWhole {
-		known.rows = map[string]Row{}
-		known.gone = nil
-		known.floor = result.Version
+		cached.rows = map[string]Row{}
+		cached.removed = nil
+		cached.historyStart = result.Version
 	}
 	for _, row := range result.Rows {
-		known.apply(row)
+		cached.apply(row)
 	}
-	known.era = result.Era
-	known.version = result.Version
-	known.now = result.Now
-	if asOf.After(h.contact) {
-		h.contact = asOf
+	cached.era = result.Era
+	cached.version = result.Version
+	cached.storeTime = result.Now
+	if asOf.After(h.lastContact) {
+		h.lastContact = asOf
 	}
-	close(known.changed)
-	known.changed = make(chan struct{})
+	close(cached.changed)
+	cached.changed = make(chan struct{})
 }
 
-// table returns the copy of a table. The mutex is held.
-func (h *Hub) table(name string) *copied {
+// table returns the copy of a table and creates it if needed. The mutex must be held.
+func (h *Hub) table(name string) *tableCopy {
 	if h.tables == nil {
-		h.tables = map[string]*copied{}
+		h.tables = map[string]*tableCopy{}
 	}
-	known, ok := h.tables[name]
+	cached, ok := h.tables[name]
 	if !ok {
-		known = &copied{
+		cached = &tableCopy{
 			changed: make(chan struct{}),
 		}
-		h.tables[name] = known
+		h.tables[name] = cached
 	}
-	return known
+	return cached
 }
 
-// apply makes one change.
-func (c *copied) apply(row Row) {
+// apply applies one change.
+func (c *tableCopy) apply(row Row) {
 	if !row.Deleted {
 		c.rows[row.Key] = row
 		return
 	}
 	delete(c.rows, row.Key)
-	c.gone = append(c.gone, row)
-	if len(c.gone) > keepGone {
-		c.floor = c.gone[0].Version
-		c.gone = c.gone[1:]
+	c.removed = append(c.removed, row)
+	if len(c.removed) > maxRemovedRows {
+		c.historyStart = c.removed[0].Version
+		c.removed = c.removed[1:]
 	}
 }
 
-// isGood tells whether a copy is there for others, of the newest era that is known, and the
-// store was heard lately. The mutex is held.
-func (h *Hub) isGood(known *copied) bool {
-	isInContact := h.ContactLimit == 0 || h.sinceContact() <= h.ContactLimit
-	isOwn := h.IsSecondHand == nil || !h.IsSecondHand()
-	return h.isOfEra(known) && isInContact && isOwn
+// isServable reports whether a copy may be served: it is of the newest known era, the store
+// answered within ContactLimit, and the copy is not second-hand. The mutex must be held.
+func (h *Hub) isServable(cached *tableCopy) bool {
+	hasContact := h.ContactLimit == 0 || h.sinceContact() <= h.ContactLimit
+	isFirstHand := h.IsSecondHand == nil || !h.IsSecondHand()
+	return h.isOfNewestEra(cached) && hasContact && isFirstHand
 }
 
-// isOfEra tells whether a copy is there, of the newest era that is known. The mutex is held.
-func (h *Hub) isOfEra(known *copied) bool {
-	return known.rows != nil && (h.Clock == nil || known.era >= h.Clock.Era())
+// isOfNewestEra reports whether a copy exists and is of the newest known era. The mutex must be
+// held.
+func (h *Hub) isOfNewestEra(cached *tableCopy) bool {
+	return cached.rows != nil && (h.Clock == nil || cached.era >= h.Clock.Era())
 }
 
-// sinceContact returns how long ago the store was heard. The mutex is held.
+// sinceContact returns the time since lastContact. The mutex must be held.
 func (h *Hub) sinceContact() time.Duration {
 	if h.Clock == nil {
-		return time.Since(h.contact)
+		return time.Since(h.lastContact)
 	}
-	return h.Clock.Since(h.contact)
+	return h.Clock.Since(h.lastContact)
 }
 
-// firstCopyTime is how long a read waits for the first copy of a table in an era. Daemons that
-// start together ask each other before any of them has read, and would all read from the
-// store. A store that answers does so in some milliseconds, and a table of a thousand rows
-// comes in some tens.
-const firstCopyTime = 50 * time.Millisecond
+// firstCopyTimeout is how long a read waits for the first copy of a table in an era. Daemons that
+// start together call each other before any of them has read, and without this wait all would read
+// from the store. The store answers within a few milliseconds, and a table of a thousand rows
+// arrives within some tens of milliseconds.
+const firstCopyTimeout = 50 * time.Millisecond
 
-// Read returns all rows of a table. It fails with ErrNoCopy where the first Take does
-// not come soon, and while the store was not heard.
+// Read returns all rows of a table. It fails with ErrNoCopy if the first copy does not arrive
+// within firstCopyTimeout, or if the copy may not be served.
 func (h *Hub) Read(ctx context.Context, table string) (Result, error) {
 	h.awaitCopy(ctx, table)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	known := h.table(table)
-	if !h.isGood(known) {
+	cached := h.table(table)
+	if !h.isServable(cached) {
 		return Result{}, ErrNoCopy
 	}
-	result := h.result(known)
-	for _, key := range slices.Sorted(maps.Keys(known.rows)) {
-		result.Rows = append(result.Rows, known.rows[key])
+	result := h.emptyResult(cached)
+	for _, key := range slices.Sorted(maps.Keys(cached.rows)) {
+		result.Rows = append(result.Rows, cached.rows[key])
 	}
 	return result, nil
 }
 
-// awaitCopy waits a moment for the first copy of a table in the newest era that is known.
+// awaitCopy waits up to firstCopyTimeout for a copy of a table in the newest known era.
 func (h *Hub) awaitCopy(ctx context.Context, table string) {
 	h.mutex.Lock()
-	known := h.table(table)
-	isThere := h.isOfEra(known)
-	changed := known.changed
+	cached := h.table(table)
+	hasCopy := h.isOfNewestEra(cached)
+	changed := cached.changed
 	h.mutex.Unlock()
-	if isThere {
+	if hasCopy {
 		return
 	}
-	timer := time.NewTimer(firstCopyTime)
+	timer := time.NewTimer(firstCopyTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -162,78 +162,77 @@
 	}
 }
 
-// Feed returns the rows that changed since a revision, as soon as there is one,
-// or nothing after wait.
+// Feed returns the rows that changed since a revision as soon as there is one, or none after wait.
 func (h *Hub) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	look := time.NewTicker(lookAgain)
-	defer look.Stop()
+	ticker := time.NewTicker(contactCheckInterval)
+	defer ticker.Stop()
 	for {
-		result, changed, err := h.since(table, since)
+		result, changed, err := h.changesSince(table, since)
 		if err != nil || len(result.Rows) > 0 {
 			return result, err
 		}
 		select {
 		case <-changed:
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return Result{}, ErrUnknown
 		case <-deadline.C:
-			result, _, err = h.since(table, since)
+			result, _, err = h.changesSince(table, since)
 			return result, err
 		}
 	}
 }
 
-// since returns the changes since a revision, and what is closed at the next
-// change. Whoever knows a newer era than the copy's must ask another.
-func (h *Hub) since(table string, since Revision) (Result, <-chan struct{}, error) {
+// changesSince returns the changes since a revision, and a channel that is closed at the next
+// change. It fails with ErrNoCopy if the caller's era is newer than the copy's.
+func (h *Hub) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	known := h.table(table)
-	if known.rows == nil || since.Era > known.era {
-		return Result{}, known.changed, ErrNoCopy
+	cached := h.table(table)
+	if cached.rows == nil || since.Era > cached.era {
+		return Result{}, cached.changed, ErrNoCopy
 	}
-	if !h.isOfEra(known) || since.Era < known.era {
-		// Whoever reads anew waits for the first copy of the era.
-		return Result{}, known.changed, ErrCompacted
+	if !h.isOfNewestEra(cached) || since.Era < cached.era {
+		// The caller's next Read waits for the first copy of the era.
+		return Result{}, cached.changed, ErrCompacted
 	}
-	if !h.isGood(known) {
-		return Result{}, known.changed, ErrNoCopy
+	if !h.isServable(cached) {
+		return Result{}, cached.changed, ErrNoCopy
 	}
-	if since.Version < known.floor {
-		return Result{}, known.changed, ErrCompacted
+	if since.Version < cached.historyStart {
+		return Result{}, cached.changed, ErrCompacted
 	}
-	result := h.result(known)
-	for _, row := range known.rows {
+	result := h.emptyResult(cached)
+	for _, row := range cached.rows {
 		if row.Version > since.Version {
 			result.Rows = append(result.Rows, row)
 		}
 	}
-	for _, row := range known.gone {
-		if _, isBack := known.rows[row.Key]; row.Version > since.Version && !isBack {
+	for _, row := range cached.removed {
+		if _, isBack := cached.rows[row.Key]; row.Version > since.Version && !isBack {
 			result.Rows = append(result.Rows, row)
 		}
 	}
 	slices.SortFunc(result.Rows, func(a, b Row) int {
 		return int(a.Version - b.Version)
 	})
-	return result, known.changed, nil
+	return result, cached.changed, nil
 }
 
-// result returns a result of a copy, without rows.
-func (h *Hub) result(known *copied) Result {
+// emptyResult returns a result with the state of a copy, without rows.
+func (h *Hub) emptyResult(cached *tableCopy) Result {
 	result := Result{
-		Era:       known.era,
-		Version:   known.version,
-		Now:       known.now,
+		Era:       cached.era,
+		Version:   cached.version,
+		Now:       cached.storeTime,
 		IsRelayed: true,
 	}
 	if h.Clock == nil {
 		return result
 	}
-	if latest, isProved := h.Clock.Latest(known.era); isProved {
+	if latest, isProved := h.Clock.Latest(cached.era); isProved {
 		result.Latest = latest
 	}
 	return result
--- a/core/rowstore/restart_test.go
+++ b/core/rowstore/restart_test.go
@@ -16,43 +16,42 @@
 	"headcourse/core/rowstore"
 )
 
-// All daemons start again at one moment and read the servers' table, three rows for each daemon.
-// The store sends so much in a second and no more: what hundreds of daemons read from it, relays
-// wait for.
+// These tests restart all daemons at the same moment. All read the servers' table, which has three
+// rows per daemon. The bandwidth of the store's link is limited, so reads by hundreds of daemons
+// delay the relays.
 
-// Figures of the store's link.
 const (
 	storeBytesPerSecond = 500_000_000
 	serverRowBytes      = 400
-	serversOfDaemon     = 3
-	// rowTime is how long a daemon takes for a row that it reads.
+	serversPerDaemon    = 3
+	// rowTime is how long a daemon takes to process one row that it reads.
 	rowTime = 60 * time.Microsecond
 )
 
-// tableStore is a store of one table behind one link.
+// tableStore is a store with one table behind one link.
 type tableStore struct {
 	rows  int
 	mutex sync.Mutex
-	// free is when the link has sent all that was asked for.
-	free  time.Time
-	reads int
+	// busyUntil is when the link has sent all that was requested so far.
+	busyUntil time.Time
+	reads     int
 }
 
-// Read sends the table, when the link has sent what was asked for before.
+// Read sends the table after the link has sent what was requested before.
 func (s *tableStore) Read(ctx context.Context, _ string) (rowstore.Result, error) {
 	const page = 500
-	took := time.Duration(s.rows*serverRowBytes) * time.Second / storeBytesPerSecond
-	pages := time.Duration(s.rows/page+1) * storeTime
+	sendTime := time.Duration(s.rows*serverRowBytes) * time.Second / storeBytesPerSecond
+	pageTime := time.Duration(s.rows/page+1) * storeTime
 	s.mutex.Lock()
 	s.reads++
-	if now := time.Now(); s.free.Before(now) {
-		s.free = now
+	if now := time.Now(); s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.free = s.free.Add(took)
-	done := time.Until(s.free) + pages + time.Duration(s.rows)*rowTime
+	s.busyUntil = s.busyUntil.Add(sendTime)
+	delay := time.Until(s.busyUntil) + pageTime + time.Duration(s.rows)*rowTime
 	s.mutex.Unlock()
 	select {
-	case <-time.After(done):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return rowstore.Result{}, rowstore.ErrUnknown
 	}
@@ -68,7 +67,7 @@
 	}, nil
 }
 
-// Feed waits for changes that never come.
+// Feed waits for changes, of which there are none.
 func (s *tableStore) Feed(ctx context.Context, _ string, _ rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
 	select {
 	case <-time.After(wait):
@@ -81,22 +80,22 @@
 	}, nil
 }
 
-// link is a daemon as others reach it: what it sends takes time to read, and a call that is cut
-// short was not answered.
-type link struct {
-	hub  *rowstore.Hub
-	rows int
+// relayLink is the connection to another daemon. Reading its answer takes time, and a call that is
+// cut short counts as unanswered.
+type relayLink struct {
+	hub      *rowstore.Hub
+	rowCount int
 }
 
 // Read reads a table.
-func (l link) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	const travel = 5 * time.Millisecond
-	time.Sleep(travel)
+func (l relayLink) Read(ctx context.Context, table string) (rowstore.Result, error) {
+	const latency = 5 * time.Millisecond
+	time.Sleep(latency)
 	result, err := l.hub.Read(ctx, table)
 	if err != nil {
 		return rowstore.Result{}, err
 	}
-	time.Sleep(time.Duration(l.rows) * rowTime)
+	time.Sleep(time.Duration(l.rowCount) * rowTime)
 	if ctx.Err() != nil {
 		return rowstore.Result{}, rowstore.ErrUnknown
 	}
@@ -104,38 +103,38 @@
 }
 
 // Feed follows a table.
-func (l link) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
+func (l relayLink) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
 	return l.hub.Feed(ctx, table, since, wait)
 }
 
-// restarting is a fleet that starts again.
-type restarting struct {
+// restartedFleet is a fleet whose daemons all restart.
+type restartedFleet struct {
 	store *tableStore
 	list  neighbours.List
 	hubs  map[string]*rowstore.Hub
 	began time.Time
 	mutex sync.Mutex
-	// read is how long each daemon took to read the table.
-	read []time.Duration
+	// readTimes are the times that each daemon took to read the table.
+	readTimes []time.Duration
 }
 
-// relays returns daemons as those that others ask.
-func (f *restarting) relays(daemons []neighbours.Daemon) []rowstore.Relay {
+// relays returns daemons as relays.
+func (f *restartedFleet) relays(daemons []neighbours.Daemon) []rowstore.Relay {
 	var relays []rowstore.Relay
 	for _, daemon := range daemons {
 		relays = append(relays, rowstore.Relay{
 			Name: daemon.Name,
-			Reader: link{
-				hub:  f.hubs[daemon.Name],
-				rows: f.store.rows,
+			Reader: relayLink{
+				hub:      f.hubs[daemon.Name],
+				rowCount: f.store.rows,
 			},
 		})
 	}
 	return relays
 }
 
-// start has a daemon follow the table.
-func (f *restarting) start(ctx context.Context, daemon neighbours.Daemon) {
+// start lets a daemon follow the table.
+func (f *restartedFleet) start(ctx context.Context, daemon neighbours.Daemon) {
 	time.Sleep(rand.N(startSpread))
 	clock := &rowstore.Freshness{}
 	clock.Prove(0, time.Now(), time.Hour)
@@ -155,30 +154,31 @@
 		Whole: func([]rowstore.Row, rowstore.Revision, time.Time) {
 			f.mutex.Lock()
 			defer f.mutex.Unlock()
-			f.read = append(f.read, time.Since(f.began))
+			f.readTimes = append(f.readTimes, time.Since(f.began))
 		},
 		Changed: func([]rowstore.Row, rowstore.Revision, time.Time) {},
 	}
 	follower.Run(ctx)
 }
 
-// How soon half of the daemons of the whole fleet, and all of them, are to serve after a kill of
-// all. Twice as many have to be back too, but half of them may take longer.
+// Limits of the time in which half of the daemons and all of them have read the table after a
+// restart of all fullFleetDaemons. A fleet of twice that size must meet only the limit for all
+// daemons.
 const (
-	wholeFleet = 984
-	halfWithin = 2 * time.Second
-	allWithin  = 5 * time.Second
+	fullFleetDaemons = 984
+	maxHalfReadTime  = 2 * time.Second
+	maxReadTime      = 5 * time.Second
 )
 
-// What the store sends at a start of all does not grow with the square of the daemons. Where each daemon whose relays had none within 0.4 s read the table from
-// the store, 984 daemons made 106 reads in the model, and nearly as many as there are on the fleet: all waited
-// 2.3 s for the store's link.
-func TestStartOfAllReadsLargeTablesThroughRelays(t *testing.T) {
+// Guards against store traffic that grows with the square of the number of daemons. When each
+// daemon read the table from the store if its relays had none within 0.4 s, 984 daemons made 106
+// reads in this model and nearly 984 in a real fleet. All waited 2.3 s for the store's link.
+func TestFullRestartReadsLargeTableThroughRelays(t *testing.T) {
 	for _, count := range []int{9, 89, 360, 984, 1968} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &restarting{
+			f := &restartedFleet{
 				store: &tableStore{
-					rows: serversOfDaemon * count,
+					rows: serversPerDaemon * count,
 				},
 				hubs:  map[string]*rowstore.Hub{},
 				began: time.Now(),
@@ -198,14 +198,14 @@
 			for _, daemon := range daemons {
 				group.Go(func() { f.start(ctx, daemon) })
 			}
-			time.Sleep(allWithin)
+			time.Sleep(maxReadTime)
 			stop()
 			group.Wait()
-			slices.Sort(f.read)
-			comment := qt.Commentf("%d daemons: %d read, %d reads of the store", count, len(f.read), f.store.reads)
-			qt.Assert(t, len(f.read), qt.Equals, count, comment)
-			isHalfBack := f.read[count/2] < halfWithin || count > wholeFleet
-			qt.Check(t, isHalfBack, qt.IsTrue, qt.Commentf("%d daemons: half after %s", count, f.read[count/2]))
+			slices.Sort(f.readTimes)
+			comment := qt.Commentf("%d daemons: %d read, %d reads of the store", count, len(f.readTimes), f.store.reads)
+			qt.Assert(t, len(f.readTimes), qt.Equals, count, comment)
+			isHalfRead := f.readTimes[count/2] < maxHalfReadTime || count > fullFleetDaemons
+			qt.Check(t, isHalfRead, qt.IsTrue, qt.Commentf("%d daemons: half after %s", count, f.readTimes[count/2]))
 			qt.Check(t, f.store.reads <= 2*len(f.list.Relays())+neighbours.Standbys, qt.IsTrue, comment)
 			t.Log(comment)
 		})
--- a/core/rowstore/restore_test.go
+++ b/core/rowstore/restore_test.go
@@ -12,64 +12,64 @@
 	"headcourse/core/rowstore"
 )
 
-// copied is a copy of a fake store.
-type copied struct {
+// storeSnapshot is a copy of a fake store's state.
+type storeSnapshot struct {
 	rows    map[string]rowstore.Row
 	version int64
 	started time.Time
 }
 
-// copied returns a copy of the store as it is.
-func (f *fakeStore) copied() copied {
+// snapshot returns a copy of the store's state.
+func (f *fakeStore) snapshot() storeSnapshot {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return copied{
+	return storeSnapshot{
 		rows:    maps.Clone(f.rows),
 		version: f.version,
 		started: f.started,
 	}
 }
 
-// restore replaces the store by a copy, in a new era; its clock is ahead by so much of what
-// it would show, or behind where that is negative.
-func (f *fakeStore) restore(from copied, ahead time.Duration) {
+// restore replaces the store's state by a snapshot in a new era. Its clock then shows clockAhead
+// more than before, or less if that is negative.
+func (f *fakeStore) restore(snapshot storeSnapshot, clockAhead time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.era++
-	f.rows = maps.Clone(from.rows)
+	f.rows = maps.Clone(snapshot.rows)
 	f.history = nil
-	f.version = from.version
-	f.floor = from.version
-	f.started = f.started.Add(-ahead)
+	f.version = snapshot.version
+	f.historyStart = snapshot.version
+	f.started = f.started.Add(-clockAhead)
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// clocks are by how much the clock of a restored store may be ahead.
-var clocks = []time.Duration{0, -10 * time.Second, 10 * time.Second}
+// clockOffsets are the amounts by which a restore moves the store's clock.
+var clockOffsets = []time.Duration{0, -10 * time.Second, 10 * time.Second}
 
-// Guards against a restored table that is not taken since its version is lower.
-func TestTableIsReadAnewInANewEra(t *testing.T) {
-	for _, ahead := range clocks {
-		run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a restored table that is rejected because its version is lower.
+func TestFollowerRereadsTableInNewEra(t *testing.T) {
+	for _, clockAhead := range clockOffsets {
+		runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 			store := newFakeStore()
 			store.put("a", "1")
-			before := store.copied()
-			w := follow(ctx, store, &rowstore.Freshness{})
+			before := store.snapshot()
+			w := startFollower(ctx, store, &rowstore.Freshness{})
 			for i := range 20 {
 				store.put("a", fmt.Sprint(i))
 				store.put(fmt.Sprintf("b%d", i), "lost")
 			}
-			pause(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 			qt.Assert(t, w.rows, qt.HasLen, 21)
 
-			store.restore(before, ahead)
-			pause(100 * time.Millisecond)
+			store.restore(before, clockAhead)
+			advance(100 * time.Millisecond)
 			qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
 				"a": "1",
 			})
 			store.put("a", "written again")
-			pause(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 			qt.Assert(t, w.rows["a"], qt.Equals, "written again")
 			qt.Assert(t, time.Since(w.asOf) <= time.Second, qt.IsTrue)
 			qt.Assert(t, w.asOf.After(time.Now()), qt.IsFalse)
@@ -77,27 +77,27 @@
 	}
 }
 
-// Guards against changes that are missed where a restored store has reached the version that
-// was known before anybody asks it.
-func TestOnlyTheEraTellsThatVersionsAreOthers(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against missed changes if a restored store has reached the last known version before
+// anyone calls it.
+func TestFollowerDetectsRestoreAtKnownVersion(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		before := store.copied()
-		w := follow(ctx, store, &rowstore.Freshness{})
+		before := store.snapshot()
+		w := startFollower(ctx, store, &rowstore.Freshness{})
 		store.put("lost", "1")
-		pause(100 * time.Millisecond)
-		store.set(func(f *fakeStore) {
+		advance(100 * time.Millisecond)
+		store.update(func(f *fakeStore) {
 			f.isDown = true
 		})
-		pause(2 * time.Second)
+		advance(2 * time.Second)
 		store.restore(before, 0)
 		store.put("b", "1")
 		store.put("c", "1")
-		store.set(func(f *fakeStore) {
+		store.update(func(f *fakeStore) {
 			f.isDown = false
 		})
-		pause(time.Second)
+		advance(time.Second)
 		qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
 			"a": "1",
 			"b": "1",
@@ -106,41 +106,41 @@
 	})
 }
 
-// Guards against a table that goes back to a former era, as a copy of the store that is out of
-// service may answer.
-func TestTableNeverGoesBackToAFormerEra(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a return to a former era, as a store replica that is out of service may answer
+// with it.
+func TestFollowerRejectsAnswersOfFormerEra(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		before := store.copied()
-		w := follow(ctx, store, &rowstore.Freshness{})
+		before := store.snapshot()
+		w := startFollower(ctx, store, &rowstore.Freshness{})
 		store.restore(before, 0)
 		store.put("a", "new")
-		pause(2 * time.Second)
+		advance(2 * time.Second)
 		asOf := w.asOf
-		store.set(func(f *fakeStore) {
+		store.update(func(f *fakeStore) {
 			f.era--
 			f.version += 100
 		})
 		store.put("a", "former")
-		pause(3 * time.Second)
+		advance(3 * time.Second)
 		qt.Assert(t, w.rows["a"], qt.Equals, "new")
 		qt.Assert(t, w.asOf.After(asOf.Add(time.Second)), qt.IsFalse)
 	})
 }
 
-// Guards against a second restore that is taken for the first one.
-func TestTwoRestoresInARow(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a second restore that is mistaken for the first one.
+func TestFollowerHandlesTwoRestoresInARow(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		before := store.copied()
-		w := follow(ctx, store, &rowstore.Freshness{})
+		before := store.snapshot()
+		w := startFollower(ctx, store, &rowstore.Freshness{})
 		for _, lost := range []string{"b", "c"} {
 			store.put(lost, "1")
-			pause(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 			store.restore(before, 0)
-			pause(time.Second)
+			advance(time.Second)
 			qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
 				"a": "1",
 			})
@@ -148,45 +148,45 @@
 	})
 }
 
-// Guards against a restored table that counts before its owners have written again, and against
-// one that never counts as it stands.
-func TestRestoredTableIsReadOnceMoreWhenItsOwnersHaveWritten(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a restored table that is applied before its owners have written their rows again,
+// and against one that is never applied.
+func TestRestoredTableIsRereadAfterRewriteWait(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		const rewrite = 3 * time.Second
 		store := newFakeStore()
 		store.put("a", "1")
 		restored := 0
-		w := follow(ctx, store, &rowstore.Freshness{})
+		w := startFollower(ctx, store, &rowstore.Freshness{})
 		w.follower.Restored = func([]rowstore.Row, rowstore.Revision, time.Time) {
 			restored++
 		}
 		w.follower.Rewrite = func() time.Duration {
 			return rewrite
 		}
-		pause(100 * time.Millisecond)
-		store.restore(store.copied(), 0)
-		pause(rewrite / 2)
+		advance(100 * time.Millisecond)
+		store.restore(store.snapshot(), 0)
+		advance(rewrite / 2)
 		qt.Assert(t, restored, qt.Equals, 1)
-		qt.Assert(t, w.wholes, qt.Equals, 1)
-		// It may have to be read anew before that for another reason.
-		store.set(func(f *fakeStore) {
-			f.floor = f.version + 1
+		qt.Assert(t, w.snapshots, qt.Equals, 1)
+		// The table may have to be read again before that for another reason.
+		store.update(func(f *fakeStore) {
+			f.historyStart = f.version + 1
 		})
 		store.put("b", "2")
-		pause(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		qt.Assert(t, restored, qt.Equals, 2)
-		qt.Assert(t, w.wholes, qt.Equals, 1)
-		pause(rewrite)
+		qt.Assert(t, w.snapshots, qt.Equals, 1)
+		advance(rewrite)
 		qt.Assert(t, restored, qt.Equals, 2)
-		qt.Assert(t, w.wholes, qt.Equals, 2)
-		pause(10 * rewrite)
-		qt.Assert(t, w.wholes, qt.Equals, 2)
+		qt.Assert(t, w.snapshots, qt.Equals, 2)
+		advance(10 * rewrite)
+		qt.Assert(t, w.snapshots, qt.Equals, 2)
 	})
 }
 
-// Guards against a view that seems younger than it is since the restored store's clock is ahead.
-func TestFreshnessIsNeverTooYoungAfterARestore(t *testing.T) {
-	run(t, func(_ context.Context, t *testing.T) {
+// Guards against a view that seems younger than it is because the restored store's clock is ahead.
+func TestFreshnessDoesNotUnderstateAgeAfterRestore(t *testing.T) {
+	runWithFakeClock(t, func(_ context.Context, t *testing.T) {
 		var clock rowstore.Freshness
 		start := time.Now()
 		clock.Prove(1, start, time.Hour)
@@ -198,20 +198,20 @@
 	})
 }
 
-// Guards against a relay that was cut off all the while and gives its copy of a former era.
-func TestCopyOfAFormerEraIsNotTaken(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a relay that was cut off during the restore and serves its copy of the former era.
+func TestChainRejectsCopyOfFormerEra(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		before := store.copied()
-		// The relay reaches the store by a way of its own, which can be cut.
+		before := store.snapshot()
+		// The relay has its own connection to the store, which can be cut.
 		relayStore := newFakeStore()
 		relayStore.put("a", "1")
 		relayClock := &rowstore.Freshness{}
-		relay := follow(ctx, relayStore, relayClock)
+		relay := startFollower(ctx, relayStore, relayClock)
 		relay.hub.Clock = relayClock
 		relay.hub.ContactLimit = 0
-		pause(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		former, err := relay.hub.Read(ctx, "t")
 		qt.Assert(t, err, qt.IsNil)
 
@@ -228,7 +228,7 @@
 			},
 		})
 		store.restore(before, 0)
-		relayStore.set(func(f *fakeStore) {
+		relayStore.update(func(f *fakeStore) {
 			f.isDown = true
 		})
 		relayStore.restore(before, 0)
@@ -243,10 +243,10 @@
 		_, err = relay.hub.Read(ctx, "t")
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrNoCopy)
 
-		relayStore.set(func(f *fakeStore) {
+		relayStore.update(func(f *fakeStore) {
 			f.isDown = false
 		})
-		pause(3 * time.Second)
+		advance(3 * time.Second)
 		_, err = relay.hub.Feed(ctx, "t", former.Revision(), 0)
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrCompacted)
 		_, err = relay.hub.Feed(ctx, "t", result.Revision(), 0)
@@ -254,7 +254,7 @@
 	})
 }
 
-// fixedReader always answers the same.
+// fixedReader always returns the same result.
 type fixedReader struct {
 	result rowstore.Result
 }
@@ -269,42 +269,42 @@
 	return f.result, nil
 }
 
-// Guards against hundreds of daemons that all read their tables from a restored store at one
-// moment: relays read it for them.
-func TestFleetReadsARestoredStoreThroughItsRelays(t *testing.T) {
-	// fewAtOnce daemons may try the store at once where their relays have no copy.
-	const tables, fewAtOnce = 2, 16
+// Guards against hundreds of daemons that all read their tables from a restored store at the same
+// moment instead of through relays.
+func TestFleetReadsRestoredStoreThroughRelays(t *testing.T) {
+	// Up to maxImmediateContenders daemons may call the store at once if their relays have no copy.
+	const tables, maxImmediateContenders = 2, 16
 	for _, daemons := range []int{9, 89, 295} {
-		for _, ahead := range clocks {
-			run(t, func(ctx context.Context, t *testing.T) {
+		for _, clockAhead := range clockOffsets {
+			runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 				f := newFleet(ctx, daemons, refused)
-				pause(5 * time.Second)
-				before := f.store.copied()
+				advance(5 * time.Second)
+				before := f.store.snapshot()
 				f.store.put("a", "lost")
-				pause(5 * time.Second)
-				qt.Assert(t, f.behind("lost"), qt.Equals, 0)
+				advance(5 * time.Second)
+				qt.Assert(t, f.countWithout("lost"), qt.Equals, 0)
 
-				const watched = 3 * time.Second
+				const interval = 3 * time.Second
 				start := f.calls.Load()
-				pause(watched)
-				usual := f.calls.Load() - start
-				f.store.restore(before, ahead)
+				advance(interval)
+				baseline := f.calls.Load() - start
+				f.store.restore(before, clockAhead)
 				f.store.put("a", "written again")
 				start = f.calls.Load()
-				pause(watched)
-				qt.Assert(t, f.behind("written again"), qt.Equals, 0)
-				more := f.calls.Load() - start - usual
-				most := int64(tables * (f.following() + min(daemons, fewAtOnce)))
-				qt.Assert(t, more <= most, qt.IsTrue, qt.Commentf("%d daemons: %d calls more, %d usual", daemons, more, usual))
+				advance(interval)
+				qt.Assert(t, f.countWithout("written again"), qt.Equals, 0)
+				extra := f.calls.Load() - start - baseline
+				maxExtra := int64(tables * (f.relayCount() + min(daemons, maxImmediateContenders)))
+				qt.Assert(t, extra <= maxExtra, qt.IsTrue, qt.Commentf("%d daemons: %d calls more, %d usual", daemons, extra, baseline))
 			})
 		}
 	}
 }
 
-// following counts the daemons that follow the store for others.
-func (f *fleet) following() int {
+// relayCount returns the number of relays.
+func (f *fleet) relayCount() int {
 	count := 0
-	for _, daemon := range f.ordered {
+	for _, daemon := range f.daemons {
 		if f.list.IsRelay(daemon.Name) {
 			count++
 		}
@@ -312,32 +312,32 @@
 	return count
 }
 
-// waitingReader answers reads by a store and holds feeds until their end.
-type waitingReader struct {
+// blockingFeedReader passes on reads, and blocks feeds until their context ends.
+type blockingFeedReader struct {
 	rowstore.Reader
 }
 
-// Feed waits.
-func (w waitingReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
+// Feed blocks.
+func (w blockingFeedReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
 
-// Guards against a long wait for changes of a table after another has shown a new era.
-func TestTableIsReadAnewWhenAnotherShowsANewEra(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a feed that keeps waiting for changes after another table has shown a new era.
+func TestWaitingFeedEndsWhenAnotherTableShowsNewEra(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		clock := &rowstore.Freshness{}
 		store := newFakeStore()
 		store.put("a", "1")
-		w := followEvery(ctx, waitingReader{
+		w := startFollowerWaiting(ctx, blockingFeedReader{
 			Reader: store,
 		}, clock, time.Minute)
-		pause(100 * time.Millisecond)
-		before := store.copied()
+		advance(100 * time.Millisecond)
+		before := store.snapshot()
 		store.restore(before, 0)
 		store.put("a", "2")
 		clock.Prove(1, time.Now(), time.Since(store.started))
-		pause(10 * time.Millisecond)
+		advance(10 * time.Millisecond)
 		qt.Assert(t, w.rows["a"], qt.Equals, "2")
 		qt.Assert(t, w.failures, qt.Equals, 0)
 	})
--- a/core/rowstore/restraint.go
+++ b/core/rowstore/restraint.go
@@ -5,145 +5,144 @@
 	"time"
 )
 
-// Figures of restraint.
 const (
-	// failedFor is how long a failed call to the store makes the next ones rare:
-	// each is priced, also one that is refused, and a daemon follows many tables.
-	failedFor = 3 * time.Second
-	// gapLimited and gapOther are the times between two calls then: for tables
-	// whose age is bounded, and for the others.
-	gapLimited = 400 * time.Millisecond
-	gapOther   = 1500 * time.Millisecond
-	// behind is how many times longer daemons wait that have relays, none of which
-	// answers.
-	behind = 6
-	// sharedGap is the time between two calls of all daemons together that hear of
-	// their relays that these have no copy: the relays try, and whoever else tries
-	// learns for itself alone. Pauses that each keeps by itself add up with hundreds of
-	// daemons.
-	sharedGap = 200 * time.Millisecond
-	// noCopyFor is how long a relay's answer that it has no copy counts.
-	noCopyFor = 2 * time.Second
-	// fewSharing daemons try once at once when they hear it, since relays may be cut
-	// off alone; more of them try within firstTry, so that they do not all come at the
-	// same moment. It is short: the copy may be 0.6 of the time old in which a configuration
-	// must be in force.
-	fewSharing = 16
-	firstTry   = 200 * time.Millisecond
-	// manyRelays are never cut off all at once while the store serves others, standbys
-	// included: then the first try is as rare as the next ones. Of eight, each turned away
-	// with a chance of a third, all are so once in 6,500 outages.
+	// failureWindow is how long a failed call to the store limits the following ones. Every call is
+	// billed, also a refused one, and a daemon follows many tables.
+	failureWindow = 3 * time.Second
+	// ageBoundedInterval and otherInterval are the times between two calls during that window, for
+	// tables with a maximum age and for the others.
+	ageBoundedInterval = 400 * time.Millisecond
+	otherInterval      = 1500 * time.Millisecond
+	// relayedFactor multiplies the interval for daemons that have relays, none of which answers.
+	relayedFactor = 6
+	// sharedInterval is the time between two calls of all daemons together whose relays report that
+	// they have no copy. The relays call the store themselves, and what another daemon learns by
+	// its call serves only that daemon. Pauses that each daemon applies by itself add up with
+	// hundreds of daemons.
+	sharedInterval = 200 * time.Millisecond
+	// noCopyWindow is how long a relay's answer that it has no copy is valid.
+	noCopyWindow = 2 * time.Second
+	// Up to maxImmediateContenders daemons call the store once at once when their relays report no
+	// copy, since only the relays may be cut off. More daemons spread their first call over
+	// firstTrySpread, so that they do not call at the same moment. The spread is short, because a
+	// copy may be as old as 0.6 of the time within which a configuration must be in force.
+	maxImmediateContenders = 16
+	firstTrySpread         = 200 * time.Millisecond
+	// manyRelays is a number of relays and standbys that are never all cut off while the store
+	// serves other daemons. With that many the first call is as rare as later ones. If the store
+	// refuses each of eight with a probability of one third, it refuses all of them in one of 6,500
+	// outages.
 	manyRelays = 8
 )
 
-// restraint decides when a daemon may ask the store itself. Its owner guards it; the
-// zero value lets it ask.
-type restraint struct {
-	// failedAt is when the store last failed a call, directAt when it was last asked.
-	failedAt time.Time
-	directAt time.Time
-	// noCopyAt is when a relay last said that it has no copy. Meanwhile the store may be
-	// asked from nextTry on, zero: not drawn yet, until a call fails: isOpen tells that
-	// none has. A feed that waits for changes has not failed, so the other tables need
-	// not wait for its end. tryAgain is the time from a failed call to the next one.
-	noCopyAt time.Time
-	nextTry  time.Time
-	tryAgain time.Duration
-	isOpen   bool
+// storeLimiter decides when a daemon may call the store itself. It is not safe for concurrent use.
+// The zero value admits calls.
+type storeLimiter struct {
+	// failedAt is when a call to the store last failed, lastCallAt when the store was last called.
+	failedAt   time.Time
+	lastCallAt time.Time
+	// noCopyAt is when a relay last answered that it has no copy. For noCopyWindow after that, the
+	// store may be called from nextTryAt on (zero: not drawn yet) until a call fails; isAdmitting
+	// is set meanwhile. A feed that waits for changes has not failed, so calls for other tables
+	// need not wait for its end. retryInterval is the time from a failed call to the next one.
+	noCopyAt      time.Time
+	nextTryAt     time.Time
+	retryInterval time.Duration
+	isAdmitting   bool
 }
 
-// surroundings is what restraint goes by.
-type surroundings struct {
-	// isLimited tells that the age of the table is bounded.
-	isLimited bool
-	// relays and standbys are how many of them the daemon has, sharing how many daemons
-	// would ask the store like this one where these have no copy.
-	relays   int
-	standbys int
-	sharing  int
+// storeCall describes a call to the store and the daemon that makes it.
+type storeCall struct {
+	// isAgeBounded is set if copies of the table have a maximum age.
+	isAgeBounded bool
+	// relays and standbys are the numbers of those that the daemon has. contenders is how many
+	// daemons call the store in the same way as this one if relays and standbys have no copy.
+	relays     int
+	standbys   int
+	contenders int
 }
 
-// gap returns the time between two calls of a daemon while the store fails.
-func (s surroundings) gap() time.Duration {
-	gap := gapOther
-	if s.isLimited {
-		gap = gapLimited
+// interval returns the time between two calls of a daemon while the store fails.
+func (s storeCall) interval() time.Duration {
+	interval := otherInterval
+	if s.isAgeBounded {
+		interval = ageBoundedInterval
 	}
 	if s.relays > 0 {
-		gap *= behind
+		interval *= relayedFactor
 	}
-	return gap
+	return interval
 }
 
-// mayAsk tells whether the store may be asked now, and notes that it is.
-func (r *restraint) mayAsk(now time.Time, around surroundings) bool {
-	if !r.isTime(now, around) {
+// admit reports whether the store may be called now, and records the call.
+func (l *storeLimiter) admit(now time.Time, call storeCall) bool {
+	if !l.isDue(now, call) {
 		return false
 	}
-	r.directAt = now
+	l.lastCallAt = now
 	return true
 }
 
-// isTime tells whether it is time to ask the store.
-func (r *restraint) isTime(now time.Time, around surroundings) bool {
-	if r.lacksCopies(now) {
-		return r.isTurn(now, around)
+// isDue reports whether it is time to call the store.
+func (l *storeLimiter) isDue(now time.Time, call storeCall) bool {
+	if l.relaysLackCopies(now) {
+		return l.isDueWithoutCopies(now, call)
 	}
-	return now.Sub(r.failedAt) >= failedFor || now.Sub(r.directAt) >= around.gap()
+	return now.Sub(l.failedAt) >= failureWindow || now.Sub(l.lastCallAt) >= call.interval()
 }
 
-// isTurn tells whether it is this daemon's turn while relays have no copy.
-func (r *restraint) isTurn(now time.Time, around surroundings) bool {
-	// One schedule for all tables: that of those whose age is bounded.
-	r.tryAgain = max(behind*gapLimited, time.Duration(around.sharing)*sharedGap)
-	if r.nextTry.IsZero() {
-		r.nextTry = now.Add(around.firstWait(r.tryAgain))
+// isDueWithoutCopies reports whether this daemon may call the store while relays have no copy.
+func (l *storeLimiter) isDueWithoutCopies(now time.Time, call storeCall) bool {
+	// All tables share the schedule of those with a maximum age.
+	l.retryInterval = max(relayedFactor*ageBoundedInterval, time.Duration(call.contenders)*sharedInterval)
+	if l.nextTryAt.IsZero() {
+		l.nextTryAt = now.Add(call.firstDelay(l.retryInterval))
 	}
-	r.isOpen = r.isOpen || !now.Before(r.nextTry)
-	return r.isOpen
+	l.isAdmitting = l.isAdmitting || !now.Before(l.nextTryAt)
+	return l.isAdmitting
 }
 
-// firstWait draws how long the first try is put off.
-func (s surroundings) firstWait(shared time.Duration) time.Duration {
+// firstDelay draws the delay of the first call.
+func (s storeCall) firstDelay(interval time.Duration) time.Duration {
 	switch {
-	case s.sharing <= fewSharing:
+	case s.contenders <= maxImmediateContenders:
 		return 0
 	case s.relays+s.standbys >= manyRelays:
-		return rand.N(shared)
+		return rand.N(interval)
 	default:
-		return rand.N(firstTry)
+		return rand.N(firstTrySpread)
 	}
 }
 
-// lacksCopies tells whether a relay answered lately that it has no copy.
-func (r *restraint) lacksCopies(now time.Time) bool {
-	return now.Sub(r.noCopyAt) < noCopyFor
+// relaysLackCopies reports whether a relay answered recently that it has no copy.
+func (l *storeLimiter) relaysLackCopies(now time.Time) bool {
+	return now.Sub(l.noCopyAt) < noCopyWindow
 }
 
 // observeNoCopy records that a relay has no copy.
-func (r *restraint) observeNoCopy(now time.Time) {
-	if !r.lacksCopies(now) {
-		r.nextTry = time.Time{}
-		r.isOpen = false
+func (l *storeLimiter) observeNoCopy(now time.Time) {
+	if !l.relaysLackCopies(now) {
+		l.nextTryAt = time.Time{}
+		l.isAdmitting = false
 	}
-	r.noCopyAt = now
+	l.noCopyAt = now
 }
 
-// answered notes that the store answered: calls for other tables that failed meanwhile
-// were not the store's fault.
-func (r *restraint) answered() {
-	r.failedAt = time.Time{}
-	r.isOpen = true
+// recordSuccess records that the store answered. Calls for other tables that failed meanwhile were
+// not the store's fault.
+func (l *storeLimiter) recordSuccess() {
+	l.failedAt = time.Time{}
+	l.isAdmitting = true
 }
 
-// failed notes that the store failed a call.
-func (r *restraint) failed(now time.Time) {
-	r.failedAt = now
-	r.isOpen = false
-	r.nextTry = now.Add(r.tryAgain)
+// recordFailure records that a call to the store failed.
+func (l *storeLimiter) recordFailure(now time.Time) {
+	l.failedAt = now
+	l.isAdmitting = false
+	l.nextTryAt = now.Add(l.retryInterval)
 }
 
-// hasFailed tells whether the store failed lately.
-func (r *restraint) hasFailed(now time.Time) bool {
-	return now.Sub(r.failedAt) < failedFor
+// failedRecently reports whether a call to the store failed recently.
+func (l *storeLimiter) failedRecently(now time.Time) bool {
+	return now.Sub(l.failedAt) < failureWindow
 }
--- a/core/rowstore/restraint_test.go
+++ b/core/rowstore/restraint_test.go
@@ -8,54 +8,54 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Found on a day on which the store cut connections at once for eight seconds: a call
-// that ended so soon was taken for one that nobody had waited for, so that daemons never
-// came to know that the store failed. Eighty-nine of them made 11,549 calls.
-func TestStoreThatCutsConnectionsIsAskedRarely(t *testing.T) {
-	for name, behave := range map[string]func(f *fakeStore){
+// Guards against frequent calls to a store that closes connections at once. Such short calls were
+// not counted as failures, so the daemons did not back off: 89 of them made 11,549 calls in eight
+// seconds.
+func TestChainLimitsCallsToFailingStore(t *testing.T) {
+	for name, fail := range map[string]func(f *fakeStore){
 		"cut":     func(f *fakeStore) { f.isCut = true },
 		"refused": func(f *fakeStore) { f.isDown = true },
 		"silent":  func(f *fakeStore) { f.delay = time.Minute },
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(ctx context.Context, t *testing.T) {
+			runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 				store := newFakeStore()
-				chain, clock := chained(store)
+				chain, clock := newChain(store)
 				for _, table := range []string{"t", "b", "c", "d", "e"} {
-					followTable(ctx, chain, clock, table, time.Second)
+					startTableFollower(ctx, chain, clock, table, time.Second)
 				}
-				pause(2 * time.Second)
-				store.set(behave)
-				pause(2 * time.Second)
-				before := store.count()
+				advance(2 * time.Second)
+				store.update(fail)
+				advance(2 * time.Second)
+				before := store.callCount()
 				const outage = 8 * time.Second
-				pause(outage)
-				// One call each 0.4 s, for the table whose age is bounded, and one more each
-				// time that two followers come together.
-				asked := store.count() - before
-				qt.Assert(t, asked <= 2*int(outage/(400*time.Millisecond)), qt.IsTrue, qt.Commentf("%d calls", asked))
-				qt.Assert(t, asked >= 5, qt.IsTrue, qt.Commentf("%d calls", asked))
+				advance(outage)
+				// One call each 0.4 s for the age-bounded table, and one more each time that two
+				// followers call at the same moment.
+				calls := store.callCount() - before
+				qt.Assert(t, calls <= 2*int(outage/(400*time.Millisecond)), qt.IsTrue, qt.Commentf("%d calls", calls))
+				qt.Assert(t, calls >= 5, qt.IsTrue, qt.Commentf("%d calls", calls))
 			})
 		})
 	}
 }
 
-// A follower whose daemon ends breaks its calls off: that says nothing of the store, and
-// the other tables go on.
-func TestCallThatIsBrokenOffIsNoFailureOfTheStore(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a call that its own caller canceled being counted as a failure of the store, which
+// would delay the other tables.
+func TestCanceledCallIsNotAStoreFailure(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		chain, clock := chained(store)
-		going, stop := context.WithCancel(ctx)
-		followTable(going, chain, clock, "b", time.Minute)
-		w := follow(ctx, chain, clock)
-		pause(1500 * time.Millisecond)
+		chain, clock := newChain(store)
+		followerCtx, stop := context.WithCancel(ctx)
+		startTableFollower(followerCtx, chain, clock, "b", time.Minute)
+		w := startFollower(ctx, chain, clock)
+		advance(1500 * time.Millisecond)
 		stop()
 		store.put("a", "2")
-		pause(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		store.put("a", "3")
-		pause(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		qt.Assert(t, w.rows["a"], qt.Equals, "3")
 	})
 }
--- a/core/rowstore/rowstore_test.go
+++ b/core/rowstore/rowstore_test.go
@@ -12,30 +12,30 @@
 	"headcourse/core/rowstore"
 )
 
-// watched is a follower of a table and what it told.
-type watched struct {
-	follower *rowstore.Follower
-	rows     map[string]string
-	wholes   int
-	asOf     time.Time
-	failures int
-	restored int
-	hub      rowstore.Hub
+// recordedFollower is a follower of a table and a record of its callbacks.
+type recordedFollower struct {
+	follower   *rowstore.Follower
+	rows       map[string]string
+	snapshots  int
+	asOf       time.Time
+	failures   int
+	recoveries int
+	hub        rowstore.Hub
 }
 
-// follow starts a follower that ends with the test's context.
-func follow(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness) *watched {
-	return followEvery(ctx, source, clock, time.Second)
+// startFollower starts a follower that ends with ctx.
+func startFollower(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness) *recordedFollower {
+	return startFollowerWaiting(ctx, source, clock, time.Second)
 }
 
-// followEvery is follow with a wait of one call.
-func followEvery(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness, wait time.Duration) *watched {
-	return followTable(ctx, source, clock, "t", wait)
+// startFollowerWaiting is startFollower with a given wait of each feed.
+func startFollowerWaiting(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness, wait time.Duration) *recordedFollower {
+	return startTableFollower(ctx, source, clock, "t", wait)
 }
 
-// followTable is followEvery of a table by its name.
-func followTable(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness, table string, wait time.Duration) *watched {
-	w := &watched{
+// startTableFollower is startFollowerWaiting for a table by name.
+func startTableFollower(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness, table string, wait time.Duration) *recordedFollower {
+	w := &recordedFollower{
 		rows: map[string]string{},
 	}
 	apply := func(rows []rowstore.Row, asOf time.Time) {
@@ -53,7 +53,7 @@
 		Table: table,
 		Wait:  wait,
 		Whole: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
-			w.wholes++
+			w.snapshots++
 			w.rows = map[string]string{}
 			apply(rows, asOf)
 		},
@@ -64,7 +64,7 @@
 			w.failures++
 		},
 		Recovered: func(time.Duration) {
-			w.restored++
+			w.recoveries++
 		},
 		Hub:   &w.hub,
 		Clock: clock,
@@ -74,8 +74,8 @@
 	return w
 }
 
-// run runs a test on the paused clock with a context that ends with it.
-func run(t *testing.T, test func(ctx context.Context, t *testing.T)) {
+// runWithFakeClock runs a test with a fake clock and a context that ends with the test.
+func runWithFakeClock(t *testing.T, test func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -84,92 +84,92 @@
 	})
 }
 
-func TestFollowerSeesChangesAtOnce(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestFollowerAppliesChangesAtOnce(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := follow(ctx, store, &rowstore.Freshness{})
-		pause(100 * time.Millisecond)
+		w := startFollower(ctx, store, &rowstore.Freshness{})
+		advance(100 * time.Millisecond)
 		qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
 			"a": "1",
 		})
 		store.put("a", "2")
 		store.put("b", "3")
-		pause(10 * time.Millisecond)
+		advance(10 * time.Millisecond)
 		qt.Assert(t, w.rows["a"], qt.Equals, "2")
 		qt.Assert(t, w.rows["b"], qt.Equals, "3")
 	})
 }
 
-func TestFollowerReadsAnewWhenHistoryIsGone(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestFollowerRereadsTableWhenHistoryIsCompacted(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := follow(ctx, store, &rowstore.Freshness{})
-		pause(100 * time.Millisecond)
-		store.set(func(f *fakeStore) {
-			f.floor = 100
+		w := startFollower(ctx, store, &rowstore.Freshness{})
+		advance(100 * time.Millisecond)
+		store.update(func(f *fakeStore) {
+			f.historyStart = 100
 			f.version = 200
 		})
 		store.put("b", "2")
-		pause(3 * time.Second)
-		qt.Assert(t, w.wholes, qt.Equals, 2)
+		advance(3 * time.Second)
+		qt.Assert(t, w.snapshots, qt.Equals, 2)
 		qt.Assert(t, w.rows["b"], qt.Equals, "2")
 	})
 }
 
-// A copy of the store that lags may answer a read after the history was dropped.
-func TestFollowerNeverGoesBack(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a lagging store replica that answers a read after its history was compacted.
+func TestFollowerRejectsOlderAnswers(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "new")
-		w := follow(ctx, store, &rowstore.Freshness{})
-		pause(100 * time.Millisecond)
+		w := startFollower(ctx, store, &rowstore.Freshness{})
+		advance(100 * time.Millisecond)
 		before := w.asOf
-		store.set(func(f *fakeStore) {
-			f.stale = 1
+		store.update(func(f *fakeStore) {
+			f.versionLag = 1
 			f.rows["a"] = rowstore.Row{
 				Key:     "a",
 				Value:   []byte("old"),
 				Version: 1,
 			}
-			f.floor = 100
+			f.historyStart = 100
 		})
-		pause(3 * time.Second)
+		advance(3 * time.Second)
 		qt.Assert(t, w.rows["a"], qt.Equals, "new")
 		qt.Assert(t, w.asOf, qt.Equals, before)
 	})
 }
 
-func TestFollowerTellsAnOutageAndItsEnd(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestFollowerReportsOutageAndRecovery(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
-		w := follow(ctx, store, &rowstore.Freshness{})
-		pause(100 * time.Millisecond)
-		store.set(func(f *fakeStore) {
+		w := startFollower(ctx, store, &rowstore.Freshness{})
+		advance(100 * time.Millisecond)
+		store.update(func(f *fakeStore) {
 			f.isDown = true
 		})
-		pause(4 * time.Second)
+		advance(4 * time.Second)
 		qt.Assert(t, w.failures > 2, qt.IsTrue)
-		qt.Assert(t, w.restored, qt.Equals, 0)
-		store.set(func(f *fakeStore) {
+		qt.Assert(t, w.recoveries, qt.Equals, 0)
+		store.update(func(f *fakeStore) {
 			f.isDown = false
 		})
-		pause(2 * time.Second)
-		qt.Assert(t, w.restored, qt.Equals, 1)
+		advance(2 * time.Second)
+		qt.Assert(t, w.recoveries, qt.Equals, 1)
 	})
 }
 
-// An answer that was long on its way is dated by the store's clock, not by when
-// it came, so a view is never taken for younger than it is.
-func TestFreshnessIsNeverTooYoung(t *testing.T) {
+// Guards against dating a delayed answer by its arrival, which makes the view seem younger than it
+// is. The store's clock dates it.
+func TestFreshnessDoesNotUnderstateAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var clock rowstore.Freshness
 		start := time.Now()
 		const offset = time.Hour
 		clock.Prove(0, time.Now(), offset)
-		pause(10 * time.Second)
-		// An answer produced 3 s after the start arrives only now.
+		advance(10 * time.Second)
+		// An answer that was produced 3 s after the start arrives only now.
 		asOf := clock.Prove(0, start.Add(2*time.Second), offset+3*time.Second)
 		qt.Assert(t, asOf.After(start.Add(3*time.Second)), qt.IsFalse)
 		clock.Confirm(asOf)
@@ -179,9 +179,9 @@
 	})
 }
 
-// A machine that slept woke with a view that looked as young as before, and served keys that
-// had been withdrawn meanwhile.
-func TestViewOfASuspendedMachineIsAsOldAsItIs(t *testing.T) {
+// Guards against a view that does not age while its VM is suspended. After a suspension such a VM
+// accepted keys that had been withdrawn meanwhile.
+func TestFreshnessCountsVMSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		clock := rowstore.Freshness{
@@ -191,15 +191,15 @@
 		}
 		const offset = time.Hour
 		clock.Confirm(clock.Prove(0, clock.Now(), offset))
-		pause(time.Second)
+		advance(time.Second)
 		suspended += 5 * time.Second
 		age, _ := clock.Age()
 		qt.Assert(t, age, qt.Equals, 6*time.Second)
 
-		// A copy of another daemon, of 4 s ago by the store's clock, is dated so.
+		// A copy of another daemon that is 4 s old by the store's clock gets that age.
 		when := clock.When(0, offset+2*time.Second)
 		qt.Assert(t, clock.Since(when), qt.Equals, 4*time.Second)
-		// A call that the sleep interrupted proves no more than before it.
+		// A call during which the VM was suspended proves only a state from before the suspension.
 		sent := clock.Now()
 		suspended += 5 * time.Second
 		clock.Confirm(clock.Prove(0, sent, offset+6*time.Second))
@@ -208,22 +208,22 @@
 	})
 }
 
-func TestNothingConfirmedIsNotFresh(t *testing.T) {
+func TestFreshnessHasNoAgeBeforeConfirm(t *testing.T) {
 	var clock rowstore.Freshness
 	_, isKnown := clock.Age()
 	qt.Assert(t, isKnown, qt.IsFalse)
 }
 
-// chained returns a chain over a store and relays, whose clock is proved.
-func chained(store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
-	return chainedTo(store, store, relays...)
+// newChain returns a chain over a store and relays, with a clock that has a proof.
+func newChain(store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
+	return newChainVia(store, store, relays...)
 }
 
-// chainedTo is chained with another way to the store.
-func chainedTo(way rowstore.Reader, store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
+// newChainVia is newChain with another reader of the store.
+func newChainVia(storeReader rowstore.Reader, store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
 	clock := &rowstore.Freshness{}
 	clock.Prove(0, time.Now(), time.Since(store.started))
-	chain := rowstore.NewChain(way, clock, map[string]time.Duration{
+	chain := rowstore.NewChain(storeReader, clock, map[string]time.Duration{
 		"t": 900 * time.Millisecond,
 	})
 	chain.SetPeers(rowstore.Peers{
@@ -232,22 +232,22 @@
 	return chain, clock
 }
 
-func TestFollowersBehindARelayCostTheStoreNothing(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestDownstreamFollowersMakeNoStoreCalls(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		relay := followEvery(ctx, store, &rowstore.Freshness{}, 400*time.Millisecond)
-		pause(time.Second)
+		relay := startFollowerWaiting(ctx, store, &rowstore.Freshness{}, 400*time.Millisecond)
+		advance(time.Second)
 		before := store.calls
-		chain, clock := chained(store, rowstore.Relay{
+		chain, clock := newChain(store, rowstore.Relay{
 			Name:   "r1",
 			Reader: &relay.hub,
 		})
-		behind := follow(ctx, chain, clock)
-		pause(5 * time.Second)
+		downstream := startFollower(ctx, chain, clock)
+		advance(5 * time.Second)
 		store.put("a", "2")
-		pause(10 * time.Millisecond)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "2")
+		advance(10 * time.Millisecond)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "2")
 		direct, relayed := chain.Counts()
 		qt.Assert(t, direct, qt.Equals, int64(0))
 		qt.Assert(t, relayed > 5, qt.IsTrue)
@@ -255,95 +255,94 @@
 	})
 }
 
-// Found by the standard days (CONFIG, scale-2 of valdeserna-riego): a relay that
-// was cut off from the store answered from its copy, and daemons behind it
-// applied a configuration too late.
-func TestRelayOutOfContactIsLeftInTime(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a relay that serves its copy while it is cut off from the store, so that the
+// daemons that use it apply a configuration too late.
+func TestChainLeavesRelayCutOffFromStore(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		cut := newFakeStore()
-		cut.started = store.started
-		cut.put("a", "1")
-		relay := followEvery(ctx, cut, &rowstore.Freshness{}, 400*time.Millisecond)
-		pause(time.Second)
-		chain, clock := chained(store, rowstore.Relay{
+		relayStore := newFakeStore()
+		relayStore.started = store.started
+		relayStore.put("a", "1")
+		relay := startFollowerWaiting(ctx, relayStore, &rowstore.Freshness{}, 400*time.Millisecond)
+		advance(time.Second)
+		chain, clock := newChain(store, rowstore.Relay{
 			Name:   "r1",
 			Reader: &relay.hub,
 		})
-		behind := follow(ctx, chain, clock)
-		pause(time.Second)
-		cut.set(func(f *fakeStore) {
+		downstream := startFollower(ctx, chain, clock)
+		advance(time.Second)
+		relayStore.update(func(f *fakeStore) {
 			f.isDown = true
 		})
 		store.put("a", "2")
-		pause(1500 * time.Millisecond)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "2")
+		advance(1500 * time.Millisecond)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "2")
 	})
 }
 
 // silentReader never answers.
 type silentReader struct{}
 
-// Read waits for the context.
+// Read blocks until ctx ends.
 func (silentReader) Read(ctx context.Context, _ string) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
 
-// Feed waits for the context.
+// Feed blocks until ctx ends.
 func (silentReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
 
-func TestSilentRelayIsLeftInTime(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestChainLeavesUnresponsiveRelay(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
-		chain, clock := chained(store, rowstore.Relay{
+		chain, clock := newChain(store, rowstore.Relay{
 			Name:   "r1",
 			Reader: silentReader{},
 		})
-		behind := follow(ctx, chain, clock)
+		downstream := startFollower(ctx, chain, clock)
 		store.put("a", "1")
-		pause(1500 * time.Millisecond)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "1")
+		advance(1500 * time.Millisecond)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
 	})
 }
 
-// Each call is priced, also while the store refuses all.
-func TestStoreThatIsDownIsAskedRarely(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against frequent calls to a store that refuses them, since refused calls are billed too.
+func TestChainLimitsCallsWhileStoreIsDown(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
-		chain, clock := chained(store)
-		var all []*watched
+		chain, clock := newChain(store)
+		var followers []*recordedFollower
 		for _, table := range []string{"t", "b", "c", "d", "e", "f"} {
-			all = append(all, followTable(ctx, chain, clock, table, time.Second))
+			followers = append(followers, startTableFollower(ctx, chain, clock, table, time.Second))
 		}
-		pause(time.Second)
-		store.set(func(f *fakeStore) {
+		advance(time.Second)
+		store.update(func(f *fakeStore) {
 			f.isDown = true
 		})
-		pause(2 * time.Second)
-		before := store.count()
-		pause(10 * time.Second)
-		qt.Assert(t, store.count()-before < 50, qt.IsTrue, qt.Commentf("%d calls", store.count()-before))
-		store.set(func(f *fakeStore) {
+		advance(2 * time.Second)
+		before := store.callCount()
+		advance(10 * time.Second)
+		qt.Assert(t, store.callCount()-before < 50, qt.IsTrue, qt.Commentf("%d calls", store.callCount()-before))
+		store.update(func(f *fakeStore) {
 			f.isDown = false
 		})
 		store.put("a", "back")
-		pause(3 * time.Second)
-		for _, w := range all {
+		advance(3 * time.Second)
+		for _, w := range followers {
 			qt.Assert(t, w.rows["a"], qt.Equals, "back")
 		}
 	})
 }
 
-func TestCopyThatCannotBeDatedIsNotUsed(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestChainRejectsUndatedCopy(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
-		copied := newFakeStore()
-		copied.isRelayed = true
+		relayStore := newFakeStore()
+		relayStore.isRelayed = true
 		chain := rowstore.NewChain(store, &rowstore.Freshness{}, map[string]time.Duration{
 			"t": time.Second,
 		})
@@ -351,7 +350,7 @@
 			Relays: []rowstore.Relay{
 				{
 					Name:   "r1",
-					Reader: copied,
+					Reader: relayStore,
 				},
 			},
 		})
@@ -361,12 +360,12 @@
 	})
 }
 
-func TestHubTellsRemovedRowsAndForgottenHistory(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestHubReportsRemovedRowsAndCompactedHistory(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		relay := follow(ctx, store, &rowstore.Freshness{})
-		pause(50 * time.Millisecond)
+		relay := startFollower(ctx, store, &rowstore.Freshness{})
+		advance(50 * time.Millisecond)
 		first, err := relay.hub.Read(ctx, "t")
 		qt.Assert(t, err, qt.IsNil)
 		store.put("a", "")
@@ -381,20 +380,20 @@
 	})
 }
 
-// pause lets time pass, and waits until what happened then has been done.
-func pause(d time.Duration) {
+// advance lets time pass, and waits until all goroutines are idle.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// onceSilent loses the answer of its first read.
-type onceSilent struct {
+// firstReadLost loses the answer to its first read.
+type firstReadLost struct {
 	rowstore.Reader
 	reads int
 }
 
-// Read is silent the first time.
-func (o *onceSilent) Read(ctx context.Context, table string) (rowstore.Result, error) {
+// Read does not answer the first time.
+func (o *firstReadLost) Read(ctx context.Context, table string) (rowstore.Result, error) {
 	o.reads++
 	if o.reads == 1 {
 		<-ctx.Done()
@@ -403,33 +402,33 @@
 	return o.Reader.Read(ctx, table)
 }
 
-// The list of the daemons is followed by calls that wait for 10 s. When the answer of
-// its first read was lost, 68 daemons knew no relays for as long, and asked the store
-// 4,600 times for the servers.
-func TestLostAnswerOfAReadIsNotWaitedForAsLongAsAFeed(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a read that times out only after the wait of a feed. The list of daemons is
+// followed with feeds of 10 s. When the answer to its first read was lost, 68 daemons knew no
+// relays for that long, and called the store 4,600 times for the servers.
+func TestReadTimeoutIsIndependentOfFeedWait(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := followEvery(ctx, &onceSilent{
+		w := startFollowerWaiting(ctx, &firstReadLost{
 			Reader: store,
 		}, &rowstore.Freshness{}, 10*time.Second)
-		pause(2 * time.Second)
+		advance(2 * time.Second)
 		qt.Assert(t, w.rows["a"], qt.Equals, "1")
 	})
 }
 
-// All of 300 daemons read a table of 3,000 rows at once after a restart: a read that takes
-// longer than it is given must be given more, or nobody ever reads the table.
-func TestTableThatTakesLongIsReadAllTheSame(t *testing.T) {
-	for _, takes := range []time.Duration{2 * time.Second, 5 * time.Second} {
-		run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a table that is never read because each read times out. After a restart, 300
+// daemons read a table of 3,000 rows at the same moment.
+func TestReadTimeoutGrowsForSlowTable(t *testing.T) {
+	for _, delay := range []time.Duration{2 * time.Second, 5 * time.Second} {
+		runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 			store := newFakeStore()
 			store.put("a", "1")
-			store.set(func(f *fakeStore) {
-				f.delay = takes
+			store.update(func(f *fakeStore) {
+				f.delay = delay
 			})
-			w := follow(ctx, store, &rowstore.Freshness{})
-			pause(20 * time.Second)
+			w := startFollower(ctx, store, &rowstore.Freshness{})
+			advance(20 * time.Second)
 			qt.Assert(t, w.rows["a"], qt.Equals, "1")
 		})
 	}
--- a/core/rowstore/seeded.go
+++ b/core/rowstore/seeded.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Seeded reads the table of the daemons themselves: a daemon that starts knows no other. Were
-// each to read the whole table from the store, what the store sends would grow with the square
-// of their number. So it reads the first rows, by which it knows some daemons that have the
-// table, and asks these for the rest. It implements Reader.
+// Seeded reads the table of the daemons, from which a starting daemon learns about the others. If
+// each daemon read the whole table from the store, the data sent by the store would grow with the
+// square of their number. Instead a daemon reads the first rows from the store, which name some
+// daemons that have the table, and reads the rest from these. It implements Reader.
 type Seeded struct {
 	// Chain reads the table once other daemons are known.
 	Chain *Chain
-	// From reads the first rows, Rows at most; a table of no more is read whole by them.
+	// From reads the first rows, at most Rows of them. A table of no more rows is complete with
+	// that.
 	From Sampler
 	Rows int
-	// Seeds returns the daemons that have the table, by its first rows; none where this
-	// daemon is one of them, and reads the table from the store for the others.
+	// Seeds returns the daemons that have the table, given its first rows. It returns none if this
+	// daemon is one of them, which reads the table from the store for the others.
 	Seeds func(sample []Row) []Relay
 }
 
--- a/core/rowstore/seeded_test.go
+++ b/core/rowstore/seeded_test.go
@@ -15,33 +15,33 @@
 	"headcourse/core/rowstore"
 )
 
-// All daemons of a fleet start at one moment, as after a loss of power: each has to learn who the
-// others are before it can read anything from them.
+// These tests start all daemons of a fleet at the same moment, as after a power failure. Each
+// daemon must learn about the others before it can read from them.
 
-// Figures of the model.
 const (
 	listRows = 128
-	// storeTime is how long the store takes, startSpread over which time processes start.
+	// storeTime is the response time of the store. startSpread is the time over which the processes
+	// start.
 	storeTime   = 4 * time.Millisecond
 	startSpread = 200 * time.Millisecond
 )
 
-// listStore is the store's table of the daemons.
+// listStore is a store that holds the table of the daemons.
 type listStore struct {
-	rows  []rowstore.Row
-	mutex sync.Mutex
-	calls int
-	sent  int
+	rows     []rowstore.Row
+	mutex    sync.Mutex
+	calls    int
+	sentRows int
 }
 
-// answer returns so many of the rows.
-func (s *listStore) answer(rows int) rowstore.Result {
+// sendRows returns the first rows.
+func (s *listStore) sendRows(rows int) rowstore.Result {
 	time.Sleep(storeTime)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	const page = 500
 	s.calls += max(1, (rows+page-1)/page)
-	s.sent += rows
+	s.sentRows += rows
 	return rowstore.Result{
 		Rows:    s.rows[:rows],
 		Version: 1,
@@ -51,10 +51,10 @@
 
 // Read returns all rows.
 func (s *listStore) Read(context.Context, string) (rowstore.Result, error) {
-	return s.answer(len(s.rows)), nil
+	return s.sendRows(len(s.rows)), nil
 }
 
-// Feed is not called in the model.
+// Feed is not called by these tests.
 func (s *listStore) Feed(context.Context, string, rowstore.Revision, time.Duration) (rowstore.Result, error) {
 	return rowstore.Result{}, rowstore.ErrRefused
 }
@@ -62,26 +62,27 @@
 // Sample returns the first rows.
 func (s *listStore) Sample(_ context.Context, _ string, rows int) (rowstore.Result, bool, error) {
 	rows = min(rows, len(s.rows))
-	return s.answer(rows), rows == len(s.rows), nil
+	return s.sendRows(rows), rows == len(s.rows), nil
 }
 
-// starting is a fleet whose daemons start.
-type starting struct {
+// startingFleet is a fleet whose daemons start.
+type startingFleet struct {
 	store *listStore
 	list  neighbours.List
 	hubs  map[string]*rowstore.Hub
-	// lost are daemons that do not start again.
-	lost map[string]bool
+	// unresponsive are daemons that do not start again.
+	unresponsive map[string]bool
 }
 
-// newStarting returns a fleet in three zones that is listed, its relays too where isPublished.
-func newStarting(t *testing.T, count int, isPublished bool) (*starting, []neighbours.Daemon) {
+// newStartingFleet returns a registered fleet in three zones, and its daemons. The table also holds
+// the relays if isPublished is set.
+func newStartingFleet(t *testing.T, count int, isPublished bool) (*startingFleet, []neighbours.Daemon) {
 	t.Helper()
 	var daemons []neighbours.Daemon
-	f := &starting{
-		store: &listStore{},
-		hubs:  map[string]*rowstore.Hub{},
-		lost:  map[string]bool{},
+	f := &startingFleet{
+		store:        &listStore{},
+		hubs:         map[string]*rowstore.Hub{},
+		unresponsive: map[string]bool{},
 	}
 	for i := range count {
 		daemons = append(daemons, neighbours.Daemon{
@@ -112,8 +113,8 @@
 	return f, daemons
 }
 
-// read has a daemon read the list, and gives it to others from then on.
-func (f *starting) read(ctx context.Context, self neighbours.Daemon) (rowstore.Result, error) {
+// read lets a daemon read the list, and then serves it to others.
+func (f *startingFleet) read(ctx context.Context, self neighbours.Daemon) (rowstore.Result, error) {
 	clock := &rowstore.Freshness{}
 	chain := rowstore.NewChain(f.store, clock, nil)
 	seeded := rowstore.Seeded{
@@ -131,19 +132,19 @@
 	return result, err
 }
 
-// seeds returns whom a daemon asks.
-func (f *starting) seeds(sample []rowstore.Row, self neighbours.Daemon) []rowstore.Relay {
-	var known []neighbours.Daemon
+// seeds returns the relays that a daemon calls.
+func (f *startingFleet) seeds(sample []rowstore.Row, self neighbours.Daemon) []rowstore.Relay {
+	var candidates []neighbours.Daemon
 	for _, row := range sample {
 		if row.Key == neighbours.RelaysKey {
-			known, _ = neighbours.DecodeRelays(row.Value)
+			candidates, _ = neighbours.DecodeRelays(row.Value)
 			break
 		}
 		daemon, _ := neighbours.Decode(row.Key, row.Value)
-		known = append(known, daemon)
+		candidates = append(candidates, daemon)
 	}
 	var relays []rowstore.Relay
-	for _, one := range neighbours.Nearest(known, self.Name, self.Zone) {
+	for _, one := range neighbours.Nearest(candidates, self.Name, self.Zone) {
 		if one.Name == self.Name {
 			return nil
 		}
@@ -152,11 +153,11 @@
 	return relays[:min(4, len(relays))]
 }
 
-// relay returns a daemon as one that others ask; one that is lost does not answer.
-func (f *starting) relay(name string) rowstore.Relay {
+// relay returns a daemon as a relay, which never has a copy if the daemon is unresponsive.
+func (f *startingFleet) relay(name string) rowstore.Relay {
 	hub := f.hubs[name]
-	if f.lost[name] {
-		// Its copy never comes.
+	if f.unresponsive[name] {
+		// No copy is ever applied to this hub.
 		hub = &rowstore.Hub{}
 	}
 	return rowstore.Relay{
@@ -165,12 +166,12 @@
 	}
 }
 
-// startAll has all daemons start, and returns how long the last took to read the list.
-func (f *starting) startAll(t *testing.T, daemons []neighbours.Daemon) time.Duration {
+// startAll starts all daemons, and returns the longest time that one took to read the list.
+func (f *startingFleet) startAll(t *testing.T, daemons []neighbours.Daemon) time.Duration {
 	t.Helper()
 	var group sync.WaitGroup
 	var mutex sync.Mutex
-	longest := time.Duration(0)
+	longestRead := time.Duration(0)
 	for _, daemon := range daemons {
 		group.Go(func() {
 			time.Sleep(rand.N(startSpread))
@@ -180,48 +181,51 @@
 			qt.Check(t, result.Rows, qt.HasLen, len(f.store.rows))
 			mutex.Lock()
 			defer mutex.Unlock()
-			longest = max(longest, time.Since(began))
+			longestRead = max(longestRead, time.Since(began))
 		})
 	}
 	group.Wait()
-	return longest
+	return longestRead
 }
 
-// What the store sends a daemon does not grow with the fleet but for one read of the list for each
-// relay. Where each read the whole list, 984 daemons were sent 968,256 rows in 1,968 calls.
-func TestStartOfAllReadsTheListOncePerRelay(t *testing.T) {
+// Guards against store traffic per daemon that grows with the fleet, beyond one read of the list
+// per relay. When each daemon read the whole list, the store sent 968,256 rows to 984 daemons in
+// 1,968 calls.
+func TestFullRestartReadsDaemonListOncePerRelay(t *testing.T) {
 	for _, count := range []int{9, 89, 360, 984, 1968} {
 		for _, isPublished := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
-				f, daemons := newStarting(t, count, isPublished)
-				longest := f.startAll(t, daemons)
-				rows := float64(f.store.sent) / float64(count)
-				comment := qt.Commentf("%d daemons, relays published: %t: %d calls, %.0f rows each, %s", count, isPublished, f.store.calls, rows, longest)
-				// One daemon of 32 relays; without relays those of the sample stand for them.
+				f, daemons := newStartingFleet(t, count, isPublished)
+				longestRead := f.startAll(t, daemons)
+				rows := float64(f.store.sentRows) / float64(count)
+				comment := qt.Commentf("%d daemons, relays published: %t: %d calls, %.0f rows each, %s", count, isPublished, f.store.calls, rows, longestRead)
+				// One of 32 daemons is a relay. If no relays are published, the daemons of the
+				// sample take their place.
 				seeds := float64(count)/32 + 3
 				if !isPublished {
 					seeds = listRows
 				}
-				most := listRows + seeds*float64(len(f.store.rows))/float64(count)
+				maxRows := listRows + seeds*float64(len(f.store.rows))/float64(count)
 				if count < listRows {
-					most = float64(len(f.store.rows))
+					maxRows = float64(len(f.store.rows))
 				}
-				qt.Check(t, rows <= most, qt.IsTrue, comment)
-				qt.Check(t, longest < time.Second, qt.IsTrue, comment)
+				qt.Check(t, rows <= maxRows, qt.IsTrue, comment)
+				qt.Check(t, longestRead < time.Second, qt.IsTrue, comment)
 				t.Log(comment)
 			})
 		}
 	}
 }
 
-// Seeds that are gone cost a start its wait for them, and the store is the last resort.
-func TestStartWithoutSeedsReadsTheListFromTheStore(t *testing.T) {
+// Guards against a start that fails if all seeds are unresponsive: it costs their timeout, and then
+// the store is read.
+func TestStartWithUnresponsiveSeedsReadsDaemonListFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, daemons := newStarting(t, 360, true)
+		f, daemons := newStartingFleet(t, 360, true)
 		for _, relay := range f.list.Relays() {
-			f.lost[relay.Name] = true
+			f.unresponsive[relay.Name] = true
 		}
-		longest := f.startAll(t, daemons)
-		qt.Assert(t, longest < time.Second, qt.IsTrue, qt.Commentf("%s", longest))
+		longestRead := f.startAll(t, daemons)
+		qt.Assert(t, longestRead < time.Second, qt.IsTrue, qt.Commentf("%s", longestRead))
 	})
 }
--- a/core/rowstore/turns.go
+++ b/core/rowstore/turns.go
@@ -7,59 +7,59 @@
 	"github.com/pkg/errors"
 )
 
-// turns asks some readers one after the other, again and again, until one answers or the
-// call's time is over. It implements Reader. Daemons start together, so that one which
-// refuses may only not be there yet.
-type turns struct {
+// roundRobin calls readers in turn, repeatedly, until one answers or the time of the call is over.
+// It implements Reader. Daemons start together, so a reader that refuses a call may just not have
+// started yet.
+type roundRobin struct {
 	readers []Reader
-	// patience is after how long no reader is asked any more; one that was asked may take
-	// until the call's time is over.
-	patience time.Duration
+	// timeout is how long calls are started. The last call may take until the caller's deadline.
+	timeout time.Duration
 }
 
-// turnPause is the time between two rounds of asking: a connection that is refused
-// costs less than a millisecond.
-const turnPause = 30 * time.Millisecond
+// roundRobinPause is the time between two rounds. A refused connection costs less than a
+// millisecond.
+const roundRobinPause = 30 * time.Millisecond
 
 // Read reads a table from the first reader that answers.
-func (t turns) Read(ctx context.Context, table string) (Result, error) {
-	return t.ask(ctx, func(from Reader) (Result, error) {
+func (r roundRobin) Read(ctx context.Context, table string) (Result, error) {
+	return r.callInTurn(ctx, func(from Reader) (Result, error) {
 		return from.Read(ctx, table)
 	})
 }
 
 // Feed follows a table through the first reader that answers.
-func (t turns) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
-	return t.ask(ctx, func(from Reader) (Result, error) {
+func (r roundRobin) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
+	return r.callInTurn(ctx, func(from Reader) (Result, error) {
 		return from.Feed(ctx, table, since, wait)
 	})
 }
 
-// ask makes a call to each reader in turn, again and again until ctx ends. Where any of them
-// answered that it has no copy, that is the error: a call that ctx cuts short says less.
-func (t turns) ask(ctx context.Context, call func(from Reader) (Result, error)) (Result, error) {
-	last := errors.Wrap(ErrRefused, "there is nobody to ask")
+// callInTurn calls each reader in turn, repeatedly, until ctx ends. If any of them answered that it
+// has no copy, that is the returned error, because the error of a call that ctx cut short says
+// less.
+func (r roundRobin) callInTurn(ctx context.Context, call func(from Reader) (Result, error)) (Result, error) {
+	lastErr := errors.Wrap(ErrRefused, "no reader to call")
 	began := time.Now()
-	for len(t.readers) > 0 {
-		for _, reader := range t.readers {
+	for len(r.readers) > 0 {
+		for _, reader := range r.readers {
 			result, err := call(reader)
 			if err == nil || errors.Is(err, ErrCompacted) {
 				return result, err
 			}
-			if !errors.Is(last, ErrNoCopy) {
-				last = err
+			if !errors.Is(lastErr, ErrNoCopy) {
+				lastErr = err
 			}
-			if time.Since(began) > t.patience {
-				return Result{}, last
+			if time.Since(began) > r.timeout {
+				return Result{}, lastErr
 			}
 		}
-		timer := time.NewTimer(turnPause)
+		timer := time.NewTimer(roundRobinPause)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return Result{}, last
+			return Result{}, lastErr
 		}
 	}
-	return Result{}, last
+	return Result{}, lastErr
 }
--- a/core/rowstore/turns_test.go
+++ b/core/rowstore/turns_test.go
@@ -10,136 +10,137 @@
 	"headcourse/core/rowstore"
 )
 
-// startingReader refuses calls until it has started.
+// startingReader refuses calls until startsAt.
 type startingReader struct {
 	rowstore.Reader
-	starts time.Time
+	startsAt time.Time
 }
 
-// Read refuses before the start.
+// Read refuses before startsAt.
 func (l startingReader) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	if time.Now().Before(l.starts) {
+	if time.Now().Before(l.startsAt) {
 		return rowstore.Result{}, rowstore.ErrRefused
 	}
 	return l.Reader.Read(ctx, table)
 }
 
-// Feed refuses before the start.
+// Feed refuses before startsAt.
 func (l startingReader) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	if time.Now().Before(l.starts) {
+	if time.Now().Before(l.startsAt) {
 		return rowstore.Result{}, rowstore.ErrRefused
 	}
 	return l.Reader.Feed(ctx, table, since, wait)
 }
 
-// Daemons start in any order within some tenths of a second: a relay that is not there
-// yet is waited for, one that is gone for good costs the wait and no more.
-func TestRelayThatStartsLaterIsWaitedFor(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a relay that starts some tenths of a second late and is skipped. A relay that is
+// gone costs a timeout and nothing else.
+func TestReadWaitsForRelayThatStartsLater(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		relay := followEvery(ctx, store, &rowstore.Freshness{}, 400*time.Millisecond)
-		asked := 0
-		chain, clock := chainedTo(countingReader{
+		relay := startFollowerWaiting(ctx, store, &rowstore.Freshness{}, 400*time.Millisecond)
+		storeCalls := 0
+		chain, clock := newChainVia(countingReader{
 			Reader: store,
-			calls:  &asked,
+			calls:  &storeCalls,
 		}, store, rowstore.Relay{
 			Name: "gone",
 			Reader: startingReader{
-				Reader: silentReader{},
-				starts: time.Now().Add(time.Hour),
+				Reader:   silentReader{},
+				startsAt: time.Now().Add(time.Hour),
 			},
 		}, rowstore.Relay{
 			Name: "late",
 			Reader: startingReader{
-				Reader: &relay.hub,
-				starts: time.Now().Add(150 * time.Millisecond),
+				Reader:   &relay.hub,
+				startsAt: time.Now().Add(150 * time.Millisecond),
 			},
 		})
-		behind := follow(ctx, chain, clock)
-		pause(time.Second)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "1")
-		qt.Assert(t, asked, qt.Equals, 0)
+		downstream := startFollower(ctx, chain, clock)
+		advance(time.Second)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
+		qt.Assert(t, storeCalls, qt.Equals, 0)
 	})
 }
 
-func TestWithoutAnyRelayTheStoreIsAsked(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestReadUsesStoreWhenNoRelayAnswers(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		chain, clock := chained(store, rowstore.Relay{
+		chain, clock := newChain(store, rowstore.Relay{
 			Name: "gone",
 			Reader: startingReader{
-				Reader: silentReader{},
-				starts: time.Now().Add(time.Hour),
+				Reader:   silentReader{},
+				startsAt: time.Now().Add(time.Hour),
 			},
 		})
-		behind := follow(ctx, chain, clock)
-		pause(time.Second)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "1")
+		downstream := startFollower(ctx, chain, clock)
+		advance(time.Second)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
 	})
 }
 
-// All daemons start at the same moment: those that ask a relay which is just reading the
-// table wait for its copy, and do not ask the store themselves.
-func TestRelayThatIsReadingIsWaitedFor(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against store reads by daemons whose relay is just reading the table. All daemons start at
+// the same moment, and those that call a relay wait for its copy.
+func TestReadWaitsForRelayThatIsReading(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		const daemons = 50
 		store := newFakeStore()
 		store.put("a", "1")
-		slow := slowReader{
+		slowStore := slowReader{
 			Reader: store,
-			takes:  100 * time.Millisecond,
+			delay:  100 * time.Millisecond,
 		}
-		relay := followEvery(ctx, slow, &rowstore.Freshness{}, 400*time.Millisecond)
-		asked := 0
-		var behind []*watched
+		relay := startFollowerWaiting(ctx, slowStore, &rowstore.Freshness{}, 400*time.Millisecond)
+		storeCalls := 0
+		var downstream []*recordedFollower
 		for range daemons {
-			chain, clock := chainedTo(countingReader{
+			chain, clock := newChainVia(countingReader{
 				Reader: store,
-				calls:  &asked,
+				calls:  &storeCalls,
 			}, store, rowstore.Relay{
 				Name:   "relay",
 				Reader: &relay.hub,
 			})
-			behind = append(behind, follow(ctx, chain, clock))
+			downstream = append(downstream, startFollower(ctx, chain, clock))
 		}
-		pause(300 * time.Millisecond)
-		for _, one := range behind {
+		advance(300 * time.Millisecond)
+		for _, one := range downstream {
 			qt.Assert(t, one.rows["a"], qt.Equals, "1")
 		}
-		qt.Assert(t, asked, qt.Equals, 0)
+		qt.Assert(t, storeCalls, qt.Equals, 0)
 	})
 }
 
-// slowReader reads slowly.
+// slowReader delays reads.
 type slowReader struct {
 	rowstore.Reader
-	takes time.Duration
+	delay time.Duration
 }
 
-// Read takes its time.
+// Read waits for the delay and reads.
 func (s slowReader) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	time.Sleep(s.takes)
+	time.Sleep(s.delay)
 	return s.Reader.Read(ctx, table)
 }
 
-// A daemon that has never asked the store itself can date copies all the same, by what a
-// relay says that the store's clock shows at the latest; and is never too sure of them.
-func TestCopyIsDatedByWhatTheRelayProves(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a copy that cannot be dated because this daemon has never called the store itself.
+// The relay's upper bound of the store's clock dates it, and never makes it seem younger than it
+// is.
+func TestCopyIsDatedByRelayClockBound(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
 		relayClock := &rowstore.Freshness{}
-		relay := followEvery(ctx, store, relayClock, 400*time.Millisecond)
+		relay := startFollowerWaiting(ctx, store, relayClock, 400*time.Millisecond)
 		relay.hub.Clock = relayClock
-		pause(2 * time.Second)
+		advance(2 * time.Second)
 
 		clock := &rowstore.Freshness{}
-		asked := 0
+		storeCalls := 0
 		chain := rowstore.NewChain(countingReader{
 			Reader: store,
-			calls:  &asked,
+			calls:  &storeCalls,
 		}, clock, map[string]time.Duration{
 			"t": 900 * time.Millisecond,
 		})
@@ -151,13 +152,13 @@
 				},
 			},
 		})
-		behind := follow(ctx, chain, clock)
-		pause(2 * time.Second)
-		qt.Assert(t, behind.rows["a"], qt.Equals, "1")
-		qt.Assert(t, asked, qt.Equals, 0)
-		truth, _ := relayClock.Latest(0)
+		downstream := startFollower(ctx, chain, clock)
+		advance(2 * time.Second)
+		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
+		qt.Assert(t, storeCalls, qt.Equals, 0)
+		relayLatest, _ := relayClock.Latest(0)
 		latest, isProved := clock.Latest(0)
 		qt.Assert(t, isProved, qt.IsTrue)
-		qt.Assert(t, latest >= truth, qt.IsTrue, qt.Commentf("%v before %v", latest, truth))
+		qt.Assert(t, latest >= relayLatest, qt.IsTrue, qt.Commentf("%v before %v", latest, relayLatest))
 	})
 }
