--- a/core/neighbours/fuzz_test.go
+++ b/core/neighbours/fuzz_test.go
@@ -6,7 +6,7 @@
 	"headcourse/core/neighbours"
 )
 
-// FuzzDecode looks for rows that break the list of the daemons.
+// FuzzDecode searches for rows that Decode accepts with invalid values.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"zone":"a","address":"10.0.0.1:80","strength":1}`,
@@ -22,7 +22,7 @@
 			return
 		}
 		if daemon.Name == "" || daemon.Address == "" || daemon.Strength < 0 {
-			t.Fatalf("%q is taken for %+v", value, daemon)
+			t.Fatalf("Decode accepts %q as %+v", value, daemon)
 		}
 		list := neighbours.NewList([]neighbours.Daemon{daemon})
 		list.For(name, "a")
--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -1,17 +1,17 @@
-// Package neighbours knows the other daemons, and which of them relay the
-// store's tables to the others, and which stand by for these.
+// Package neighbours holds the list of daemons and decides which of them relay the store's tables
+// to the others, and which are standbys for the relays.
 //
-// Each daemon lists itself in the store when it starts. The relays are the first
-// few by a hash of their names, the same at every daemon that has read the same
-// list, of those on the largest VMs: a relay sends what it reads to many. Each
-// availability zone has its own, since bytes between zones cost more than those
-// within one. Which of them a daemon asks first is also chosen by hash, so that
-// relays share the work.
+// Each daemon registers itself in the store when it starts. The relays are the daemons on the
+// largest VMs; among equal VMs a hash of the names decides. So all daemons that have read the same
+// list choose the same relays. Relays need large VMs because a relay sends what it reads to many
+// daemons. Each availability zone has its own relays, since traffic between zones costs more than
+// traffic within one. A hash also decides which relay a daemon calls first, so that the relays
+// share the load.
 //
-// The next daemons of the list stand by. The store may turn away all relays, or they may
-// be gone, while it serves others: then the standbys find out first, and the first of them
-// that is served follows the store for all. So one or two follow it, not everyone whom it
-// serves.
+// The next daemons of the list are the standbys. The store may fail for all relays, or the relays
+// may be gone, while the store serves other daemons. In that case the standbys detect it first, and
+// the first standby that the store serves follows it for all. Thus one or two daemons follow the
+// store instead of all that it serves.
 package neighbours
 
 import (
@@ -24,43 +24,42 @@
 	"github.com/pkg/errors"
 )
 
-// Table is the list of the daemons; the key is a daemon's name.
+// Table is the name of the table of daemons. The key of a row is the daemon's name.
 const Table = "daemons"
 
-// Figures of relays.
 const (
-	// Relays is how many daemons follow the store for the others, at least: one
-	// may be gone, another cut off, and the third still serves.
+	// Relays is the minimum number of daemons that follow the store for the others: one may be
+	// gone, another one cut off, and the third still serves.
 	Relays = 3
-	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few takes
-	// little of its VM's processor, but each relay costs calls to the store.
+	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few daemons takes
+	// little of the processor of the relay's VM, but each relay adds calls to the store.
 	daemonsPerRelay = 32
-	// Standbys is how many daemons stand by. Of eight, each turned away by the store with
-	// a chance of a third, all are so once in 6,500 outages.
+	// Standbys is the maximum number of standbys. If the store refuses each of eight daemons with a
+	// probability of one third, it refuses all of them in one of 6,500 outages.
 	Standbys = 8
-	// mostAsked is how many relays a daemon asks before the standbys, at most: among
-	// thousands of daemons there are tens, and one that cannot be told from those that
-	// are cut off costs a call.
-	mostAsked = 6
+	// maxRelaysCalled is the maximum number of relays that a daemon calls before the standbys. With
+	// thousands of daemons there are tens of relays, and a relay that is cut off costs a call, since
+	// only the call shows that it is.
+	maxRelaysCalled = 6
 )
 
 // Daemon is one daemon of the list.
 type Daemon struct {
 	Name string `json:"-"`
 	Zone string `json:"zone"`
-	// Address is where it relays tables, IP:port.
+	// Address is the IP:port at which the daemon relays tables.
 	Address string `json:"address"`
-	// Strength is how much the VM can carry, in any unit that is the same for all.
+	// Strength is the capacity of the daemon's VM, in any unit that is the same for all.
 	Strength float64 `json:"strength"`
 }
 
-// Encode returns the daemon's value in the store.
+// Encode returns the value of the daemon's row.
 func (d Daemon) Encode() ([]byte, error) {
 	value, err := json.Marshal(d)
 	return value, errors.Wrapf(err, "encode daemon %s", d.Name)
 }
 
-// Decode returns the daemon in a row of Table.
+// Decode returns the daemon of a row of Table.
 func Decode(name string, value []byte) (Daemon, error) {
 	daemon := Daemon{
 		Name: name,
@@ -74,23 +73,23 @@
 	return daemon, nil
 }
 
-// check returns what is wrong with a daemon that was decoded.
+// check returns an error if a decoded daemon is invalid.
 func (d Daemon) check() error {
 	if _, err := netip.ParseAddrPort(d.Address); err != nil || d.Name == "" {
-		return errors.Errorf("decode daemon %q: address %.80q is no IP:port", d.Name, d.Address)
+		return errors.Errorf("decode daemon %q: address %.80q is not IP:port", d.Name, d.Address)
 	}
 	if !(d.Strength >= 0) {
-		return errors.Errorf("decode daemon %q: strength %v is none", d.Name, d.Strength)
+		return errors.Errorf("decode daemon %q: strength %v is not 0 or more", d.Name, d.Strength)
 	}
 	return nil
 }
 
-// List is all daemons that are known. The zero value is empty.
+// List is the set of known daemons, sorted by strength. The zero value is empty.
 type List struct {
 	daemons []Daemon
 }
 
-// NewList returns the list of some daemons.
+// NewList returns the list of the given daemons.
 func NewList(daemons []Daemon) List {
 	ranked := slices.Clone(daemons)
 	slices.SortFunc(ranked, func(a, b Daemon) int {
@@ -104,38 +103,38 @@
 	}
 }
 
-// Len returns how many daemons there are.
+// Len returns the number of daemons.
 func (l List) Len() int {
 	return len(l.daemons)
 }
 
-// IsRelay tells whether a daemon follows the store for others. One that is not
-// listed yet does not.
+// IsRelay reports whether a daemon follows the store for others. A daemon that is not listed yet
+// does not.
 func (l List) IsRelay(name string) bool {
 	return slices.ContainsFunc(l.relays(), func(d Daemon) bool {
 		return d.Name == name
 	})
 }
 
-// Sharing returns how many daemons would ask the store where those before them have no
-// copy: the relays among themselves, with the standbys, and all others.
+// Sharing returns how many daemons call the store in the same way as this one if the daemons before
+// them have no copy: all relays for a relay, the relays and standbys for a standby, and otherwise
+// all daemons.
 func (l List) Sharing(name string) int {
-	relays, standbys := l.split()
-	isIt := func(d Daemon) bool {
+	relays, standbys := l.relaysAndStandbys()
+	isSelf := func(d Daemon) bool {
 		return d.Name == name
 	}
 	switch {
-	case slices.ContainsFunc(relays, isIt):
+	case slices.ContainsFunc(relays, isSelf):
 		return len(relays)
-	case slices.ContainsFunc(standbys, isIt):
+	case slices.ContainsFunc(standbys, isSelf):
 		return len(relays) + len(standbys)
 	default:
 		return len(l.daemons)
 	}
 }
 
-// Rank returns a daemon's place in the order of the list; that of an unlisted one
-// is after all others.
+// Rank returns a daemon's position in the list. A daemon that is not listed comes after all others.
 func (l List) Rank(name string) int {
 	for i, daemon := range l.daemons {
 		if daemon.Name == name {
@@ -145,61 +144,61 @@
 	return len(l.daemons)
 }
 
-// InZone counts the daemons of a zone, and returns a daemon's place among them, from 0;
-// that of an unlisted one is after all others.
-func (l List) InZone(name, zone string) (place, of int) {
-	place = -1
+// InZone returns a daemon's position among the daemons of a zone, from 0, and the number of these
+// daemons. A daemon that is not listed comes after all others.
+func (l List) InZone(name, zone string) (position, count int) {
+	position = -1
 	for _, daemon := range l.daemons {
 		if daemon.Zone != zone {
 			continue
 		}
 		if daemon.Name == name {
-			place = of
+			position = count
 		}
-		of++
+		count++
 	}
-	if place < 0 {
-		place = of
+	if position < 0 {
+		position = count
 	}
-	return place, of
+	return position, count
 }
 
-// OrderFor returns a daemon's place, from 0, in an order of all daemons for a key, and how many
-// of them are in a zone, which come first. The orders of different keys differ, so that they
-// burden different daemons; the place of an unlisted daemon is after all others.
-func (l List) OrderFor(key, zone, name string) (place, near int) {
+// OrderFor returns a daemon's position, from 0, in an order of all daemons for a key, and the
+// number of daemons in a zone. The daemons of that zone come first. The order differs by key, so
+// that different keys load different daemons. A daemon that is not listed comes after all others.
+func (l List) OrderFor(key, zone, name string) (position, inZone int) {
 	isListed := false
-	own := orderHash(key, name)
-	isNear := false
+	ownHash := orderHash(key, name)
+	isInZone := false
 	for _, daemon := range l.daemons {
 		if daemon.Name == name {
-			isListed, isNear = true, daemon.Zone == zone
+			isListed, isInZone = true, daemon.Zone == zone
 		}
 	}
 	for _, daemon := range l.daemons {
-		isBefore := daemon.Name != name && orderHash(key, daemon.Name) < own
+		isBefore := daemon.Name != name && orderHash(key, daemon.Name) < ownHash
 		if daemon.Zone == zone {
-			near++
+			inZone++
 		}
-		if (daemon.Zone == zone) != isNear {
-			isBefore = !isNear
+		if (daemon.Zone == zone) != isInZone {
+			isBefore = !isInZone
 		}
 		if isBefore {
-			place++
+			position++
 		}
 	}
 	if !isListed {
-		return len(l.daemons), near
+		return len(l.daemons), inZone
 	}
-	return place, near
+	return position, inZone
 }
 
-// orderHash orders daemons for a key.
+// orderHash is the hash by which daemons are ordered for a key.
 func orderHash(key, name string) uint64 {
 	return xxhash.Sum64String(key + "/" + name)
 }
 
-// Zones returns the zones that have daemons, each once, in their order.
+// Zones returns the sorted names of the zones that have daemons.
 func (l List) Zones() []string {
 	var zones []string
 	for _, daemon := range l.daemons {
@@ -209,29 +208,30 @@
 	return slices.Compact(zones)
 }
 
-// Has tells whether a daemon is listed with an address.
+// Has reports whether the list contains exactly this daemon, with its address.
 func (l List) Has(self Daemon) bool {
 	return slices.Contains(l.daemons, self)
 }
 
-// relays returns the daemons that relay.
+// relays returns the relays.
 func (l List) relays() []Daemon {
-	relays, _ := l.split()
+	relays, _ := l.relaysAndStandbys()
 	return relays
 }
 
-// split returns the daemons that relay, the strongest of each zone, one for every so many
-// daemons, and further ones where these are too few; and those that stand by.
-func (l List) split() (relays, standbys []Daemon) {
-	inZone := map[string]int{}
+// relaysAndStandbys returns the relays and the standbys. The relays are the strongest daemons of
+// each zone, one for every daemonsPerRelay daemons, and further daemons if these are fewer than
+// Relays.
+func (l List) relaysAndStandbys() (relays, standbys []Daemon) {
+	daemonsInZone := map[string]int{}
 	for _, daemon := range l.daemons {
-		inZone[daemon.Zone]++
+		daemonsInZone[daemon.Zone]++
 	}
-	chosen := map[string]int{}
+	relaysInZone := map[string]int{}
 	var others []Daemon
 	for _, daemon := range l.daemons {
-		if chosen[daemon.Zone]*daemonsPerRelay < inZone[daemon.Zone] {
-			chosen[daemon.Zone]++
+		if relaysInZone[daemon.Zone]*daemonsPerRelay < daemonsInZone[daemon.Zone] {
+			relaysInZone[daemon.Zone]++
 			relays = append(relays, daemon)
 		} else {
 			others = append(others, daemon)
@@ -243,93 +243,94 @@
 	return relays, others[:min(Standbys, len(others))]
 }
 
-// relaysAsked is how many of the relays before it a relay asks: where the first one is
-// gone for good or cut off, the next follows the store in its place, not all of them.
-const relaysAsked = 3
+// maxEarlierRelays is how many of the relays before it a relay calls. If the first relay is gone
+// for good or cut off, the next relay follows the store in its place, rather than all relays.
+const maxEarlierRelays = 3
 
-// For returns the relays in the order in which a daemon of a zone should ask them,
-// those of its zone first. A relay asks those before it, the first of which follows the
-// store itself: with three that did so, two of three calls to the store were for the
-// same news.
+// For returns the relays that a daemon of a zone calls, in call order, those of its zone first. A
+// relay calls the relays before it, and the first relay follows the store itself. When three relays
+// followed the store, two of three calls to it returned the same changes.
 func (l List) For(name, zone string) []Daemon {
 	order := slices.Clone(l.relays())
-	place := slices.IndexFunc(order, func(d Daemon) bool {
+	position := slices.IndexFunc(order, func(d Daemon) bool {
 		return d.Name == name
 	})
 	switch {
-	case place == 0:
+	case position == 0:
 		return nil
-	case place > 0:
-		return order[:min(place, relaysAsked)]
+	case position > 0:
+		return order[:min(position, maxEarlierRelays)]
 	}
-	sortFor(order, name, zone)
-	return order[:min(mostAsked, len(order))]
+	sortByDistance(order, name, zone)
+	return order[:min(maxRelaysCalled, len(order))]
 }
 
-// StandbysFor returns the standbys in the order in which a daemon of a zone should ask
-// them where no relay has a copy. A standby asks those before it, a relay none: it is
-// asked itself, and asks the store.
+// StandbysFor returns the standbys that a daemon of a zone calls if no relay has a copy, in call
+// order. A standby calls the standbys before it. A relay calls none: standbys call the relay, and
+// the relay calls the store.
 func (l List) StandbysFor(name, zone string) []Daemon {
-	relays, standbys := l.split()
-	isIt := func(d Daemon) bool {
+	relays, standbys := l.relaysAndStandbys()
+	isSelf := func(d Daemon) bool {
 		return d.Name == name
 	}
-	if slices.ContainsFunc(relays, isIt) {
+	if slices.ContainsFunc(relays, isSelf) {
 		return nil
 	}
-	if place := slices.IndexFunc(standbys, isIt); place >= 0 {
-		return slices.Clone(standbys[:place])
+	if position := slices.IndexFunc(standbys, isSelf); position >= 0 {
+		return slices.Clone(standbys[:position])
 	}
 	order := slices.Clone(standbys)
-	sortFor(order, name, zone)
+	sortByDistance(order, name, zone)
 	return order
 }
 
-// FallbacksFor returns the daemons that ask a relay or a standby, of those that may be
-// served by the store in its place: the next relays and the standbys, or the standbys
-// after it. The others have none.
+// FallbacksFor returns the daemons that call a relay or a standby and that the store may serve in
+// its place: for a relay the next relays and the standbys, for a standby the standbys after it.
+// Other daemons have none.
 func (l List) FallbacksFor(name string) []Daemon {
-	relays, standbys := l.split()
-	isIt := func(d Daemon) bool {
+	relays, standbys := l.relaysAndStandbys()
+	isSelf := func(d Daemon) bool {
 		return d.Name == name
 	}
-	if place := slices.IndexFunc(standbys, isIt); place >= 0 {
-		return slices.Clone(standbys[place+1:])
+	if position := slices.IndexFunc(standbys, isSelf); position >= 0 {
+		return slices.Clone(standbys[position+1:])
 	}
-	place := slices.IndexFunc(relays, isIt)
-	if place < 0 {
+	position := slices.IndexFunc(relays, isSelf)
+	if position < 0 {
 		return nil
 	}
-	next := relays[place+1:]
-	return slices.Concat(next[:min(relaysAsked, len(next))], standbys)
+	next := relays[position+1:]
+	return slices.Concat(next[:min(maxEarlierRelays, len(next))], standbys)
 }
 
-// Nearest returns daemons in the order in which one of a zone asks them, as For orders relays.
+// Nearest returns daemons in the order in which a daemon of a zone calls them, as For does for
+// relays.
 func Nearest(daemons []Daemon, name, zone string) []Daemon {
 	order := slices.Clone(daemons)
-	sortFor(order, name, zone)
+	sortByDistance(order, name, zone)
 	return order
 }
 
-// sortFor orders daemons by how soon one of a zone should ask them.
-func sortFor(order []Daemon, name, zone string) {
+// sortByDistance sorts daemons into the order in which a daemon of a zone calls them.
+func sortByDistance(order []Daemon, name, zone string) {
 	slices.SortFunc(order, func(a, b Daemon) int {
 		return cmp.Or(
-			cmp.Compare(a.distance(zone), b.distance(zone)),
-			cmp.Compare(a.turnFor(name), b.turnFor(name)),
+			cmp.Compare(a.zoneDistance(zone), b.zoneDistance(zone)),
+			cmp.Compare(a.orderHashFor(name), b.orderHashFor(name)),
 		)
 	})
 }
 
-// distance is 0 within the daemon's zone and 1 beyond it.
-func (d Daemon) distance(zone string) int {
+// zoneDistance is 0 within the daemon's zone and 1 outside.
+func (d Daemon) zoneDistance(zone string) int {
 	if d.Zone == zone {
 		return 0
 	}
 	return 1
 }
 
-// turnFor orders relays for another daemon, for each in a way of its own.
-func (d Daemon) turnFor(name string) uint64 {
+// orderHashFor is the hash by which relays are ordered for another daemon. The order differs by
+// daemon.
+func (d Daemon) orderHashFor(name string) uint64 {
 	return xxhash.Sum64String(name + "/" + d.Name)
 }
--- a/core/neighbours/neighbours_test.go
+++ b/core/neighbours/neighbours_test.go
@@ -10,7 +10,7 @@
 	"headcourse/core/neighbours"
 )
 
-// daemons returns n daemons.
+// daemons returns n daemons of one zone.
 func daemons(n int) []neighbours.Daemon {
 	var all []neighbours.Daemon
 	for i := range n {
@@ -23,7 +23,7 @@
 	return all
 }
 
-func TestAllDaemonsAgreeOnTheRelays(t *testing.T) {
+func TestRelaysDoNotDependOnListOrder(t *testing.T) {
 	all := daemons(9)
 	first := neighbours.NewList(all)
 	reversed := append([]neighbours.Daemon{}, all...)
@@ -31,33 +31,33 @@
 		reversed[i], reversed[j] = reversed[j], reversed[i]
 	}
 	second := neighbours.NewList(reversed)
-	count, asking, following := 0, 0, 0
+	relays, callers, followers := 0, 0, 0
 	for _, daemon := range all {
 		qt.Assert(t, first.IsRelay(daemon.Name), qt.Equals, second.IsRelay(daemon.Name))
 		qt.Assert(t, first.Rank(daemon.Name), qt.Equals, second.Rank(daemon.Name))
 		if first.IsRelay(daemon.Name) {
-			count++
+			relays++
 			order := first.For(daemon.Name, daemon.Zone)
 			if len(order) == 0 {
-				following++
+				followers++
 				continue
 			}
-			// Only one asks the store: the one that all other relays ask first.
+			// Only one relay follows the store: the one that all other relays call first.
 			qt.Assert(t, first.For(order[0].Name, order[0].Zone), qt.HasLen, 0)
-			for _, asked := range order {
-				qt.Assert(t, first.Rank(asked.Name) < first.Rank(daemon.Name), qt.IsTrue)
+			for _, called := range order {
+				qt.Assert(t, first.Rank(called.Name) < first.Rank(daemon.Name), qt.IsTrue)
 			}
-			asking++
+			callers++
 		} else {
 			qt.Assert(t, first.For(daemon.Name, daemon.Zone), qt.HasLen, neighbours.Relays)
 		}
 	}
-	qt.Assert(t, count, qt.Equals, neighbours.Relays)
-	qt.Assert(t, asking, qt.Equals, neighbours.Relays-1)
-	qt.Assert(t, following, qt.Equals, 1)
+	qt.Assert(t, relays, qt.Equals, neighbours.Relays)
+	qt.Assert(t, callers, qt.Equals, neighbours.Relays-1)
+	qt.Assert(t, followers, qt.Equals, 1)
 }
 
-func TestRelaysShareTheOthers(t *testing.T) {
+func TestOtherDaemonsAreSpreadOverRelays(t *testing.T) {
 	all := daemons(40)
 	list := neighbours.NewList(all)
 	first := map[string]int{}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestRelaysAreOnTheLargestVMsAndGrowWithTheirNumber(t *testing.T) {
+func TestRelaysAreOnLargestVMsAndScaleWithDaemons(t *testing.T) {
 	all := daemons(160)
 	for i := range all {
 		all[i].Strength = float64(i % 4)
@@ -88,8 +88,9 @@
 	qt.Assert(t, count, qt.Equals, 5)
 }
 
-// With 300 daemons, 1.6 GB crossed zones in 45 s: daemons asked relays of any zone.
-func TestDaemonsAskTheRelaysOfTheirZoneFirst(t *testing.T) {
+// Guards against relayed traffic between zones. When daemons called relays of any zone, 300 daemons
+// sent 1.6 GB across zones in 45 s.
+func TestDaemonsCallRelaysOfTheirZoneFirst(t *testing.T) {
 	all := daemons(80)
 	for i := range all {
 		all[i].Zone = []string{"a", "b", "c", "d"}[i%4]
@@ -113,9 +114,9 @@
 	})
 }
 
-// The first relay may be gone for good, and its row stays: then the next follows the
-// store, not all of them.
-func TestRelaysAskThoseBeforeThem(t *testing.T) {
+// Guards against all relays following the store if the first relay is gone for good and still
+// listed. Only the next relay takes its place.
+func TestRelaysCallEarlierRelays(t *testing.T) {
 	all := daemons(320)
 	list := neighbours.NewList(all)
 	followers, standbys := 0, 0
@@ -132,8 +133,8 @@
 		}
 		qt.Assert(t, list.Sharing(daemon.Name), qt.Equals, 10)
 		order := list.For(daemon.Name, daemon.Zone)
-		for _, before := range order {
-			qt.Assert(t, list.Rank(before.Name) < list.Rank(daemon.Name), qt.IsTrue)
+		for _, earlier := range order {
+			qt.Assert(t, list.Rank(earlier.Name) < list.Rank(daemon.Name), qt.IsTrue)
 		}
 		if len(order) == 0 {
 			followers++
@@ -143,27 +144,27 @@
 	qt.Assert(t, standbys, qt.Equals, neighbours.Standbys)
 }
 
-func TestPlaceInAZone(t *testing.T) {
+func TestInZoneReturnsUniquePositions(t *testing.T) {
 	all := daemons(9)
 	for i := range all {
 		all[i].Zone = []string{"a", "b", "c"}[i%3]
 	}
 	list := neighbours.NewList(all)
 	qt.Assert(t, list.Zones(), qt.DeepEquals, []string{"a", "b", "c"})
-	isTaken := map[string]bool{}
+	taken := map[string]bool{}
 	for _, daemon := range all {
-		place, of := list.InZone(daemon.Name, daemon.Zone)
-		qt.Assert(t, of, qt.Equals, 3)
-		qt.Assert(t, place >= 0 && place < of, qt.IsTrue)
-		isTaken[daemon.Zone+strconv.Itoa(place)] = true
-	}
-	qt.Assert(t, isTaken, qt.HasLen, len(all))
-	place, of := list.InZone("unlisted", "a")
-	qt.Assert(t, place, qt.Equals, 3)
-	qt.Assert(t, of, qt.Equals, 3)
+		position, count := list.InZone(daemon.Name, daemon.Zone)
+		qt.Assert(t, count, qt.Equals, 3)
+		qt.Assert(t, position >= 0 && position < count, qt.IsTrue)
+		taken[daemon.Zone+strconv.Itoa(position)] = true
+	}
+	qt.Assert(t, taken, qt.HasLen, len(all))
+	position, count := list.InZone("unlisted", "a")
+	qt.Assert(t, position, qt.Equals, 3)
+	qt.Assert(t, count, qt.Equals, 3)
 }
 
-func TestFewDaemonsAndNone(t *testing.T) {
+func TestListWithFewOrNoDaemons(t *testing.T) {
 	qt.Assert(t, neighbours.List{}.For("x", "a"), qt.HasLen, 0)
 	list := neighbours.NewList(daemons(2))
 	qt.Assert(t, list.IsRelay("front-0"), qt.IsTrue)
@@ -172,7 +173,7 @@
 	qt.Assert(t, list.Rank("unlisted"), qt.Equals, 2)
 }
 
-func TestEncodingKeepsADaemon(t *testing.T) {
+func TestEncodedDaemonDecodesUnchanged(t *testing.T) {
 	daemon := daemons(1)[0]
 	value, err := daemon.Encode()
 	qt.Assert(t, err, qt.IsNil)
@@ -183,11 +184,11 @@
 	qt.Assert(t, err, qt.ErrorMatches, "decode daemon front-0: .*")
 }
 
-// Every daemon has a place of its own for a key, those of the key's zone first; what one key
-// burdens another spares.
-func TestOrdersForKeys(t *testing.T) {
-	const each = 5
-	all := daemons(3 * each)
+// Each daemon has a unique position for a key, daemons of the key's zone come first, and different
+// keys put different daemons first.
+func TestOrderForPutsZoneFirstAndSpreadsKeys(t *testing.T) {
+	const daemonsPerZone = 5
+	all := daemons(3 * daemonsPerZone)
 	for i := range all {
 		all[i].Zone = []string{"a", "b", "c"}[i%3]
 	}
@@ -196,12 +197,12 @@
 	for key := range 60 {
 		taken := map[int]bool{}
 		for _, daemon := range all {
-			place, near := list.OrderFor(strconv.Itoa(key), "b", daemon.Name)
-			qt.Assert(t, near, qt.Equals, each)
-			qt.Assert(t, taken[place], qt.IsFalse)
-			taken[place] = true
-			qt.Assert(t, place < each, qt.Equals, daemon.Zone == "b", qt.Commentf("%s: %d", daemon.Name, place))
-			if place == 0 {
+			position, inZone := list.OrderFor(strconv.Itoa(key), "b", daemon.Name)
+			qt.Assert(t, inZone, qt.Equals, daemonsPerZone)
+			qt.Assert(t, taken[position], qt.IsFalse)
+			taken[position] = true
+			qt.Assert(t, position < daemonsPerZone, qt.Equals, daemon.Zone == "b", qt.Commentf("%s: %d", daemon.Name, position))
+			if position == 0 {
 				first[daemon.Name]++
 			}
 		}
@@ -209,11 +210,11 @@
 		unlisted, _ := list.OrderFor(strconv.Itoa(key), "b", "nobody")
 		qt.Assert(t, unlisted, qt.Equals, list.Len())
 	}
-	qt.Assert(t, first, qt.HasLen, each)
+	qt.Assert(t, first, qt.HasLen, daemonsPerZone)
 }
 
-// A daemon that starts learns from the leader's row who has the list.
-func TestPublishedRelaysAreReadAsTheyWereWritten(t *testing.T) {
+// A starting daemon learns from the leader's row which daemons have the whole list.
+func TestPublishedRelaysDecodeUnchanged(t *testing.T) {
 	var daemons []neighbours.Daemon
 	for i := range 984 {
 		daemons = append(daemons, neighbours.Daemon{
@@ -226,19 +227,19 @@
 	relays := neighbours.NewList(daemons).Relays()
 	encoded, err := neighbours.EncodeRelays(relays)
 	qt.Assert(t, err, qt.IsNil)
-	// A row holds 64 KiB: six times as many.
+	// A row may have 64 KiB; six times as many relays must fit.
 	const rowBytes = 64 << 10
 	qt.Assert(t, 6*len(encoded) < rowBytes, qt.IsTrue, qt.Commentf("%d bytes", len(encoded)))
-	read, err := neighbours.DecodeRelays(encoded)
+	decoded, err := neighbours.DecodeRelays(encoded)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, read, qt.DeepEquals, relays)
+	qt.Assert(t, decoded, qt.DeepEquals, relays)
 	for _, daemon := range daemons {
 		qt.Assert(t, neighbours.RelaysKey < daemon.Name, qt.IsTrue)
 	}
-	own := neighbours.Nearest(relays, "front-1", "b")
-	qt.Assert(t, own[0].Zone, qt.Equals, "b")
-	for _, bad := range []string{"", "{}", `[{"name":"x"}]`, `[{"name":"","address":"10.0.0.1:1"}]`, `[{"name":"x","address":"10.0.0.1:1","strength":-1}]`} {
-		_, err = neighbours.DecodeRelays([]byte(bad))
-		qt.Assert(t, err, qt.IsNotNil, qt.Commentf("%s", bad))
+	nearest := neighbours.Nearest(relays, "front-1", "b")
+	qt.Assert(t, nearest[0].Zone, qt.Equals, "b")
+	for _, invalid := range []string{"", "{}", `[{"name":"x"}]`, `[{"name":"","address":"10.0.0.1:1"}]`, `[{"name":"x","address":"10.0.0.1:1","strength":-1}]`} {
+		_, err = neighbours.DecodeRelays([]byte(invalid))
+		qt.Assert(t, err, qt.IsNotNil, qt.Commentf("%s", invalid))
 	}
 }
--- a/core/neighbours/published.go
+++ b/core/neighbours/published.go
@@ -6,27 +6,27 @@
 	"github.com/pkg/errors"
 )
 
-// RelaysKey is the key of a row of Table that names no daemon: it holds the relays, published by
-// the leader. It is before all names, so that a daemon that reads the first rows of the list
-// learns who has the whole of it.
+// RelaysKey is the key of the row of Table that holds the relays instead of a daemon. The leader
+// publishes it. It sorts before all names, so that a daemon that reads the first rows of the table
+// learns which daemons have all of it.
 const RelaysKey = "!relays"
 
-// published is a relay as it is published.
-type published struct {
+// publishedRelay is a relay as encoded in the row.
+type publishedRelay struct {
 	Name string `json:"name"`
 	Daemon
 }
 
-// Relays returns the daemons that relay.
+// Relays returns the relays.
 func (l List) Relays() []Daemon {
 	return l.relays()
 }
 
-// EncodeRelays returns the row's value for some relays.
+// EncodeRelays returns the value of the row for the given relays.
 func EncodeRelays(relays []Daemon) ([]byte, error) {
-	entries := make([]published, len(relays))
+	entries := make([]publishedRelay, len(relays))
 	for i, relay := range relays {
-		entries[i] = published{
+		entries[i] = publishedRelay{
 			Name:   relay.Name,
 			Daemon: relay,
 		}
@@ -35,9 +35,9 @@
 	return value, errors.Wrap(err, "encode relays")
 }
 
-// DecodeRelays returns the relays of a row's value. It fails on one that names no address.
+// DecodeRelays returns the relays of the row's value. It fails if one of them is invalid.
 func DecodeRelays(value []byte) ([]Daemon, error) {
-	var entries []published
+	var entries []publishedRelay
 	if err := json.Unmarshal(value, &entries); err != nil {
 		return nil, errors.Wrap(err, "decode relays")
 	}
