--- a/core/table/pause.go
+++ b/core/table/pause.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// settlePause is the wait between two tries to settle one transaction.
-const settlePause = 200 * time.Millisecond
+// resolveInterval is the wait between two attempts to resolve the outcome of a transaction.
+const resolveInterval = 200 * time.Millisecond
 
-// pauseBeforeSettling waits settlePause, or returns the error of ctx.
-func pauseBeforeSettling(ctx context.Context) error {
-	timer := time.NewTimer(settlePause)
+// waitResolveInterval waits for resolveInterval, or returns the error of ctx if that ends first.
+func waitResolveInterval(ctx context.Context) error {
+	timer := time.NewTimer(resolveInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,14 +1,12 @@
-// Package table states what headcourse asks of the platform's transactional
-// table service: rows with versions, and transactions that either hold
-// entirely or change nothing.
+// Package table defines the interface to the platform's transactional table service: rows with
+// versions, and transactions that are applied as a whole or not at all.
 //
-// A write whose answer was lost is neither done nor failed. Settling wraps a
-// store so that every transaction carries a marker row named after the
-// transaction's own identifier. When an answer is lost, Settling tries to
-// write that marker itself: if it succeeds the original can never land any
-// more, and if it is refused the original has landed. For example, a
-// transaction "a1" that wrote group/redactor-7 also wrote write/a1; whoever
-// finds write/a1 in place knows the rest is in place too.
+// If the answer to a write is lost, its outcome is unknown. Settling wraps a Store so that every
+// transaction also writes a marker row, whose key contains the transaction's ID. When an answer is
+// lost, Settling tries to write that marker itself. If it succeeds, the original transaction can no
+// longer commit; if it is refused because the marker exists, the transaction has committed. For
+// example, a transaction "a1" that writes group/redactor-7 also writes write/a1. A caller that
+// finds write/a1 knows that the other row was written as well.
 package table
 
 import (
@@ -21,26 +19,26 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a Store. Any other error is treated like ErrUnknown on a commit.
+// Errors of a Store. On a commit, any other error counts as ErrUnknown.
 var (
 	// ErrConflict reports that a condition did not hold; nothing was written.
 	ErrConflict = errors.New("transaction conflict")
-	// ErrUnavailable reports that the service refused or was not reached;
-	// nothing was written.
+	// ErrUnavailable reports that the service refused the call or was not reached; nothing was
+	// written.
 	ErrUnavailable = errors.New("table service unavailable")
-	// ErrUnknown reports that the answer was lost; the transaction may have
-	// been written, or may be written later.
+	// ErrUnknown reports that the answer was lost; the transaction may have been written, or may be
+	// written later.
 	ErrUnknown = errors.New("transaction outcome unknown")
-	// ErrAbandoned reports that the answer was lost and the transaction was
-	// then prevented from ever landing; nothing was written.
+	// ErrAbandoned reports that the answer was lost and the transaction was then prevented from
+	// committing; nothing was written.
 	ErrAbandoned = errors.New("transaction abandoned")
 )
 
-// MarkerPrefix begins the key of every marker row that Settling writes.
+// MarkerPrefix is the prefix of the keys of marker rows that Settling writes.
 const MarkerPrefix = "write/"
 
-// Row is one row at one version. Version is the commit number that wrote it;
-// it rises over the whole table and is never used again for another commit.
+// Row is one row at one version. Version is the number of the commit that wrote it. It increases
+// over the whole table and is never used for another commit.
 type Row struct {
 	Key     string          `json:"key"`
 	Version uint64          `json:"version"`
@@ -48,14 +46,14 @@
 	Deleted bool            `json:"deleted,omitempty"`
 }
 
-// Decode reads the row's JSON value into target, and names the key on errors.
+// Decode decodes the row's JSON value into target. Errors name the key.
 func (r Row) Decode(target any) error {
 	err := json.Unmarshal(r.Value, target)
 	return errors.Wrapf(err, "decode row %q", r.Key)
 }
 
-// Condition holds while the row is at exactly this version. Version 0 means
-// that the row must be absent or deleted.
+// Condition requires that the row has exactly this version. Version 0 means that the row must be
+// absent or deleted.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -68,8 +66,8 @@
 	Delete bool            `json:"delete,omitempty"`
 }
 
-// Put returns the write that stores value as JSON. It panics on a value that
-// JSON cannot hold, which is a programming error.
+// Put returns a write that stores value as JSON. It panics if value cannot be encoded, which is a
+// programming error.
 func Put(key string, value any) Write {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -81,7 +79,7 @@
 	}
 }
 
-// Transaction is a set of writes that hold together if all conditions do.
+// Transaction is a set of writes that are applied together if all conditions hold.
 type Transaction struct {
 	ID         string      `json:"id"`
 	Conditions []Condition `json:"conditions,omitempty"`
@@ -103,16 +101,16 @@
 	return t
 }
 
-// ScanRequest asks for rows under a prefix that changed after a version, in
-// rising order of version, deletions included.
+// ScanRequest requests the rows under a prefix that changed after a version, in ascending order of
+// version, including deleted rows.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  uint64 `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// ScanResult holds the rows found. Version is what the table had reached when
-// it answered; More tells that the limit cut the rows short.
+// ScanResult holds the rows found. Version is the version that the table had reached when it
+// answered. More is set if the limit cut off rows.
 type ScanResult struct {
 	Rows    []Row  `json:"rows"`
 	Version uint64 `json:"version"`
@@ -127,57 +125,57 @@
 }
 
 // ----------------------------------------------------------------------------
-// Settling
+// Resolving lost answers
 
-// Settling makes a lost answer a known one. It wraps another Store. A marker
-// whose transaction is known to have landed has done its work; it is deleted
-// together with a later transaction.
+// Settling wraps a Store and resolves the outcome of a commit whose answer was lost. The marker of
+// a transaction with a known outcome is no longer needed, and is deleted together with a later
+// transaction.
 type Settling struct {
 	Store
 
-	mutex sync.Mutex
-	spent []string
+	mutex       sync.Mutex
+	usedMarkers []string
 }
 
-// maxSpent bounds the markers deleted with one transaction.
-const maxSpent = 16
+// maxMarkersPerCommit limits how many markers are deleted with one transaction.
+const maxMarkersPerCommit = 16
 
-// takeSpent returns markers to be deleted with the next transaction.
-func (s *Settling) takeSpent() []string {
+// takeUsedMarkers returns markers to delete with the next transaction.
+func (s *Settling) takeUsedMarkers() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	count := min(len(s.spent), maxSpent)
-	taken := append([]string(nil), s.spent[:count]...)
-	s.spent = s.spent[count:]
+	count := min(len(s.usedMarkers), maxMarkersPerCommit)
+	taken := append([]string(nil), s.usedMarkers[:count]...)
+	s.usedMarkers = s.usedMarkers[count:]
 	return taken
 }
 
-// addSpent adds markers to be deleted.
-func (s *Settling) addSpent(markers ...string) {
+// addUsedMarkers adds markers to delete.
+func (s *Settling) addUsedMarkers(markers ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.spent = append(s.spent, markers...)
+	s.usedMarkers = append(s.usedMarkers, markers...)
 }
 
-// Commit commits and, when the answer is lost, settles it. It returns
-// ErrUnknown only when ctx ended before the outcome could be settled.
+// Commit commits a transaction and resolves its outcome if the answer is lost. It returns
+// ErrUnknown only if ctx ends before the outcome is resolved.
 func (s *Settling) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
 	marked, marker := Mark(transaction)
-	spent := s.takeSpent()
-	for _, old := range spent {
+	usedMarkers := s.takeUsedMarkers()
+	for _, usedMarker := range usedMarkers {
 		marked = marked.WithWrite(Write{
-			Key:    old,
+			Key:    usedMarker,
 			Delete: true,
 		})
 	}
 	version, err := s.Store.Commit(ctx, marked)
 	if !IsCertain(err) {
-		version, err = s.settle(ctx, marker)
+		version, err = s.resolve(ctx, marker)
 	}
 	if err == nil {
-		s.addSpent(marker)
+		s.addUsedMarkers(marker)
 	} else {
-		s.addSpent(spent...)
+		s.addUsedMarkers(usedMarkers...)
 	}
 	return version, err
 }
@@ -190,28 +188,28 @@
 	marker = MarkerPrefix + transaction.ID
 	marked = transaction.WithCondition(marker, 0)
 	marked = marked.WithWrite(Put(marker, markerValue{
-		State: markerLanded,
+		State: markerCommitted,
 		At:    time.Now(),
 	}))
 	return marked, marker
 }
 
-// settle decides a transaction whose answer was lost, by its marker row.
-func (s *Settling) settle(ctx context.Context, marker string) (uint64, error) {
+// resolve resolves the outcome of a transaction whose answer was lost, by its marker row.
+func (s *Settling) resolve(ctx context.Context, marker string) (uint64, error) {
 	for ctx.Err() == nil {
 		version, err := s.SettleOnce(ctx, marker)
 		if IsCertain(err) {
 			return version, err
 		}
-		if waitErr := pauseBeforeSettling(ctx); waitErr != nil {
+		if waitErr := waitResolveInterval(ctx); waitErr != nil {
 			break
 		}
 	}
-	return 0, errors.Wrapf(ErrUnknown, "settle %q at the table service", marker)
+	return 0, errors.Wrapf(ErrUnknown, "resolve outcome of %q at the table service", marker)
 }
 
-// SettleOnce reads the marker and, where it is absent, occupies it. It returns
-// ErrUnknown where the store did not say enough.
+// SettleOnce reads the marker and writes it if it is absent. It returns ErrUnknown if the outcome
+// remains unknown.
 func (s *Settling) SettleOnce(ctx context.Context, marker string) (uint64, error) {
 	row, err := s.Read(ctx, marker)
 	if err != nil {
@@ -220,15 +218,15 @@
 	if row.Version != 0 && !row.Deleted {
 		return readMarker(row)
 	}
-	abandon := Transaction{
+	abandonment := Transaction{
 		ID: uuid.NewString(),
 	}
-	abandon = abandon.WithCondition(marker, 0)
-	abandon = abandon.WithWrite(Put(marker, markerValue{
+	abandonment = abandonment.WithCondition(marker, 0)
+	abandonment = abandonment.WithWrite(Put(marker, markerValue{
 		State: markerAbandoned,
 		At:    time.Now(),
 	}))
-	if _, err = s.Store.Commit(ctx, abandon); err == nil {
+	if _, err = s.Store.Commit(ctx, abandonment); err == nil {
 		return 0, ErrAbandoned
 	}
 	return 0, ErrUnknown
@@ -236,7 +234,7 @@
 
 // States of a marker row.
 const (
-	markerLanded    = "landed"
+	markerCommitted = "landed"
 	markerAbandoned = "abandoned"
 )
 
@@ -246,7 +244,7 @@
 	At    time.Time `json:"at"`
 }
 
-// readMarker turns a marker row into the outcome of its transaction.
+// readMarker returns the outcome of a transaction from its marker row.
 func readMarker(row Row) (uint64, error) {
 	var value markerValue
 	if err := row.Decode(&value); err != nil {
@@ -258,51 +256,50 @@
 	return row.Version, nil
 }
 
-// IsCertain tells whether err says for sure whether the writes landed.
+// IsCertain reports whether err says for certain whether the writes were committed.
 func IsCertain(err error) bool {
 	return err == nil || errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAbandoned)
 }
 
 // ----------------------------------------------------------------------------
-// Sweeping
+// Deleting old rows
 
-// Figures of sweeping.
 const (
-	// MarkerKept is how long a marker is kept that its writer did not delete. It
-	// is far above the time that a transaction can be on its way.
-	MarkerKept = time.Hour
-	sweepLimit = 400
+	// MarkerKept is how long a marker is kept that its writer did not delete. It is far longer than
+	// a transaction can take to arrive.
+	MarkerKept      = time.Hour
+	maxRowsPerSweep = 400
 )
 
-// Sweep deletes old rows under a prefix, the oldest first, at most sweepLimit at
-// a time, each on condition that it did not change; isOld tells which. It
-// returns how many were deleted.
+// Sweep deletes rows under a prefix for which isOld returns true, the oldest first, on condition
+// that they did not change. It scans at most maxRowsPerSweep rows per call and returns the number
+// of deleted rows.
 func Sweep(ctx context.Context, store Store, prefix string, isOld func(Row) bool) (int, error) {
 	found, err := store.Scan(ctx, ScanRequest{
 		Prefix: prefix,
-		Limit:  sweepLimit,
+		Limit:  maxRowsPerSweep,
 	})
 	if err != nil {
 		return 0, errors.Wrapf(err, "sweep %q", prefix)
 	}
-	sweep := Transaction{}
+	deletion := Transaction{}
 	for _, row := range found.Rows {
 		if !row.Deleted && isOld(row) {
-			sweep = sweep.WithCondition(row.Key, row.Version)
-			sweep = sweep.WithWrite(Write{
+			deletion = deletion.WithCondition(row.Key, row.Version)
+			deletion = deletion.WithWrite(Write{
 				Key:    row.Key,
 				Delete: true,
 			})
 		}
 	}
-	if len(sweep.Writes) == 0 {
+	if len(deletion.Writes) == 0 {
 		return 0, nil
 	}
-	_, err = store.Commit(ctx, sweep)
-	return len(sweep.Writes), errors.Wrapf(err, "sweep %q", prefix)
+	_, err = store.Commit(ctx, deletion)
+	return len(deletion.Writes), errors.Wrapf(err, "sweep %q", prefix)
 }
 
-// IsOldMarker tells whether a row is a marker that nobody needs any more.
+// IsOldMarker reports whether a row is a marker older than MarkerKept.
 func IsOldMarker(row Row) bool {
 	var value markerValue
 	return row.Decode(&value) == nil && time.Since(value.At) > MarkerKept
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -19,9 +19,9 @@
 	os.Exit(fuzz.Main(m))
 }
 
-// TestSettledOutcomeIsTrue checks that an outcome that was called certain never
-// changes afterwards, whatever arrives late.
-func TestSettledOutcomeIsTrue(t *testing.T) {
+// TestResolvedOutcomeNeverChanges checks that a resolved outcome remains true even if the delayed
+// transaction arrives later.
+func TestResolvedOutcomeNeverChanges(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		store := &tablestore.Flaky{
@@ -30,10 +30,10 @@
 				return rapid.IntRange(0, n-1).Draw(rt, name)
 			},
 		}
-		settling := &table.Settling{
+		resolver := &table.Settling{
 			Store: store,
 		}
-		landed := map[string]bool{}
+		committed := map[string]bool{}
 		for number := range 12 {
 			key := fmt.Sprintf("row/%d", number)
 			transaction := table.Transaction{}
@@ -45,23 +45,23 @@
 				if store.Draw("arrives meanwhile", 3) == 0 {
 					store.Arrive(ctx)
 				}
-				_, err = settling.SettleOnce(ctx, marker)
+				_, err = resolver.SettleOnce(ctx, marker)
 			}
-			landed[key] = err == nil
+			committed[key] = err == nil
 		}
 		for store.Arrive(ctx) {
 			continue
 		}
-		for key, isLanded := range landed {
+		for key, isCommitted := range committed {
 			row, err := store.Memory.Read(ctx, key)
-			if err != nil || (row.Version != 0) != isLanded {
-				rt.Fatalf("row %q: told landed=%t, but it is at version %d", key, isLanded, row.Version)
+			if err != nil || (row.Version != 0) != isCommitted {
+				rt.Fatalf("row %q: outcome says committed=%t, but its version is %d", key, isCommitted, row.Version)
 			}
 		}
 	})
 }
 
-func TestConflictChangesNothing(t *testing.T) {
+func TestConflictWritesNothing(t *testing.T) {
 	ctx := context.Background()
 	memory := &tablestore.Memory{}
 	first := table.Transaction{}.WithCondition("a", 0).WithWrite(table.Put("a", 1))
