--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,9 +1,8 @@
-// Package roster lists the daemons and shares work among them by hash.
+// Package roster lists the daemons and distributes work among them by hash.
 //
-// Every daemon has a row in the table. Work that any daemon can do (watching a
-// group, holding a shard of control, relaying reports within a zone) goes to
-// the daemons that rank first for it by rendezvous hashing, so that when one
-// of n daemons leaves only its own part of the work moves.
+// Every daemon has a row in the table. Work that any daemon can do (watching a group, holding a
+// shard of control, relaying reports within a zone) is assigned to the daemons that rank first for
+// it by rendezvous hashing. So if one daemon leaves, only its own share of the work moves.
 package roster
 
 import (
@@ -14,7 +13,7 @@
 	"headcourse/core/catalog"
 )
 
-// KeyPrefix begins the key of every daemon's row.
+// KeyPrefix is the prefix of the keys of daemons' rows.
 const KeyPrefix = catalog.Prefix + "daemon/"
 
 // Key returns the key of a daemon's row.
@@ -22,18 +21,17 @@
 	return KeyPrefix + id
 }
 
-// Daemon is the value of a daemon's row. Peer is the IP:port that other
-// daemons reach it at.
+// Daemon is the value of a daemon's row. Peer is the IP:port at which other daemons reach it.
 type Daemon struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
 	Peer string `json:"peer"`
 }
 
-// Roster is the daemons in the order of their ids.
+// Roster is a list of daemons, sorted by ID.
 type Roster []Daemon
 
-// Of reads the roster out of a catalog. Rows that cannot be read are left out.
+// Of returns the roster of a catalog. Rows that cannot be decoded are skipped.
 func Of(rows catalog.Catalog) Roster {
 	var daemons Roster
 	for _, row := range rows.Under(KeyPrefix) {
@@ -45,7 +43,7 @@
 	return daemons
 }
 
-// IDs returns the daemons' ids.
+// IDs returns the daemons' IDs.
 func (r Roster) IDs() []string {
 	ids := make([]string, len(r))
 	for i, daemon := range r {
@@ -54,7 +52,7 @@
 	return ids
 }
 
-// Has tells whether a daemon is listed.
+// Has reports whether a daemon is listed.
 func (r Roster) Has(id string) bool {
 	for _, daemon := range r {
 		if daemon.ID == id {
@@ -64,17 +62,17 @@
 	return false
 }
 
-// Rank returns the place of a daemon for a piece of work, 0 for the first, by
-// rendezvous hashing. It is -1 for a daemon that is not listed.
+// Rank returns the position of a daemon for a piece of work by rendezvous hashing, from 0. It
+// returns -1 for a daemon that is not listed.
 func (r Roster) Rank(work, id string) int {
 	if !r.Has(id) {
 		return -1
 	}
-	own := score(work, id)
+	ownScore := rendezvousScore(work, id)
 	rank := 0
 	for _, daemon := range r {
-		other := score(work, daemon.ID)
-		if other > own || (other == own && daemon.ID < id) {
+		score := rendezvousScore(work, daemon.ID)
+		if score > ownScore || (score == ownScore && daemon.ID < id) {
 			rank++
 		}
 	}
@@ -92,53 +90,53 @@
 	return found
 }
 
-// score is the rendezvous hash of work at a daemon.
-func score(work, id string) uint64 {
+// rendezvousScore is the rendezvous hash of a piece of work and a daemon.
+func rendezvousScore(work, id string) uint64 {
 	return xxhash.Sum64String(work + "\x00" + id)
 }
 
 // ----------------------------------------------------------------------------
-// Who asks whom
+// Pull topology
 
-// Bounds of the pull topology.
+// Sizes of the pull topology.
 const (
-	// FlatSize is the number of daemons up to which everyone pulls from all.
+	// FlatSize is the maximum number of daemons at which every daemon pulls from all others.
 	FlatSize = 12
-	// Relays is the number of daemons of each zone that pull from all of their
-	// zone and from the relays of other zones.
+	// Relays is the number of daemons per zone that pull from all daemons of their zone and from
+	// the relays of other zones.
 	Relays = 2
 )
 
-// Source is a daemon to pull from. Full tells to ask for all that it has heard.
+// Source is a daemon to pull from. If Full is set, the pull requests all reports that the source
+// has received, otherwise only the source's own observations.
 type Source struct {
 	Daemon Daemon
 	Full   bool
 }
 
-// Sources returns the daemons that one daemon pulls from. In a small roster
-// these are all others, each asked for what it has observed itself. In a large
-// one a relay asks every daemon of its zone for that, and the relays of the
-// other zones for all they have heard; everyone else asks the relays of its own
-// zone for all they have heard.
+// Sources returns the daemons that one daemon pulls from. In a small roster these are all others,
+// each for its own observations. In a large one a relay pulls the observations of every daemon of
+// its zone, and all reports from the relays of other zones. Every other daemon pulls all reports
+// from the relays of its own zone.
 func (r Roster) Sources(self Daemon) []Source {
 	isSmall := len(r) <= FlatSize
 	relays := r.relays()
 	isRelay := relays.Has(self.ID)
 	var sources []Source
 	for _, daemon := range r.without(self.ID) {
-		fromRelay := relays.Has(daemon.ID)
-		sameZone := daemon.Zone == self.Zone
-		if isSmall || (isRelay && (sameZone || fromRelay)) || (sameZone && fromRelay) {
+		isSourceRelay := relays.Has(daemon.ID)
+		isSameZone := daemon.Zone == self.Zone
+		if isSmall || (isRelay && (isSameZone || isSourceRelay)) || (isSameZone && isSourceRelay) {
 			sources = append(sources, Source{
 				Daemon: daemon,
-				Full:   !isSmall && fromRelay,
+				Full:   !isSmall && isSourceRelay,
 			})
 		}
 	}
 	return sources
 }
 
-// relays returns the relays of every zone.
+// relays returns the relays of all zones.
 func (r Roster) relays() Roster {
 	zones := map[string]Roster{}
 	for _, daemon := range r {
@@ -158,7 +156,7 @@
 	return relays
 }
 
-// without returns the roster but one daemon.
+// without returns the roster without one daemon.
 func (r Roster) without(id string) Roster {
 	var others Roster
 	for _, daemon := range r {
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -9,22 +9,22 @@
 	"headcourse/core/roster"
 )
 
-// of returns daemons spread over zones.
-func of(daemons, zones int) roster.Roster {
-	var made roster.Roster
+// newRoster returns daemons that are spread over zones.
+func newRoster(daemons, zones int) roster.Roster {
+	var daemonsOfZones roster.Roster
 	for number := range daemons {
-		made = append(made, roster.Daemon{
+		daemonsOfZones = append(daemonsOfZones, roster.Daemon{
 			ID:   fmt.Sprintf("daemon-%03d", number),
 			Zone: fmt.Sprintf("z%d", number%zones),
 		})
 	}
-	return made
+	return daemonsOfZones
 }
 
-// TestLeavingMovesOnlyItsOwnWork: of a thousand pieces of work only those that
-// ranked the leaving daemon first change hands.
-func TestLeavingMovesOnlyItsOwnWork(t *testing.T) {
-	all := of(10, 2)
+// TestLeavingDaemonMovesOnlyItsOwnWork checks that if one daemon leaves, of a thousand pieces of
+// work only those move for which it ranked first.
+func TestLeavingDaemonMovesOnlyItsOwnWork(t *testing.T) {
+	all := newRoster(10, 2)
 	without := append(append(roster.Roster{}, all[:4]...), all[5:]...)
 	first := func(of roster.Roster, work string) string {
 		for _, daemon := range of {
@@ -47,42 +47,42 @@
 	qt.Assert(t, all.Rank("x", "stranger"), qt.Equals, -1)
 }
 
-// TestEveryoneHearsOfEveryone: following who asks whom, whatever one daemon says
-// reaches every other in at most three pulls, also in a large roster.
-func TestEveryoneHearsOfEveryone(t *testing.T) {
+// TestReportReachesAllDaemonsInThreePulls checks that the sources form a topology in which the
+// report of one daemon reaches every other in at most three pulls, also in a large roster.
+func TestReportReachesAllDaemonsInThreePulls(t *testing.T) {
 	for _, size := range []int{2, 9, 12, 13, 40, 360} {
-		all := of(size, 8)
-		said := all[size-1].ID
-		knows := map[string]bool{
-			said: true,
+		all := newRoster(size, 8)
+		reporter := all[size-1].ID
+		informed := map[string]bool{
+			reporter: true,
 		}
 		for range 3 {
 			next := map[string]bool{}
 			for _, daemon := range all {
-				next[daemon.ID] = knows[daemon.ID]
+				next[daemon.ID] = informed[daemon.ID]
 				for _, source := range all.Sources(daemon) {
-					isOwn := source.Daemon.ID == said
-					if knows[source.Daemon.ID] && (source.Full || isOwn) {
+					isOwn := source.Daemon.ID == reporter
+					if informed[source.Daemon.ID] && (source.Full || isOwn) {
 						next[daemon.ID] = true
 					}
 				}
 			}
-			knows = next
+			informed = next
 		}
 		for _, daemon := range all {
-			qt.Assert(t, knows[daemon.ID], qt.IsTrue, qt.Commentf("%s of %d", daemon.ID, size))
+			qt.Assert(t, informed[daemon.ID], qt.IsTrue, qt.Commentf("%s of %d", daemon.ID, size))
 		}
 	}
 }
 
-// TestFewSources: in a large roster most daemons ask two others.
-func TestFewSources(t *testing.T) {
-	all := of(360, 8)
-	many := 0
+// TestOnlyRelaysHaveManySources checks that most daemons of a large roster pull from two others.
+func TestOnlyRelaysHaveManySources(t *testing.T) {
+	all := newRoster(360, 8)
+	relayCount := 0
 	for _, daemon := range all {
 		if len(all.Sources(daemon)) > roster.Relays {
-			many++
+			relayCount++
 		}
 	}
-	qt.Assert(t, many, qt.Equals, 8*roster.Relays)
+	qt.Assert(t, relayCount, qt.Equals, 8*roster.Relays)
 }
