--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,49 +1,49 @@
-// Package contact decides whether a daemon may still serve under the
-// configuration that it holds.
+// Package contact decides whether a daemon may still serve with the configuration that it holds.
 //
-// A configuration is accepted when the table holds it and a majority of the
-// daemons in the roster hold it as well. A daemon may serve while, within the
-// last Bound, it has read the store or has heard from a majority of the roster
-// (itself included). Two majorities share a daemon, so whoever may serve has
-// heard of every configuration accepted more than Bound ago. A store outage
-// that everyone sees stops nobody; a daemon cut off from everything stops.
+// A configuration is accepted when the table holds it and a majority of the daemons in the roster
+// hold it too. A daemon may serve if, within the last Bound, it has read the store or received
+// reports from a majority of the roster, including itself. Any two majorities have a daemon in
+// common, so a daemon that may serve has received every configuration that was accepted more than
+// Bound ago. An outage of the store alone stops no daemon; a daemon that is cut off from everything
+// stops.
 //
-// "Heard" may be at second hand: a report of daemon O, taken at some time and
-// passed on together with all rows that O held then, counts from that time.
+// Reports may be indirect: if another daemon passes on a report of daemon O together with all rows
+// that O held then, the report counts from the time at which O made it.
 package contact
 
 import (
 	"time"
 )
 
-// Bound is how old a contact may be and still allow serving.
+// Bound is the maximum age of a contact with which a daemon may serve.
 const Bound = 8 * time.Second
 
-// Report says that at time At the daemon held the configuration at Version.
+// Report states that a daemon held the configuration at ConfigVersion at the time At.
 type Report struct {
 	Daemon        string
 	ConfigVersion uint64
 	At            time.Time
 }
 
-// Contact is what one daemon has heard. The zero value has heard nothing.
+// Contact holds the last read of the store and the newest report of each daemon. The zero value has
+// none.
 type Contact struct {
-	store time.Time
-	heard map[string]Report
+	lastStoreRead time.Time
+	reports       map[string]Report
 }
 
-// WithStore returns the contact after a read of the store begun at a time.
+// WithStore returns the contact with a successful read of the store that began at a time.
 func (c Contact) WithStore(at time.Time) Contact {
-	if at.After(c.store) {
-		c.store = at
+	if at.After(c.lastStoreRead) {
+		c.lastStoreRead = at
 	}
 	return c
 }
 
-// WithReports returns the contact with reports added; newer ones stand.
+// WithReports returns the contact with reports added. Of each daemon the newest report is kept.
 func (c Contact) WithReports(reports ...Report) Contact {
-	next := make(map[string]Report, len(c.heard)+len(reports))
-	for daemon, report := range c.heard {
+	next := make(map[string]Report, len(c.reports)+len(reports))
+	for daemon, report := range c.reports {
 		next[daemon] = report
 	}
 	for _, report := range reports {
@@ -51,70 +51,70 @@
 			next[report.Daemon] = report
 		}
 	}
-	c.heard = next
+	c.reports = next
 	return c
 }
 
 // WithoutOlder returns the contact without reports from before a time.
 func (c Contact) WithoutOlder(than time.Time) Contact {
-	next := make(map[string]Report, len(c.heard))
-	for daemon, report := range c.heard {
+	next := make(map[string]Report, len(c.reports))
+	for daemon, report := range c.reports {
 		if !report.At.Before(than) {
 			next[daemon] = report
 		}
 	}
-	c.heard = next
+	c.reports = next
 	return c
 }
 
 // Report returns the newest report of a daemon.
 func (c Contact) Report(daemon string) (Report, bool) {
-	report, ok := c.heard[daemon]
+	report, ok := c.reports[daemon]
 	return report, ok
 }
 
-// Reports returns the newest report of every daemon heard of, in no order.
+// Reports returns the newest report of every daemon that has one, in no particular order.
 func (c Contact) Reports() []Report {
-	all := make([]Report, 0, len(c.heard))
-	for _, report := range c.heard {
+	all := make([]Report, 0, len(c.reports))
+	for _, report := range c.reports {
 		all = append(all, report)
 	}
 	return all
 }
 
-// StoreAt returns the start of the last read of the store that was answered.
+// StoreAt returns the start time of the last successful read of the store.
 func (c Contact) StoreAt() time.Time {
-	return c.store
+	return c.lastStoreRead
 }
 
-// ServeUntil returns the time up to which the daemon may serve, given the
-// roster and itself. It is in the past where it may not serve now.
+// ServeUntil returns the time until which the daemon self may serve, given the roster. It is in the
+// past if the daemon may not serve now.
 func (c Contact) ServeUntil(self string, roster []string, now time.Time) time.Time {
-	until := c.store.Add(Bound)
-	if peers := c.majorityAt(self, roster, now).Add(Bound); peers.After(until) {
-		until = peers
+	until := c.lastStoreRead.Add(Bound)
+	if byMajority := c.majorityReportedAt(self, roster, now).Add(Bound); byMajority.After(until) {
+		until = byMajority
 	}
 	return until
 }
 
-// majorityAt returns the latest time since which a majority was heard.
-func (c Contact) majorityAt(self string, roster []string, now time.Time) time.Time {
-	needed := len(roster)/2 + 1
+// majorityReportedAt returns the latest time since which a majority of the roster has reported.
+func (c Contact) majorityReportedAt(self string, roster []string, now time.Time) time.Time {
+	majority := len(roster)/2 + 1
 	if len(roster) == 0 {
 		return time.Time{}
 	}
 	times := make([]time.Time, 0, len(roster))
 	for _, daemon := range roster {
-		at := c.heard[daemon].At
+		at := c.reports[daemon].At
 		if daemon == self {
 			at = now
 		}
 		times = append(times, at)
 	}
-	return nthLatest(times, needed)
+	return nthLatest(times, majority)
 }
 
-// nthLatest returns the n-th latest of times, n from 1.
+// nthLatest returns the n-th latest of times, with n from 1. It reorders times.
 func nthLatest(times []time.Time, n int) time.Time {
 	for i := range n {
 		latest := i
@@ -128,12 +128,12 @@
 	return times[n-1]
 }
 
-// Holders returns how many of the roster are known to hold a configuration of
-// at least version.
+// Holders returns the number of daemons in the roster that are known to hold a configuration of at
+// least version.
 func (c Contact) Holders(self string, own uint64, roster []string, version uint64) int {
 	holders := 0
 	for _, daemon := range roster {
-		held := c.heard[daemon].ConfigVersion
+		held := c.reports[daemon].ConfigVersion
 		if daemon == self {
 			held = own
 		}
@@ -144,7 +144,7 @@
 	return holders
 }
 
-// Accepted tells whether a majority of the roster is known to hold version.
+// Accepted reports whether a majority of the roster is known to hold version.
 func (c Contact) Accepted(self string, own uint64, roster []string, version uint64) bool {
 	return len(roster) > 0 && c.Holders(self, own, roster, version) > len(roster)/2
 }
