--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,13 +1,12 @@
-// Package catalog holds what a daemon knows of the fleet's rows in the table.
+// Package catalog holds a daemon's cache of the fleet's rows in the table.
 //
-// The table service is the only authority. A catalog is a cache of its rows:
-// every row carries the commit number that wrote it, and of two the higher
-// stands, whatever the way it came (from the store, or from a peer that is
-// ahead or behind). So nothing that a catalog holds ever goes back. Deleted
+// The table service is the only authority for these rows. Every row carries the number of the
+// commit that wrote it. Of two versions of a row the catalog keeps the higher, whether it came from
+// the store or from a peer that is ahead or behind. So a row in a catalog never goes back. Deleted
 // rows are kept as tombstones for the same reason.
 //
-// For example, a daemon polls the store and learns group/redactor-7 at commit
-// 41; a peer that was cut off offers it at commit 38; the row stays at 41.
+// For example, a daemon polls the store and reads group/redactor-7 at commit 41. A peer that was
+// cut off offers it at commit 38. The row stays at 41.
 package catalog
 
 import (
@@ -17,18 +16,18 @@
 	"headcourse/core/table"
 )
 
-// Prefix begins the key of every row that a catalog holds.
+// Prefix is the prefix of the keys of all rows in a catalog.
 const Prefix = "fleet/"
 
 // Catalog is an immutable set of rows. The zero value is empty.
 type Catalog struct {
 	rows map[string]table.Row
-	// reached is the highest commit number up to which the store was read.
-	reached uint64
+	// readVersion is the highest commit number up to which the store was read.
+	readVersion uint64
 }
 
-// Row returns the row of a key. A key never seen, and a deleted one, have a
-// row of version 0, which is the version to put into a condition.
+// Row returns the row of a key. For an unknown or deleted key it returns a row of version 0, which
+// is the version to use in a condition.
 func (c Catalog) Row(key string) table.Row {
 	row, ok := c.rows[key]
 	if !ok || row.Deleted {
@@ -41,16 +40,15 @@
 
 // Reached returns the commit number up to which the store itself was read.
 func (c Catalog) Reached() uint64 {
-	return c.reached
+	return c.readVersion
 }
 
-// Len returns the number of rows, tombstones included.
+// Len returns the number of rows, including tombstones.
 func (c Catalog) Len() int {
 	return len(c.rows)
 }
 
-// Under returns the rows whose keys begin with prefix, in the order of their
-// keys, deleted ones left out.
+// Under returns the rows whose keys have a prefix, sorted by key, without deleted rows.
 func (c Catalog) Under(prefix string) []table.Row {
 	var found []table.Row
 	for key, row := range c.rows {
@@ -64,39 +62,39 @@
 	return found
 }
 
-// WithRows returns the catalog with rows added, and those that were news.
+// WithRows returns the catalog with rows added, and the rows that changed it.
 func (c Catalog) WithRows(rows []table.Row) (Catalog, []table.Row) {
-	var news []table.Row
+	var changed []table.Row
 	for _, row := range rows {
 		if strings.HasPrefix(row.Key, Prefix) && row.Version > c.rows[row.Key].Version {
-			news = append(news, row)
+			changed = append(changed, row)
 		}
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return c, nil
 	}
-	next := make(map[string]table.Row, len(c.rows)+len(news))
+	next := make(map[string]table.Row, len(c.rows)+len(changed))
 	for key, row := range c.rows {
 		next[key] = row
 	}
-	for _, row := range news {
+	for _, row := range changed {
 		if row.Version > next[row.Key].Version {
 			next[row.Key] = row
 		}
 	}
 	return Catalog{
-		rows:    next,
-		reached: c.reached,
-	}, news
+		rows:        next,
+		readVersion: c.readVersion,
+	}, changed
 }
 
 // WithReached returns the catalog with the store read up to a commit number.
 func (c Catalog) WithReached(version uint64) Catalog {
-	c.reached = max(c.reached, version)
+	c.readVersion = max(c.readVersion, version)
 	return c
 }
 
-// ByKey returns the rows by key, tombstones included. It must not be changed.
+// ByKey returns the rows by key, including tombstones. The caller must not change the map.
 func (c Catalog) ByKey() map[string]table.Row {
 	return c.rows
 }
