--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -1,11 +1,11 @@
-// Package evacuation holds which availability zones operators have evacuated: the backend
-// servers there get no new request until the zone is taken back.
+// Package evacuation holds the availability zones that operators have evacuated. The backend
+// servers of an evacuated zone get no new requests until the evacuation ends.
 //
-// Operators set a bound on the time until an evacuated zone gets nothing more. A daemon uses
-// a part of it: its requests go on while groups form elsewhere, and the daemons leave the
-// zone one after the other, so that its load reaches the other zones gradually. The bound
-// counts from when the store acknowledged the evacuation, which no daemon sees; a daemon
-// counts from the last time at which it knew that the zone was not evacuated.
+// Operators set a bound on the time until an evacuated zone gets no more requests. A daemon keeps
+// sending requests there for a share of the bound, while groups form in other zones. The daemons
+// stop one after the other, so that the load moves to the other zones gradually. The bound starts
+// when the store acknowledges the evacuation, which no daemon observes. A daemon therefore counts
+// from the last time at which it knew that the zone was not evacuated.
 package evacuation
 
 import (
@@ -14,50 +14,52 @@
 	"time"
 )
 
-// Parts of the bound within which daemons leave a zone: each draws a time between them. The
-// rest is for connections that are slow to come up and for daemons that run late.
+// Shares of the bound between which each daemon draws the time at which it leaves a zone. The rest
+// is reserve for connections that open slowly and for daemons that are late.
 const (
-	earliestPart = 0.3
-	latestPart   = 0.6
+	minBoundShare = 0.3
+	maxBoundShare = 0.6
 )
 
 // Evacuation is the evacuation of one zone.
 type Evacuation struct {
-	// LeaveAt is from when on the zone gets no request of this daemon, by the daemon's clock
-	// that counts suspensions.
+	// LeaveAt is the time from which the daemon sends no request to the zone, by its clock that
+	// includes suspensions.
 	LeaveAt time.Time
-	// Version is that of the row by which the operator asked for it.
+	// Version is the version of the row with which the operator requested the evacuation.
 	Version int64
 }
 
-// Bound is how soon an evacuated zone must get no more requests.
+// Bound is the time within which an evacuated zone must stop getting requests.
 type Bound struct {
-	// Within counts from the acknowledgement; 0: at once.
+	// Within counts from the acknowledgement by the store; 0 means at once.
 	Within time.Duration
-	// Draw is this daemon's place among all, from 0 to 1: who leaves early, and who late.
+	// Draw is this daemon's position in the order in which daemons leave, from 0 for the first to 1
+	// for the last.
 	Draw float64
 }
 
-// LeaveAt returns from when on a zone gets no request. notBefore is the latest time at which
-// the zone was surely not evacuated; zero: not known, so that the bound may be over.
-func (b Bound) LeaveAt(notBefore time.Time) time.Time {
-	if notBefore.IsZero() {
+// LeaveAt returns the time from which a zone gets no requests. lastOpenAt is the latest time at
+// which the zone was known not to be evacuated; zero means unknown, and since the bound may have
+// passed then, the zone is left at once.
+func (b Bound) LeaveAt(lastOpenAt time.Time) time.Time {
+	if lastOpenAt.IsZero() {
 		return time.Time{}
 	}
-	part := earliestPart + (latestPart-earliestPart)*b.Draw
-	return notBefore.Add(time.Duration(part * float64(b.Within)))
+	share := minBoundShare + (maxBoundShare-minBoundShare)*b.Draw
+	return lastOpenAt.Add(time.Duration(share * float64(b.Within)))
 }
 
-// Zones are the evacuated zones. The zero value has none; With methods return the next state.
+// Zones is an immutable set of evacuated zones. The zero value is empty.
 type Zones struct {
 	byName map[string]Evacuation
 }
 
-// With returns the zones with one more. One that is evacuated already is left as before: the
-// operator asked for it no later.
+// With returns the zones with one more. A zone that is already evacuated keeps its LeaveAt if that
+// is earlier, because the operator did not ask for the evacuation any later.
 func (z Zones) With(name string, next Evacuation) Zones {
-	if former, ok := z.byName[name]; ok {
-		next.LeaveAt = earlier(former.LeaveAt, next.LeaveAt)
+	if previous, ok := z.byName[name]; ok {
+		next.LeaveAt = earlier(previous.LeaveAt, next.LeaveAt)
 	}
 	changed := maps.Clone(z.byName)
 	if changed == nil {
@@ -86,30 +88,30 @@
 	}
 }
 
-// IsEmpty tells whether no zone is evacuated.
+// IsEmpty reports whether no zone is evacuated.
 func (z Zones) IsEmpty() bool {
 	return len(z.byName) == 0
 }
 
-// Has tells whether a zone is evacuated, also where requests may still go there.
+// Has reports whether a zone is evacuated, even if it still gets requests.
 func (z Zones) Has(name string) bool {
 	_, ok := z.byName[name]
 	return ok
 }
 
-// IsLeft tells whether a zone gets no more requests at a time.
+// IsLeft reports whether a zone gets no more requests at a time.
 func (z Zones) IsLeft(name string, now time.Time) bool {
-	one, ok := z.byName[name]
-	return ok && !now.Before(one.LeaveAt)
+	entry, ok := z.byName[name]
+	return ok && !now.Before(entry.LeaveAt)
 }
 
-// Of returns the evacuation of a zone; ok is false where it is not evacuated.
-func (z Zones) Of(name string) (one Evacuation, ok bool) {
-	one, ok = z.byName[name]
-	return one, ok
+// Of returns the evacuation of a zone; ok is false if it is not evacuated.
+func (z Zones) Of(name string) (entry Evacuation, ok bool) {
+	entry, ok = z.byName[name]
+	return entry, ok
 }
 
-// Names returns the evacuated zones in their order.
+// Names returns the sorted names of the evacuated zones.
 func (z Zones) Names() []string {
 	return slices.Sorted(maps.Keys(z.byName))
 }
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -12,25 +12,24 @@
 // within is the operator's bound in the tests.
 const within = 5 * time.Second
 
-// Daemons leave one after the other, the last of them well within the bound.
-func TestDaemonsLeaveGraduallyWithinTheBound(t *testing.T) {
-	known := time.Now()
+// Daemons leave one after the other, and the last one leaves well before the bound.
+func TestDaemonsLeaveZoneGraduallyWithinBound(t *testing.T) {
+	lastOpenAt := time.Now()
 	leaveAt := func(draw float64) time.Time {
 		bound := evacuation.Bound{
 			Within: within,
 			Draw:   draw,
 		}
-		return bound.LeaveAt(known)
+		return bound.LeaveAt(lastOpenAt)
 	}
-	qt.Assert(t, leaveAt(0).After(known), qt.IsTrue)
+	qt.Assert(t, leaveAt(0).After(lastOpenAt), qt.IsTrue)
 	qt.Assert(t, leaveAt(1).Sub(leaveAt(0)) >= time.Second, qt.IsTrue)
 	const slack = 1500 * time.Millisecond
-	qt.Assert(t, leaveAt(1).Before(known.Add(within-slack)), qt.IsTrue)
+	qt.Assert(t, leaveAt(1).Before(lastOpenAt.Add(within-slack)), qt.IsTrue)
 }
 
-// A daemon that starts does not know since when a zone is evacuated, and one without a bound
-// has no time.
-func TestZoneIsLeftAtOnceWhereTheTimeIsNotKnown(t *testing.T) {
+// A starting daemon does not know since when a zone is evacuated, and a bound of 0 leaves no time.
+func TestZoneIsLeftAtOnceIfLastOpenTimeIsUnknown(t *testing.T) {
 	bound := evacuation.Bound{
 		Within: within,
 		Draw:   1,
@@ -48,9 +47,8 @@
 	qt.Assert(t, zones.IsLeft("c", now), qt.IsFalse)
 }
 
-// A row that is removed and written again between two reads shows as one write: the daemon
-// does not get more time by it.
-func TestEvacuationThatIsWrittenAgainGivesNoMoreTime(t *testing.T) {
+// Guards against more time for a daemon that sees a removed and rewritten row as one write.
+func TestRewrittenEvacuationDoesNotExtendTime(t *testing.T) {
 	now := time.Now()
 	first := evacuation.Zones{}.With("a", evacuation.Evacuation{
 		LeaveAt: now.Add(time.Second),
@@ -61,9 +59,9 @@
 		Version: 9,
 	})
 	qt.Assert(t, again.IsLeft("a", now.Add(time.Second)), qt.IsTrue)
-	one, ok := again.Of("a")
+	entry, ok := again.Of("a")
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, one.Version, qt.Equals, int64(9))
+	qt.Assert(t, entry.Version, qt.Equals, int64(9))
 	qt.Assert(t, first.Without("a").IsEmpty(), qt.IsTrue)
 	qt.Assert(t, first.Names(), qt.DeepEquals, []string{"a"})
 	qt.Assert(t, evacuation.Zones{}.Without("a").IsEmpty(), qt.IsTrue)
