--- a/core/presence/presence.go
+++ b/core/presence/presence.go
@@ -1,22 +1,21 @@
-// Package presence decides whether a serving group may be given requests.
+// Package presence decides whether a serving group may receive requests.
 //
-// Presence is an observation with an age, never a flag. A watcher probes every
-// member of a group; the evidence is as old as the start of its oldest probe.
-// Evidence is passed between daemons with its age, and the receiver adds the
-// whole time since it asked, so that neither clocks that differ nor a message
-// held up on its way can make old evidence look fresh. Evidence older than
-// MaxAge is no evidence.
+// Presence is an observation with an age, never a flag. A watcher probes every member of a group,
+// and the evidence is as old as the start of its oldest probe. Daemons pass on evidence with its
+// age, and the receiver adds the whole time since it sent its request. So neither clock differences
+// nor a delayed message can make old evidence look fresh. Evidence older than MaxAge does not
+// count.
 package presence
 
 import (
 	"time"
 )
 
-// MaxAge is the age past which evidence counts for nothing.
+// MaxAge is the maximum age of evidence that counts.
 const MaxAge = 2500 * time.Millisecond
 
-// Evidence says that at time At every member of Group was present, loaded and
-// of Generation. Load is what the group's first member reported then.
+// Evidence records whether at time At every member of Group was present, loaded and of Generation.
+// InFlight and Slots are the load that the group's first member reported.
 type Evidence struct {
 	Group      string
 	Generation uint64
@@ -26,8 +25,8 @@
 	Slots      int
 }
 
-// Fresh tells whether the evidence says whole, of this generation, within
-// MaxAge before now.
+// Fresh reports whether the evidence shows the whole group, of this generation, within MaxAge
+// before now.
 func (e Evidence) Fresh(generation uint64, now time.Time) bool {
 	return e.Whole && e.Generation == generation && now.Sub(e.At) <= MaxAge
 }
@@ -37,13 +36,13 @@
 	newest map[string]Evidence
 }
 
-// Newest returns the newest evidence of a group; false where there is none.
+// Newest returns the newest evidence of a group, and false if there is none.
 func (b Book) Newest(group string) (Evidence, bool) {
 	evidence, ok := b.newest[group]
 	return evidence, ok
 }
 
-// All returns the newest evidence of every group, in no order.
+// All returns the newest evidence of every group, in no particular order.
 func (b Book) All() []Evidence {
 	all := make([]Evidence, 0, len(b.newest))
 	for _, evidence := range b.newest {
@@ -52,15 +51,15 @@
 	return all
 }
 
-// WithEvidence returns the book with evidence added. Of one generation the
-// newer observation stands, of two generations the higher.
+// WithEvidence returns the book with evidence added. For each group it keeps the evidence of the
+// highest generation, and within a generation the newest.
 func (b Book) WithEvidence(added ...Evidence) Book {
 	next := make(map[string]Evidence, len(b.newest)+len(added))
 	for group, evidence := range b.newest {
 		next[group] = evidence
 	}
 	for _, evidence := range added {
-		if known, ok := next[evidence.Group]; !ok || newer(evidence, known) {
+		if known, ok := next[evidence.Group]; !ok || isNewer(evidence, known) {
 			next[evidence.Group] = evidence
 		}
 	}
@@ -82,8 +81,8 @@
 	}
 }
 
-// newer tells whether a replaces b.
-func newer(a, b Evidence) bool {
+// isNewer reports whether a replaces b.
+func isNewer(a, b Evidence) bool {
 	if a.Generation != b.Generation {
 		return a.Generation > b.Generation
 	}
--- a/core/presence/presence_test.go
+++ b/core/presence/presence_test.go
@@ -10,8 +10,8 @@
 	"headcourse/core/presence"
 )
 
-// whole is evidence of a generation observed now.
-func whole(generation uint64) presence.Evidence {
+// completeEvidence returns evidence, observed now, of a whole group at a generation.
+func completeEvidence(generation uint64) presence.Evidence {
 	return presence.Evidence{
 		Group:      "g",
 		Generation: generation,
@@ -20,38 +20,38 @@
 	}
 }
 
-func TestEvidenceOfAnotherGenerationCountsForNothing(t *testing.T) {
+func TestEvidenceOfOtherGenerationIsNotFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		qt.Assert(t, whole(2).Fresh(2, time.Now()), qt.IsTrue)
-		qt.Assert(t, whole(1).Fresh(2, time.Now()), qt.IsFalse)
-		qt.Assert(t, whole(3).Fresh(2, time.Now()), qt.IsFalse)
+		qt.Assert(t, completeEvidence(2).Fresh(2, time.Now()), qt.IsTrue)
+		qt.Assert(t, completeEvidence(1).Fresh(2, time.Now()), qt.IsFalse)
+		qt.Assert(t, completeEvidence(3).Fresh(2, time.Now()), qt.IsFalse)
 	})
 }
 
-func TestOldEvidenceCountsForNothing(t *testing.T) {
+func TestEvidenceOlderThanMaxAgeIsNotFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		seen := whole(1)
+		evidence := completeEvidence(1)
 		time.Sleep(presence.MaxAge)
-		qt.Assert(t, seen.Fresh(1, time.Now()), qt.IsTrue)
+		qt.Assert(t, evidence.Fresh(1, time.Now()), qt.IsTrue)
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, seen.Fresh(1, time.Now()), qt.IsFalse)
+		qt.Assert(t, evidence.Fresh(1, time.Now()), qt.IsFalse)
 	})
 }
 
-func TestLateEvidenceDoesNotReplaceNewer(t *testing.T) {
+func TestOlderEvidenceDoesNotReplaceNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		early := whole(1)
+		early := completeEvidence(1)
 		time.Sleep(time.Second)
-		against := presence.Evidence{
+		incomplete := presence.Evidence{
 			Group:      "g",
 			Generation: 1,
 			At:         time.Now(),
 		}
-		book := presence.Book{}.WithEvidence(against).WithEvidence(early)
+		book := presence.Book{}.WithEvidence(incomplete).WithEvidence(early)
 		newest, ok := book.Newest("g")
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, newest.Whole, qt.IsFalse)
-		newest, _ = book.WithEvidence(whole(2)).Newest("g")
+		newest, _ = book.WithEvidence(completeEvidence(2)).Newest("g")
 		qt.Assert(t, newest.Generation, qt.Equals, uint64(2))
 	})
 }
