--- a/core/boottime/boottime.go
+++ b/core/boottime/boottime.go
@@ -1,22 +1,22 @@
-// Package boottime tells a time that goes on while the machine is suspended.
+// Package boottime provides a clock that continues while the VM is suspended.
 //
-// The runtime's clock stands still meanwhile, so what rests on an age seems younger than it
-// is: a machine that slept for ten seconds wakes with a configuration that looks current,
-// and accepts keys that were withdrawn. Whatever may be done only for so long is therefore
-// dated and aged by a Clock, right before it is done. Times of one Clock must not be compared
-// with those of the runtime's.
+// The clock of the Go runtime stops during a suspension, so anything dated by it seems younger than
+// it is. A VM that was suspended for ten seconds resumes with a configuration that looks current,
+// and accepts keys that were withdrawn meanwhile. Whatever is allowed only for a limited time is
+// therefore dated and checked with a Clock, right before it is done. Times of a Clock must not be
+// compared with times of the runtime's clock.
 package boottime
 
 import "time"
 
-// Clock is the runtime's clock and the time for which the machine has been suspended. The
-// zero value is the runtime's clock.
+// Clock is the runtime's clock plus the total time for which the VM has been suspended. The zero
+// value is the runtime's clock.
 type Clock struct {
-	// Suspended returns for how long the machine has been suspended in all; nil: never.
+	// Suspended returns the total time for which the VM has been suspended; nil means never.
 	Suspended func() time.Duration
 }
 
-// Now returns the present.
+// Now returns the present time.
 func (c Clock) Now() time.Time {
 	if c.Suspended == nil {
 		return time.Now()
@@ -24,12 +24,12 @@
 	return time.Now().Add(c.Suspended())
 }
 
-// Since returns how long ago a time of this clock is.
+// Since returns the time that has passed since a time of this clock.
 func (c Clock) Since(t time.Time) time.Duration {
 	return c.Now().Sub(t)
 }
 
-// Until returns how long it is to a time of this clock.
+// Until returns the time that is left until a time of this clock.
 func (c Clock) Until(t time.Time) time.Duration {
 	return t.Sub(c.Now())
 }
--- a/core/boottime/boottime_test.go
+++ b/core/boottime/boottime_test.go
@@ -10,21 +10,21 @@
 	"headcourse/core/boottime"
 )
 
-func TestClockGoesOnWhileTheMachineIsSuspended(t *testing.T) {
+func TestClockIncludesSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		clock := boottime.Clock{
 			Suspended: func() time.Duration { return suspended },
 		}
-		began := clock.Now()
+		start := clock.Now()
 		time.Sleep(time.Second)
 		suspended += 7 * time.Second
-		qt.Assert(t, clock.Since(began), qt.Equals, 8*time.Second)
-		qt.Assert(t, clock.Until(began.Add(time.Minute)), qt.Equals, 52*time.Second)
+		qt.Assert(t, clock.Since(start), qt.Equals, 8*time.Second)
+		qt.Assert(t, clock.Until(start.Add(time.Minute)), qt.Equals, 52*time.Second)
 
 		var plain boottime.Clock
-		began = plain.Now()
+		start = plain.Now()
 		time.Sleep(time.Second)
-		qt.Assert(t, plain.Since(began), qt.Equals, time.Second)
+		qt.Assert(t, plain.Since(start), qt.Equals, time.Second)
 	})
 }
