--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -15,7 +15,7 @@
 	// counts as a failure of the store. A shorter call shows only that unresponsive relays used up
 	// its time.
 	minStoreWait = 300 * time.Millisecond
-	// maxRelayWait is the longest wait that is asked of a relay, so that a relay that died is
+	// maxRelayWait is the longest wait that is asked of a relay, so that a relay that crashed is
 	// detected soon.
 	maxRelayWait = time.Second
 	// relayReadTimeout is the first timeout for reading a table from relays. A daemon that has just
@@ -64,8 +64,8 @@
 	mutex    sync.Mutex
 	peers    Peers
 	backoffs relayBackoffs
-	// isSecondHand is set if the last answer came from a fallback.
-	isSecondHand bool
+	// isFromFallback is set if the last answer came from a fallback.
+	isFromFallback bool
 	// limiter decides when the store itself may be called.
 	limiter storeLimiter
 	// storeCalls counts the calls to the store, relayAnswers the answers that came from relays.
@@ -111,14 +111,14 @@
 func (c *Chain) IsSecondHand() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.isSecondHand
+	return c.isFromFallback
 }
 
 // recordSource records whether the last answer came from a fallback.
 func (c *Chain) recordSource(isFallback bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.isSecondHand = isFallback
+	c.isFromFallback = isFallback
 }
 
 // Counts returns the number of calls to the store and of answers from relays.
@@ -187,9 +187,9 @@
 
 // Read reads a table. It tries relays for relayReadTimeout, or for Patience if that is longer, and
 // then the store. If relays answer but have no copy, and other daemons are to read the table from
-// the store, Read tries the relays again, each time twice as long. When all daemons start at the
-// same moment, hundreds of reads of a large table would saturate the store's link and delay the
-// relays.
+// the store, Read tries the relays again, each time for twice as long. Otherwise, at a start of all
+// daemons at the same moment, hundreds of reads of a large table would saturate the store's link
+// and delay the relays.
 func (c *Chain) Read(ctx context.Context, table string) (Result, error) {
 	for timeout := max(relayReadTimeout, c.Patience); ; timeout += timeout {
 		result, err := c.readOnce(ctx, table, timeout)
@@ -245,14 +245,14 @@
 }
 
 // sample reads the first rows of a table from the store, if the limiter admits the call.
-func (c *Chain) sample(ctx context.Context, table string, rows int, from Sampler) (result Result, isWhole bool, err error) {
+func (c *Chain) sample(ctx context.Context, table string, rows int, from Sampler) (result Result, isComplete bool, err error) {
 	result, err = c.callStore(ctx, table, func(ctx context.Context, _ Reader) (Result, error) {
 		var sampled Result
 		var sampleErr error
-		sampled, isWhole, sampleErr = from.Sample(ctx, table, rows)
+		sampled, isComplete, sampleErr = from.Sample(ctx, table, rows)
 		return sampled, sampleErr
 	})
-	return result, isWhole, err
+	return result, isComplete, err
 }
 
 // roundRobinRelay returns a relay that calls the given ones in turn until one answers or timeout
--- a/core/rowstore/chain_test.go
+++ b/core/rowstore/chain_test.go
@@ -38,7 +38,7 @@
 		chain, clock := newChain(store, rowstore.Relay{
 			Name: "r1",
 			Reader: countingReader{
-				Reader: silentReader{},
+				Reader: unresponsiveReader{},
 				calls:  &relayCalls,
 			},
 		})
@@ -55,13 +55,13 @@
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		silent := func(name string) rowstore.Relay {
+		unresponsive := func(name string) rowstore.Relay {
 			return rowstore.Relay{
 				Name:   name,
-				Reader: silentReader{},
+				Reader: unresponsiveReader{},
 			}
 		}
-		chain, clock := newChain(store, silent("r1"), silent("r2"), silent("r3"))
+		chain, clock := newChain(store, unresponsive("r1"), unresponsive("r2"), unresponsive("r3"))
 		downstream := startFollower(ctx, chain, clock)
 		advance(time.Second)
 		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
@@ -252,8 +252,8 @@
 			})
 			store.put("a", "back")
 			advance(2 * time.Second)
-			for _, one := range downstream {
-				qt.Assert(t, one.rows["a"], qt.Equals, "back")
+			for _, follower := range downstream {
+				qt.Assert(t, follower.rows["a"], qt.Equals, "back")
 			}
 		})
 	}
@@ -334,18 +334,18 @@
 	}
 }
 
-// unansweredTable is a reader that leaves feeds of one table unanswered while isSilent is set.
+// unansweredTable is a reader that leaves feeds of one table unanswered while isUnanswered is set.
 type unansweredTable struct {
 	rowstore.Reader
-	table    string
-	isSilent *atomic.Bool
+	table        string
+	isUnanswered *atomic.Bool
 	// failAfter is the time until an unanswered call fails.
 	failAfter time.Duration
 }
 
-// Feed fails for the table while isSilent is set.
+// Feed fails for the table while isUnanswered is set.
 func (f unansweredTable) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	if table == f.table && f.isSilent.Load() {
+	if table == f.table && f.isUnanswered.Load() {
 		select {
 		case <-ctx.Done():
 		case <-time.After(f.failAfter):
@@ -359,16 +359,16 @@
 // call for the list of daemons got no answer. A daemon then did not follow the servers for 2.1 s,
 // although the store answered calls for all other tables.
 func TestFailedCallDoesNotDelayOtherTablesWhileStoreAnswers(t *testing.T) {
-	for _, after := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
+	for _, failAfter := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 		runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 			store := newFakeStore()
 			store.put("a", "1")
-			var isSilent atomic.Bool
+			var isUnanswered atomic.Bool
 			chain, clock, cutOff := newDownstreamChain(ctx, unansweredTable{
-				Reader:    store,
-				table:     "b",
-				isSilent:  &isSilent,
-				failAfter: after,
+				Reader:       store,
+				table:        "b",
+				isUnanswered: &isUnanswered,
+				failAfter:    failAfter,
 			}, store, 3)
 			follower := startFollower(ctx, chain, clock)
 			startTableFollower(ctx, chain, clock, "b", 100*time.Millisecond)
@@ -376,11 +376,11 @@
 			advance(time.Second)
 			cutOff()
 			advance(3 * time.Second)
-			isSilent.Store(true)
+			isUnanswered.Store(true)
 			advance(3 * time.Second)
 			store.put("a", "2")
 			advance(1300 * time.Millisecond)
-			qt.Assert(t, follower.rows["a"], qt.Equals, "2", qt.Commentf("after %s", after))
+			qt.Assert(t, follower.rows["a"], qt.Equals, "2", qt.Commentf("after %s", failAfter))
 		})
 	}
 }
--- a/core/rowstore/fleet_test.go
+++ b/core/rowstore/fleet_test.go
@@ -22,9 +22,9 @@
 
 // Ways in which the store fails for a daemon.
 const (
-	refused = "refused"
-	cut     = "cut"
-	silent  = "silent"
+	refused    = "refused"
+	cut        = "cut"
+	unanswered = "unanswered"
 )
 
 // storeAccess is a daemon's connection to the store.
@@ -44,7 +44,7 @@
 		return nil
 	case a.failureMode == refused:
 		return rowstore.ErrRefused
-	case a.failureMode == silent:
+	case a.failureMode == unanswered:
 		<-ctx.Done()
 	}
 	return rowstore.ErrUnknown
@@ -185,8 +185,8 @@
 // countWithout returns the number of daemons whose last value is another one.
 func (f *fleet) countWithout(value string) int {
 	count := 0
-	for _, one := range f.byName {
-		if one.lastValue != value {
+	for _, daemon := range f.byName {
+		if daemon.lastValue != value {
 			count++
 		}
 	}
@@ -209,7 +209,7 @@
 			}
 		},
 	} {
-		for _, failureMode := range []string{refused, cut, silent} {
+		for _, failureMode := range []string{refused, cut, unanswered} {
 			for _, daemons := range []int{9, 40, 89, 295} {
 				t.Run(fmt.Sprintf("%s %s %d", name, failureMode, daemons), func(t *testing.T) {
 					runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
@@ -236,7 +236,7 @@
 // Guards against many store calls while the store fails for all daemons, and against a slow
 // recovery after that.
 func TestAllBlockedDaemonsRecoverTogether(t *testing.T) {
-	for _, failureMode := range []string{refused, cut, silent} {
+	for _, failureMode := range []string{refused, cut, unanswered} {
 		for _, daemons := range []int{9, 40, 89, 295} {
 			t.Run(fmt.Sprintf("%s %d", failureMode, daemons), func(t *testing.T) {
 				runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
--- a/core/rowstore/hub.go
+++ b/core/rowstore/hub.go
@@ -46,12 +46,12 @@
 // has to read the table.
 const maxRemovedRows = 2000
 
-// Take applies the result of a read (isWhole), or of a feed in the same era, to the copy.
-func (h *Hub) Take(table string, result Result, isWhole bool, asOf time.Time) {
+// Take applies the result of a read (isSnapshot), or of a feed in the same era, to the copy.
+func (h *Hub) Take(table string, result Result, isSnapshot bool, asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	cached := h.table(table)
-	if isWhole {
+	if isSnapshot {
 		cached.rows = map[string]Row{}
 		cached.removed = nil
 		cached.historyStart = result.Version
@@ -99,11 +99,11 @@
 }
 
 // isServable reports whether a copy may be served: it is of the newest known era, the store
-// answered within ContactLimit, and the copy is not second-hand. The mutex must be held.
+// answered within ContactLimit, and the copy does not come from a fallback. The mutex must be held.
 func (h *Hub) isServable(cached *tableCopy) bool {
 	hasContact := h.ContactLimit == 0 || h.sinceContact() <= h.ContactLimit
-	isFirstHand := h.IsSecondHand == nil || !h.IsSecondHand()
-	return h.isOfNewestEra(cached) && hasContact && isFirstHand
+	isOwnCopy := h.IsSecondHand == nil || !h.IsSecondHand()
+	return h.isOfNewestEra(cached) && hasContact && isOwnCopy
 }
 
 // isOfNewestEra reports whether a copy exists and is of the newest known era. The mutex must be
--- a/core/rowstore/restart_test.go
+++ b/core/rowstore/restart_test.go
@@ -170,9 +170,9 @@
 	maxReadTime      = 5 * time.Second
 )
 
-// Guards against store traffic that grows with the square of the number of daemons. When each
-// daemon read the table from the store if its relays had none within 0.4 s, 984 daemons made 106
-// reads in this model and nearly 984 in a real fleet. All waited 2.3 s for the store's link.
+// Guards against store traffic that grows with the square of the number of daemons. If each daemon
+// read the table from the store when its relays had none within 0.4 s, 984 daemons made 106 reads
+// in this model and nearly 984 in a real fleet. All waited 2.3 s for the store's link.
 func TestFullRestartReadsLargeTableThroughRelays(t *testing.T) {
 	for _, count := range []int{9, 89, 360, 984, 1968} {
 		synctest.Test(t, func(t *testing.T) {
--- a/core/rowstore/restore_test.go
+++ b/core/rowstore/restore_test.go
@@ -136,8 +136,8 @@
 		store.put("a", "1")
 		before := store.snapshot()
 		w := startFollower(ctx, store, &rowstore.Freshness{})
-		for _, lost := range []string{"b", "c"} {
-			store.put(lost, "1")
+		for _, lostKey := range []string{"b", "c"} {
+			store.put(lostKey, "1")
 			advance(100 * time.Millisecond)
 			store.restore(before, 0)
 			advance(time.Second)
--- a/core/rowstore/roundrobin_test.go
+++ b/core/rowstore/roundrobin_test.go
@@ -46,7 +46,7 @@
 		}, store, rowstore.Relay{
 			Name: "gone",
 			Reader: startingReader{
-				Reader:   silentReader{},
+				Reader:   unresponsiveReader{},
 				startsAt: time.Now().Add(time.Hour),
 			},
 		}, rowstore.Relay{
@@ -70,7 +70,7 @@
 		chain, clock := newChain(store, rowstore.Relay{
 			Name: "gone",
 			Reader: startingReader{
-				Reader:   silentReader{},
+				Reader:   unresponsiveReader{},
 				startsAt: time.Now().Add(time.Hour),
 			},
 		})
@@ -105,8 +105,8 @@
 			downstream = append(downstream, startFollower(ctx, chain, clock))
 		}
 		advance(300 * time.Millisecond)
-		for _, one := range downstream {
-			qt.Assert(t, one.rows["a"], qt.Equals, "1")
+		for _, follower := range downstream {
+			qt.Assert(t, follower.rows["a"], qt.Equals, "1")
 		}
 		qt.Assert(t, storeCalls, qt.Equals, 0)
 	})
--- a/core/rowstore/rowstore.go
+++ b/core/rowstore/rowstore.go
@@ -13,7 +13,7 @@
 // relays first, then the standbys, then the fallbacks if the store failed recently, and then the
 // store. Three mechanisms limit the number of calls: relayBackoffs skips relays that failed
 // recently, storeLimiter decides when the store itself may be called, and Follower pauses after
-// each failed call. A Hub holds the copies that other daemons read, and Freshness tracks how old
+// each failed call. Hub holds the copies that other daemons read, and Freshness tracks how old
 // they are.
 package rowstore
 
@@ -41,8 +41,8 @@
 	ErrRestored = errors.New("store was restored from an older copy")
 )
 
-// Conflict reports that a condition of a write did not hold, so that nothing was written. Rows
-// holds the current rows of the conditions.
+// Conflict reports that a condition of a write did not hold, so that nothing was written. It holds
+// the current rows of the conditions.
 type Conflict struct {
 	Rows []Row
 }
@@ -117,7 +117,7 @@
 type Sampler interface {
 	// Sample returns the first rows of a table by key, up to the given number, and whether these
 	// are all of them.
-	Sample(ctx context.Context, table string, rows int) (result Result, isWhole bool, err error)
+	Sample(ctx context.Context, table string, rows int) (result Result, isComplete bool, err error)
 }
 
 // Store is the table store. Implementations are safe for concurrent use.
--- a/core/rowstore/rowstore_test.go
+++ b/core/rowstore/rowstore_test.go
@@ -281,17 +281,17 @@
 	})
 }
 
-// silentReader never answers.
-type silentReader struct{}
+// unresponsiveReader never answers.
+type unresponsiveReader struct{}
 
 // Read blocks until ctx ends.
-func (silentReader) Read(ctx context.Context, _ string) (rowstore.Result, error) {
+func (unresponsiveReader) Read(ctx context.Context, _ string) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
 
 // Feed blocks until ctx ends.
-func (silentReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
+func (unresponsiveReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
@@ -301,7 +301,7 @@
 		store := newFakeStore()
 		chain, clock := newChain(store, rowstore.Relay{
 			Name:   "r1",
-			Reader: silentReader{},
+			Reader: unresponsiveReader{},
 		})
 		downstream := startFollower(ctx, chain, clock)
 		store.put("a", "1")
@@ -403,7 +403,7 @@
 }
 
 // Guards against a read that times out only after the wait of a feed. The list of daemons is
-// followed with feeds of 10 s. When the answer to its first read was lost, 68 daemons knew no
+// followed with feeds of 10 s. After the answer to its first read was lost, 68 daemons knew no
 // relays for that long, and called the store 4,600 times for the servers.
 func TestReadTimeoutIsIndependentOfFeedWait(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
--- a/core/rowstore/seeded.go
+++ b/core/rowstore/seeded.go
@@ -26,8 +26,8 @@
 	if s.Chain.HasRelays() {
 		return s.Chain.Read(ctx, table)
 	}
-	sample, isWhole, err := s.Chain.sample(ctx, table, s.Rows, s.From)
-	if err != nil || isWhole {
+	sample, isComplete, err := s.Chain.sample(ctx, table, s.Rows, s.From)
+	if err != nil || isComplete {
 		return sample, err
 	}
 	s.Chain.SetPeers(Peers{
--- a/core/rowstore/seeded_test.go
+++ b/core/rowstore/seeded_test.go
@@ -144,11 +144,11 @@
 		candidates = append(candidates, daemon)
 	}
 	var relays []rowstore.Relay
-	for _, one := range neighbours.Nearest(candidates, self.Name, self.Zone) {
-		if one.Name == self.Name {
+	for _, candidate := range neighbours.Nearest(candidates, self.Name, self.Zone) {
+		if candidate.Name == self.Name {
 			return nil
 		}
-		relays = append(relays, f.relay(one.Name))
+		relays = append(relays, f.relay(candidate.Name))
 	}
 	return relays[:min(4, len(relays))]
 }
@@ -189,7 +189,7 @@
 }
 
 // Guards against store traffic per daemon that grows with the fleet, beyond one read of the list
-// per relay. When each daemon read the whole list, the store sent 968,256 rows to 984 daemons in
+// per relay. If each daemon read the whole list, the store sent 968,256 rows to 984 daemons in
 // 1,968 calls.
 func TestFullRestartReadsDaemonListOncePerRelay(t *testing.T) {
 	for _, count := range []int{9, 89, 360, 984, 1968} {
--- a/core/rowstore/storelimiter_test.go
+++ b/core/rowstore/storelimiter_test.go
@@ -13,9 +13,9 @@
 // seconds.
 func TestChainLimitsCallsToFailingStore(t *testing.T) {
 	for name, fail := range map[string]func(f *fakeStore){
-		"cut":     func(f *fakeStore) { f.isCut = true },
-		"refused": func(f *fakeStore) { f.isDown = true },
-		"silent":  func(f *fakeStore) { f.delay = time.Minute },
+		"cut":        func(f *fakeStore) { f.isCut = true },
+		"refused":    func(f *fakeStore) { f.isDown = true },
+		"unanswered": func(f *fakeStore) { f.delay = time.Minute },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
