--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -3,7 +3,7 @@
 //
 // Each daemon registers itself in the store when it starts. The relays are the daemons on the
 // largest VMs; among equal VMs a hash of the names decides. So all daemons that have read the same
-// list choose the same relays. Relays need large VMs because a relay sends what it reads to many
+// list choose the same relays. A relay needs a large VM because it sends what it reads to many
 // daemons. Each availability zone has its own relays, since traffic between zones costs more than
 // traffic within one. A hash also decides which relay a daemon calls first, so that the relays
 // share the load.
--- a/core/neighbours/neighbours_test.go
+++ b/core/neighbours/neighbours_test.go
@@ -151,14 +151,14 @@
 	}
 	list := neighbours.NewList(all)
 	qt.Assert(t, list.Zones(), qt.DeepEquals, []string{"a", "b", "c"})
-	taken := map[string]bool{}
+	positions := map[string]bool{}
 	for _, daemon := range all {
 		position, count := list.InZone(daemon.Name, daemon.Zone)
 		qt.Assert(t, count, qt.Equals, 3)
 		qt.Assert(t, position >= 0 && position < count, qt.IsTrue)
-		taken[daemon.Zone+strconv.Itoa(position)] = true
+		positions[daemon.Zone+strconv.Itoa(position)] = true
 	}
-	qt.Assert(t, taken, qt.HasLen, len(all))
+	qt.Assert(t, positions, qt.HasLen, len(all))
 	position, count := list.InZone("unlisted", "a")
 	qt.Assert(t, position, qt.Equals, 3)
 	qt.Assert(t, count, qt.Equals, 3)
@@ -195,18 +195,18 @@
 	list := neighbours.NewList(all)
 	first := map[string]int{}
 	for key := range 60 {
-		taken := map[int]bool{}
+		positions := map[int]bool{}
 		for _, daemon := range all {
 			position, inZone := list.OrderFor(strconv.Itoa(key), "b", daemon.Name)
 			qt.Assert(t, inZone, qt.Equals, daemonsPerZone)
-			qt.Assert(t, taken[position], qt.IsFalse)
-			taken[position] = true
+			qt.Assert(t, positions[position], qt.IsFalse)
+			positions[position] = true
 			qt.Assert(t, position < daemonsPerZone, qt.Equals, daemon.Zone == "b", qt.Commentf("%s: %d", daemon.Name, position))
 			if position == 0 {
 				first[daemon.Name]++
 			}
 		}
-		qt.Assert(t, taken, qt.HasLen, list.Len())
+		qt.Assert(t, positions, qt.HasLen, list.Len())
 		unlisted, _ := list.OrderFor(strconv.Itoa(key), "b", "nobody")
 		qt.Assert(t, unlisted, qt.Equals, list.Len())
 	}
