--- a/core/table/table.go
+++ b/core/table/table.go
@@ -145,9 +145,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := min(len(s.usedMarkers), maxMarkersPerCommit)
-	taken := append([]string(nil), s.usedMarkers[:count]...)
+	markers := append([]string(nil), s.usedMarkers[:count]...)
 	s.usedMarkers = s.usedMarkers[count:]
-	return taken
+	return markers
 }
 
 // addUsedMarkers adds markers to delete.
