--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -30,7 +30,7 @@
 	Version int64
 }
 
-// Bound is the time within which an evacuated zone must stop getting requests.
+// Bound determines when this daemon stops sending requests to an evacuated zone.
 type Bound struct {
 	// Within counts from the acknowledgement by the store; 0 means at once.
 	Within time.Duration
