--- a/core/presence/presence.go
+++ b/core/presence/presence.go
@@ -51,7 +51,7 @@
 	return all
 }
 
-// WithEvidence returns the book with evidence added. For each group it keeps the evidence of the
+// WithEvidence returns a copy with evidence added. For each group it keeps the evidence of the
 // highest generation, and within a generation the newest.
 func (b Book) WithEvidence(added ...Evidence) Book {
 	next := make(map[string]Evidence, len(b.newest)+len(added))
@@ -68,7 +68,7 @@
 	}
 }
 
-// WithoutOlder returns the book without evidence from before a time.
+// WithoutOlder returns a copy without evidence from before a time.
 func (b Book) WithoutOlder(than time.Time) Book {
 	next := make(map[string]Evidence, len(b.newest))
 	for group, evidence := range b.newest {
