--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -36,12 +36,12 @@
 	// Whole receives all rows after a read, and Changed the rows of a feed, both with their
 	// revision and the local time as of which they are valid. Changed also receives feeds without
 	// rows.
-	Whole   func(rows []Row, at Revision, asOf time.Time)
-	Changed func(rows []Row, at Revision, asOf time.Time)
+	Whole   func(rows []Row, revision Revision, asOf time.Time)
+	Changed func(rows []Row, revision Revision, asOf time.Time)
 	// Restored, if set, is called instead of Whole in a new era, in which rows may be older than
 	// those known before. Rewrite, if set, returns how long the owners of rows take to write what
 	// the restored store lacks; after that time the table is read once more.
-	Restored func(rows []Row, at Revision, asOf time.Time)
+	Restored func(rows []Row, revision Revision, asOf time.Time)
 	Rewrite  func() time.Duration
 	// Merge, if set, returns the result that replaces a full read, since a restored store may lack
 	// rows that must not be lost.
@@ -49,13 +49,13 @@
 	// Hub, if set, receives every accepted result, so that other daemons can follow it.
 	Hub *Hub
 	// EraChanged, if set, is called before Whole when the table was read in a new era.
-	EraChanged func(former, next Revision)
+	EraChanged func(previous, next Revision)
 	// Dropped, if set, receives each rejected answer and the known revision.
 	Dropped func(answer Result, known Revision)
 	// Failed receives the error of each failed call. Recovered is called at the first success after
 	// failures, with the time since the first failure.
 	Failed    func(err error)
-	Recovered func(away time.Duration)
+	Recovered func(downtime time.Duration)
 	Clock     *Freshness
 
 	revision Revision
