--- /dev/null
+++ b/core/rowstore/storelimiter.go
@@ -0,0 +1,148 @@
+package rowstore
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// failureWindow is how long a failed call to the store limits the following ones. Every call is
+	// billed, also a refused one, and a daemon follows many tables.
+	failureWindow = 3 * time.Second
+	// ageBoundedInterval and otherInterval are the times between two calls during that window, for
+	// tables with a maximum age and for the others.
+	ageBoundedInterval = 400 * time.Millisecond
+	otherInterval      = 1500 * time.Millisecond
+	// relayedFactor multiplies the interval for daemons that have relays, none of which answers.
+	relayedFactor = 6
+	// sharedInterval is the time between two calls of all daemons together whose relays report that
+	// they have no copy. The relays call the store themselves, and what another daemon learns by
+	// its call serves only that daemon. Pauses that each daemon applies by itself add up with
+	// hundreds of daemons.
+	sharedInterval = 200 * time.Millisecond
+	// noCopyWindow is how long a relay's answer that it has no copy is valid.
+	noCopyWindow = 2 * time.Second
+	// Up to maxImmediateContenders daemons call the store once at once when their relays report no
+	// copy, since only the relays may be cut off. More daemons spread their first call over
+	// firstTrySpread, so that they do not call at the same moment. The spread is short, because a
+	// copy may be as old as 0.6 of the time within which a configuration must be in force.
+	maxImmediateContenders = 16
+	firstTrySpread         = 200 * time.Millisecond
+	// manyRelays is a number of relays and standbys that are never all cut off while the store
+	// serves other daemons. With that many the first call is as rare as later ones. If the store
+	// refuses each of eight with a probability of one third, it refuses all of them in one of 6,500
+	// outages.
+	manyRelays = 8
+)
+
+// storeLimiter decides when a daemon may call the store itself. It is not safe for concurrent use.
+// The zero value admits calls.
+type storeLimiter struct {
+	// failedAt is when a call to the store last failed, lastCallAt when the store was last called.
+	failedAt   time.Time
+	lastCallAt time.Time
+	// noCopyAt is when a relay last answered that it has no copy. For noCopyWindow after that, the
+	// store may be called from nextTryAt on (zero: not drawn yet) until a call fails; isAdmitting
+	// is set meanwhile. A feed that waits for changes has not failed, so calls for other tables
+	// need not wait for its end. retryInterval is the time from a failed call to the next one.
+	noCopyAt      time.Time
+	nextTryAt     time.Time
+	retryInterval time.Duration
+	isAdmitting   bool
+}
+
+// storeCall describes a call to the store and the daemon that makes it.
+type storeCall struct {
+	// isAgeBounded is set if copies of the table have a maximum age.
+	isAgeBounded bool
+	// relays and standbys are the numbers of those that the daemon has. contenders is how many
+	// daemons call the store in the same way as this one if relays and standbys have no copy.
+	relays     int
+	standbys   int
+	contenders int
+}
+
+// interval returns the time between two calls of a daemon while the store fails.
+func (s storeCall) interval() time.Duration {
+	interval := otherInterval
+	if s.isAgeBounded {
+		interval = ageBoundedInterval
+	}
+	if s.relays > 0 {
+		interval *= relayedFactor
+	}
+	return interval
+}
+
+// admit reports whether the store may be called now, and records the call.
+func (l *storeLimiter) admit(now time.Time, call storeCall) bool {
+	if !l.isDue(now, call) {
+		return false
+	}
+	l.lastCallAt = now
+	return true
+}
+
+// isDue reports whether it is time to call the store.
+func (l *storeLimiter) isDue(now time.Time, call storeCall) bool {
+	if l.relaysLackCopies(now) {
+		return l.isDueWithoutCopies(now, call)
+	}
+	return now.Sub(l.failedAt) >= failureWindow || now.Sub(l.lastCallAt) >= call.interval()
+}
+
+// isDueWithoutCopies reports whether this daemon may call the store while relays have no copy.
+func (l *storeLimiter) isDueWithoutCopies(now time.Time, call storeCall) bool {
+	// All tables share the schedule of those with a maximum age.
+	l.retryInterval = max(relayedFactor*ageBoundedInterval, time.Duration(call.contenders)*sharedInterval)
+	if l.nextTryAt.IsZero() {
+		l.nextTryAt = now.Add(call.firstDelay(l.retryInterval))
+	}
+	l.isAdmitting = l.isAdmitting || !now.Before(l.nextTryAt)
+	return l.isAdmitting
+}
+
+// firstDelay draws the delay of the first call.
+func (s storeCall) firstDelay(interval time.Duration) time.Duration {
+	switch {
+	case s.contenders <= maxImmediateContenders:
+		return 0
+	case s.relays+s.standbys >= manyRelays:
+		return rand.N(interval)
+	default:
+		return rand.N(firstTrySpread)
+	}
+}
+
+// relaysLackCopies reports whether a relay answered recently that it has no copy.
+func (l *storeLimiter) relaysLackCopies(now time.Time) bool {
+	return now.Sub(l.noCopyAt) < noCopyWindow
+}
+
+// observeNoCopy records that a relay has no copy.
+func (l *storeLimiter) observeNoCopy(now time.Time) {
+	if !l.relaysLackCopies(now) {
+		l.nextTryAt = time.Time{}
+		l.isAdmitting = false
+	}
+	l.noCopyAt = now
+}
+
+// recordSuccess records that the store answered. Calls for other tables that failed meanwhile were
+// not the store's fault.
+func (l *storeLimiter) recordSuccess() {
+	l.failedAt = time.Time{}
+	l.isAdmitting = true
+}
+
+// recordFailure records that a call to the store failed.
+func (l *storeLimiter) recordFailure(now time.Time) {
+	l.failedAt = now
+	l.isAdmitting = false
+	l.nextTryAt = now.Add(l.retryInterval)
+}
+
+// failedRecently reports whether a call to the store failed recently.
+func (l *storeLimiter) failedRecently(now time.Time) bool {
+	return now.Sub(l.failedAt) < failureWindow
+}
