--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -1,22 +1,20 @@
-// Package balancer chooses the backend server, or the head of a group, that
-// takes a request.
+// Package balancer chooses the backend server, or the head of a group, that gets a request.
 //
-// Every daemon chooses on its own. Reports of load lag and are priced: by the time a
-// load is known to all, 0.4 s and more after it was so, choosing by it is worse than
-// not knowing it. So a daemon goes by what it has sent itself. First the request's zone
-// is drawn by what the servers of each can carry (core/locality), then the daemon's own
-// few servers there come before the others (core/subset): over these it spreads its
-// requests evenly by cost. Since subsets cover the servers evenly, the sum of even
-// spreads is even, with nine daemons as with thousands. Ties are broken at random, so
-// that daemons do not choose alike.
+// Every daemon chooses on its own, by the requests that it has in flight itself. Load reports
+// are not used: a load is known to all daemons 0.4 s or more after it was measured, and at that
+// age choosing by it is worse than not knowing it. The choice has two stages: first, locality
+// draws the request's zone in proportion to what the servers of each zone can take
+// (core/locality). Then the daemon prefers its own small subset of the servers in that zone
+// (core/subset), and spreads its requests evenly over it by cost. Subsets cover the servers
+// evenly, so the sum over all daemons is even, with nine daemons as with thousands. Random
+// tie-breaking prevents daemons from choosing in lockstep.
 //
-// What a daemon sees of a server decides whether it is used at all. A group
-// that lost a member goes on taking requests and answers none; its silence,
-// over all of its streams, is the first sign. It is then rested, with a single
-// request let through from time to time to find out whether it works again. A server
-// that other daemons found in trouble comes after those that are well. All of these are
-// preferences: a server that said itself that it wants no request (core/directive) is no
-// candidate.
+// Observed failures and silence decide whether a server is used at all. A group that lost a
+// member accepts requests and answers none; the first sign of it is that all its streams are
+// silent. The daemon then ejects the server for a while and lets a single request through from
+// time to time, to detect recovery. A server that other daemons report as degraded ranks after
+// healthy ones. These are all preferences. In contrast, a server that asked for no requests
+// itself (core/directive) is never a candidate.
 package balancer
 
 import (
@@ -25,100 +23,101 @@
 	"time"
 )
 
-// Figures of a tracker.
 const (
-	// firstRest is how long a server is rested after its first failure; each
-	// further one doubles it up to longestRest. A group that lost a member
-	// breaks after 5 s, and is replaced long before.
-	firstRest   = 400 * time.Millisecond
-	longestRest = 6 * time.Second
-	// tolerated is how many failures in a row are taken for the server's usual
-	// ones: services fail a small part of their requests by themselves.
-	tolerated = 1
-	// paceWeight is the part of a new measurement in the mean pace.
-	paceWeight = 0.2
-	// paceHolds is how long the pace of a server without requests counts: a slow one is
-	// passed over, and nothing else would measure it again.
-	paceHolds = 10 * time.Second
+	// minEjectionTime is the ejection time after the first failure. Each further failure
+	// doubles it, up to maxEjectionTime. A group that lost a member breaks after 5 s and is
+	// replaced long before that.
+	minEjectionTime = 400 * time.Millisecond
+	maxEjectionTime = 6 * time.Second
+	// toleratedFailures is the number of consecutive common failures that do not eject a
+	// server: services fail a small part of their requests by themselves.
+	toleratedFailures = 1
+	// unitLatencyGain is the weight of a new sample in the moving average of the unit latency.
+	unitLatencyGain = 0.2
+	// unitLatencyTTL is how long the unit latency of a server without requests is valid. A slow
+	// server is avoided, so without an expiry nothing would measure it again.
+	unitLatencyTTL = 10 * time.Second
 )
 
-// Candidate is a server that may take the request.
+// Candidate is a server that may get the request.
 type Candidate struct {
 	ID       string
 	Capacity int
-	// Zone is its availability zone.
+	// Zone is the server's availability zone.
 	Zone string
-	// Domain is its fabric domain; empty: none.
+	// Domain is the server's fabric domain; it is empty if there is none.
 	Domain string
-	// IsTroubled tells that other daemons found it standing still or slow.
+	// IsTroubled reports that other daemons found the server stalled or slow.
 	IsTroubled bool
-	// IsLimited tells that it takes only some requests a second, one of them now.
+	// IsLimited reports that the server accepts a limited number of requests a second, and can
+	// accept one now.
 	IsLimited bool
-	// tier and isFar are set by Preference.WithTiers.
-	tier  tier
-	isFar bool
+	// tier and isCrossZone are set by Preference.WithTiers.
+	tier        tier
+	isCrossZone bool
 }
 
-// Tracker knows what this daemon has under way at each server. It is safe for
-// concurrent use; the zero value is empty.
+// Tracker records this daemon's requests in flight, failures and latencies for each server. It
+// is safe for concurrent use; the zero value is empty.
 type Tracker struct {
-	// Chance breaks ties by numbers from 0 to 1; nil: at random. Set before use.
+	// Chance returns random numbers from 0 to 1 for tie-breaking; nil selects the default
+	// source. It must be set before first use.
 	Chance func() float64
 
-	mutex    sync.Mutex
-	servers  map[string]*tracked
-	silences map[silenceKey]*estimate
+	mutex            sync.Mutex
+	servers          map[string]*serverState
+	silenceEstimates map[silenceKey]*estimate
 }
 
-// tracked is what is known of one server.
-type tracked struct {
-	inFlight int
-	cost     float64
-	// pace is the mean time of a unit of work; 0: not measured yet.
-	pace float64
-	// measured is when a pace was last measured.
-	measured time.Time
-	// heard is when an answer or an event last came.
-	heard    time.Time
-	failures int
-	restTill time.Time
-	rest     time.Duration
-	// isSilent tells that the rest is for silence, and ends with it; it began at
-	// silentAt.
-	isSilent bool
-	silentAt time.Time
+// serverState is the state of one server.
+type serverState struct {
+	inFlight     int
+	inFlightCost float64
+	// unitLatency is the moving average of the time that a unit of work takes; 0 if not
+	// measured.
+	unitLatency float64
+	// latencyMeasuredAt is the time of the last unitLatency sample.
+	latencyMeasuredAt time.Time
+	// lastActivity is the time of the last answer or event.
+	lastActivity time.Time
+	failures     int
+	ejectedUntil time.Time
+	ejectionTime time.Duration
+	// isSilent reports that the server was ejected for silence. Such an ejection ends when the
+	// server sends an event. silentSince is when it began.
+	isSilent    bool
+	silentSince time.Time
 }
 
-// of returns what is known of a server. The mutex is held.
-func (t *Tracker) of(id string) *tracked {
+// stateOf returns the state of a server and creates it if necessary. The mutex must be held.
+func (t *Tracker) stateOf(id string) *serverState {
 	if t.servers == nil {
-		t.servers = map[string]*tracked{}
+		t.servers = map[string]*serverState{}
 	}
-	one, ok := t.servers[id]
+	server, ok := t.servers[id]
 	if !ok {
-		one = &tracked{}
-		t.servers[id] = one
+		server = &serverState{}
+		t.servers[id] = server
 	}
-	return one
+	return server
 }
 
-// Pick chooses a candidate that is not excluded, and notes that a request of
-// that cost begins there. done must be called at its end. It returns false
-// where no candidate is left.
+// Pick chooses a candidate that is not excluded and records a request of the given cost as in
+// flight. The caller must call done when the request ends. ok is false if no candidate is left.
 func (t *Tracker) Pick(candidates []Candidate, excluded map[string]bool, cost float64) (chosen Candidate, done func(), ok bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	best, bestScore := -1, 0.0
-	usual := t.usualPace(now, candidates)
-	doubted := t.doubted(now, candidates)
+	meanLatency := t.meanUnitLatency(now, candidates)
+	suspects := t.suspectDomains(now, candidates)
 	for i, candidate := range candidates {
 		if excluded[candidate.ID] {
 			continue
 		}
-		score := t.of(candidate.ID).score(now, candidate, cost, usual, t.chance())
-		if doubted[candidate.Domain] {
-			score += doubtScore
+		score := t.stateOf(candidate.ID).score(now, candidate, cost, meanLatency, t.random())
+		if suspects[candidate.Domain] {
+			score += suspectDomainScore
 		}
 		if best < 0 || score < bestScore {
 			best, bestScore = i, score
@@ -128,214 +127,212 @@
 		return Candidate{}, nil, false
 	}
 	chosen = candidates[best]
-	one := t.of(chosen.ID)
-	one.inFlight++
-	one.cost += cost
+	server := t.stateOf(chosen.ID)
+	server.inFlight++
+	server.inFlightCost += cost
 	return chosen, sync.OnceFunc(func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		one.inFlight--
-		one.cost -= cost
+		server.inFlight--
+		server.inFlightCost -= cost
 	}), true
 }
 
-// chance returns the next number that breaks ties.
-func (t *Tracker) chance() float64 {
+// random returns a random number from 0 to 1 for tie-breaking.
+func (t *Tracker) random() float64 {
 	if t.Chance != nil {
 		return t.Chance()
 	}
 	return rand.Float64()
 }
 
-// Figures of doubt.
 const (
-	// doubtTime is how long a silence casts doubt on its domain: until then the
-	// members of the group have been asked for a sign of life.
-	doubtTime = 1200 * time.Millisecond
-	// doubtScore puts servers of a domain in doubt after those of other domains, also
-	// in other zones, and before those that are full.
-	doubtScore = 4e6
+	// domainSuspicionTime is how long a silent server makes its domain suspect. By then the
+	// members of its group have been probed.
+	domainSuspicionTime = 1200 * time.Millisecond
+	// suspectDomainScore ranks servers of a suspect domain after those of other domains, also
+	// in other zones, and before full servers.
+	suspectDomainScore = 4e6
 )
 
-// doubted returns the domains in which a server has just gone silent. A domain may go
-// dark as a whole, and a request that is moved from one of its heads to the next is lost
-// to its client. The mutex is held.
-func (t *Tracker) doubted(now time.Time, candidates []Candidate) map[string]bool {
-	var doubted map[string]bool
+// suspectDomains returns the domains in which a server has just become silent. A whole domain
+// may have failed at once, and a request that is rerouted from one of its heads to another one
+// misses its client's deadline. The mutex must be held.
+func (t *Tracker) suspectDomains(now time.Time, candidates []Candidate) map[string]bool {
+	var suspects map[string]bool
 	for _, candidate := range candidates {
-		one := t.of(candidate.ID)
-		if candidate.Domain == "" || !one.isSilent || now.Sub(one.silentAt) > doubtTime {
+		server := t.stateOf(candidate.ID)
+		if candidate.Domain == "" || !server.isSilent || now.Sub(server.silentSince) > domainSuspicionTime {
 			continue
 		}
-		if doubted == nil {
-			doubted = map[string]bool{}
+		if suspects == nil {
+			suspects = map[string]bool{}
 		}
-		doubted[candidate.Domain] = true
+		suspects[candidate.Domain] = true
 	}
-	return doubted
+	return suspects
 }
 
-// usualPace returns the mean pace of the candidates that were measured lately, or 0. A
-// server that was not counts as usual. The mutex is held.
-func (t *Tracker) usualPace(now time.Time, candidates []Candidate) float64 {
-	sum, measured := 0.0, 0
+// meanUnitLatency returns the mean unit latency of the candidates with a valid measurement, or
+// 0 if there are none. A candidate without one is treated as average. The mutex must be held.
+func (t *Tracker) meanUnitLatency(now time.Time, candidates []Candidate) float64 {
+	sum, count := 0.0, 0
 	for _, candidate := range candidates {
-		one := t.of(candidate.ID)
-		one.forgetOldPace(now)
-		if one.pace > 0 {
-			sum += one.pace
-			measured++
+		server := t.stateOf(candidate.ID)
+		server.expireUnitLatency(now)
+		if server.unitLatency > 0 {
+			sum += server.unitLatency
+			count++
 		}
 	}
-	if measured == 0 {
+	if count == 0 {
 		return 0
 	}
-	return sum / float64(measured)
+	return sum / float64(count)
 }
 
-// forgetOldPace forgets the pace of a server that had no request for long.
-func (s *tracked) forgetOldPace(now time.Time) {
-	if s.inFlight == 0 && now.Sub(s.measured) > paceHolds {
-		s.pace = 0
+// expireUnitLatency discards the unit latency of an idle server after unitLatencyTTL.
+func (s *serverState) expireUnitLatency(now time.Time) {
+	if s.inFlight == 0 && now.Sub(s.latencyMeasuredAt) > unitLatencyTTL {
+		s.unitLatency = 0
 	}
 }
 
-// score returns how unfit a server is for one more request. Resting servers
-// come after all others, those whose rest ends first before the rest.
-func (s *tracked) score(now time.Time, candidate Candidate, cost, usual, chance float64) float64 {
+// score returns the rank of a server for one more request; the lowest score wins. Ejected
+// servers rank last, in the order in which their ejections end.
+func (s *serverState) score(now time.Time, candidate Candidate, cost, meanLatency, tieBreak float64) float64 {
 	const (
-		// spread is the part of the cost that chance adds, to break ties.
-		spread = 0.5
-		// restScore puts resting servers after any that is not.
-		restScore = 1e9
-		// troubledScore puts servers in trouble after those that are well, and
-		// before those that this daemon itself found silent.
-		troubledScore = 1e8
-		// fullScore puts servers that are full by this daemon's requests alone
-		// after those that are not.
+		// tieBreakSpread is the fraction of the cost by which tieBreak varies the score.
+		tieBreakSpread = 0.5
+		// ejectedScore ranks ejected servers after all others.
+		ejectedScore = 1e9
+		// degradedScore ranks servers that other daemons found degraded after healthy ones, and
+		// before those that this daemon ejected itself.
+		degradedScore = 1e8
+		// fullScore ranks servers that this daemon's requests alone fill after those with free
+		// capacity.
 		fullScore = 1e7
-		// farCost is how many requests fewer a server of another zone than the one that
-		// was drawn must have under way to be chosen by a daemon that can compare zones.
-		farCost = 2.0
-		// tierScore puts servers of a tier after those of the one before, whatever
-		// they have under way: a request costs some hundreds, and a server has tens.
+		// crossZonePenalty is the number of requests by which a server outside the drawn zone
+		// must be less loaded to be chosen. It applies to daemons that can compare zones.
+		crossZonePenalty = 2.0
+		// tierScore ranks each tier after the one before, whatever is in flight there: a
+		// request costs some hundreds, and a server has tens of them.
 		tierScore = 1e6
 	)
-	score := s.cost + cost*(1+spread*chance)
-	if candidate.isFar {
-		score += farCost * cost
+	score := s.inFlightCost + cost*(1+tieBreakSpread*tieBreak)
+	if candidate.isCrossZone {
+		score += crossZonePenalty * cost
 	}
-	if s.pace > 0 && usual > 0 {
-		score *= s.pace / usual
+	if s.unitLatency > 0 && meanLatency > 0 {
+		score *= s.unitLatency / meanLatency
 	}
 	score += tierScore * float64(candidate.tier)
 	if candidate.Capacity > 0 && s.inFlight >= candidate.Capacity {
 		score += fullScore
 	}
 	if candidate.IsTroubled {
-		score += troubledScore
+		score += degradedScore
 	}
-	if now.Before(s.restTill) {
-		score += restScore * (1 + s.restTill.Sub(now).Seconds())
+	if now.Before(s.ejectedUntil) {
+		score += ejectedScore * (1 + s.ejectedUntil.Sub(now).Seconds())
 	}
 	return score
 }
 
-// Heard notes that a server answered or sent an event. A server that was
-// rested for its silence is used again.
+// Heard records that a server answered or sent an event. It ends an ejection for silence.
 func (t *Tracker) Heard(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	one := t.of(id)
-	one.heard = time.Now()
-	if one.isSilent {
-		one.isSilent = false
-		one.rest = 0
-		one.restTill = time.Time{}
+	server := t.stateOf(id)
+	server.lastActivity = time.Now()
+	if server.isSilent {
+		server.isSilent = false
+		server.ejectionTime = 0
+		server.ejectedUntil = time.Time{}
 	}
 }
 
-// Rest notes that a server with requests under way is unusually silent, and
-// rests it until it is heard.
+// Rest ejects a server with requests in flight that has been silent for unusually long. The
+// ejection ends when the server sends an event.
 func (t *Tracker) Rest(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	one := t.of(id)
+	server := t.stateOf(id)
 	now := time.Now()
-	if now.Before(one.restTill) {
+	if now.Before(server.ejectedUntil) {
 		return
 	}
-	one.isSilent = true
-	one.silentAt = now
-	one.rest = min(max(firstRest, 2*one.rest), longestRest)
-	one.restTill = now.Add(one.rest)
+	server.isSilent = true
+	server.silentSince = now
+	server.ejectionTime = min(max(minEjectionTime, 2*server.ejectionTime), maxEjectionTime)
+	server.ejectedUntil = now.Add(server.ejectionTime)
 }
 
-// SilentFor returns how long nothing was heard of a server.
+// SilentFor returns the time since the last answer or event of a server.
 func (t *Tracker) SilentFor(id string) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return time.Since(t.of(id).heard)
+	return time.Since(t.stateOf(id).lastActivity)
 }
 
-// Succeeded notes that a server ended a request well, and the time that a unit
-// of work took (0: not measured), relative to what others take.
-func (t *Tracker) Succeeded(id string, pace float64) {
+// Succeeded records a successful request and ends an ejection. unitLatency is the time that a
+// unit of work took, in the same unit for all servers; 0 if not measured.
+func (t *Tracker) Succeeded(id string, unitLatency float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	one := t.of(id)
-	one.failures = 0
-	one.rest = 0
-	one.restTill = time.Time{}
-	if pace <= 0 {
+	server := t.stateOf(id)
+	server.failures = 0
+	server.ejectionTime = 0
+	server.ejectedUntil = time.Time{}
+	if unitLatency <= 0 {
 		return
 	}
-	one.measured = time.Now()
-	if one.pace == 0 {
-		one.pace = pace
+	server.latencyMeasuredAt = time.Now()
+	if server.unitLatency == 0 {
+		server.unitLatency = unitLatency
 	}
-	one.pace += paceWeight * (pace - one.pace)
+	server.unitLatency += unitLatencyGain * (unitLatency - server.unitLatency)
 }
 
-// Failed notes that a server failed a request in a way that it may fail others
-// in, and rests it. Failures that servers have now and then count from the
-// second in a row.
-func (t *Tracker) Failed(id string, isUsual bool) {
+// Failed records a failure that may affect other requests too, and ejects the server. Common
+// failures, which healthy servers also have now and then, eject it from the second one in a
+// row.
+func (t *Tracker) Failed(id string, isCommon bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	one := t.of(id)
-	one.failures++
-	if isUsual && one.failures <= tolerated {
+	server := t.stateOf(id)
+	server.failures++
+	if isCommon && server.failures <= toleratedFailures {
 		return
 	}
 	now := time.Now()
-	if now.Before(one.restTill) {
+	if now.Before(server.ejectedUntil) {
 		return
 	}
-	one.rest = min(max(firstRest, 2*one.rest), longestRest)
-	one.restTill = now.Add(one.rest)
+	server.ejectionTime = min(max(minEjectionTime, 2*server.ejectionTime), maxEjectionTime)
+	server.ejectedUntil = now.Add(server.ejectionTime)
 }
 
-// IsResting tells whether a server is rested.
+// IsResting reports whether a server is ejected.
 func (t *Tracker) IsResting(id string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return time.Now().Before(t.of(id).restTill)
+	return time.Now().Before(t.stateOf(id).ejectedUntil)
 }
 
-// Forget forgets what is known of a server, which has started again under its ID.
+// Forget discards the state of a server that has restarted under the same ID.
 func (t *Tracker) Forget(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.servers, id)
 }
 
-// Sweep forgets servers that have nothing under way and are not known any more.
+// Sweep discards the state of servers that have no request in flight and are no longer known.
 func (t *Tracker) Sweep(isKnown func(id string) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for id, one := range t.servers {
-		if one.inFlight == 0 && !isKnown(id) {
+	for id, server := range t.servers {
+		if server.inFlight == 0 && !isKnown(id) {
 			delete(t.servers, id)
 		}
 	}
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -14,8 +14,8 @@
 	"headcourse/core/subset"
 )
 
-// candidates returns two servers of equal capacity.
-func candidates() []balancer.Candidate {
+// twoCandidates returns two servers of equal capacity.
+func twoCandidates() []balancer.Candidate {
 	return []balancer.Candidate{
 		{
 			ID:       "a",
@@ -28,11 +28,11 @@
 	}
 }
 
-// picks returns how often each server is chosen for n requests that stay open.
-func picks(tracker *balancer.Tracker, n int) map[string]int {
+// countPicks returns how often each server is chosen for n requests that stay in flight.
+func countPicks(tracker *balancer.Tracker, n int) map[string]int {
 	count := map[string]int{}
 	for range n {
-		chosen, _, ok := tracker.Pick(candidates(), nil, 100)
+		chosen, _, ok := tracker.Pick(twoCandidates(), nil, 100)
 		if ok {
 			count[chosen.ID]++
 		}
@@ -40,103 +40,103 @@
 	return count
 }
 
-// A new group was given almost nothing, because its pace was not known and
-// counted as one second a unit; quick ones measured 30 ms.
-func TestServerNotMeasuredGetsItsShare(t *testing.T) {
+// Guards against an unmeasured unit latency that counts as one second: a new group got almost
+// no requests beside servers that measured 30 ms.
+func TestServerWithoutMeasuredLatencyGetsAnEvenShare(t *testing.T) {
 	var tracker balancer.Tracker
 	tracker.Succeeded("a", 0.03)
 
-	count := picks(&tracker, 20)
+	count := countPicks(&tracker, 20)
 
 	qt.Assert(t, count["b"] >= 8, qt.IsTrue, qt.Commentf("%v", count))
 }
 
-func TestSlowServerGetsLess(t *testing.T) {
+func TestSlowServerGetsFewerRequests(t *testing.T) {
 	var tracker balancer.Tracker
 	tracker.Succeeded("a", 0.03)
 	tracker.Succeeded("b", 0.15)
 
-	count := picks(&tracker, 24)
+	count := countPicks(&tracker, 24)
 
 	qt.Assert(t, count["b"] < count["a"]/2, qt.IsTrue, qt.Commentf("%v", count))
 }
 
-// Guards against a server that is left alone for good after one slow answer, since nothing
+// Guards against a server that gets no requests for good after one slow answer, since nothing
 // measures it again.
-func TestServerThatWasSlowOnceIsMeasuredAgain(t *testing.T) {
+func TestLatencyOfSlowServerIsMeasuredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			fast  = 0.005
-			slow  = 0.05
-			often = 20 * time.Millisecond
-			span  = time.Minute
+			fast        = 0.005
+			slow        = 0.05
+			serviceTime = 20 * time.Millisecond
+			duration    = time.Minute
 		)
 		tracker := balancer.Tracker{
 			Chance: rand.New(rand.NewPCG(1, 1)).Float64,
 		}
 		tracker.Succeeded("b", fast)
-		paces := map[string]float64{
+		latencies := map[string]float64{
 			"a": slow,
 			"b": fast,
 		}
 		serve := func() map[string]int {
 			count := map[string]int{}
-			for range span / often {
-				chosen, done, _ := tracker.Pick(candidates(), nil, 100)
-				time.Sleep(often)
-				tracker.Succeeded(chosen.ID, paces[chosen.ID])
+			for range duration / serviceTime {
+				chosen, done, _ := tracker.Pick(twoCandidates(), nil, 100)
+				time.Sleep(serviceTime)
+				tracker.Succeeded(chosen.ID, latencies[chosen.ID])
 				done()
 				count[chosen.ID]++
 			}
 			return count
 		}
 		count := serve()
-		// One that is still slow is asked only now and then.
+		// A server that is still slow gets a request only now and then.
 		qt.Assert(t, count["a"] > 1 && count["a"] <= 10, qt.IsTrue, qt.Commentf("%v", count))
 
-		paces["a"] = fast
+		latencies["a"] = fast
 		count = serve()
 		qt.Assert(t, count["a"] > count["b"]/2, qt.IsTrue, qt.Commentf("%v", count))
 	})
 }
 
-// Guards against the pace of a server being forgotten while it works for long on one request.
-func TestPaceIsKeptWhileARequestIsUnderWay(t *testing.T) {
+// Guards against a latency that expires while the server works on one long request.
+func TestLatencyDoesNotExpireWhileARequestIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
-		_, done, _ := tracker.Pick(candidates()[1:], nil, 100)
+		_, done, _ := tracker.Pick(twoCandidates()[1:], nil, 100)
 		defer done()
 		tracker.Succeeded("a", 0.005)
 		tracker.Succeeded("b", 0.05)
 		time.Sleep(time.Minute)
 		tracker.Succeeded("a", 0.005)
 		for range 5 {
-			chosen, _, _ := tracker.Pick(candidates(), nil, 100)
+			chosen, _, _ := tracker.Pick(twoCandidates(), nil, 100)
 			qt.Assert(t, chosen.ID, qt.Equals, "a")
 		}
 	})
 }
 
-func TestServerInTroubleIsUsedOnlyWhenNoOtherIsLeft(t *testing.T) {
+func TestDegradedServerIsUsedOnlyAsLastResort(t *testing.T) {
 	var tracker balancer.Tracker
-	both := candidates()
-	both[0].IsTroubled = true
+	servers := twoCandidates()
+	servers[0].IsTroubled = true
 	for range 20 {
-		chosen, _, ok := tracker.Pick(both, nil, 100)
+		chosen, _, ok := tracker.Pick(servers, nil, 100)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, chosen.ID, qt.Equals, "b")
 	}
-	chosen, _, ok := tracker.Pick(both, map[string]bool{"b": true}, 100)
+	chosen, _, ok := tracker.Pick(servers, map[string]bool{"b": true}, 100)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, chosen.ID, qt.Equals, "a")
 }
 
-func TestSilentServerRestsUntilItIsHeard(t *testing.T) {
+func TestSilentServerIsEjectedUntilItSendsAnEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
 		tracker.Rest("a")
 		qt.Assert(t, tracker.IsResting("a"), qt.IsTrue)
-		qt.Assert(t, picks(&tracker, 10)["a"], qt.Equals, 0)
+		qt.Assert(t, countPicks(&tracker, 10)["a"], qt.Equals, 0)
 
 		tracker.Heard("a")
 
@@ -144,7 +144,7 @@
 	})
 }
 
-func TestRestsGrowAndEnd(t *testing.T) {
+func TestEjectionTimesDoubleAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
 		tracker.Failed("a", false)
@@ -158,7 +158,7 @@
 	})
 }
 
-func TestOneUsualFailureRestsNobody(t *testing.T) {
+func TestSingleCommonFailureDoesNotEject(t *testing.T) {
 	var tracker balancer.Tracker
 	tracker.Failed("a", true)
 	qt.Assert(t, tracker.IsResting("a"), qt.IsFalse)
@@ -166,24 +166,24 @@
 	qt.Assert(t, tracker.IsResting("a"), qt.IsTrue)
 }
 
-func TestWhereAllRestOneIsStillChosen(t *testing.T) {
+func TestEjectedServerIsChosenIfAllAreEjected(t *testing.T) {
 	var tracker balancer.Tracker
 	tracker.Failed("a", false)
 	tracker.Failed("b", false)
-	_, _, ok := tracker.Pick(candidates(), nil, 100)
+	_, _, ok := tracker.Pick(twoCandidates(), nil, 100)
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
 func TestExcludedServersAreNotChosen(t *testing.T) {
 	var tracker balancer.Tracker
-	_, _, ok := tracker.Pick(candidates(), map[string]bool{
+	_, _, ok := tracker.Pick(twoCandidates(), map[string]bool{
 		"a": true,
 		"b": true,
 	}, 100)
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-func TestLimitsFollowWhatIsUsual(t *testing.T) {
+func TestSilenceThresholdsFollowObservedSilences(t *testing.T) {
 	var tracker balancer.Tracker
 	for range 200 {
 		tracker.Silence("steady", balancer.Pause, 40*time.Millisecond)
@@ -198,8 +198,9 @@
 	qt.Assert(t, steady.Move > steady.Rest, qt.IsTrue)
 }
 
-// Two thirds of the bytes of requests crossed zones, which cost 0.012 of a day's worth.
-func TestServersOfTheOwnZoneAreUsedFirst(t *testing.T) {
+// Guards against requests that cross zones without need: two thirds of their bytes did, which
+// cost 0.012 of a day's score.
+func TestServersInTheOwnZoneArePreferred(t *testing.T) {
 	var tracker balancer.Tracker
 	preference := balancer.Preference{
 		Zone: "quito-a",
@@ -208,7 +209,7 @@
 			"quito-b": 1,
 		},
 	}
-	both := preference.WithTiers([]balancer.Candidate{
+	servers := preference.WithTiers([]balancer.Candidate{
 		{
 			ID:       "near",
 			Capacity: 26,
@@ -223,17 +224,17 @@
 	chosen := map[string]int{}
 	const cost, sent = 100, 20
 	for range sent {
-		one, _, ok := tracker.Pick(both, nil, cost)
+		server, _, ok := tracker.Pick(servers, nil, cost)
 		qt.Assert(t, ok, qt.IsTrue)
-		chosen[one.ID]++
-		// The near one never has many more under way.
+		chosen[server.ID]++
+		// The near server never has many more requests in flight.
 		qt.Assert(t, chosen["near"]-chosen["far"] <= 3, qt.IsTrue, qt.Commentf("%v", chosen))
 	}
 	qt.Assert(t, chosen["near"] > chosen["far"], qt.IsTrue)
 }
 
-// zoneHeads returns eight heads of each of two zones.
-func zoneHeads() []balancer.Candidate {
+// headsOfTwoZones returns eight heads in each of two zones.
+func headsOfTwoZones() []balancer.Candidate {
 	const each = 8
 	var heads []balancer.Candidate
 	for _, zone := range []string{"quito-a", "quito-b"} {
@@ -248,11 +249,11 @@
 	return heads
 }
 
-// A daemon among hundreds sees too little of the load to leave its zone by its own
-// requests: it goes by what is asked in each zone.
-func TestDaemonAmongHundredsLeavesItsZoneByWhatIsAsked(t *testing.T) {
+// A daemon among hundreds sees too little of the load to leave its zone by its own requests. It
+// follows the demand of each zone.
+func TestDaemonAmongHundredsLeavesItsZoneByDemand(t *testing.T) {
 	const sent = 20
-	away := func(askedFar float64) int {
+	countCrossZone := func(farDemand float64) int {
 		var tracker balancer.Tracker
 		preference := balancer.Preference{
 			Zone: "quito-a",
@@ -262,26 +263,26 @@
 			},
 			Asked: map[string]float64{
 				"quito-a": 1,
-				"quito-b": askedFar,
+				"quito-b": farDemand,
 			},
 		}
-		far := 0
+		crossZone := 0
 		for i := range sent {
-			placed := preference.WithTiers(zoneHeads(), (float64(i)+0.5)/sent)
-			one, _, ok := tracker.Pick(placed, nil, 100)
+			tiered := preference.WithTiers(headsOfTwoZones(), (float64(i)+0.5)/sent)
+			server, _, ok := tracker.Pick(tiered, nil, 100)
 			qt.Assert(t, ok, qt.IsTrue)
-			if one.Zone != "quito-a" {
-				far++
+			if server.Zone != "quito-a" {
+				crossZone++
 			}
 		}
-		return far
+		return crossZone
 	}
-	qt.Assert(t, away(1), qt.Equals, 0)
-	qt.Assert(t, away(0), qt.Equals, sent/2)
+	qt.Assert(t, countCrossZone(1), qt.Equals, 0)
+	qt.Assert(t, countCrossZone(0), qt.Equals, sent/2)
 }
 
-// A zone all of whose servers are in trouble sends its requests away.
-func TestRequestsLeaveAZoneInTrouble(t *testing.T) {
+// A zone in which all servers are degraded sends its requests to another zone.
+func TestRequestsLeaveAZoneWhoseServersAreDegraded(t *testing.T) {
 	var tracker balancer.Tracker
 	preference := balancer.Preference{
 		Zone: "quito-a",
@@ -290,7 +291,7 @@
 			"quito-b": 1,
 		},
 	}
-	placed := preference.WithTiers([]balancer.Candidate{
+	tiered := preference.WithTiers([]balancer.Candidate{
 		{
 			ID:         "near",
 			Capacity:   26,
@@ -303,14 +304,14 @@
 			Zone:     "quito-b",
 		},
 	}, 0)
-	one, _, ok := tracker.Pick(placed, nil, 100)
+	server, _, ok := tracker.Pick(tiered, nil, 100)
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, one.ID, qt.Equals, "far")
+	qt.Assert(t, server.ID, qt.Equals, "far")
 }
 
-// A fabric domain of 37 servers went dark; a request was moved from a head that had died
-// to the next one of the same domain, and its client's time was over.
-func TestHeadsOfADomainThatHasJustGoneSilentComeLast(t *testing.T) {
+// Guards against rerouting within a failed domain. A fabric domain of 37 servers failed, and a
+// request went from one of its heads to the next one until its client's deadline passed.
+func TestServersInASuspectDomainAreChosenLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
 		heads := []balancer.Candidate{
@@ -333,9 +334,9 @@
 		chosen := func() map[string]int {
 			count := map[string]int{}
 			for range 10 {
-				one, done, ok := tracker.Pick(heads, nil, 100)
+				server, done, ok := tracker.Pick(heads, nil, 100)
 				qt.Assert(t, ok, qt.IsTrue)
-				count[one.ID]++
+				count[server.ID]++
 				defer done()
 			}
 			return count
@@ -344,39 +345,40 @@
 		qt.Assert(t, chosen(), qt.DeepEquals, map[string]int{
 			"other": 10,
 		})
-		// Where no other is left, the one beside it is still better than the silent one.
-		one, _, _ := tracker.Pick(heads, map[string]bool{
+		// If no other server is left, the one in the suspect domain still ranks before the
+		// silent one.
+		server, _, _ := tracker.Pick(heads, map[string]bool{
 			"other": true,
 		}, 100)
-		qt.Assert(t, one.ID, qt.Equals, "beside")
+		qt.Assert(t, server.ID, qt.Equals, "beside")
 
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, chosen()["beside"] > 0, qt.IsTrue)
 	})
 }
 
-// A group lost a member; the first daemon told so after 0.45 s. Requests that came in
-// between waited at other daemons for a whole second, which is what silences are taken
-// for that nobody knows yet, and were late everywhere.
-func TestRequestIsMovedAtOnceWhereTheGroupIsToldToStandStill(t *testing.T) {
+// Guards against requests that wait for a group which is already known to have stalled. A group
+// lost a member, and the first daemon reported it after 0.45 s. Requests at other daemons
+// waited for the default threshold of a whole second and were late.
+func TestRequestIsReroutedAtOnceIfTheGroupIsReportedStalled(t *testing.T) {
 	var tracker balancer.Tracker
-	limits := tracker.Limits("engines/large", balancer.First)
-	const silent = 500 * time.Millisecond
+	thresholds := tracker.Limits("engines/large", balancer.First)
+	const silence = 500 * time.Millisecond
 
-	step, _ := limits.Step(silent-time.Millisecond, true)
+	step, _ := thresholds.Step(silence-time.Millisecond, true)
 	qt.Assert(t, step, qt.Equals, balancer.Wait)
-	step, again := limits.Step(silent, false)
+	step, recheckAfter := thresholds.Step(silence, false)
 	qt.Assert(t, step, qt.Equals, balancer.Rest)
-	qt.Assert(t, again <= 50*time.Millisecond, qt.IsTrue)
-	step, _ = limits.Step(silent, true)
+	qt.Assert(t, recheckAfter <= 50*time.Millisecond, qt.IsTrue)
+	step, _ = thresholds.Step(silence, true)
 	qt.Assert(t, step, qt.Equals, balancer.Move)
-	step, _ = limits.Step(limits.Move, false)
+	step, _ = thresholds.Step(thresholds.Move, false)
 	qt.Assert(t, step, qt.Equals, balancer.Move)
 }
 
-// A server that takes only some requests a second is a candidate now and then. What it takes
-// of a daemon is used by it, and the subsets of the others do not change with it.
-func TestLimitedServerIsUsedWhileItHasRoomAndMovesNoOther(t *testing.T) {
+// A rate limited server is a candidate only now and then. The daemon uses its quota there, and
+// the subset of the other servers does not change with it.
+func TestRateLimitedServerIsUsedWithoutChangingSubsets(t *testing.T) {
 	preference := balancer.Preference{
 		Zone: "quito-a",
 		Daemon: subset.Daemon{
@@ -384,22 +386,22 @@
 			Of:   40,
 		},
 	}
-	limited := zoneHeads()
+	limited := headsOfTwoZones()
 	limited[2].IsLimited = true
-	gone := slices.Delete(zoneHeads(), 2, 3)
+	without := slices.Delete(headsOfTwoZones(), 2, 3)
 	chosen := func(candidates []balancer.Candidate) map[string]bool {
 		const cost = 100
 		var tracker balancer.Tracker
 		all := map[string]bool{}
 		for range 8 {
-			one, _, ok := tracker.Pick(preference.WithTiers(candidates, 0.5), nil, cost)
+			server, _, ok := tracker.Pick(preference.WithTiers(candidates, 0.5), nil, cost)
 			qt.Assert(t, ok, qt.IsTrue)
-			all[one.ID] = true
+			all[server.ID] = true
 		}
 		return all
 	}
 	with := chosen(limited)
 	qt.Assert(t, with["quito-a-2"], qt.IsTrue)
 	delete(with, "quito-a-2")
-	qt.Assert(t, with, qt.DeepEquals, chosen(gone))
+	qt.Assert(t, with, qt.DeepEquals, chosen(without))
 }
--- a/core/balancer/fleet_test.go
+++ b/core/balancer/fleet_test.go
@@ -9,96 +9,96 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// play plays a pattern with a number of daemons.
-func play(t *testing.T, daemons int, under pattern) *model {
+// runPattern runs the model with a pattern and a number of daemons.
+func runPattern(t *testing.T, daemons int, p pattern) *model {
 	t.Helper()
 	const seed = 7
-	var played *model
+	var m *model
 	synctest.Test(t, func(*testing.T) {
-		played = newModel(daemons, under, seed)
-		played.run(under.lasts(daemons))
+		m = newModel(daemons, p, seed)
+		m.run(p.duration(daemons))
 	})
-	t.Logf("%d daemons, %s: %.4f found all places taken, %.3f went to another zone", daemons, under.name, played.full(), played.away())
-	return played
+	t.Logf("%d daemons, %s: %.4f reached a full head, %.3f went to another zone", daemons, p.name, m.fullFraction(), m.crossZoneFraction())
+	return m
 }
 
-// atEverySize plays a pattern at every size, side by side, and checks each.
-func atEverySize(t *testing.T, under pattern, check func(t *testing.T, played *model)) {
+// forEachFleetSize runs a pattern with every fleet size in parallel and checks each result.
+func forEachFleetSize(t *testing.T, p pattern, check func(t *testing.T, m *model)) {
 	t.Helper()
-	for _, daemons := range sizes() {
+	for _, daemons := range fleetSizes() {
 		t.Run(strconv.Itoa(daemons), func(t *testing.T) {
 			t.Parallel()
-			check(t, play(t, daemons, under))
+			check(t, runPattern(t, daemons, p))
 		})
 	}
 }
 
-// mayTravel returns the part of the requests that may go to another zone: what hundreds
-// of daemons may. A few daemons see the load of all heads and leave their zone by that:
-// with two thirds of their requests where five zones have thirteen heads each. That is
-// worth the bytes: on a site of seven daemons 0.791 of a day's worth against 0.776 with
-// zones as strict as for hundreds (15 days each, standard error of the pairs 0.006).
-func mayTravel(played *model, among float64) float64 {
-	const few, byFew = 16, 0.65
-	if played.count() < few {
-		return byFew
+// maxCrossZone returns the highest fraction of requests that may go to another zone; limit is
+// the one for hundreds of daemons. A few daemons see the load of all heads and leave their zone
+// by that, with two thirds of their requests if each of five zones has thirteen heads. The
+// better balance is worth the bytes: a site of seven daemons scored 0.791 for a day, against
+// 0.776 with the limit for hundreds (15 days each, standard error of the paired difference
+// 0.006).
+func maxCrossZone(m *model, limit float64) float64 {
+	const fewDaemons, limitForFew = 16, 0.65
+	if m.daemonCount() < fewDaemons {
+		return limitForFew
 	}
-	return among
+	return limit
 }
 
-// sizes are the deployments played: the smallest, a grown one, the largest, and the
-// size that is planned for.
-func sizes() []int {
+// fleetSizes returns the numbers of daemons that are tested: the smallest deployment, a grown
+// one, the largest, and the size that the design is for.
+func fleetSizes() []int {
 	return []int{9, 72, 295, 2484}
 }
 
-// Callers and heads are alike in all zones. With hundreds of daemons that chose over
-// all heads of their zone, one request in 220 found its head full (295 daemons) and one
-// in 92 (2,484), since each saw a three-hundredth of the load. What must be reached is a
-// quarter of that.
-func TestDaemonsSpreadOverServers(t *testing.T) {
-	atEverySize(t, pattern{
-		name: "zones alike",
-	}, func(t *testing.T, played *model) {
-		qt.Check(t, played.full() < 0.0012, qt.IsTrue)
-		qt.Check(t, played.away() < mayTravel(played, 0.03), qt.IsTrue)
+// Demand and heads are the same in all zones. When hundreds of daemons chose over all heads of
+// their zone, one request in 220 reached a full head with 295 daemons and one in 92 with 2,484,
+// since each daemon saw a three-hundredth of the load. The limit is a quarter of that.
+func TestDaemonsSpreadRequestsEvenlyOverServers(t *testing.T) {
+	forEachFleetSize(t, pattern{
+		name: "equal zones",
+	}, func(t *testing.T, m *model) {
+		qt.Check(t, m.fullFraction() < 0.0012, qt.IsTrue)
+		qt.Check(t, m.crossZoneFraction() < maxCrossZone(m, 0.03), qt.IsTrue)
 	})
 }
 
-// A zone lost five of its thirteen heads, as a dark domain and some dead members leave
-// it: a tenth of the zone's requests and 0.07 of all found their head full while daemons
-// left their zone by their own counts only. A perfect spread would find 0.0001.
-func TestZoneThatLostServers(t *testing.T) {
-	atEverySize(t, pattern{
-		name:  "one zone lost 5 of 13 heads",
-		heads: []float64{8.0 / 13, 1, 1, 1, 1},
-	}, func(t *testing.T, played *model) {
-		qt.Check(t, played.full() < 0.008, qt.IsTrue)
-		qt.Check(t, played.away() < mayTravel(played, 0.1), qt.IsTrue)
+// A zone lost five of its thirteen heads, by a failed domain and some failed members. When
+// daemons left their zone by their own counts only, a tenth of the zone's requests, and 0.07 of
+// all, reached a full head. A perfect spread would have 0.0001.
+func TestZoneWithFewerServersSendsExcessAway(t *testing.T) {
+	forEachFleetSize(t, pattern{
+		name:        "one zone lost 5 of 13 heads",
+		headFactors: []float64{8.0 / 13, 1, 1, 1, 1},
+	}, func(t *testing.T, m *model) {
+		qt.Check(t, m.fullFraction() < 0.008, qt.IsTrue)
+		qt.Check(t, m.crossZoneFraction() < maxCrossZone(m, 0.1), qt.IsTrue)
 	})
 }
 
-// One zone is asked twice as much as each other: its callers would fill its heads.
-func TestZoneThatIsAskedTwiceAsMuch(t *testing.T) {
-	atEverySize(t, pattern{
-		name:  "a zone asks twice as much",
-		rates: []float64{5.0 / 3, 5.0 / 6, 5.0 / 6, 5.0 / 6, 5.0 / 6},
-	}, func(t *testing.T, played *model) {
-		qt.Check(t, played.full() < 0.003, qt.IsTrue)
-		qt.Check(t, played.away() < mayTravel(played, 0.17), qt.IsTrue)
+// One zone has twice the demand of each other zone, which alone would fill its heads.
+func TestZoneWithTwiceTheDemandSendsExcessAway(t *testing.T) {
+	forEachFleetSize(t, pattern{
+		name:        "one zone has twice the demand",
+		rateFactors: []float64{5.0 / 3, 5.0 / 6, 5.0 / 6, 5.0 / 6, 5.0 / 6},
+	}, func(t *testing.T, m *model) {
+		qt.Check(t, m.fullFraction() < 0.003, qt.IsTrue)
+		qt.Check(t, m.crossZoneFraction() < maxCrossZone(m, 0.17), qt.IsTrue)
 	})
 }
 
-// Half of the callers of two zones move to two others within a moment: the division
-// follows what is asked within a few seconds.
-func TestCallersThatChangeZones(t *testing.T) {
-	atEverySize(t, pattern{
-		name:    "half of the callers of two zones move",
-		rates:   []float64{1, 1, 1, 1, 1},
-		shifted: []float64{0.5, 0.5, 1.5, 1.5, 1},
-		shiftAt: 6 * time.Second,
-	}, func(t *testing.T, played *model) {
-		qt.Check(t, played.full() < 0.03, qt.IsTrue)
-		qt.Check(t, played.away() < mayTravel(played, 0.2), qt.IsTrue)
+// Half of the callers of two zones move to two other zones at once. Routing follows the demand
+// within a few seconds.
+func TestRoutingFollowsCallersThatChangeZones(t *testing.T) {
+	forEachFleetSize(t, pattern{
+		name:           "half of the callers of two zones move",
+		rateFactors:    []float64{1, 1, 1, 1, 1},
+		shiftedFactors: []float64{0.5, 0.5, 1.5, 1.5, 1},
+		shiftAt:        6 * time.Second,
+	}, func(t *testing.T, m *model) {
+		qt.Check(t, m.fullFraction() < 0.03, qt.IsTrue)
+		qt.Check(t, m.crossZoneFraction() < maxCrossZone(m, 0.2), qt.IsTrue)
 	})
 }
--- a/core/balancer/model_test.go
+++ b/core/balancer/model_test.go
@@ -12,62 +12,63 @@
 	"headcourse/core/usage"
 )
 
-// The model is a fleet of daemons that choose heads by the code that runs, on the
-// paused clock: callers come to a daemon of their zone by chance, a request takes a
-// place at a head for a second or so, and what counts is the part of the requests that
-// come to a head whose places are all taken, since these are late. Shapes and rates are
-// those of a deployment of 295 daemons and 65 groups: five zones of 13 heads with 22
-// places each, 830 requests a second, a third of a zone's daemons with a third more of
-// the callers. Other numbers of daemons keep what each head is asked.
+// The model is a fleet of daemons that choose heads with the production code, on a fake clock.
+// Each caller reaches a random daemon of its zone, and each request occupies a place at a head
+// for about a second. The result is the fraction of requests that reach a head without a free
+// place, since these are late. Sizes and rates are those of a deployment of 295 daemons and 65
+// groups: five zones of 13 heads with 22 places each, and 830 requests a second. A third of a
+// zone's daemons gets a third more of the callers. Other fleet sizes have the same load for
+// each head.
 
-// Figures of the model.
 const (
-	modelZones    = 5
-	modelHeads    = 13
-	modelPlaces   = 22
-	modelRate     = 166.0
-	modelService  = 400 * time.Millisecond
-	modelTail     = 600 * time.Millisecond
-	modelWarm     = 2 * time.Second
-	modelBoardLag = 500 * time.Millisecond
-	modelUneven   = 0.25
+	// modelZoneRate is in requests a second. A request takes modelMinServiceTime plus an
+	// exponentially distributed time with the mean modelMeanExtraTime.
+	modelZones          = 5
+	modelHeads          = 13
+	modelHeadCapacity   = 22
+	modelZoneRate       = 166.0
+	modelMinServiceTime = 400 * time.Millisecond
+	modelMeanExtraTime  = 600 * time.Millisecond
+	modelWarmUpTime     = 2 * time.Second
+	modelDemandLag      = 500 * time.Millisecond
+	modelSkewedFraction = 0.25
 )
 
-// modelKind is what the model's callers ask for.
+// modelKind is the kind of the model's requests.
 var modelKind = demand.Kind{
 	Service: "engines",
 	Model:   "large",
 }
 
-// pattern is a load and what happens to the fleet under it.
+// pattern describes the load and the state of the fleet.
 type pattern struct {
 	name string
-	// heads and rates are factors by zone on the heads and on what is asked; nil: 1.
-	heads []float64
-	rates []float64
-	// shifted, if set, are the rates from shiftAt on.
-	shifted []float64
-	shiftAt time.Duration
+	// headFactors and rateFactors multiply the heads and the demand of each zone; nil means 1.
+	headFactors []float64
+	rateFactors []float64
+	// shiftedFactors, if set, replace rateFactors from shiftAt on.
+	shiftedFactors []float64
+	shiftAt        time.Duration
 }
 
-// lasts returns how long the pattern is played. Thousands of daemons send as many
-// requests in a third of the time, and take long to play.
-func (p pattern) lasts(daemons int) time.Duration {
+// duration returns how long the pattern runs. Thousands of daemons send as many requests in a
+// third of the time, and are slow to simulate.
+func (p pattern) duration(daemons int) time.Duration {
 	const manyDaemons = 1000
 	if daemons > manyDaemons {
-		return max(modelWarm, p.shiftAt) + time.Second
+		return max(modelWarmUpTime, p.shiftAt) + time.Second
 	}
-	return max(modelWarm, p.shiftAt) + 8*time.Second
+	return max(modelWarmUpTime, p.shiftAt) + 8*time.Second
 }
 
-// modelEvent is the next arrival in a zone, or the end of a request.
+// modelEvent is the next arrival in a zone, or the end of a request if end is set.
 type modelEvent struct {
 	at   time.Duration
 	zone int
 	end  func()
 }
 
-// modelEvents are events by time.
+// modelEvents is a heap of events, ordered by time.
 type modelEvents []modelEvent
 
 func (e modelEvents) Len() int           { return len(e) }
@@ -77,7 +78,7 @@
 // Push adds an event.
 func (e *modelEvents) Push(x any) { *e = append(*e, x.(modelEvent)) }
 
-// Pop takes the last event.
+// Pop removes the last event.
 func (e *modelEvents) Pop() any {
 	all := *e
 	last := all[len(all)-1]
@@ -87,30 +88,29 @@
 
 // model is one fleet under one pattern.
 type model struct {
-	pattern  pattern
-	random   *rand.Rand
-	scale    int
-	heads    []balancer.Candidate
-	load     map[string]int
-	daemons  [][]*balancer.Tracker
-	meters   []*demand.Meter
-	asked    map[string]float64
-	askedAt  time.Duration
-	events   modelEvents
-	now      time.Duration
-	began    time.Time
-	sent     int
-	found    int
-	far      int
-	headUses map[string]int
+	pattern      pattern
+	random       *rand.Rand
+	headScale    int
+	heads        []balancer.Candidate
+	load         map[string]int
+	daemons      [][]*balancer.Tracker
+	meters       []*demand.Meter
+	demand       map[string]float64
+	demandReadAt time.Duration
+	events       modelEvents
+	now          time.Duration
+	began        time.Time
+	requests     int
+	foundFull    int
+	crossZone    int
+	headUses     map[string]int
 }
 
-// zoneName returns the name of a zone.
 func zoneName(zone int) string {
 	return fmt.Sprintf("zone-%d", zone)
 }
 
-// factor returns a zone's factor.
+// factor returns the factor of a zone; it is 1 if there are no factors.
 func factor(factors []float64, zone int) float64 {
 	if factors == nil {
 		return 1
@@ -118,25 +118,25 @@
 	return factors[zone]
 }
 
-// newModel returns a fleet of so many daemons. The heads are at least those of the
-// deployment that the figures are of, and more with more daemons.
-func newModel(daemons int, under pattern, seed uint64) *model {
-	const usualDaemons = 295
+// newModel returns a fleet with the given number of daemons. It has at least the heads of the
+// reference deployment, and more with more daemons.
+func newModel(daemons int, p pattern, seed uint64) *model {
+	const referenceDaemons = 295
 	m := &model{
-		pattern:  under,
-		random:   rand.New(rand.NewPCG(seed, uint64(daemons))),
-		scale:    max(1, daemons/usualDaemons),
-		load:     map[string]int{},
-		daemons:  make([][]*balancer.Tracker, modelZones),
-		headUses: map[string]int{},
-		began:    time.Now(),
+		pattern:   p,
+		random:    rand.New(rand.NewPCG(seed, uint64(daemons))),
+		headScale: max(1, daemons/referenceDaemons),
+		load:      map[string]int{},
+		daemons:   make([][]*balancer.Tracker, modelZones),
+		headUses:  map[string]int{},
+		began:     time.Now(),
 	}
 	for zone := range modelZones {
 		m.meters = append(m.meters, &demand.Meter{})
-		for i := range int(float64(modelHeads*m.scale) * factor(under.heads, zone)) {
+		for i := range int(float64(modelHeads*m.headScale) * factor(p.headFactors, zone)) {
 			m.heads = append(m.heads, balancer.Candidate{
 				ID:       fmt.Sprintf("i-%d-%d", zone, i),
-				Capacity: modelPlaces,
+				Capacity: modelHeadCapacity,
 				Zone:     zoneName(zone),
 			})
 		}
@@ -149,21 +149,21 @@
 	return m
 }
 
-// rate returns what is asked in a zone now, in requests a second.
+// rate returns the current demand of a zone in requests a second.
 func (m *model) rate(zone int) float64 {
-	rates := m.pattern.rates
-	if m.pattern.shifted != nil && m.now >= m.pattern.shiftAt {
-		rates = m.pattern.shifted
+	rates := m.pattern.rateFactors
+	if m.pattern.shiftedFactors != nil && m.now >= m.pattern.shiftAt {
+		rates = m.pattern.shiftedFactors
 	}
-	return modelRate * float64(m.scale) * factor(rates, zone)
+	return modelZoneRate * float64(m.headScale) * factor(rates, zone)
 }
 
-// run plays the model for a time.
-func (m *model) run(lasts time.Duration) {
+// run runs the model for the given time.
+func (m *model) run(duration time.Duration) {
 	for zone := range modelZones {
-		m.nextArrival(zone)
+		m.scheduleArrival(zone)
 	}
-	for m.events[0].at < lasts {
+	for m.events[0].at < duration {
 		event := heap.Pop(&m.events).(modelEvent)
 		time.Sleep(event.at - time.Since(m.began))
 		m.now = event.at
@@ -171,48 +171,48 @@
 			event.end()
 			continue
 		}
-		m.nextArrival(event.zone)
+		m.scheduleArrival(event.zone)
 		m.arrive(event.zone)
 	}
 }
 
-// nextArrival draws the next arrival in a zone.
-func (m *model) nextArrival(zone int) {
-	pause := m.random.ExpFloat64() / m.rate(zone)
+// scheduleArrival draws the next arrival in a zone.
+func (m *model) scheduleArrival(zone int) {
+	interval := m.random.ExpFloat64() / m.rate(zone)
 	heap.Push(&m.events, modelEvent{
-		at:   m.now + time.Duration(pause*float64(time.Second)),
+		at:   m.now + time.Duration(interval*float64(time.Second)),
 		zone: zone,
 	})
 }
 
-// drawDaemon draws the daemon that a caller of a zone comes to.
+// drawDaemon draws the daemon that a caller in a zone reaches.
 func (m *model) drawDaemon(zone int) int {
-	const busyPart = 3
+	const busyDivisor = 3
 	daemons := len(m.daemons[zone])
-	if m.random.Float64() < modelUneven {
-		return m.random.IntN(max(1, daemons/busyPart))
+	if m.random.Float64() < modelSkewedFraction {
+		return m.random.IntN(max(1, daemons/busyDivisor))
 	}
 	return m.random.IntN(daemons)
 }
 
-// tellBoard works out what is asked in each zone, as all know it a little later.
-func (m *model) tellBoard() {
-	if m.asked != nil && m.now-m.askedAt < modelBoardLag {
+// refreshDemand updates the demand of each zone, which all daemons learn with a delay.
+func (m *model) refreshDemand() {
+	if m.demand != nil && m.now-m.demandReadAt < modelDemandLag {
 		return
 	}
-	m.askedAt = m.now
-	m.asked = map[string]float64{}
+	m.demandReadAt = m.now
+	m.demand = map[string]float64{}
 	for zone, meter := range m.meters {
-		for _, one := range meter.Asked(zoneName(zone)) {
-			m.asked[one.Zone] = one.Rate
+		for _, entry := range meter.Asked(zoneName(zone)) {
+			m.demand[entry.Zone] = entry.Rate
 		}
 	}
 }
 
-// arrive has a daemon of a zone choose a head.
+// arrive lets a daemon in a zone choose a head for a request.
 func (m *model) arrive(zone int) {
 	const cost = 100
-	m.tellBoard()
+	m.refreshDemand()
 	m.meters[zone].Note(modelKind, cost, usage.Rate{})
 	rank := m.drawDaemon(zone)
 	preference := balancer.Preference{
@@ -221,15 +221,15 @@
 			Rank: rank,
 			Of:   len(m.daemons[zone]),
 		},
-		Asked: m.asked,
+		Asked: m.demand,
 	}
-	placed := preference.WithTiers(m.heads, m.random.Float64())
-	chosen, done, _ := m.daemons[zone][rank].Pick(placed, nil, cost)
-	m.note(chosen, zone)
+	tiered := preference.WithTiers(m.heads, m.random.Float64())
+	chosen, done, _ := m.daemons[zone][rank].Pick(tiered, nil, cost)
+	m.record(chosen, zone)
 	m.load[chosen.ID]++
-	takes := modelService + time.Duration(m.random.ExpFloat64()*float64(modelTail))
+	serviceTime := modelMinServiceTime + time.Duration(m.random.ExpFloat64()*float64(modelMeanExtraTime))
 	heap.Push(&m.events, modelEvent{
-		at: m.now + takes,
+		at: m.now + serviceTime,
 		end: func() {
 			done()
 			m.load[chosen.ID]--
@@ -237,23 +237,23 @@
 	})
 }
 
-// note notes what a request found, once the fleet is busy.
-func (m *model) note(chosen balancer.Candidate, zone int) {
-	if m.now < modelWarm {
+// record counts the outcome of a request after the warm-up.
+func (m *model) record(chosen balancer.Candidate, zone int) {
+	if m.now < modelWarmUpTime {
 		return
 	}
-	m.sent++
+	m.requests++
 	m.headUses[chosen.ID]++
 	if m.load[chosen.ID] >= chosen.Capacity {
-		m.found++
+		m.foundFull++
 	}
 	if chosen.Zone != zoneName(zone) {
-		m.far++
+		m.crossZone++
 	}
 }
 
-// count returns how many daemons there are.
-func (m *model) count() int {
+// daemonCount returns the number of daemons.
+func (m *model) daemonCount() int {
 	daemons := 0
 	for _, zone := range m.daemons {
 		daemons += len(zone)
@@ -261,8 +261,8 @@
 	return daemons
 }
 
-// full is the part of the requests that found all places taken, away the part that
-// went to another zone.
-func (m *model) full() float64 { return float64(m.found) / float64(m.sent) }
+// fullFraction returns the fraction of requests that reached a head without a free place.
+// crossZoneFraction returns the fraction that went to another zone.
+func (m *model) fullFraction() float64 { return float64(m.foundFull) / float64(m.requests) }
 
-func (m *model) away() float64 { return float64(m.far) / float64(m.sent) }
+func (m *model) crossZoneFraction() float64 { return float64(m.crossZone) / float64(m.requests) }
--- a/core/balancer/preference.go
+++ b/core/balancer/preference.go
@@ -8,100 +8,99 @@
 	"headcourse/core/subset"
 )
 
-// Preference is what a daemon goes by before it looks at its own requests: where it
-// is, and what is asked in each zone. Its values are not changed. The zero value
-// prefers no server.
+// Preference orders candidates by the daemon's zone and by the demand of each zone, before the
+// daemon's own requests count. It is immutable. The zero value prefers no server.
 type Preference struct {
-	// Zone is the daemon's availability zone, Daemon its place among the daemons there.
+	// Zone is the daemon's availability zone. Daemon is the position among the
+	// daemons there.
 	Zone   string
 	Daemon subset.Daemon
-	// Asked is what is asked in each zone of the kind of request, in any unit.
+	// Asked is the demand for the kind of request in each zone, in any unit.
 	Asked map[string]float64
 }
 
-// tier orders candidates before their loads are looked at.
+// tier ranks candidates before their loads are compared.
 type tier int
 
-// The tiers: the daemon's own subset in the zone that was drawn for the request, the
-// other servers there, and those of other zones.
+// The tiers are the daemon's own subset in the drawn zone, the other servers there, and servers
+// in other zones.
 const (
-	inSubset tier = iota
-	inZone
-	elsewhere
+	tierSubset tier = iota
+	tierZone
+	tierOtherZone
 )
 
-// WithTiers returns the candidates with the tiers that they have for one request. The
-// zone is drawn at a place between 0 and 1. Servers in trouble do not count as room, nor do
-// those that take only some requests a second: they come and go as candidates with each of
-// these, and subsets would change as often.
-func (p Preference) WithTiers(candidates []Candidate, at float64) []Candidate {
-	zone := locality.Draw(locality.Divide(p.Zone, p.zones(candidates)), at)
+// WithTiers returns the candidates with their tiers for one request. The zone is drawn by
+// point, from 0 to 1. Degraded servers do not count as capacity, nor do rate limited ones:
+// these are candidates only now and then, and subsets would change as often.
+func (p Preference) WithTiers(candidates []Candidate, point float64) []Candidate {
+	zone := locality.Draw(locality.Divide(p.Zone, p.zones(candidates)), point)
 	var ids []string
-	places := 0
+	capacity := 0
 	for _, candidate := range candidates {
-		if candidate.Zone == zone && candidate.isRoom() {
+		if candidate.Zone == zone && candidate.countsAsCapacity() {
 			ids = append(ids, candidate.ID)
-			places += candidate.Capacity
+			capacity += candidate.Capacity
 		}
 	}
-	subset := p.Daemon.Choose(ids, places)
-	isChosen := map[string]bool{}
-	for _, id := range subset {
-		isChosen[id] = true
+	chosen := p.Daemon.Choose(ids, capacity)
+	isInSubset := map[string]bool{}
+	for _, id := range chosen {
+		isInSubset[id] = true
 	}
-	placed := make([]Candidate, len(candidates))
+	tiered := make([]Candidate, len(candidates))
 	for i, candidate := range candidates {
-		candidate.tier = p.tierOf(candidate, zone, isChosen)
-		if candidate.tier == elsewhere && len(subset) == len(ids) {
-			// A daemon that uses all servers of a zone sees a good part of their load, and
-			// leaves the zone by its own requests sooner than by what is asked everywhere.
-			candidate.tier = inSubset
-			candidate.isFar = true
+		candidate.tier = p.tierOf(candidate, zone, isInSubset)
+		if candidate.tier == tierOtherZone && len(chosen) == len(ids) {
+			// A daemon that uses all servers of a zone sees a good part of their load. It
+			// leaves the zone by its own requests sooner than by the demand of all zones.
+			candidate.tier = tierSubset
+			candidate.isCrossZone = true
 		}
-		placed[i] = candidate
+		tiered[i] = candidate
 	}
-	return placed
+	return tiered
 }
 
 // tierOf returns the tier of one candidate.
-func (p Preference) tierOf(candidate Candidate, zone string, isChosen map[string]bool) tier {
+func (p Preference) tierOf(candidate Candidate, zone string, isInSubset map[string]bool) tier {
 	switch {
 	case candidate.IsLimited && candidate.Zone == p.Zone:
-		// What it takes of this daemon is lost if it is not used.
-		return inSubset
+		// The daemon's quota there expires if it is not used.
+		return tierSubset
 	case zone != "" && candidate.Zone != zone:
-		return elsewhere
-	case isChosen[candidate.ID] || candidate.IsTroubled:
-		// Trouble alone puts a server after all others.
-		return inSubset
+		return tierOtherZone
+	case isInSubset[candidate.ID] || candidate.IsTroubled:
+		// IsTroubled alone ranks the server after all others.
+		return tierSubset
 	default:
-		return inZone
+		return tierZone
 	}
 }
 
-// isRoom tells whether the candidate counts as room for requests.
-func (c Candidate) isRoom() bool {
+// countsAsCapacity reports whether the candidate adds to the capacity of its zone.
+func (c Candidate) countsAsCapacity() bool {
 	return !c.IsTroubled && !c.IsLimited
 }
 
-// zones joins the room of each zone with what is asked there, ordered by name.
+// zones returns the capacity and the demand of each zone, ordered by name.
 func (p Preference) zones(candidates []Candidate) []locality.Zone {
-	rooms := map[string]float64{
+	capacities := map[string]float64{
 		p.Zone: 0,
 	}
 	for zone := range p.Asked {
-		rooms[zone] = 0
+		capacities[zone] = 0
 	}
 	for _, candidate := range candidates {
-		if candidate.isRoom() {
-			rooms[candidate.Zone] += float64(max(1, candidate.Capacity))
+		if candidate.countsAsCapacity() {
+			capacities[candidate.Zone] += float64(max(1, candidate.Capacity))
 		}
 	}
-	zones := make([]locality.Zone, 0, len(rooms))
-	for _, name := range slices.Sorted(maps.Keys(rooms)) {
+	zones := make([]locality.Zone, 0, len(capacities))
+	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		zones = append(zones, locality.Zone{
 			Name:  name,
-			Room:  rooms[name],
+			Room:  capacities[name],
 			Asked: p.Asked[name],
 		})
 	}
--- a/core/balancer/silence.go
+++ b/core/balancer/silence.go
@@ -2,135 +2,134 @@
 
 import "time"
 
-// Phase is what a request waits for.
+// Phase is the kind of event that a request waits for.
 type Phase int
 
-// The phases: the first event or the answer, and the next event.
+// The phases are waiting for the first event or the answer, and waiting for the next event.
 const (
 	First Phase = iota
 	Pause
 )
 
-// silenceKey names silences that are alike.
+// silenceKey identifies silences that share one estimate.
 type silenceKey struct {
 	kind  string
 	phase Phase
 }
 
-// estimate is a running mean and mean deviation, as TCP keeps them for its
-// round trips (Jacobson 1988).
+// estimate is a moving average and mean deviation, as in TCP round-trip estimation (Jacobson
+// 1988).
 type estimate struct {
 	mean      float64
 	deviation float64
 	samples   int
 }
 
-// Figures of limits.
 const (
-	// gain and deviationGain are the parts of a new sample in the mean and in
-	// the mean deviation.
-	gain          = 0.05
+	// meanGain and deviationGain are the weights of a new sample in the mean and in the mean
+	// deviation.
+	meanGain      = 0.05
 	deviationGain = 0.1
-	// restDeviations and moveDeviations are how many mean deviations above the
-	// mean a silence is unusual, and surely no usual one.
-	restDeviations = 8
-	moveDeviations = 20
-	// leastSamples must be there before the estimate is believed.
-	leastSamples = 10
+	// ejectDeviations and rerouteDeviations are the numbers of mean deviations above the mean
+	// at which a silence is unusual, and surely abnormal.
+	ejectDeviations   = 8
+	rerouteDeviations = 20
+	// minSamples is the number of samples from which an estimate is used.
+	minSamples = 10
 )
 
-// Bounds of limits. An engine's first event takes 120 ms and more, and reading
-// a long prompt for another request holds up all events for 50 ms.
+// Bounds and defaults of the thresholds. An engine's first event takes 120 ms or more, and
+// reading a long prompt for another request delays all events by 50 ms.
 const (
-	leastRest   = 100 * time.Millisecond
-	leastMove   = 350 * time.Millisecond
-	longestMove = 1500 * time.Millisecond
-	usualRest   = 500 * time.Millisecond
-	usualMove   = 1000 * time.Millisecond
+	minEjectAfter       = 100 * time.Millisecond
+	minRerouteAfter     = 350 * time.Millisecond
+	maxThreshold        = 1500 * time.Millisecond
+	defaultEjectAfter   = 500 * time.Millisecond
+	defaultRerouteAfter = 1000 * time.Millisecond
 )
 
-// Limits are the silences after which a server is rested, and a request moved.
+// Limits are the silences after which a server is ejected and a request is rerouted.
 type Limits struct {
 	Rest time.Duration
 	Move time.Duration
 }
 
-// Step is what a silence calls for.
+// Step is the reaction to a silence.
 type Step int
 
-// The steps: to wait on, to rest the server, and to move the request as well.
+// The steps are to wait, to eject the server, and to reroute the request as well.
 const (
 	Wait Step = iota
 	Rest
 	Move
 )
 
-// askAgain is how often a silent server's group is looked up among those that are told
-// to stand still.
-const askAgain = 50 * time.Millisecond
+// recheckInterval is how often the group of a silent server is looked up among those reported
+// as stalled.
+const recheckInterval = 50 * time.Millisecond
 
-// Step returns what a silence calls for, and when to look again. isStill tells that
-// another daemon has found that the server's group has lost a member: then nothing is
-// waited for any longer, so that a request which came after the loss may still be in
-// time elsewhere. A daemon among hundreds knows the usual silences of rare requests
-// late, and would wait for usualMove.
-func (l Limits) Step(silent time.Duration, isStill bool) (step Step, again time.Duration) {
+// Step returns the reaction to a silence and the time until the next check. isStalled reports
+// that another daemon found a member of the server's group lost. The request is then rerouted
+// without further waiting, so that one which came after the loss can still meet its deadline
+// elsewhere. Without this, a daemon among hundreds has few samples of rare requests and would
+// wait for defaultRerouteAfter.
+func (l Limits) Step(silence time.Duration, isStalled bool) (step Step, recheckAfter time.Duration) {
 	switch {
-	case silent < l.Rest:
-		return Wait, l.Rest - silent
-	case silent < l.Move && !isStill:
-		return Rest, min(l.Move-silent, askAgain)
+	case silence < l.Rest:
+		return Wait, l.Rest - silence
+	case silence < l.Move && !isStalled:
+		return Rest, min(l.Move-silence, recheckInterval)
 	default:
 		return Move, l.Move
 	}
 }
 
-// Silence notes how long a server that is well was silent.
-func (t *Tracker) Silence(kind string, phase Phase, took time.Duration) {
+// Silence records a silence of a healthy server.
+func (t *Tracker) Silence(kind string, phase Phase, silence time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.silences == nil {
-		t.silences = map[silenceKey]*estimate{}
+	if t.silenceEstimates == nil {
+		t.silenceEstimates = map[silenceKey]*estimate{}
 	}
 	key := silenceKey{
 		kind:  kind,
 		phase: phase,
 	}
-	known, ok := t.silences[key]
+	current, ok := t.silenceEstimates[key]
 	if !ok {
-		known = &estimate{
-			mean: took.Seconds(),
+		current = &estimate{
+			mean: silence.Seconds(),
 		}
-		t.silences[key] = known
+		t.silenceEstimates[key] = current
 	}
-	off := took.Seconds() - known.mean
-	known.mean += gain * off
-	known.deviation += deviationGain * (max(off, -off) - known.deviation)
-	known.samples++
+	deviation := silence.Seconds() - current.mean
+	current.mean += meanGain * deviation
+	current.deviation += deviationGain * (max(deviation, -deviation) - current.deviation)
+	current.samples++
 }
 
-// Limits returns the limits for a kind of server and a phase.
+// Limits returns the thresholds for a kind of server and a phase.
 func (t *Tracker) Limits(kind string, phase Phase) Limits {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.silences[silenceKey{
+	current := t.silenceEstimates[silenceKey{
 		kind:  kind,
 		phase: phase,
 	}]
-	if known == nil || known.samples < leastSamples {
+	if current == nil || current.samples < minSamples {
 		return Limits{
-			Rest: usualRest,
-			Move: usualMove,
+			Rest: defaultEjectAfter,
+			Move: defaultRerouteAfter,
 		}
 	}
 	return Limits{
-		Rest: known.limit(restDeviations, leastRest),
-		Move: known.limit(moveDeviations, leastMove),
+		Rest: current.threshold(ejectDeviations, minEjectAfter),
+		Move: current.threshold(rerouteDeviations, minRerouteAfter),
 	}
 }
 
-// limit returns the mean and so many deviations, within bounds.
-func (e *estimate) limit(deviations float64, least time.Duration) time.Duration {
+// threshold returns the mean plus the given number of deviations, within bounds.
+func (e *estimate) threshold(deviations float64, minimum time.Duration) time.Duration {
 	limit := time.Duration((e.mean + deviations*e.deviation) * float64(time.Second))
-	return min(max(limit, least), longestMove)
+	return min(max(limit, minimum), maxThreshold)
 }
