--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -7,313 +7,316 @@
 	"headcourse/core/boottime"
 )
 
-// Figures of a book.
 const (
-	// ownHolds is how long what this daemon heard itself goes before what others tell, if
-	// that is more: their word may be from before.
-	ownHolds = 2 * time.Second
-	// askAfter is after how long without any word of a limit daemons ask whether it still
-	// holds, one after the other, each in a turn of askTurn: all that had a part may be gone.
-	askAfter = 60 * time.Second
-	askTurn  = window
-	// keptFor is how long a limit of a server that is not known any more is kept.
-	keptFor = 10 * time.Minute
+	// observationPriorityTime is how long this daemon's own observation takes precedence over
+	// reports that allow more. Such reports may be older than the observation.
+	observationPriorityTime = 2 * time.Second
+	// probeAfter is the time without an update after which daemons probe whether a limit still
+	// holds: all daemons with a quota may have stopped. They take turns of probeTurnTime each.
+	probeAfter    = 60 * time.Second
+	probeTurnTime = excessWindow
+	// retentionTime is how long the limit of an unknown server is kept.
+	retentionTime = 10 * time.Minute
 )
 
-// Book keeps limits by the starts of servers (fleet.Server.Start), and what this daemon has
-// sent of its part of each: those that servers name, and those of servers that are cold. A
-// request to a server with both takes room of both. The zero value is empty and safe for
-// concurrent use.
+// Book keeps the limits of each server start (fleet.Server.Start) and the tokens that this
+// daemon has left of its quota. A server may have an announced limit, a cold limit, or both; a
+// request must then satisfy both. The zero value is empty. It is safe for concurrent use.
 type Book struct {
-	// Clock goes on while the machine is suspended, as the server's time does. Set before use.
+	// Clock must not stop while the VM is suspended, since the server's clock does not stop
+	// either. It must be set before first use.
 	Clock boottime.Clock
 
-	mutex sync.Mutex
-	kept  map[string]*entry
-	cold  map[string]*entry
+	mutex      sync.Mutex
+	limits     map[string]*entry
+	coldLimits map[string]*entry
 }
 
-// entry is the limit of one start of a server. spoken is when its last word came.
+// entry is one limit of a server start. updatedAt is the time of its last update.
 type entry struct {
-	limit  Limit
-	spoken time.Time
-	// heard is when this daemon heard a word itself.
-	heard time.Time
-	// overruled is what others told while ownHolds; nil: nothing.
-	overruled *Limit
-	bucket    bucket
-	// asked is the turn in which this daemon asked last whether the limit holds.
-	asked int
-	// until is when the limit of a cold server ends; zero: the limit is one that the server
-	// names.
-	until time.Time
+	limit     Limit
+	updatedAt time.Time
+	// observedAt is the time of this daemon's last own observation.
+	observedAt time.Time
+	// deferred is a report that waits for observationPriorityTime to pass; nil if there is
+	// none.
+	deferred *Limit
+	bucket   bucket
+	// lastProbeTurn is the turn in which this daemon last probed whether the limit holds.
+	lastProbeTurn int
+	// coldUntil is when a cold limit expires; it is zero for an announced limit.
+	coldUntil time.Time
 }
 
-// learn notes a limit that came now. The mutex is held.
-func (b *Book) learn(start string, limit Limit, now time.Time) *entry {
-	one := b.kept[start]
-	if one == nil {
-		// What was sent before is not counted here: the part begins empty.
-		one = &entry{
+// set stores a limit that is current now. The mutex must be held.
+func (b *Book) set(start string, limit Limit, now time.Time) *entry {
+	e := b.limits[start]
+	if e == nil {
+		// The quota starts empty, since requests sent before were not counted.
+		e = &entry{
 			bucket: bucket{
-				filled: now,
+				refilledAt: now,
 			},
 		}
-		if b.kept == nil {
-			b.kept = map[string]*entry{}
+		if b.limits == nil {
+			b.limits = map[string]*entry{}
 		}
-		b.kept[start] = one
+		b.limits[start] = e
 	}
-	one.limit = limit
-	one.spoken = now
-	one.overruled = nil
-	one.asked = 0
-	return one
+	e.limit = limit
+	e.updatedAt = now
+	e.deferred = nil
+	e.lastProbeTurn = 0
+	return e
 }
 
-// Observed applies what the answer to a request of this daemon says, which was sent at a time of
-// the book's clock (zero: not known), and tells whether it changed what holds. Answers come out
-// of order: one to a request that was sent before the last word came may be older than it, so
-// it raises or ends no limit.
-func (b *Book) Observed(start string, said Limit, sent time.Time) bool {
+// Observed applies the answer to a request of this daemon and reports whether the limit
+// changed. sent is the time of the request by Clock; zero if not known. Answers arrive out of
+// order: an answer to a request that was sent before the last update may be older, so it
+// neither raises nor ends a limit.
+func (b *Book) Observed(start string, observed Limit, sent time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one := b.kept[start]
-	if said.IsUnclear || (one == nil && !said.IsNamed) {
+	e := b.limits[start]
+	if observed.IsUnclear || (e == nil && !observed.IsNamed) {
 		return false
 	}
-	isLower := said.IsNamed && (one == nil || said.PerSecond <= one.limit.PerSecond)
-	if !isLower && !sent.After(one.spoken) {
+	isLower := observed.IsNamed && (e == nil || observed.PerSecond <= e.limit.PerSecond)
+	if !isLower && !sent.After(e.updatedAt) {
 		return false
 	}
-	if !said.IsNamed {
-		delete(b.kept, start)
+	if !observed.IsNamed {
+		delete(b.limits, start)
 		return true
 	}
-	// A lower word holds at once, whenever it was said.
-	isNews := one == nil || one.limit != said
+	// A lower limit applies at once, however old the answer is.
+	isChange := e == nil || e.limit != observed
 	now := b.Clock.Now()
-	b.learn(start, said, now).heard = now
-	return isNews
+	b.set(start, observed, now).observedAt = now
+	return isChange
 }
 
-// Reported applies what other daemons report of a start; a limit that is not named is over. What this
-// daemon has just heard itself goes before a word that allows more.
-func (b *Book) Reported(start string, told Limit) {
+// Reported applies another daemon's report of a start; a report without a limit ends the limit.
+// A recent observation of this daemon takes precedence over a report that allows more.
+func (b *Book) Reported(start string, reported Limit) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one := b.kept[start]
+	e := b.limits[start]
 	now := b.Clock.Now()
-	isMore := !told.IsNamed || (one != nil && told.PerSecond > one.limit.PerSecond)
-	if isMore && one != nil && now.Sub(one.heard) < ownHolds {
-		one.overruled = &told
+	allowsMore := !reported.IsNamed || (e != nil && reported.PerSecond > e.limit.PerSecond)
+	if allowsMore && e != nil && now.Sub(e.observedAt) < observationPriorityTime {
+		e.deferred = &reported
 		return
 	}
-	b.apply(start, told, now)
+	b.apply(start, reported, now)
 }
 
-// apply notes a limit, or that it is over. The mutex is held.
+// apply sets a limit, or removes it if none is given. The mutex must be held.
 func (b *Book) apply(start string, limit Limit, now time.Time) {
 	if limit.IsNamed {
-		b.learn(start, limit, now)
+		b.set(start, limit, now)
 	} else {
-		delete(b.kept, start)
+		delete(b.limits, start)
 	}
 }
 
-// settle applies what was overruled, where this daemon heard nothing more itself. The mutex
-// is held.
-func (b *Book) settle(start string, now time.Time) {
-	one := b.kept[start]
-	if one != nil && one.overruled != nil && now.Sub(one.heard) >= ownHolds {
-		b.apply(start, *one.overruled, now)
+// applyDeferred applies a deferred report once the own observation is older than
+// observationPriorityTime. The mutex must be held.
+func (b *Book) applyDeferred(start string, now time.Time) {
+	e := b.limits[start]
+	if e != nil && e.deferred != nil && now.Sub(e.observedAt) >= observationPriorityTime {
+		b.apply(start, *e.deferred, now)
 	}
 }
 
-// Known returns the limit of a start, and how long ago its last word came.
+// Known returns the announced limit of a start and the time since its last update.
 func (b *Book) Known(start string) (limit Limit, since time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one := b.kept[start]
-	if one == nil {
+	e := b.limits[start]
+	if e == nil {
 		return Limit{}, 0
 	}
-	return one.limit, b.Clock.Since(one.spoken)
+	return e.limit, b.Clock.Since(e.updatedAt)
 }
 
-// LimitCold limits a start that is cold for some time from now on.
-func (b *Book) LimitCold(start string, limit Limit, length time.Duration) {
+// LimitCold sets the limit of a cold start for the given time.
+func (b *Book) LimitCold(start string, limit Limit, duration time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	one := b.cold[start]
-	if one == nil {
-		one = &entry{
+	e := b.coldLimits[start]
+	if e == nil {
+		e = &entry{
 			bucket: bucket{
-				filled: now,
+				refilledAt: now,
 			},
 		}
-		if b.cold == nil {
-			b.cold = map[string]*entry{}
+		if b.coldLimits == nil {
+			b.coldLimits = map[string]*entry{}
 		}
-		b.cold[start] = one
+		b.coldLimits[start] = e
 	}
-	one.limit = limit
-	one.until = now.Add(length)
+	e.limit = limit
+	e.coldUntil = now.Add(duration)
 }
 
-// Has tells whether a start has a limit.
+// Has reports whether a start has a limit.
 func (b *Book) Has(start string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.kept[start] != nil || b.coldNow(start, b.Clock.Now()) != nil
+	return b.limits[start] != nil || b.activeColdLimit(start, b.Clock.Now()) != nil
 }
 
-// coldNow returns the limit of a start that is cold, or nil. The mutex is held.
-func (b *Book) coldNow(start string, now time.Time) *entry {
-	one := b.cold[start]
-	if one == nil || now.Before(one.until) {
-		return one
+// activeColdLimit returns the cold limit of a start, or nil after it expired. The mutex must be
+// held.
+func (b *Book) activeColdLimit(start string, now time.Time) *entry {
+	e := b.coldLimits[start]
+	if e == nil || now.Before(e.coldUntil) {
+		return e
 	}
-	delete(b.cold, start)
+	delete(b.coldLimits, start)
 	return nil
 }
 
-// IsEmpty tells whether no server has a limit, which is so at most times: then nobody needs
-// to look at each.
+// IsEmpty reports whether no server has a limit. This is the usual case, and spares callers a
+// look-up of each server.
 func (b *Book) IsEmpty() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return len(b.kept) == 0 && len(b.cold) == 0
+	return len(b.limits) == 0 && len(b.coldLimits) == 0
 }
 
-// filled returns the limits of a start with the tokens that are due; none where it has no limit.
-// The mutex is held.
-func (b *Book) filled(start string, place Place, now time.Time) []*entry {
-	b.settle(start, now)
+// refilled returns the limits of a start after adding the tokens that are due. The mutex must
+// be held.
+func (b *Book) refilled(start string, position Place, now time.Time) []*entry {
+	b.applyDeferred(start, now)
 	var limits []*entry
-	if one := b.kept[start]; one != nil {
-		limits = append(limits, one)
+	if e := b.limits[start]; e != nil {
+		limits = append(limits, e)
 	}
-	if one := b.coldNow(start, now); one != nil {
-		limits = append(limits, one)
+	if e := b.activeColdLimit(start, now); e != nil {
+		limits = append(limits, e)
 	}
-	for _, one := range limits {
-		one.bucket.fill(one.limit, place, now)
+	for _, e := range limits {
+		e.bucket.refill(e.limit, position, now)
 	}
 	return limits
 }
 
-// haveRoom tells whether a further request may be sent now under all limits of a start.
-func haveRoom(limits []*entry, now time.Time) bool {
-	for _, one := range limits {
-		if !one.hasRoom(now) {
+// allHaveCapacity reports whether all limits allow one more request now.
+func allHaveCapacity(limits []*entry, now time.Time) bool {
+	for _, e := range limits {
+		if !e.hasCapacity(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasRoom tells whether a further request may be sent now.
-func (e *entry) hasRoom(now time.Time) bool {
-	return e.bucket.missing() == 0 || e.mayAsk(now)
+// hasCapacity reports whether the limit allows one more request now.
+func (e *entry) hasCapacity(now time.Time) bool {
+	return e.bucket.deficit() == 0 || e.mayProbe(now)
 }
 
-// spend takes the room for one request, where there is room.
+// spend takes the token for one request, or uses this daemon's turn to probe if there is none.
 func (e *entry) spend(now time.Time) {
-	if e.bucket.missing() > 0 {
-		e.asked = e.turn(now)
+	if e.bucket.deficit() > 0 {
+		e.lastProbeTurn = e.probeTurn(now)
 		return
 	}
 	e.bucket.tokens--
 }
 
-// mayAsk tells whether this daemon is to ask now whether the limit still holds.
-func (e *entry) mayAsk(now time.Time) bool {
-	turn := e.turn(now)
-	place := e.bucket.place
-	return turn > e.asked && place.Of > 0 && (turn-1)%place.Of == place.Rank && e.bucket.reserved == 0
+// mayProbe reports whether it is this daemon's turn to probe whether the limit still holds.
+func (e *entry) mayProbe(now time.Time) bool {
+	turn := e.probeTurn(now)
+	position := e.bucket.position
+	return turn > e.lastProbeTurn && position.Of > 0 && (turn-1)%position.Of == position.Rank && e.bucket.reserved == 0
 }
 
-// turn returns the number of the turn to ask, from 1; 0: nobody asks yet.
-func (e *entry) turn(now time.Time) int {
-	quiet := now.Sub(e.spoken) - askAfter
-	if isCold := !e.until.IsZero(); isCold || quiet < 0 {
+// probeTurn returns the number of the current probe turn, from 1, or 0 if probing has not
+// started.
+func (e *entry) probeTurn(now time.Time) int {
+	silence := now.Sub(e.updatedAt) - probeAfter
+	if isCold := !e.coldUntil.IsZero(); isCold || silence < 0 {
 		return 0
 	}
-	return 1 + int(quiet/askTurn)
+	return 1 + int(silence/probeTurnTime)
 }
 
-// HasRoom tells whether this daemon, at a place among all, may send a start a request now.
-func (b *Book) HasRoom(start string, place Place) bool {
+// HasRoom reports whether this daemon may send a request to a start now.
+func (b *Book) HasRoom(start string, position Place) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	return haveRoom(b.filled(start, place, now), now)
+	return allHaveCapacity(b.refilled(start, position, now), now)
 }
 
-// Wait returns in how long there is room; isEver is false where this daemon has no part.
-func (b *Book) Wait(start string, place Place) (wait time.Duration, isEver bool) {
+// Wait returns the time until this daemon may send a request. hasQuota is false if it has no
+// quota.
+func (b *Book) Wait(start string, position Place) (delay time.Duration, hasQuota bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	isEver = true
-	for _, one := range b.filled(start, place, now) {
-		oneWait, hasPart := one.wait(now)
-		wait = max(wait, oneWait)
-		isEver = isEver && hasPart
+	hasQuota = true
+	for _, e := range b.refilled(start, position, now) {
+		entryDelay, entryHasQuota := e.delay(now)
+		delay = max(delay, entryDelay)
+		hasQuota = hasQuota && entryHasQuota
 	}
-	return wait, isEver
+	return delay, hasQuota
 }
 
-// wait returns in how long there is room for a further request, and whether there ever is.
-func (e *entry) wait(now time.Time) (wait time.Duration, isEver bool) {
-	if e.hasRoom(now) {
+// delay returns the time until the limit allows one more request. hasQuota is false if it never
+// does.
+func (e *entry) delay(now time.Time) (delay time.Duration, hasQuota bool) {
+	if e.hasCapacity(now) {
 		return 0, true
 	}
-	wait, isEver = e.bucket.wait()
-	if e.until.IsZero() {
-		return wait, isEver
+	delay, hasQuota = e.bucket.delay()
+	if e.coldUntil.IsZero() {
+		return delay, hasQuota
 	}
-	ends := e.until.Sub(now)
-	if !isEver {
-		return ends, true
+	coldLeft := e.coldUntil.Sub(now)
+	if !hasQuota {
+		return coldLeft, true
 	}
-	return min(wait, ends), true
+	return min(delay, coldLeft), true
 }
 
-// Reserve keeps room for a request that is to be sent soon, and returns false where there is
-// none. Release must be called at its end.
-func (b *Book) Reserve(start string, place Place) (*Reservation, bool) {
+// Reserve reserves capacity for a request that will be sent soon; ok is false if there is none.
+// The caller must call Release when the request ends.
+func (b *Book) Reserve(start string, position Place) (*Reservation, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	limits := b.filled(start, place, now)
-	if !haveRoom(limits, now) {
+	limits := b.refilled(start, position, now)
+	if !allHaveCapacity(limits, now) {
 		return nil, false
 	}
-	for _, one := range limits {
-		one.bucket.reserved++
+	for _, e := range limits {
+		e.bucket.reserved++
 	}
 	return &Reservation{
-		book:  b,
-		start: start,
-		of:    limits,
+		limiter: b,
+		start:   start,
+		limits:  limits,
 	}, true
 }
 
-// Sweep forgets limits of starts that isKnown does not know and of which nothing was heard
-// for long.
+// Sweep discards expired cold limits, and limits without an update for retentionTime whose
+// starts isKnown does not know.
 func (b *Book) Sweep(isKnown func(start string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for start, one := range b.kept {
-		if b.Clock.Since(one.spoken) > keptFor && !isKnown(start) {
-			delete(b.kept, start)
+	for start, e := range b.limits {
+		if b.Clock.Since(e.updatedAt) > retentionTime && !isKnown(start) {
+			delete(b.limits, start)
 		}
 	}
 	now := b.Clock.Now()
-	for start := range b.cold {
-		b.coldNow(start, now)
+	for start := range b.coldLimits {
+		b.activeColdLimit(start, now)
 	}
 }
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -11,27 +11,28 @@
 	"headcourse/core/ratelimit"
 )
 
-// alone is the place of an only daemon, without that of one among so many that it has no part.
+// onlyDaemon is the position of a single daemon. withoutQuota is a position so far back that
+// the daemon has no quota.
 var (
-	alone = ratelimit.Place{
+	onlyDaemon = ratelimit.Place{
 		Of: 1,
 	}
-	without = ratelimit.Place{
+	withoutQuota = ratelimit.Place{
 		Rank: 300,
 		Of:   360,
 	}
 )
 
-// sent counts how many requests a daemon sends at once.
-func sent(book *ratelimit.Book, place ratelimit.Place) int {
-	const many = 1000
+// sendMax sends as many requests as possible at once, at most 1000, and returns their number.
+func sendMax(limiter *ratelimit.Book, position ratelimit.Place) int {
+	const maxRequests = 1000
 	count := 0
-	for range many {
-		room, ok := book.Reserve(start, place)
+	for range maxRequests {
+		reservation, ok := limiter.Reserve(start, position)
 		if !ok {
 			return count
 		}
-		if _, ok = room.Take(place); !ok {
+		if _, ok = reservation.Take(position); !ok {
 			return count
 		}
 		count++
@@ -39,184 +40,185 @@
 	return count
 }
 
-// isLimited tells whether a start has a limit.
-func isLimited(book *ratelimit.Book) bool {
-	limit, _ := book.Known(start)
+// isLimited reports whether the start has an announced limit.
+func isLimited(limiter *ratelimit.Book) bool {
+	limit, _ := limiter.Known(start)
 	return limit.IsNamed
 }
 
-func TestLimitIsKeptToUntilAnAnswerNamesNone(t *testing.T) {
+func TestLimitHoldsUntilAnAnswerNamesNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
-		qt.Assert(t, book.IsEmpty(), qt.IsTrue)
-		qt.Assert(t, sent(&book, alone), qt.Equals, 1000)
+		var limiter ratelimit.Book
+		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
+		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 1000)
 
-		qt.Assert(t, book.Observed(start, ratelimit.Named(2), time.Now()), qt.IsTrue)
-		// What was sent before the word is not known to the book: nothing at first.
-		qt.Assert(t, sent(&book, alone), qt.Equals, 0)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Named(2), time.Now()), qt.IsTrue)
+		// Requests before the announcement were not counted, so nothing may be sent at first.
+		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 0)
 		time.Sleep(time.Second)
-		qt.Assert(t, sent(&book, alone), qt.Equals, 2)
+		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 2)
 		time.Sleep(500 * time.Millisecond)
-		qt.Assert(t, sent(&book, alone), qt.Equals, 1)
-		qt.Assert(t, book.Observed(start, ratelimit.Named(2), time.Now()), qt.IsFalse)
+		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 1)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Named(2), time.Now()), qt.IsFalse)
 
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, book.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsTrue)
-		qt.Assert(t, book.IsEmpty(), qt.IsTrue)
-		qt.Assert(t, book.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsFalse)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsTrue)
+		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsFalse)
 	})
 }
 
-// Answers come out of order: one that was made before the server named its limit, or a lower
-// one, says nothing about now. A word that makes no sense ends nothing.
-func TestAnswerToAnEarlierRequestNeitherRaisesNorEndsALimit(t *testing.T) {
+// Guards against answers that arrive out of order: one that was made before the server
+// announced its limit, or lowered it, must not change it. An invalid limit must not end it
+// either.
+func TestAnswerToAnOlderRequestNeitherRaisesNorEndsALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
+		var limiter ratelimit.Book
 		earlier := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		book.Observed(start, ratelimit.Named(2), time.Now())
-		for _, said := range []ratelimit.Limit{{}, ratelimit.Named(20), ratelimit.Named(-1)} {
-			qt.Assert(t, book.Observed(start, said, earlier), qt.IsFalse)
-			qt.Assert(t, book.Observed(start, said, time.Time{}), qt.IsFalse)
-			limit, _ := book.Known(start)
+		limiter.Observed(start, ratelimit.Named(2), time.Now())
+		for _, observed := range []ratelimit.Limit{{}, ratelimit.Named(20), ratelimit.Named(-1)} {
+			qt.Assert(t, limiter.Observed(start, observed, earlier), qt.IsFalse)
+			qt.Assert(t, limiter.Observed(start, observed, time.Time{}), qt.IsFalse)
+			limit, _ := limiter.Known(start)
 			qt.Assert(t, limit, qt.Equals, ratelimit.Named(2))
 		}
 		time.Sleep(100 * time.Millisecond)
-		qt.Assert(t, book.Observed(start, ratelimit.Named(-1), time.Now()), qt.IsFalse)
-		// A lower word holds at once, whichever answer it came with.
-		qt.Assert(t, book.Observed(start, ratelimit.Named(1), time.Time{}), qt.IsTrue)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Named(-1), time.Now()), qt.IsFalse)
+		// A lower limit applies at once, whichever answer it came with.
+		qt.Assert(t, limiter.Observed(start, ratelimit.Named(1), time.Time{}), qt.IsTrue)
 		time.Sleep(100 * time.Millisecond)
-		qt.Assert(t, book.Observed(start, ratelimit.Named(20), time.Now()), qt.IsTrue)
-		limit, _ := book.Known(start)
+		qt.Assert(t, limiter.Observed(start, ratelimit.Named(20), time.Now()), qt.IsTrue)
+		limit, _ := limiter.Known(start)
 		qt.Assert(t, limit, qt.Equals, ratelimit.Named(20))
 	})
 }
 
-// A daemon that was told by another sends no more than its part, without an answer of its own,
-// and is told of the end as well. An answer to what it sent before ends nothing.
-func TestWordOfAnotherDaemonCounts(t *testing.T) {
+// A daemon that learns of a limit by a report keeps to its quota without an answer of its own,
+// and a report ends the limit as well. An answer to an earlier request does not end it.
+func TestReportOfAnotherDaemonSetsAndEndsALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
+		var limiter ratelimit.Book
 		before := time.Now()
 		time.Sleep(time.Millisecond)
-		book.Reported(start, ratelimit.Named(1.7))
-		qt.Assert(t, book.Observed(start, ratelimit.Limit{}, before), qt.IsFalse)
+		limiter.Reported(start, ratelimit.Named(1.7))
+		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, before), qt.IsFalse)
 		time.Sleep(30 * time.Second)
-		qt.Assert(t, sent(&book, without), qt.Equals, 0)
-		book.Reported(start, ratelimit.Limit{})
-		qt.Assert(t, sent(&book, without), qt.Equals, 1000)
-		// Nothing is known of it: that it is over is no news.
-		book.Reported(start, ratelimit.Limit{})
-		qt.Assert(t, book.IsEmpty(), qt.IsTrue)
+		qt.Assert(t, sendMax(&limiter, withoutQuota), qt.Equals, 0)
+		limiter.Reported(start, ratelimit.Limit{})
+		qt.Assert(t, sendMax(&limiter, withoutQuota), qt.Equals, 1000)
+		// No limit is known, so a report of its end changes nothing.
+		limiter.Reported(start, ratelimit.Limit{})
+		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
 	})
 }
 
-// What others tell may be older than what a daemon has just heard itself. It counts as soon as
-// the daemon has heard nothing more for a while.
-func TestOwnAnswerGoesBeforeTheWordOfAnother(t *testing.T) {
+// A report may be older than this daemon's last observation. It applies once that observation
+// is no longer recent.
+func TestRecentObservationTakesPrecedenceOverReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
-		for _, told := range []ratelimit.Limit{{}, ratelimit.Named(5)} {
-			book.Observed(start, ratelimit.Named(2), time.Now())
-			book.Reported(start, told)
-			limit, _ := book.Known(start)
+		var limiter ratelimit.Book
+		for _, reported := range []ratelimit.Limit{{}, ratelimit.Named(5)} {
+			limiter.Observed(start, ratelimit.Named(2), time.Now())
+			limiter.Reported(start, reported)
+			limit, _ := limiter.Known(start)
 			qt.Assert(t, limit, qt.Equals, ratelimit.Named(2))
-			book.Reported(start, ratelimit.Named(1))
-			limit, _ = book.Known(start)
+			limiter.Reported(start, ratelimit.Named(1))
+			limit, _ = limiter.Known(start)
 			qt.Assert(t, limit, qt.Equals, ratelimit.Named(1))
 
-			book.Observed(start, ratelimit.Named(0.5), time.Now())
-			book.Reported(start, told)
+			limiter.Observed(start, ratelimit.Named(0.5), time.Now())
+			limiter.Reported(start, reported)
 			time.Sleep(5 * time.Second)
-			book.HasRoom(start, alone)
-			limit, _ = book.Known(start)
-			qt.Assert(t, limit, qt.Equals, told)
+			limiter.HasRoom(start, onlyDaemon)
+			limit, _ = limiter.Known(start)
+			qt.Assert(t, limit, qt.Equals, reported)
 		}
 	})
 }
 
-// Room that is kept for one request is not given to another, and is not lost with one that was
-// not sent.
-func TestRoomIsForOneRequestAndComesBack(t *testing.T) {
+// Reserved capacity is not given to another request, and comes back if the request is not sent.
+func TestReservationIsExclusiveAndReleasable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 0.05
-		var book ratelimit.Book
-		book.Observed(start, ratelimit.Named(perSecond), time.Now())
-		place := ratelimit.Place{
+		var limiter ratelimit.Book
+		limiter.Observed(start, ratelimit.Named(perSecond), time.Now())
+		position := ratelimit.Place{
 			Of: 2,
 		}
-		wait, isEver := book.Wait(start, place)
-		qt.Assert(t, isEver, qt.IsTrue)
-		qt.Assert(t, wait, qt.Equals, 2*20*time.Second)
-		time.Sleep(wait)
-		room, ok := book.Reserve(start, place)
+		delay, hasQuota := limiter.Wait(start, position)
+		qt.Assert(t, hasQuota, qt.IsTrue)
+		qt.Assert(t, delay, qt.Equals, 2*20*time.Second)
+		time.Sleep(delay)
+		reservation, ok := limiter.Reserve(start, position)
 		qt.Assert(t, ok, qt.IsTrue)
-		qt.Assert(t, book.HasRoom(start, place), qt.IsFalse)
-		room.Release()
-		qt.Assert(t, book.HasRoom(start, place), qt.IsTrue)
-		qt.Assert(t, sent(&book, place), qt.Equals, 1)
-		// Once taken it does not come back.
-		room.Release()
-		qt.Assert(t, book.HasRoom(start, place), qt.IsFalse)
-		_, isEver = book.Wait(start, without)
-		qt.Assert(t, isEver, qt.IsFalse)
+		qt.Assert(t, limiter.HasRoom(start, position), qt.IsFalse)
+		reservation.Release()
+		qt.Assert(t, limiter.HasRoom(start, position), qt.IsTrue)
+		qt.Assert(t, sendMax(&limiter, position), qt.Equals, 1)
+		// Capacity that was used does not come back.
+		reservation.Release()
+		qt.Assert(t, limiter.HasRoom(start, position), qt.IsFalse)
+		_, hasQuota = limiter.Wait(start, withoutQuota)
+		qt.Assert(t, hasQuota, qt.IsFalse)
 	})
 }
 
-// A request was chosen for a server, and waits for its connection, when the server names a
-// limit or a lower one.
-func TestRequestThatWasChosenBeforeALimitIsNotSentBeyondIt(t *testing.T) {
+// Guards against exceeding a limit that the server announces, or lowers, while a chosen request
+// waits for its connection.
+func TestReservationIsRejectedAfterALimitIsSetOrLowered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
-		chosen, ok := book.Reserve(start, alone)
+		var limiter ratelimit.Book
+		chosen, ok := limiter.Reserve(start, onlyDaemon)
 		qt.Assert(t, ok, qt.IsTrue)
-		book.Observed(start, ratelimit.Named(20), time.Now())
-		_, ok = chosen.Take(alone)
+		limiter.Observed(start, ratelimit.Named(20), time.Now())
+		_, ok = chosen.Take(onlyDaemon)
 		qt.Assert(t, ok, qt.IsFalse)
 
 		time.Sleep(time.Second)
-		chosen, ok = book.Reserve(start, alone)
+		chosen, ok = limiter.Reserve(start, onlyDaemon)
 		qt.Assert(t, ok, qt.IsTrue)
-		// The others of a burst are sent, and the list tells that others share.
-		qt.Assert(t, sent(&book, alone) > 10, qt.IsTrue)
-		_, ok = chosen.Take(without)
+		// The other requests of a burst are sent, and the list changes so that this daemon has
+		// no quota.
+		qt.Assert(t, sendMax(&limiter, onlyDaemon) > 10, qt.IsTrue)
+		_, ok = chosen.Take(withoutQuota)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
 }
 
-// Room gathers while the machine is suspended, as it does at the server.
-func TestRoomGathersWhileTheMachineIsSuspended(t *testing.T) {
+// Tokens accrue while the VM is suspended, as they do at the server.
+func TestTokensAccrueWhileTheVMIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
-		book := ratelimit.Book{
+		limiter := ratelimit.Book{
 			Clock: boottime.Clock{
 				Suspended: func() time.Duration { return suspended },
 			},
 		}
-		book.Observed(start, ratelimit.Named(1), book.Clock.Now())
-		qt.Assert(t, book.HasRoom(start, alone), qt.IsFalse)
+		limiter.Observed(start, ratelimit.Named(1), limiter.Clock.Now())
+		qt.Assert(t, limiter.HasRoom(start, onlyDaemon), qt.IsFalse)
 		suspended += time.Second
-		qt.Assert(t, book.HasRoom(start, alone), qt.IsTrue)
+		qt.Assert(t, limiter.HasRoom(start, onlyDaemon), qt.IsTrue)
 	})
 }
 
-func TestLimitsOfServersThatAreGoneAreForgotten(t *testing.T) {
+func TestLimitsOfUnknownServersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book ratelimit.Book
-		book.Observed(start, ratelimit.Named(1), time.Now())
+		var limiter ratelimit.Book
+		limiter.Observed(start, ratelimit.Named(1), time.Now())
 		isKnown := true
 		sweep := func() {
-			book.Sweep(func(string) bool { return isKnown })
+			limiter.Sweep(func(string) bool { return isKnown })
 		}
 		time.Sleep(time.Hour)
 		sweep()
-		qt.Assert(t, isLimited(&book), qt.IsTrue)
+		qt.Assert(t, isLimited(&limiter), qt.IsTrue)
 		isKnown = false
-		book.Observed(start, ratelimit.Named(1), time.Now())
+		limiter.Observed(start, ratelimit.Named(1), time.Now())
 		sweep()
-		qt.Assert(t, isLimited(&book), qt.IsTrue)
+		qt.Assert(t, isLimited(&limiter), qt.IsTrue)
 		time.Sleep(time.Hour)
 		sweep()
-		qt.Assert(t, book.IsEmpty(), qt.IsTrue)
+		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
 	})
 }
--- a/core/ratelimit/bucket.go
+++ b/core/ratelimit/bucket.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// bucket counts what a daemon may send now of its part. Each request takes a token.
+// bucket is the token bucket of this daemon's quota. Each request takes one token.
 type bucket struct {
-	part   Part
-	place  Place
-	tokens float64
-	// filled is until when tokens have been added; when the limit was learnt, at first.
-	filled time.Time
-	// reserved are tokens of requests that were chosen and not sent yet.
+	quota    Part
+	position Place
+	tokens   float64
+	// refilledAt is the time up to which tokens have been added. It starts when the limit was
+	// learnt.
+	refilledAt time.Time
+	// reserved is the number of requests that were chosen and not yet sent.
 	reserved int
 }
 
-// fill adds the tokens that are due since the limit was learnt, or since the last time. A part
-// that grew by another place begins empty: until all know the list, others may still use it by
-// the one before. One of another limit keeps its tokens, as far as it can hold them.
-func (b *bucket) fill(limit Limit, place Place, now time.Time) {
-	part := limit.Part(place)
-	isNew := b.place == Place{}
-	if !isNew && place != b.place && part.PerSecond > b.part.PerSecond {
+// refill adds the tokens that accrued since refilledAt. A quota that grew because the position
+// changed starts empty: until all daemons know the new list, others may still use their quota
+// of the old one. After a change of the limit alone the bucket keeps its tokens, up to the new
+// burst.
+func (b *bucket) refill(limit Limit, position Place, now time.Time) {
+	quota := limit.Part(position)
+	isNew := b.position == Place{}
+	if !isNew && position != b.position && quota.PerSecond > b.quota.PerSecond {
 		b.tokens = 0
-		b.filled = now
+		b.refilledAt = now
 	}
-	b.part, b.place = part, place
-	b.tokens += now.Sub(b.filled).Seconds() * part.PerSecond
-	b.tokens = min(b.tokens, float64(part.Burst))
-	b.filled = now
+	b.quota, b.position = quota, position
+	b.tokens += now.Sub(b.refilledAt).Seconds() * quota.PerSecond
+	b.tokens = min(b.tokens, float64(quota.Burst))
+	b.refilledAt = now
 }
 
-// tiny is what sums of tokens may lack of a whole one by rounding.
-const tiny = 1e-9
+// epsilon is the rounding error that sums of tokens may have.
+const epsilon = 1e-9
 
-// missing returns how many tokens a further request lacks.
-func (b *bucket) missing() float64 {
-	missing := 1 + float64(b.reserved) - b.tokens
-	if missing < tiny {
+// deficit returns the number of tokens that are missing for one more request.
+func (b *bucket) deficit() float64 {
+	deficit := 1 + float64(b.reserved) - b.tokens
+	if deficit < epsilon {
 		return 0
 	}
-	return missing
+	return deficit
 }
 
-// wait returns in how long there is room for a further request; isEver is false where the
-// daemon has no part.
-func (b *bucket) wait() (wait time.Duration, isEver bool) {
-	if b.part.PerSecond <= 0 {
+// delay returns the time until there is a token for one more request. hasQuota is false if the
+// daemon has no quota.
+func (b *bucket) delay() (delay time.Duration, hasQuota bool) {
+	if b.quota.PerSecond <= 0 {
 		return 0, false
 	}
-	return time.Duration(b.missing() / b.part.PerSecond * float64(time.Second)), true
+	return time.Duration(b.deficit() / b.quota.PerSecond * float64(time.Second)), true
 }
--- a/core/ratelimit/limit.go
+++ b/core/ratelimit/limit.go
@@ -1,5 +1,6 @@
-// Package ratelimit keeps the limits that backend servers name: how many requests a second
-// one takes from all daemons together, for as long as its answers say so.
+// Package ratelimit keeps the rate limits of backend servers. A server announces how many
+// requests a second it accepts from all daemons together; the limit holds for as long as its
+// answers say so.
 package ratelimit
 
 import (
@@ -9,25 +10,24 @@
 	"github.com/pkg/errors"
 )
 
-// MaxPerSecond bounds the limits that are kept: beyond it a limit limits nothing.
+// MaxPerSecond caps the limits that are kept. A higher limit has no effect.
 const MaxPerSecond = 1e6
 
-// Limit is what one answer of a server says about its limit. The zero value names none.
+// Limit is the rate limit in one answer of a server. The zero value is no limit.
 type Limit struct {
-	// PerSecond is how many requests a second the server takes, from 0 to MaxPerSecond;
-	// it counts where IsNamed.
+	// PerSecond is how many requests a second the server accepts, from 0 to MaxPerSecond. It is
+	// valid only if IsNamed.
 	PerSecond float64
 	IsNamed   bool
-	// IsUnclear tells that the answer names a limit that makes no sense: it is none, and
-	// does not tell that the one before is over.
+	// IsUnclear reports that the answer has an invalid limit. It sets no limit and does not end
+	// the one before.
 	IsUnclear bool
-	// Excess is how many requests beyond the limit may come in a window, from all daemons; 0:
-	// as many as beyond the limits that servers name.
+	// Excess is how many requests beyond the limit all daemons together may send in a window; 0
+	// selects the excess that is tolerated for announced limits.
 	Excess float64
 }
 
-// Named returns the limit of a number of requests a second; one that is no number from 0 on
-// is unclear.
+// Named returns a limit in requests a second. It is invalid if the number is negative or NaN.
 func Named(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || perSecond < 0 {
 		return Limit{
@@ -40,69 +40,71 @@
 	}
 }
 
-// coldPart is the part of what a cold server bears that daemons send it: it falls over at well
-// above that, and who has not observed yet that it is cold sends more.
-const coldPart = 0.9
+// coldFraction is the fraction of a cold server's capacity that daemons use. A cold server
+// fails at a load well above its capacity, and daemons that have not yet observed that it is
+// cold send more than their quota.
+const coldFraction = 0.9
 
-// Cold returns the limit of a cold server that bears a number of requests a second. In any
-// second it may get factor times as many and extra ones, from all daemons.
+// Cold returns the limit of a cold server that can bear perSecond requests a second. In any
+// second it may get factor times as many plus extra, from all daemons together.
 func Cold(perSecond, factor, extra float64) Limit {
-	limit := Named(coldPart * perSecond)
+	limit := Named(coldFraction * perSecond)
 	limit.Excess = max(1, factor*perSecond+extra-limit.PerSecond)
 	return limit
 }
 
-// excess returns how many requests beyond the limit may come in a window.
-func (l Limit) excess() float64 {
+// maxExcess returns how many requests beyond the limit may arrive in a window.
+func (l Limit) maxExcess() float64 {
 	if l.Excess > 0 {
 		return l.Excess
 	}
-	rate := max(l.PerSecond, leastPerSecond)
-	return (toleratedFactor-1)*rate*window.Seconds() + toleratedExtra
+	rate := max(l.PerSecond, minPerSecond)
+	return (toleratedFactor-1)*rate*excessWindow.Seconds() + toleratedExtra
 }
 
-// Lowest returns the strictest of what several words of one answer say. A word that is
-// unclear counts only where no other names a limit.
-func Lowest(words ...Limit) Limit {
+// Lowest returns the strictest of the limits in one answer. An invalid limit counts only if no
+// other is given.
+func Lowest(limits ...Limit) Limit {
 	var lowest Limit
-	for _, one := range words {
+	for _, limit := range limits {
 		switch {
-		case one.IsNamed && (!lowest.IsNamed || one.PerSecond < lowest.PerSecond):
-			lowest = one
-		case one.IsUnclear && !lowest.IsNamed:
-			lowest = one
+		case limit.IsNamed && (!lowest.IsNamed || limit.PerSecond < lowest.PerSecond):
+			lowest = limit
+		case limit.IsUnclear && !lowest.IsNamed:
+			lowest = limit
 		}
 	}
 	return lowest
 }
 
-// word is a limit as daemons tell it each other. By is the daemon, for whoever looks.
-type word struct {
+// limitReport is a limit as one daemon reports it to the others. By is the reporting daemon and
+// is informational.
+type limitReport struct {
 	By        string   `json:"by"`
 	PerSecond *float64 `json:"per_second"`
 }
 
-// Encode returns the limit as a daemon tells it to the others.
+// Encode returns the limit as a report of the daemon by.
 func (l Limit) Encode(by string) ([]byte, error) {
-	value, err := json.Marshal(word{
+	value, err := json.Marshal(limitReport{
 		By:        by,
 		PerSecond: &l.PerSecond,
 	})
 	return value, errors.Wrap(err, "encode limit")
 }
 
-// Decode returns the limit that a daemon told. It fails on what names none.
+// Decode returns the limit of a report. It fails if the report has no valid limit.
 func Decode(value []byte) (Limit, error) {
-	var told word
-	if err := json.Unmarshal(value, &told); err != nil {
+	var report limitReport
+	if err := json.Unmarshal(value, &report); err != nil {
 		return Limit{}, errors.Wrap(err, "decode limit")
 	}
-	if told.PerSecond == nil {
+	if report.PerSecond == nil {
 		return Limit{}, errors.New("decode limit: per_second is missing")
 	}
-	limit := Named(*told.PerSecond)
+	limit := Named(*report.PerSecond)
 	if !limit.IsNamed {
-		return Limit{}, errors.Errorf("decode limit: per_second %v is below 0", *told.PerSecond)
+		return Limit{}, errors.Errorf("decode limit: per_second %v is below 0", *report.PerSecond)
 	}
 	return limit, nil
 }
--- a/core/ratelimit/limit_test.go
+++ b/core/ratelimit/limit_test.go
@@ -8,8 +8,8 @@
 	"headcourse/core/ratelimit"
 )
 
-func TestEncodingKeepsALimit(t *testing.T) {
-	for _, perSecond := range limits {
+func TestEncodedLimitDecodesToTheSame(t *testing.T) {
+	for _, perSecond := range testedLimits {
 		encoded, err := ratelimit.Named(perSecond).Encode("front-1")
 		qt.Assert(t, err, qt.IsNil)
 		decoded, err := ratelimit.Decode(encoded)
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestWordThatNamesNoLimitIsRefused(t *testing.T) {
+func TestDecodeRejectsReportWithoutLimit(t *testing.T) {
 	for value, why := range map[string]string{
 		`{}`:                   "decode limit: per_second is missing",
 		`null`:                 "decode limit: per_second is missing",
@@ -31,7 +31,7 @@
 	}
 }
 
-// FuzzDecode looks for words that are taken though they name no limit that can be kept to.
+// FuzzDecode looks for reports that are accepted without a valid limit.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"by":"front-1","per_second":1.7}`,
@@ -47,7 +47,7 @@
 			return
 		}
 		if !limit.IsNamed || !(limit.PerSecond >= 0) || limit.PerSecond > ratelimit.MaxPerSecond {
-			t.Fatalf("%q is taken for %+v", value, limit)
+			t.Fatalf("%q decodes to %+v", value, limit)
 		}
 	})
 }
--- a/core/ratelimit/notices.go
+++ b/core/ratelimit/notices.go
@@ -6,72 +6,74 @@
 	"time"
 )
 
-// Times of notices.
 const (
-	// refreshEvery is the age at which a notice is told again while its limit holds, so
-	// that others know that somebody still hears of it.
-	refreshEvery = 15 * time.Second
-	// wordEvery is the least time between two words of this daemon about one server, and the
-	// least age at which a limit that has changed is told anew by anybody.
-	wordEvery = 2 * time.Second
-	// isOther is by which part a limit must differ from the one told to be told anew.
-	isOther = 0.1
+	// refreshInterval is the age at which a report is written again while its limit holds. It
+	// shows the other daemons that the limit is still observed.
+	refreshInterval = 15 * time.Second
+	// minReportInterval is the shortest interval between two reports of this daemon about one
+	// start. It is also the lowest age at which any daemon replaces a report whose limit has
+	// changed.
+	minReportInterval = 2 * time.Second
+	// changeThreshold is the relative difference from the reported limit at which a limit
+	// counts as changed.
+	changeThreshold = 0.1
 )
 
-// Notices are the limits that daemons tell each other, as this one has read them, and decide
-// when it tells one: a daemon that is told needs no request of its own to learn that a server
-// is in need, and one without a part learns only so that the need is over. The zero value is
-// empty and safe for concurrent use.
+// Notices holds the reports of limits that this daemon has read from the others, and decides
+// when it writes one itself. With reports, a daemon needs no request of its own to learn that a
+// server is limited, and a daemon without a quota can only learn by them that the limit is
+// over. The zero value is empty. It is safe for concurrent use.
 type Notices struct {
-	mutex sync.Mutex
-	told  map[string]notice
-	// spoke is when this daemon last told something of a start.
-	spoke map[string]time.Time
+	mutex   sync.Mutex
+	reports map[string]storedReport
+	// reportedAt is when this daemon last reported on a start.
+	reportedAt map[string]time.Time
 }
 
-// notice is the limit of a start, and when it was read.
-type notice struct {
-	limit Limit
-	at    time.Time
+// storedReport is the reported limit of a start and the time when it was read.
+type storedReport struct {
+	limit  Limit
+	readAt time.Time
 }
 
-// Take notes a notice that was read, and tells whether it is another than before.
+// Take stores a report that was read, and reports whether the limit changed.
 func (n *Notices) Take(start string, limit Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	isNews := n.told[start].limit != limit
-	if n.told == nil {
-		n.told = map[string]notice{}
+	isChange := n.reports[start].limit != limit
+	if n.reports == nil {
+		n.reports = map[string]storedReport{}
 	}
-	n.told[start] = notice{
-		limit: limit,
-		at:    time.Now(),
+	n.reports[start] = storedReport{
+		limit:  limit,
+		readAt: time.Now(),
 	}
-	return isNews
+	return isChange
 }
 
-// Remove notes that the notice of a start is gone, and tells whether there was one.
+// Remove discards the report of a start that no longer exists, and reports whether there was
+// one.
 func (n *Notices) Remove(start string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	_, isTold := n.told[start]
-	delete(n.told, start)
-	return isTold
+	_, isKnown := n.reports[start]
+	delete(n.reports, start)
+	return isKnown
 }
 
-// Len returns of how many starts there is a notice.
+// Len returns the number of starts with a report.
 func (n *Notices) Len() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return len(n.told)
+	return len(n.reports)
 }
 
-// Others returns the starts of which there is a notice, but for some.
+// Others returns the starts with a report that are not in the given set.
 func (n *Notices) Others(starts map[string]bool) []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var others []string
-	for start := range n.told {
+	for start := range n.reports {
 		if !starts[start] {
 			others = append(others, start)
 		}
@@ -79,61 +81,62 @@
 	return others
 }
 
-// Old returns the starts of which the notice has not been told again for long.
+// Old returns the starts whose reports were last read more than retentionTime ago.
 func (n *Notices) Old() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var old []string
-	for start, one := range n.told {
-		if time.Since(one.at) > keptFor {
-			old = append(old, start)
+	var stale []string
+	for start, report := range n.reports {
+		if time.Since(report.readAt) > retentionTime {
+			stale = append(stale, start)
 		}
 	}
-	return old
+	return stale
 }
 
-// Wants tells whether others are to be told what this daemon has heard of a start: a limit
-// that they do not know, or know as another, or was not told for refreshEvery; or that the
-// one they know is over.
-func (n *Notices) Wants(start string, heard Limit) bool {
+// Wants reports whether this daemon is to report what it has observed of a start. It is if the
+// limit is unknown to the others, differs from the reported one, or was not reported for
+// refreshInterval, or if the reported limit is over.
+func (n *Notices) Wants(start string, observed Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.wants(start, heard) && time.Since(n.spoke[start]) >= wordEvery
+	return n.isReportDue(start, observed) && time.Since(n.reportedAt[start]) >= minReportInterval
 }
 
-// Speak tells whether what was wanted still is, and notes that it is told now.
-func (n *Notices) Speak(start string, heard Limit) bool {
+// Speak checks again whether a report is due, and if so records it as written now.
+func (n *Notices) Speak(start string, observed Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.wants(start, heard) || time.Since(n.spoke[start]) < wordEvery {
+	if !n.isReportDue(start, observed) || time.Since(n.reportedAt[start]) < minReportInterval {
 		return false
 	}
-	if n.spoke == nil {
-		n.spoke = map[string]time.Time{}
+	if n.reportedAt == nil {
+		n.reportedAt = map[string]time.Time{}
 	}
-	n.spoke[start] = time.Now()
+	n.reportedAt[start] = time.Now()
 	return true
 }
 
-// wants is Wants whenever this daemon spoke last. The mutex is held.
-func (n *Notices) wants(start string, heard Limit) bool {
-	told, isTold := n.told[start]
-	if heard.IsNamed != isTold || !isTold {
-		return heard.IsNamed != isTold
+// isReportDue is Wants without the interval between reports of this daemon. The mutex must be
+// held.
+func (n *Notices) isReportDue(start string, observed Limit) bool {
+	known, isKnown := n.reports[start]
+	if observed.IsNamed != isKnown || !isKnown {
+		return observed.IsNamed != isKnown
 	}
-	age := time.Since(told.at)
-	difference := math.Abs(heard.PerSecond - told.limit.PerSecond)
-	hasChanged := difference > isOther*told.limit.PerSecond
-	return (hasChanged && age >= wordEvery) || age >= refreshEvery
+	age := time.Since(known.readAt)
+	difference := math.Abs(observed.PerSecond - known.limit.PerSecond)
+	isChanged := difference > changeThreshold*known.limit.PerSecond
+	return (isChanged && age >= minReportInterval) || age >= refreshInterval
 }
 
-// Sweep forgets when this daemon spoke, where that is of no use any more.
+// Sweep discards the times of reports that no longer delay a further one.
 func (n *Notices) Sweep() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for start, at := range n.spoke {
-		if time.Since(at) > wordEvery {
-			delete(n.spoke, start)
+	for start, reportedAt := range n.reportedAt {
+		if time.Since(reportedAt) > minReportInterval {
+			delete(n.reportedAt, start)
 		}
 	}
 }
--- a/core/ratelimit/part.go
+++ b/core/ratelimit/part.go
@@ -5,65 +5,64 @@
 	"time"
 )
 
-// The excess over a limit that the users tolerate: in any window so many times what the limit
-// allows, and so many requests more, over all daemons.
+// The excess that the requirements tolerate over all daemons: in any window, a multiple of what
+// the limit allows plus some extra requests.
 const (
-	window          = 4 * time.Second
+	excessWindow    = 4 * time.Second
 	toleratedFactor = 1.5
 	toleratedExtra  = 5
 )
 
-// Figures of parts.
 const (
-	// burstPart is the part of the tolerated excess that bursts may use. The rest is for
-	// daemons that know another list or another limit for a while: old and new parts are
-	// then both in use.
-	burstPart = 0.5
-	// leastPerSecond is what all daemons together send to a server that takes less, or
-	// nothing: without any request nobody would hear that its limit is over.
-	leastPerSecond = 0.05
-	// nearWeight is how much more of a limit a daemon of the server's availability zone
-	// has than one of another: most requests stay in their zone.
-	nearWeight = 3
+	// burstFraction is the fraction of the tolerated excess that bursts may use. The rest
+	// covers daemons that know another list or another limit for a while, when old and new
+	// quotas are both in use.
+	burstFraction = 0.5
+	// minPerSecond is the rate of all daemons together for a server with a lower limit or 0.
+	// Without any request no daemon would observe that the limit is over.
+	minPerSecond = 0.05
+	// sameZoneWeight is the quota of a daemon in the server's availability zone relative to one
+	// in another zone. Most requests stay in their zone.
+	sameZoneWeight = 3
 )
 
-// Place is a daemon's place among those that may share a server's limit. The zero value is
-// a daemon that knows no others, and has no part.
+// Place is a daemon's position among those that may share a server's limit. The zero value is a
+// daemon that knows no others; it has no quota.
 type Place struct {
-	// Rank is its number, from 0, in an order that all daemons know alike: those of the
-	// server's availability zone first.
+	// Rank is the daemon's number, from 0, in an order that is the same at all daemons and
+	// begins with those in the server's availability zone.
 	Rank int
-	// Near is how many are in that zone, Of how many there are in all.
+	// Near is the number of daemons in that zone, Of the number of all daemons.
 	Near int
 	Of   int
 }
 
-// Part is what one daemon may send of a limit. The zero value is nothing.
+// Part is one daemon's quota of a limit. The zero value allows nothing.
 type Part struct {
 	PerSecond float64
-	// Burst is how many requests may come at once after a while without any.
+	// Burst is how many requests may be sent at once after an idle time.
 	Burst int
 }
 
-// Part divides the limit. A daemon that sends anything sends one whole request at a time, so
-// the sum over all daemons in a window is at most window times the limit and one request for
-// each of them: parts for hundreds of daemons would break the limit by their first requests
-// alone. So only as many daemons have a part as there are such requests in burstPart of the
-// excess; the others leave the server to them.
-func (l Limit) Part(place Place) Part {
-	rate := max(l.PerSecond, leastPerSecond)
-	bursts := max(1, int(burstPart*l.excess()))
-	sharing := min(bursts, place.Of)
-	if place.Rank >= sharing {
+// Part returns the quota of the daemon at a position. Each daemon sends whole requests, so all
+// daemons together may send up to the window times the limit, plus one request for each daemon.
+// With quotas for hundreds of daemons, their first requests alone would exceed the limit. So
+// only as many daemons have a quota as burstFraction of the excess has requests; the others
+// send nothing to the server.
+func (l Limit) Part(position Place) Part {
+	rate := max(l.PerSecond, minPerSecond)
+	bursts := max(1, int(burstFraction*l.maxExcess()))
+	sharers := min(bursts, position.Of)
+	if position.Rank >= sharers {
 		return Part{}
 	}
-	near := min(place.Near, sharing)
+	sameZone := min(position.Near, sharers)
 	weight := 1.0
-	if place.Rank < near {
-		weight = nearWeight
+	if position.Rank < sameZone {
+		weight = sameZoneWeight
 	}
 	return Part{
-		PerSecond: rate * weight / float64(nearWeight*near+sharing-near),
-		Burst:     int(math.Floor(float64(bursts) / float64(sharing))),
+		PerSecond: rate * weight / float64(sameZoneWeight*sameZone+sharers-sameZone),
+		Burst:     int(math.Floor(float64(bursts) / float64(sharers))),
 	}
 }
--- a/core/ratelimit/part_test.go
+++ b/core/ratelimit/part_test.go
@@ -9,36 +9,37 @@
 	"headcourse/core/ratelimit"
 )
 
-// The parts of all daemons add up to the limit, and daemons of the server's zone have more.
-func TestPartsAddUpToTheLimit(t *testing.T) {
-	for _, perSecond := range limits {
-		for _, of := range []int{1, 2, 9, 89, 2484} {
-			for _, near := range []int{0, 1, (of + 2) / 3, of} {
-				sum, holders := 0.0, 0
-				least := math.Inf(1)
-				for rank := range of {
-					part := ratelimit.Named(perSecond).Part(ratelimit.Place{
+// The quotas of all daemons add up to the limit, and daemons in the server's zone have the
+// larger ones.
+func TestQuotasAddUpToTheLimit(t *testing.T) {
+	for _, perSecond := range testedLimits {
+		for _, total := range []int{1, 2, 9, 89, 2484} {
+			for _, sameZone := range []int{0, 1, (total + 2) / 3, total} {
+				sum, sharers := 0.0, 0
+				minimum := math.Inf(1)
+				for rank := range total {
+					quota := ratelimit.Named(perSecond).Part(ratelimit.Place{
 						Rank: rank,
-						Near: near,
-						Of:   of,
+						Near: sameZone,
+						Of:   total,
 					})
-					sum += part.PerSecond
-					if part.PerSecond > 0 {
-						holders++
-						qt.Assert(t, part.PerSecond <= least, qt.IsTrue)
-						qt.Assert(t, part.Burst >= 1, qt.IsTrue)
-						least = part.PerSecond
+					sum += quota.PerSecond
+					if quota.PerSecond > 0 {
+						sharers++
+						qt.Assert(t, quota.PerSecond <= minimum, qt.IsTrue)
+						qt.Assert(t, quota.Burst >= 1, qt.IsTrue)
+						minimum = quota.PerSecond
 					}
 				}
-				comment := qt.Commentf("%v a second, %d daemons, %d near", perSecond, of, near)
-				// One that takes nothing, or hardly anything, is asked now and then.
-				const seldom = 0.05
-				qt.Check(t, math.Abs(sum-max(perSecond, seldom)) < 1e-6, qt.IsTrue, comment)
-				qt.Check(t, holders >= 1, qt.IsTrue, comment)
+				comment := qt.Commentf("%v a second, %d daemons, %d in the zone", perSecond, total, sameZone)
+				// A server that accepts almost nothing is still probed now and then.
+				const probeRate = 0.05
+				qt.Check(t, math.Abs(sum-max(perSecond, probeRate)) < 1e-6, qt.IsTrue, comment)
+				qt.Check(t, sharers >= 1, qt.IsTrue, comment)
 			}
 		}
 	}
-	// A daemon that knows no list, or is not in it, has no part.
+	// A daemon that knows no list, or is not in it, has no quota.
 	qt.Assert(t, ratelimit.Named(5).Part(ratelimit.Place{}), qt.Equals, ratelimit.Part{})
 	qt.Assert(t, ratelimit.Named(5).Part(ratelimit.Place{
 		Rank: 9,
--- a/core/ratelimit/reservation.go
+++ b/core/ratelimit/reservation.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// Reservation is room for one request that has been chosen and not sent yet. Nothing is spent
-// until it is taken. It is for one goroutine.
+// Reservation reserves capacity for one request that was chosen and not yet sent. Tokens are
+// spent only by Take. It is not safe for concurrent use.
 type Reservation struct {
-	book  *Book
-	start string
-	// of are the limits under which room is kept; none: there was none, or it is kept no more.
-	of []*entry
+	limiter *Book
+	start   string
+	// limits are the limits whose capacity is reserved; empty if there is none, or after the
+	// reservation ended.
+	limits []*entry
 }
 
-// Take spends the room, right before the request's first byte, and returns when that is by
-// the book's clock. It returns false where nothing may be sent: a limit was named, or
-// lowered, since the request was chosen.
-func (r *Reservation) Take(place Place) (sent time.Time, ok bool) {
-	r.book.mutex.Lock()
-	defer r.book.mutex.Unlock()
+// Take spends the reserved tokens right before the first byte of the request, and returns the
+// current time by Clock. ok is false if the request may not be sent, because a limit
+// was set or lowered since the request was chosen.
+func (r *Reservation) Take(position Place) (sent time.Time, ok bool) {
+	r.limiter.mutex.Lock()
+	defer r.limiter.mutex.Unlock()
 	r.release()
-	now := r.book.Clock.Now()
-	limits := r.book.filled(r.start, place, now)
-	if !haveRoom(limits, now) {
+	now := r.limiter.Clock.Now()
+	limits := r.limiter.refilled(r.start, position, now)
+	if !allHaveCapacity(limits, now) {
 		return time.Time{}, false
 	}
-	for _, one := range limits {
-		one.spend(now)
+	for _, e := range limits {
+		e.spend(now)
 	}
 	return now, true
 }
 
-// Release gives the room back if it was not taken.
+// Release returns the reserved capacity if it was not taken.
 func (r *Reservation) Release() {
-	r.book.mutex.Lock()
-	defer r.book.mutex.Unlock()
+	r.limiter.mutex.Lock()
+	defer r.limiter.mutex.Unlock()
 	r.release()
 }
 
-// release keeps the room no longer. The book's mutex is held.
+// release ends the reservation. The mutex of the Book must be held.
 func (r *Reservation) release() {
-	for _, one := range r.of {
-		one.bucket.reserved--
+	for _, e := range r.limits {
+		e.bucket.reserved--
 	}
-	r.of = nil
+	r.limits = nil
 }
--- a/core/ratelimit/sum_test.go
+++ b/core/ratelimit/sum_test.go
@@ -13,45 +13,46 @@
 	"headcourse/core/ratelimit"
 )
 
-// What all daemons together are allowed, as the users' rule has it: from contact after a server
-// first named a limit, in any window, factor of what the limit allows and extra requests.
+// The requirement for all daemons together: from graceTime after a server first announced a
+// limit, any window may have factor times what the limit allows plus extra requests.
 const (
-	contact = 3 * time.Second
-	window  = 4 * time.Second
-	factor  = 1.5
-	extra   = 5
+	graceTime    = 3 * time.Second
+	excessWindow = 4 * time.Second
+	factor       = 1.5
+	extra        = 5
 )
 
-// step is how often each daemon of a model tries to send.
-const step = 20 * time.Millisecond
+// sendInterval is how often each daemon of a model tries to send.
+const sendInterval = 20 * time.Millisecond
 
-// start is the start of the server that names a limit, zone is where it is.
+// start is the start of the server with a limit, and zone is its zone.
 const (
 	start = "i-1@1"
 	zone  = "a"
 )
 
-// servers is how many servers a test plays of which each has its own order of daemons.
-const servers = 20
+// serverCount is the number of servers that a test runs with; each has its own order of
+// daemons.
+const serverCount = 20
 
-// model is a server that names a limit, and daemons that send it all they may.
+// model is a server with a limit, and daemons that send it as many requests as they may.
 type model struct {
 	start   string
 	daemons []*daemon
 	began   time.Time
-	// came are the times at which the server got requests.
-	came []time.Time
+	// arrivals are the times of the requests at the server.
+	arrivals []time.Time
 }
 
-// daemon is one daemon of a model, with the list that it knows.
+// daemon is one daemon of a model with its own list of daemons.
 type daemon struct {
-	name string
-	book ratelimit.Book
-	list neighbours.List
+	name    string
+	limiter ratelimit.Book
+	list    neighbours.List
 }
 
-// list returns a list of so many daemons in three zones.
-func list(count int) neighbours.List {
+// listOf returns a list of the given number of daemons in three zones.
+func listOf(count int) neighbours.List {
 	var daemons []neighbours.Daemon
 	for i := range count {
 		daemons = append(daemons, neighbours.Daemon{
@@ -62,24 +63,24 @@
 	return neighbours.NewList(daemons)
 }
 
-// newModel returns so many daemons that know each other.
+// newModel returns the given number of daemons, which all know each other.
 func newModel(count int) *model {
 	m := &model{
 		start: start,
 		began: time.Now(),
 	}
-	known := list(count)
+	daemons := listOf(count)
 	for i := range count {
 		m.daemons = append(m.daemons, &daemon{
 			name: fmt.Sprintf("front-%d", i),
-			list: known,
+			list: daemons,
 		})
 	}
 	return m
 }
 
-// place returns a daemon's place for the server.
-func (d *daemon) place(start string) ratelimit.Place {
+// position returns a daemon's position for the server.
+func (d *daemon) position(start string) ratelimit.Place {
 	rank, near := d.list.OrderFor(start, zone, d.name)
 	return ratelimit.Place{
 		Rank: rank,
@@ -88,162 +89,161 @@
 	}
 }
 
-// send sends a request if the daemon may, and tells whether it did.
-func (d *daemon) send(start string, place ratelimit.Place) bool {
-	room, ok := d.book.Reserve(start, place)
+// send sends a request if the daemon may, and reports whether it did.
+func (d *daemon) send(start string, position ratelimit.Place) bool {
+	reservation, ok := d.limiter.Reserve(start, position)
 	if !ok {
 		return false
 	}
-	defer room.Release()
-	_, ok = room.Take(place)
+	defer reservation.Release()
+	_, ok = reservation.Take(position)
 	return ok
 }
 
-// tell has all daemons hear a limit.
-func (m *model) tell(perSecond float64) {
-	for _, one := range m.daemons {
-		one.book.Observed(m.start, ratelimit.Named(perSecond), time.Now())
+// observe lets all daemons observe a limit.
+func (m *model) observe(perSecond float64) {
+	for _, d := range m.daemons {
+		d.limiter.Observed(m.start, ratelimit.Named(perSecond), time.Now())
 	}
 }
 
-// play has all daemons send what they may for a while.
-func (m *model) play(length time.Duration) {
-	places := make([]ratelimit.Place, len(m.daemons))
-	for i, one := range m.daemons {
-		places[i] = one.place(m.start)
+// run lets all daemons send as many requests as they may for the given time.
+func (m *model) run(duration time.Duration) {
+	positions := make([]ratelimit.Place, len(m.daemons))
+	for i, d := range m.daemons {
+		positions[i] = d.position(m.start)
 	}
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(step) {
-		for i, one := range m.daemons {
-			for one.send(m.start, places[i]) {
-				m.came = append(m.came, time.Now())
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(sendInterval) {
+		for i, d := range m.daemons {
+			for d.send(m.start, positions[i]) {
+				m.arrivals = append(m.arrivals, time.Now())
 			}
 		}
 	}
 }
 
-// most returns the most requests that came in any window that counts.
-func (m *model) most() int {
-	most, from := 0, 0
-	for to, at := range m.came {
-		for at.Sub(m.came[from]) >= window || m.came[from].Sub(m.began) < contact {
+// maxInToleratedWindow returns the highest number of requests in any window after graceTime.
+func (m *model) maxInToleratedWindow() int {
+	maximum, from := 0, 0
+	for to, at := range m.arrivals {
+		for at.Sub(m.arrivals[from]) >= excessWindow || m.arrivals[from].Sub(m.began) < graceTime {
 			if from == to {
 				break
 			}
 			from++
 		}
-		most = max(most, to-from+1)
+		maximum = max(maximum, to-from+1)
 	}
-	return most
+	return maximum
 }
 
-// check fails the test if the server got more than is allowed.
+// check fails the test if the server got more requests than allowed.
 func (m *model) check(t *testing.T, perSecond float64) {
 	t.Helper()
-	allowed := factor*perSecond*window.Seconds() + extra
-	most := m.most()
-	qt.Check(t, float64(most) <= allowed, qt.IsTrue, qt.Commentf("%d daemons, %v a second: %d requests in a window, allowed %v", len(m.daemons), perSecond, most, allowed))
+	allowed := factor*perSecond*excessWindow.Seconds() + extra
+	maximum := m.maxInToleratedWindow()
+	qt.Check(t, float64(maximum) <= allowed, qt.IsTrue, qt.Commentf("%d daemons, %v a second: %d requests in a window, allowed %v", len(m.daemons), perSecond, maximum, allowed))
 }
 
-// limits are what servers of the tests name.
-var limits = []float64{0, 0.05, 0.3, 1.7, 2.2, 20, 400}
+// testedLimits are the limits in requests a second that tests announce.
+var testedLimits = []float64{0, 0.05, 0.3, 1.7, 2.2, 20, 400}
 
-// Each daemon that keeps to a part of its own sends one whole request at a time, so that even
-// parts add up to more than a server takes as soon as there are many daemons: 360 first requests
-// where 15 are allowed.
-func TestSumOverAllDaemonsStaysWithinALimit(t *testing.T) {
+// Guards against equal quotas for all daemons. Each daemon sends whole requests, so with many
+// daemons the first requests alone exceed the limit: 360 of them where 15 are allowed.
+func TestAllDaemonsTogetherStayWithinALimit(t *testing.T) {
 	for _, count := range []int{1, 4, 9, 89, 360, 2484} {
-		for _, perSecond := range limits {
+		for _, perSecond := range testedLimits {
 			if count > 360 && perSecond > 20 {
 				continue
 			}
 			synctest.Test(t, func(t *testing.T) {
 				m := newModel(count)
-				m.tell(perSecond)
-				m.play(12 * time.Second)
-				// Parts gather while nobody asks for anything, and are used at one moment.
+				m.observe(perSecond)
+				m.run(12 * time.Second)
+				// Quotas accrue while there is no load, and are used all at once.
 				time.Sleep(20 * time.Second)
-				m.play(10 * time.Second)
+				m.run(10 * time.Second)
 				m.check(t, perSecond)
 			})
 		}
 	}
 }
 
-// A server that is left alone although it takes requests serves nobody.
-func TestLimitIsUsedWhereThereIsWork(t *testing.T) {
+// A limit that is too strict would leave a server idle although it accepts requests.
+func TestLimitIsUsedUnderLoad(t *testing.T) {
 	for _, count := range []int{1, 9, 360} {
 		for _, perSecond := range []float64{0.3, 1.7, 20} {
 			synctest.Test(t, func(t *testing.T) {
 				m := newModel(count)
-				m.tell(perSecond)
-				const length = 50 * time.Second
-				m.play(length)
-				got := float64(len(m.came)) / length.Seconds()
-				qt.Check(t, got >= 0.85*perSecond, qt.IsTrue, qt.Commentf("%d daemons, %v a second: %v", count, perSecond, got))
+				m.observe(perSecond)
+				const duration = 50 * time.Second
+				m.run(duration)
+				rate := float64(len(m.arrivals)) / duration.Seconds()
+				qt.Check(t, rate >= 0.85*perSecond, qt.IsTrue, qt.Commentf("%d daemons, %v a second: %v", count, perSecond, rate))
 			})
 		}
 	}
 }
 
-// Daemons that are added are known to the others at different moments. Whoever has a part by
-// the former list may use it until then, beside those that have it by the new one.
-func TestSumStaysWithinALimitWhileListsDiffer(t *testing.T) {
-	const latest = 800 * time.Millisecond
+// Daemons learn of added daemons at different times. Until then, quotas by the old list and by
+// the new one are used together.
+func TestLimitHoldsWhileDaemonListsDiffer(t *testing.T) {
+	const maxDelay = 800 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, sizes := range [][2]int{{9, 10}, {9, 14}, {14, 9}, {89, 120}, {89, 60}} {
-		for _, perSecond := range limits {
+		for _, perSecond := range testedLimits {
 			if perSecond > 20 {
 				continue
 			}
 			synctest.Test(t, func(t *testing.T) {
 				m := newModel(max(sizes[0], sizes[1]))
-				former, next := list(sizes[0]), list(sizes[1])
-				for _, one := range m.daemons {
-					one.list = former
+				previous, next := listOf(sizes[0]), listOf(sizes[1])
+				for _, d := range m.daemons {
+					d.list = previous
 				}
-				m.tell(perSecond)
-				m.play(30 * time.Second)
-				// Parts are full.
+				m.observe(perSecond)
+				m.run(30 * time.Second)
+				// All buckets are full.
 				time.Sleep(10 * time.Second)
 				changes := make([]time.Time, len(m.daemons))
 				for i := range changes {
-					changes[i] = time.Now().Add(time.Duration(random.Int64N(int64(latest))))
+					changes[i] = time.Now().Add(time.Duration(random.Int64N(int64(maxDelay))))
 				}
 				for range 30 {
-					for i, one := range m.daemons {
+					for i, d := range m.daemons {
 						if time.Now().After(changes[i]) {
-							one.list = next
+							d.list = next
 						}
 					}
-					m.play(100 * time.Millisecond)
+					m.run(100 * time.Millisecond)
 				}
-				m.play(10 * time.Second)
+				m.run(10 * time.Second)
 				m.check(t, perSecond)
 			})
 		}
 	}
 }
 
-// Daemons are added one after the other. Those that get a part by it have not sent anything,
-// and would all begin with a burst.
-func TestSumStaysWithinALimitWhileDaemonsAreAdded(t *testing.T) {
+// Daemons are added one after the other. Each one that gets a quota has not sent anything yet,
+// and all would begin with a burst.
+func TestLimitHoldsWhileDaemonsAreAdded(t *testing.T) {
 	for _, perSecond := range []float64{0.05, 0.3, 1.7} {
-		for server := range servers {
+		for server := range serverCount {
 			synctest.Test(t, func(t *testing.T) {
 				const first, last = 9, 60
 				const between = 100 * time.Millisecond
 				m := newModel(last)
 				m.start = fmt.Sprintf("i-%d@1", server)
-				for _, one := range m.daemons {
-					one.list = list(first)
+				for _, d := range m.daemons {
+					d.list = listOf(first)
 				}
-				m.tell(perSecond)
-				m.play(30 * time.Second)
+				m.observe(perSecond)
+				m.run(30 * time.Second)
 				for count := first; count <= last; count++ {
-					for _, one := range m.daemons {
-						one.list = list(count)
+					for _, d := range m.daemons {
+						d.list = listOf(count)
 					}
-					m.play(between)
+					m.run(between)
 				}
 				m.check(t, perSecond)
 			})
@@ -251,41 +251,41 @@
 	}
 }
 
-// A server that falls further into need is not sent what gathered by the higher limit.
-func TestSumStaysWithinALowerLimit(t *testing.T) {
+// After a server lowers its limit, tokens that accrued at the higher one are not used.
+func TestLoweredLimitHolds(t *testing.T) {
 	for _, count := range []int{9, 360} {
 		synctest.Test(t, func(t *testing.T) {
 			m := newModel(count)
-			m.tell(20)
-			m.play(10 * time.Second)
+			m.observe(20)
+			m.run(10 * time.Second)
 			time.Sleep(10 * time.Second)
-			m.came = nil
-			m.tell(0.3)
-			m.play(20 * time.Second)
+			m.arrivals = nil
+			m.observe(0.3)
+			m.run(20 * time.Second)
 			m.check(t, 0.3)
 		})
 	}
 }
 
-// Where all daemons that had a part are gone, nobody hears that a limit is over. The others
-// ask in turn, one at a time.
-func TestLimitIsAskedForInTurnsWhereNobodySpeaksOfIt(t *testing.T) {
+// If all daemons with a quota have stopped, no daemon observes that the limit is over. The
+// others probe in turns, one at a time.
+func TestLimitIsProbedInTurnsWithoutNewReports(t *testing.T) {
 	for _, count := range []int{9, 89} {
 		synctest.Test(t, func(t *testing.T) {
 			m := newModel(count)
 			const perSecond = 0.3
-			m.tell(perSecond)
+			m.observe(perSecond)
 			var without []*daemon
-			for _, one := range m.daemons {
-				if ratelimit.Named(perSecond).Part(one.place(m.start)).PerSecond == 0 {
-					without = append(without, one)
+			for _, d := range m.daemons {
+				if ratelimit.Named(perSecond).Part(d.position(m.start)).PerSecond == 0 {
+					without = append(without, d)
 				}
 			}
 			m.daemons = without
-			m.play(time.Minute)
-			qt.Assert(t, m.came, qt.HasLen, 0)
-			m.play(5 * time.Minute)
-			qt.Assert(t, len(m.came) >= 2, qt.IsTrue)
+			m.run(time.Minute)
+			qt.Assert(t, m.arrivals, qt.HasLen, 0)
+			m.run(5 * time.Minute)
+			qt.Assert(t, len(m.arrivals) >= 2, qt.IsTrue)
 			m.check(t, perSecond)
 		})
 	}
