--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,9 +1,8 @@
-// Package retry bounds the retries that a daemon adds to the load.
+// Package retry bounds the load that a daemon's retries add.
 //
-// A budget earns a share of a token with every first try and pays a whole one
-// for every retry. So when a backend server is slow for everyone, retries stay
-// a fixed share of the traffic and cannot drown it; a count for each request
-// would multiply the load just when it hurts.
+// Each first attempt earns a fraction of a token, and each retry costs a whole one. When a
+// backend server is slow for all requests, retries thus stay a fixed share of the traffic. A
+// limit for each request would multiply the load just when the server is overloaded.
 package retry
 
 import (
@@ -12,59 +11,59 @@
 	"time"
 )
 
-// Figures of a budget.
 const (
-	// Share is the part of the traffic that retries may add.
+	// Share is the default share of the traffic that retries may add.
 	Share = 0.1
-	// Burst is how many retries may come at once after quiet times.
+	// Burst is the default number of retries that may be made at once after an idle time.
 	Burst = 20.0
 )
 
-// burstPart is the part of a burst for all daemons that is divided: when all restart within a
-// window, each begins with a whole part again.
-const burstPart = 0.45
+// burstFraction is the fraction of the total burst that is divided among daemons. If all
+// daemons restart within a window, each one starts with its whole burst again, so the fraction
+// must be below one half.
+const burstFraction = 0.45
 
-// BurstPart returns one daemon's part of the burst that so many may make together. One below 1
-// is rounded at random (Budgets): were each daemon allowed one at least, hundreds of daemons
-// would retry more often than all may; were none allowed any, a service that each of them is
-// rarely asked for would never be retried.
+// BurstPart returns one daemon's burst out of a total burst for all daemons. Budgets rounds a
+// burst below 1 at random. If each daemon had at least one retry, hundreds of daemons would
+// exceed the total; if each had none, a service with few requests at each daemon would never be
+// retried.
 func BurstPart(burst float64, daemons int) float64 {
-	return burstPart * burst / float64(max(1, daemons))
+	return burstFraction * burst / float64(max(1, daemons))
 }
 
-// Budget is a retry budget, safe for concurrent use. The zero value starts
-// with Burst retries and earns Share of a token a request.
+// Budget is a retry budget. The zero value starts with Burst retries and earns Share of a token
+// for each request. It is safe for concurrent use.
 //
-// With a window, what was earned and spent is forgotten after the window: in any
-// window at most share of the window's requests plus burst is spent. Without
-// one, what was earned is kept, but never more than burst.
+// With a window, requests and retries expire after the window: in any window, retries are at
+// most share times the requests plus burst. Without a window, unused tokens are kept up to
+// burst.
 type Budget struct {
 	mutex sync.Mutex
-	// share, burst and window are the figures of SetFigures; 0 stands for the
-	// defaults, and for no window.
+	// share, burst and window are the arguments of SetFigures. Zero means the defaults, and no
+	// window.
 	share  float64
 	burst  float64
 	window time.Duration
-	// rounding is added to what the budget holds, of which whole retries are spent.
+	// rounding is added to the balance before it is rounded down to whole retries.
 	rounding float64
-	// spent is how far below burst the budget is, where there is no window.
+	// spent is the number of tokens below burst; it is used without a window only.
 	spent  float64
-	slices [windowSlices]slice
+	slices [sliceCount]windowSlice
 }
 
-// windowSlices is how many slices a window is counted in. One more is kept, so
-// that a whole window is covered at any moment.
-const windowSlices = 21
+// sliceCount is the number of slices of a window, plus one so that the slices cover a whole
+// window at any moment.
+const sliceCount = 21
 
-// slice counts requests and retries during a part of the window.
-type slice struct {
+// windowSlice counts requests and retries in one slice of the window.
+type windowSlice struct {
 	number   int64
 	requests float64
 	retries  float64
 }
 
-// SetFigures gives the budget a share of the traffic, a burst and a window of
-// its own, such as a daemon's part of what all daemons may send again together.
+// SetFigures sets the share of the traffic, the burst and the window, for instance to one
+// daemon's part of the limits for all daemons.
 func (b *Budget) SetFigures(share, burst float64, window time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -73,64 +72,64 @@
 	b.window = window
 }
 
-// figures returns the share and the burst in force. The mutex is held.
-func (b *Budget) figures() (share, burst float64) {
+// limits returns the effective share and burst. The mutex must be held.
+func (b *Budget) limits() (share, burst float64) {
 	if b.share == 0 && b.burst == 0 {
 		return Share, Burst
 	}
 	return b.share, b.burst
 }
 
-// now returns the slice that counts now. The mutex is held.
-func (b *Budget) now() *slice {
-	number := time.Now().UnixNano() / int64(b.window/(windowSlices-1))
-	current := &b.slices[number%windowSlices]
+// currentSlice returns the slice for the current time. The mutex must be held.
+func (b *Budget) currentSlice() *windowSlice {
+	number := time.Now().UnixNano() / int64(b.window/(sliceCount-1))
+	current := &b.slices[number%sliceCount]
 	if current.number != number {
-		*current = slice{
+		*current = windowSlice{
 			number: number,
 		}
 	}
 	return current
 }
 
-// sums returns the requests and retries of the last window. The mutex is held.
-func (b *Budget) sums() (requests, retries float64) {
-	newest := b.now().number
-	for _, one := range b.slices {
-		if newest-one.number >= windowSlices {
+// windowTotals returns the requests and retries of the last window. The mutex must be held.
+func (b *Budget) windowTotals() (requests, retries float64) {
+	newest := b.currentSlice().number
+	for _, s := range b.slices {
+		if newest-s.number >= sliceCount {
 			continue
 		}
-		retries += one.retries
-		if newest-one.number < windowSlices-1 {
-			requests += one.requests
+		retries += s.retries
+		if newest-s.number < sliceCount-1 {
+			requests += s.requests
 		}
 	}
 	return requests, retries
 }
 
-// Earn notes a first try.
+// Earn records a first attempt.
 func (b *Budget) Earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.window > 0 {
-		b.now().requests++
+		b.currentSlice().requests++
 		return
 	}
-	share, _ := b.figures()
+	share, _ := b.limits()
 	b.spent = max(0, b.spent-share)
 }
 
-// Spend tells whether one retry may be made, and pays for it.
+// Spend reports whether a retry may be made, and takes its token if so.
 func (b *Budget) Spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	share, burst := b.figures()
+	share, burst := b.limits()
 	if b.window > 0 {
-		requests, retries := b.sums()
+		requests, retries := b.windowTotals()
 		if retries+1 > share*requests+burst+b.rounding {
 			return false
 		}
-		b.now().retries++
+		b.currentSlice().retries++
 		return true
 	}
 	if b.spent+1 > burst {
@@ -140,47 +139,46 @@
 	return true
 }
 
-// Budgets are budgets by name, such as one for each service, with the same
-// figures. It is safe for concurrent use; the zero value has the figures of a
-// zero Budget.
+// Budgets holds budgets by name, for instance one for each service, with the same limits. The
+// zero value has the defaults of Budget. It is safe for concurrent use.
 //
-// What a budget holds is rounded at random, by a draw of its own that it keeps: up with the
-// chance of its fraction. So the mean over many daemons is the sum of their parts, and the
-// sum differs from it by the square root of their number at most, where each part rounded
-// down would leave nothing of the sum.
+// Each budget rounds its balance at random, by an offset that is drawn once: up with a
+// probability equal to its fraction. So the mean over many daemons is the sum of their parts, with a
+// deviation of at most the square root of the number of daemons. Rounding each part down would
+// leave nothing of the sum.
 type Budgets struct {
 	mutex  sync.Mutex
-	named  map[string]*Budget
+	byName map[string]*Budget
 	share  float64
 	burst  float64
 	window time.Duration
 }
 
-// SetFigures gives all budgets their figures, those to come as well.
+// SetFigures sets the limits of all current and future budgets.
 func (b *Budgets) SetFigures(share, burst float64, window time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.share, b.burst, b.window = share, burst, window
-	for _, one := range b.named {
-		one.SetFigures(share, burst, window)
+	for _, budget := range b.byName {
+		budget.SetFigures(share, burst, window)
 	}
 }
 
-// Of returns the budget of a name.
+// Of returns the budget with the given name.
 func (b *Budgets) Of(name string) *Budget {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one, ok := b.named[name]
+	budget, ok := b.byName[name]
 	if ok {
-		return one
+		return budget
 	}
-	one = &Budget{
+	budget = &Budget{
 		rounding: rand.Float64(),
 	}
-	one.SetFigures(b.share, b.burst, b.window)
-	if b.named == nil {
-		b.named = map[string]*Budget{}
+	budget.SetFigures(b.share, b.burst, b.window)
+	if b.byName == nil {
+		b.byName = map[string]*Budget{}
 	}
-	b.named[name] = one
-	return one
+	b.byName[name] = budget
+	return budget
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -10,9 +10,8 @@
 	"headcourse/core/retry"
 )
 
-// TestRetriesStayAShareOfTheTraffic: every request fails and would be tried
-// again as often as allowed.
-func TestRetriesStayAShareOfTheTraffic(t *testing.T) {
+// Every request fails, and is retried as often as the budget allows.
+func TestRetriesStayWithinTheirShareOfTraffic(t *testing.T) {
 	var budget retry.Budget
 	retries := 0
 	const requests = 10000
@@ -24,12 +23,12 @@
 			}
 		}
 	}
-	most := retry.Share*requests + retry.Burst + 1
-	qt.Assert(t, float64(retries) <= most, qt.IsTrue, qt.Commentf("%d", retries))
+	maximum := retry.Share*requests + retry.Burst + 1
+	qt.Assert(t, float64(retries) <= maximum, qt.IsTrue, qt.Commentf("%d", retries))
 	qt.Assert(t, float64(retries) >= retry.Share*requests-1, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
-func TestWindowBoundsRetriesByItsOwnRequests(t *testing.T) {
+func TestRequestsAndRetriesExpireWithTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budget retry.Budget
 		budget.SetFigures(0.2, 2, 10*time.Second)
@@ -42,7 +41,7 @@
 		}
 		qt.Assert(t, spent, qt.Equals, 22)
 
-		// The requests are forgotten with the window, and so are the retries.
+		// Requests expire with the window, and so do retries.
 		time.Sleep(11 * time.Second)
 		spent = 0
 		for budget.Spend() {
@@ -52,9 +51,9 @@
 	})
 }
 
-// Found by a hunt (BUDGET, valdeserna-riego-grown, trouble-2 with seed
-// 436711837917): the requests for one service paid for the retries of another.
-func TestServicesDoNotShareWhatTheyEarn(t *testing.T) {
+// Guards against requests for one service that pay for the retries of another. Found by a
+// randomised run (BUDGET, valdeserna-riego-grown, trouble-2 with seed 436711837917).
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budgets retry.Budgets
 		budgets.SetFigures(0.2, 1, 10*time.Second)
@@ -74,7 +73,7 @@
 	})
 }
 
-func TestNoWindowHoldsMoreThanItsBound(t *testing.T) {
+func TestRetriesInAnyWindowStayWithinTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budget retry.Budget
 		budget.SetFigures(0.2, 5, 10*time.Second)
@@ -102,32 +101,32 @@
 	})
 }
 
-// Each of hundreds of daemons was allowed one retry at least, whatever its part of the burst: 300
-// retries at one moment where all together may make 136.
-func TestPartsOfAllDaemonsStayWithinTheBurst(t *testing.T) {
+// Guards against a burst of at least one retry for each daemon: hundreds of daemons made 300
+// retries at once, where all together may make 136.
+func TestBurstsOfAllDaemonsStayWithinTheTotal(t *testing.T) {
 	for _, daemons := range []int{1, 9, 89, 360, 2484} {
 		synctest.Test(t, func(t *testing.T) {
 			const share, burst, window = 0.2, 136.0, 10 * time.Second
-			var parts []*retry.Budget
+			var budgets []*retry.Budget
 			for range daemons {
-				part := &retry.Budget{}
-				part.SetFigures(share, retry.BurstPart(burst, daemons), window)
-				parts = append(parts, part)
+				budget := &retry.Budget{}
+				budget.SetFigures(share, retry.BurstPart(burst, daemons), window)
+				budgets = append(budgets, budget)
 			}
 			retries, requests := 0, 0
-			for _, part := range parts {
-				for part.Spend() {
+			for _, budget := range budgets {
+				for budget.Spend() {
 					retries++
 				}
 			}
 			qt.Check(t, float64(retries) <= burst, qt.IsTrue, qt.Commentf("%d daemons: %d", daemons, retries))
-			// What is below one is not lost.
-			for _, part := range parts {
+			// Fractions of a retry add up.
+			for _, budget := range budgets {
 				for range 20 {
-					part.Earn()
+					budget.Earn()
 					requests++
 				}
-				for part.Spend() {
+				for budget.Spend() {
 					retries++
 				}
 			}
