--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,12 +1,11 @@
-// Package admission decides which waiting request goes next.
+// Package admission decides which waiting request is served next.
 //
-// Requests wait in a queue for each organisation. When a group has room, the
-// organisation that has had least for its share goes first (start-time fair
-// queueing), so a large organisation cannot keep a small one waiting; within an
-// organisation the higher priority goes first, then the earlier. Queues are
-// bounded, an organisation has at most so many requests in flight, and a
-// request that cannot be served in time is told so at once, with when to come
-// back.
+// Each organisation has a queue. When a group has capacity, the organisation with the least
+// service relative to its share goes first (start-time fair queueing), so a large organisation
+// cannot starve a small one. Within an organisation, the higher priority goes first, then the
+// earlier request. Queues and requests in flight are limited for each organisation. A request
+// that exceeds a limit is rejected at once, one that waits too long at its deadline, each with
+// the time after which to retry.
 package admission
 
 import (
@@ -20,21 +19,20 @@
 	"headcourse/core/outcome"
 )
 
-// Request is one request that asks to be admitted.
+// Request is a request to be admitted.
 type Request struct {
 	Organisation declaration.Organisation
-	// Pool is what it waits for: a model or a service.
+	// Pool is the model or service that the request needs.
 	Pool     string
 	Priority int
-	// Daemons is how many daemons share the organisation's limits.
+	// Daemons is the number of daemons that share the organisation's limits.
 	Daemons int
-	// Try chooses a backend server and takes a place there; it returns false
-	// while none has room. It is called under the queue's lock.
+	// Try chooses a backend server and takes a place there. It returns false if no server has
+	// capacity. It is called with the queue's mutex held.
 	Try func() bool
 }
 
-// Queue holds the waiting requests. It is safe for concurrent use; the zero
-// value is empty.
+// Queue holds the waiting requests. The zero value is empty. It is safe for concurrent use.
 type Queue struct {
 	mutex         sync.Mutex
 	organisations map[string]*account
@@ -42,13 +40,13 @@
 	arrivals      uint64
 }
 
-// account is what is known of one organisation.
+// account is the state of one organisation.
 type account struct {
 	inFlight int
-	waiting  int
-	// served is the virtual time: requests started, divided by the share.
-	served  float64
-	limiter *rate.Limiter
+	queued   int
+	// virtualTime is the number of started requests divided by the organisation's share.
+	virtualTime float64
+	limiter     *rate.Limiter
 }
 
 // waiter is one waiting request.
@@ -57,57 +55,57 @@
 	account *account
 	arrival uint64
 	granted chan struct{}
-	isGone  bool
+	hasLeft bool
 }
 
-// Admit waits until the request may go, at most until ctx ends. It returns the
-// function that gives its place back, or the refusal.
+// Admit waits until the request may start, or until ctx ends. It returns the function that
+// releases the request's place, or the rejection.
 func (q *Queue) Admit(ctx context.Context, request Request) (release func(), refusal *outcome.Failure) {
-	waiting, refusal := q.enter(request)
+	w, refusal := q.enqueue(request)
 	if refusal != nil {
 		return nil, refusal
 	}
 	select {
-	case <-waiting.granted:
-		return q.releaser(waiting), nil
+	case <-w.granted:
+		return q.releaseFunc(w), nil
 	default:
 	}
 	select {
-	case <-waiting.granted:
-		return q.releaser(waiting), nil
+	case <-w.granted:
+		return q.releaseFunc(w), nil
 	case <-ctx.Done():
-		return q.leave(waiting)
+		return q.withdraw(w)
 	}
 }
 
-// enter checks the limits and queues the request.
-func (q *Queue) enter(request Request) (*waiter, *outcome.Failure) {
+// enqueue checks the limits and queues the request.
+func (q *Queue) enqueue(request Request) (*waiter, *outcome.Failure) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	owner := q.accountOf(request)
 	if !owner.limiter.Allow() {
 		return nil, outcome.Refuse(outcome.ReasonRateLimit, "admit request")
 	}
-	if owner.waiting >= share(request.Organisation.MaxQueued, request.Daemons) {
+	if owner.queued >= perDaemonLimit(request.Organisation.MaxQueued, request.Daemons) {
 		return nil, outcome.Refuse(outcome.ReasonQueueFull, "admit request")
 	}
 	q.arrivals++
-	waiting := &waiter{
+	w := &waiter{
 		request: request,
 		account: owner,
 		arrival: q.arrivals,
 		granted: make(chan struct{}),
 	}
-	if owner.waiting == 0 && owner.inFlight == 0 {
-		owner.served = max(owner.served, q.leastServed(owner))
+	if owner.queued == 0 && owner.inFlight == 0 {
+		owner.virtualTime = max(owner.virtualTime, q.minVirtualTime(owner))
 	}
-	owner.waiting++
-	q.pools[request.Pool] = append(q.pools[request.Pool], waiting)
+	owner.queued++
+	q.pools[request.Pool] = append(q.pools[request.Pool], w)
 	q.dispatch(request.Pool)
-	return waiting, nil
+	return w, nil
 }
 
-// accountOf returns the organisation's account, with its rate as declared now.
+// accountOf returns the organisation's account and updates its rate to the declared one.
 func (q *Queue) accountOf(request Request) *account {
 	if q.organisations == nil {
 		q.organisations = map[string]*account{}
@@ -130,67 +128,67 @@
 	return owner
 }
 
-// share returns a daemon's part of a fleet-wide limit, rounded up.
-func share(limit, daemons int) int {
+// perDaemonLimit returns one daemon's part of a limit for all daemons, rounded up.
+func perDaemonLimit(limit, daemons int) int {
 	daemons = max(1, daemons)
 	return (limit + daemons - 1) / daemons
 }
 
-// leastServed returns the least virtual time among the other organisations
-// that have requests here, so that one that comes back has no credit.
-func (q *Queue) leastServed(except *account) float64 {
-	least, found := 0.0, false
+// minVirtualTime returns the lowest virtual time of the other organisations with requests here.
+// An organisation that was idle continues from it, so it gains no credit.
+func (q *Queue) minVirtualTime(except *account) float64 {
+	minimum, found := 0.0, false
 	for _, other := range q.organisations {
-		if other == except || other.waiting+other.inFlight == 0 {
+		if other == except || other.queued+other.inFlight == 0 {
 			continue
 		}
-		if !found || other.served < least {
-			least, found = other.served, true
+		if !found || other.virtualTime < minimum {
+			minimum, found = other.virtualTime, true
 		}
 	}
-	return least
+	return minimum
 }
 
-// leave takes a request out of its queue, unless it was granted meanwhile.
-func (q *Queue) leave(waiting *waiter) (release func(), refusal *outcome.Failure) {
+// withdraw removes a request from its queue, unless it was granted in the meantime.
+func (q *Queue) withdraw(w *waiter) (release func(), refusal *outcome.Failure) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	select {
-	case <-waiting.granted:
-		return q.releaser(waiting), nil
+	case <-w.granted:
+		return q.releaseFunc(w), nil
 	default:
 	}
-	waiting.isGone = true
-	waiting.account.waiting--
-	q.remove(waiting)
+	w.hasLeft = true
+	w.account.queued--
+	q.remove(w)
 	return nil, outcome.Refuse(outcome.ReasonQueueDeadline, "admit request")
 }
 
-// remove takes a waiter out of its pool's list. The mutex is held.
-func (q *Queue) remove(waiting *waiter) {
-	list := q.pools[waiting.request.Pool]
-	for i, other := range list {
-		if other == waiting {
-			q.pools[waiting.request.Pool] = append(list[:i], list[i+1:]...)
+// remove removes a waiter from its pool. The mutex must be held.
+func (q *Queue) remove(w *waiter) {
+	waiters := q.pools[w.request.Pool]
+	for i, other := range waiters {
+		if other == w {
+			q.pools[w.request.Pool] = append(waiters[:i], waiters[i+1:]...)
 			return
 		}
 	}
 }
 
-// releaser returns the function that gives a granted place back.
-func (q *Queue) releaser(granted *waiter) func() {
+// releaseFunc returns the function that releases a granted place.
+func (q *Queue) releaseFunc(w *waiter) func() {
 	return sync.OnceFunc(func() {
 		q.mutex.Lock()
 		defer q.mutex.Unlock()
-		granted.account.inFlight--
+		w.account.inFlight--
 		for pool := range q.pools {
 			q.dispatch(pool)
 		}
 	})
 }
 
-// Wake tries all queues again, because something else has changed: a group
-// came back, or a new report tells of room.
+// Wake dispatches all queues again after an external change: a group is back, or a new report
+// shows capacity.
 func (q *Queue) Wake() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -199,8 +197,7 @@
 	}
 }
 
-// dispatch grants waiting requests of a pool while there is room. The mutex is
-// held.
+// dispatch grants waiting requests of a pool while there is capacity. The mutex must be held.
 func (q *Queue) dispatch(pool string) {
 	for {
 		next := q.next(pool)
@@ -208,34 +205,34 @@
 			return
 		}
 		owner := next.account
-		owner.waiting--
+		owner.queued--
 		owner.inFlight++
-		owner.served += 1 / float64(max(1, next.request.Organisation.Share))
+		owner.virtualTime += 1 / float64(max(1, next.request.Organisation.Share))
 		q.remove(next)
 		close(next.granted)
 	}
 }
 
-// next returns the request of a pool that goes next, or nil.
+// next returns the next request of a pool, or nil. The mutex must be held.
 func (q *Queue) next(pool string) *waiter {
 	var best *waiter
 	for _, candidate := range q.pools[pool] {
-		limit := share(candidate.request.Organisation.MaxInFlight, candidate.request.Daemons)
+		limit := perDaemonLimit(candidate.request.Organisation.MaxInFlight, candidate.request.Daemons)
 		if candidate.account.inFlight >= limit {
 			continue
 		}
-		if best == nil || goesBefore(candidate, best) {
+		if best == nil || precedes(candidate, best) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// goesBefore tells whether a goes before b.
-func goesBefore(a, b *waiter) bool {
+// precedes reports whether a is served before b.
+func precedes(a, b *waiter) bool {
 	if a.account != b.account {
-		if a.account.served != b.account.served {
-			return a.account.served < b.account.served
+		if a.account.virtualTime != b.account.virtualTime {
+			return a.account.virtualTime < b.account.virtualTime
 		}
 		return a.arrival < b.arrival
 	}
@@ -245,7 +242,8 @@
 	return a.arrival < b.arrival
 }
 
-// RetryAfter returns when a refused caller should come back, by the reason.
+// RetryAfter returns the time after which a rejected client should retry, by the reason of the
+// rejection.
 func RetryAfter(reason outcome.Reason) time.Duration {
 	switch reason {
 	case outcome.ReasonRateLimit, outcome.ReasonLeaving:
@@ -261,13 +259,13 @@
 	}
 }
 
-// Waiting returns how many requests wait, over all pools.
+// Waiting returns the number of waiting requests in all pools.
 func (q *Queue) Waiting() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	total := 0
-	for _, list := range q.pools {
-		total += len(list)
+	for _, waiters := range q.pools {
+		total += len(waiters)
 	}
 	return total
 }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -13,8 +13,7 @@
 	"headcourse/core/outcome"
 )
 
-// organisation returns an organisation with limits that do not matter but for
-// what a test sets.
+// organisation returns an organisation with high limits; tests lower the ones that they need.
 func organisation(name string, share int) declaration.Organisation {
 	return declaration.Organisation{
 		Name:              name,
@@ -25,12 +24,12 @@
 	}
 }
 
-// pool is a backend with a number of places.
+// pool is a backend with a number of free places.
 type pool struct {
 	places int
 }
 
-// try takes a place. The queue calls it under its lock.
+// try takes a place. The queue calls it with its mutex held.
 func (p *pool) try() bool {
 	if p.places == 0 {
 		return false
@@ -39,8 +38,8 @@
 	return true
 }
 
-// TestSmallOrganisationIsNotStarved: a large organisation has a hundred
-// requests waiting when a small one comes; places come free one by one.
+// A large organisation has a hundred waiting requests when a small one arrives, and places
+// become free one by one.
 func TestSmallOrganisationIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var queue admission.Queue
@@ -71,7 +70,7 @@
 			queue.Wake()
 			served[<-order]++
 		}
-		// By shares of 4 and 1, a fifth of the places is the small one's.
+		// With shares of 4 and 1, a fifth of the places belongs to the small organisation.
 		qt.Assert(t, served["small"], qt.Equals, 10)
 		backend.places = 60
 		queue.Wake()
@@ -106,8 +105,8 @@
 	})
 }
 
-// refusalOf admits one request and returns the reason it is refused for.
-func refusalOf(queue *admission.Queue, from declaration.Organisation, wait time.Duration) outcome.Reason {
+// admitReason admits one request and returns the reason of its rejection.
+func admitReason(queue *admission.Queue, from declaration.Organisation, wait time.Duration) outcome.Reason {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	_, refusal := queue.Admit(ctx, admission.Request{
@@ -123,28 +122,28 @@
 	return refusal.Reason
 }
 
-func TestBoundsRefuseAsNotRun(t *testing.T) {
+func TestRequestsBeyondLimitsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var queue admission.Queue
 		limited := organisation("o", 1)
 		limited.MaxQueued = 2
-		go refusalOf(&queue, limited, time.Minute)
+		go admitReason(&queue, limited, time.Minute)
 		synctest.Wait()
-		// Two daemons share the bound of two.
-		qt.Assert(t, refusalOf(&queue, limited, time.Minute), qt.Equals, outcome.ReasonQueueFull)
+		// Two daemons share the limit of two.
+		qt.Assert(t, admitReason(&queue, limited, time.Minute), qt.Equals, outcome.ReasonQueueFull)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		qt.Assert(t, queue.Waiting(), qt.Equals, 0)
-		qt.Assert(t, refusalOf(&queue, organisation("p", 1), time.Second), qt.Equals, outcome.ReasonQueueDeadline)
+		qt.Assert(t, admitReason(&queue, organisation("p", 1), time.Second), qt.Equals, outcome.ReasonQueueDeadline)
 		slow := organisation("q", 1)
 		slow.RequestsPerSecond = 1
-		qt.Assert(t, refusalOf(&queue, slow, time.Millisecond), qt.Equals, outcome.ReasonQueueDeadline)
-		qt.Assert(t, refusalOf(&queue, slow, time.Millisecond), qt.Equals, outcome.ReasonRateLimit)
+		qt.Assert(t, admitReason(&queue, slow, time.Millisecond), qt.Equals, outcome.ReasonQueueDeadline)
+		qt.Assert(t, admitReason(&queue, slow, time.Millisecond), qt.Equals, outcome.ReasonRateLimit)
 		qt.Assert(t, admission.RetryAfter(outcome.ReasonRateLimit) > 0, qt.IsTrue)
 	})
 }
 
-func TestConcurrencyIsBounded(t *testing.T) {
+func TestRequestsInFlightAreLimited(t *testing.T) {
 	var queue admission.Queue
 	limited := organisation("o", 1)
 	limited.MaxInFlight = 1
