--- a/core/urgency/lane.go
+++ b/core/urgency/lane.go
@@ -5,89 +5,90 @@
 	"time"
 )
 
-// Lane lets a bounded number of late requests of a kind wait for their first event
-// at once. When all clients come back after an outage, those that are late already
-// would otherwise fill all places of the engines before the next ones come, which
-// could still be in time; a level does not help there, since what runs is not put
-// back. The zero value is empty; it is safe for concurrent use.
+// Lane limits how many late requests of a kind wait for their first event at once. When all
+// clients come back after an outage, late requests would otherwise occupy all places of the
+// engines, and the next requests, which can still meet their goals, would find none. Levels do
+// not help there, since running requests are not preempted. The zero value is empty. It is safe
+// for concurrent use.
 type Lane struct {
 	mutex sync.Mutex
-	kinds map[string]*laneOfKind
+	kinds map[string]*kindState
 }
 
-// laneOfKind is the lane of one kind of request.
-type laneOfKind struct {
-	inside int
-	// left is closed when a request leaves.
-	left chan struct{}
+// kindState is the state of one kind of request.
+type kindState struct {
+	admitted int
+	// released is closed when an admitted request is released.
+	released chan struct{}
 }
 
-// Enter waits until fewer than limit requests of a kind are inside, at most for a
-// time, and enters. leave must be called when the request's answer begins or fails;
-// more calls do nothing.
-func (l *Lane) Enter(kind string, limit int, patience time.Duration) (leave func()) {
-	timer := time.NewTimer(patience)
+// Enter waits until fewer than limit requests of a kind are admitted, or until the timeout, and
+// then admits the request. The caller must call release when the answer begins or fails;
+// further calls have no effect.
+func (l *Lane) Enter(kind string, limit int, timeout time.Duration) (release func()) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		left := l.tryEnter(kind, limit)
-		if left == nil {
-			return l.leaver(kind)
+		released := l.tryAcquire(kind, limit)
+		if released == nil {
+			return l.releaseFunc(kind)
 		}
 		select {
-		case <-left:
+		case <-released:
 		case <-timer.C:
-			l.force(kind)
-			return l.leaver(kind)
+			l.acquireOverLimit(kind)
+			return l.releaseFunc(kind)
 		}
 	}
 }
 
-// of returns the lane of a kind. The mutex is held.
-func (l *Lane) of(kind string) *laneOfKind {
+// stateOf returns the state of a kind and creates it if necessary. The mutex must be held.
+func (l *Lane) stateOf(kind string) *kindState {
 	if l.kinds == nil {
-		l.kinds = map[string]*laneOfKind{}
+		l.kinds = map[string]*kindState{}
 	}
-	lane, ok := l.kinds[kind]
+	state, ok := l.kinds[kind]
 	if !ok {
-		lane = &laneOfKind{
-			left: make(chan struct{}),
+		state = &kindState{
+			released: make(chan struct{}),
 		}
-		l.kinds[kind] = lane
+		l.kinds[kind] = state
 	}
-	return lane
+	return state
 }
 
-// tryEnter enters if there is room, or returns what is closed when one leaves.
-func (l *Lane) tryEnter(kind string, limit int) <-chan struct{} {
+// tryAcquire admits a request if the limit allows it. Otherwise it returns a channel that is
+// closed when a request is released.
+func (l *Lane) tryAcquire(kind string, limit int) <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	lane := l.of(kind)
-	if lane.inside < limit {
-		lane.inside++
+	state := l.stateOf(kind)
+	if state.admitted < limit {
+		state.admitted++
 		return nil
 	}
-	return lane.left
+	return state.released
 }
 
-// force enters although there is no room.
-func (l *Lane) force(kind string) {
+// acquireOverLimit admits a request regardless of the limit.
+func (l *Lane) acquireOverLimit(kind string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.of(kind).inside++
+	l.stateOf(kind).admitted++
 }
 
-// leaver returns what makes one request leave.
-func (l *Lane) leaver(kind string) func() {
+// releaseFunc returns the function that releases one request.
+func (l *Lane) releaseFunc(kind string) func() {
 	return sync.OnceFunc(func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		lane := l.of(kind)
-		lane.inside--
-		close(lane.left)
-		if lane.inside == 0 {
+		state := l.stateOf(kind)
+		state.admitted--
+		close(state.released)
+		if state.admitted == 0 {
 			delete(l.kinds, kind)
 			return
 		}
-		lane.left = make(chan struct{})
+		state.released = make(chan struct{})
 	})
 }
--- a/core/urgency/lane_test.go
+++ b/core/urgency/lane_test.go
@@ -10,46 +10,48 @@
 	"headcourse/core/urgency"
 )
 
-// After a loss of power of all daemons, 1,150 requests came within half a second, all
-// of them late already; the next ones found every place taken for two seconds.
-func TestLateRequestsEnterAFewAtATime(t *testing.T) {
+// Guards against late requests that occupy all places. After a power failure of all daemons,
+// 1,150 late requests came within half a second, and the next ones found no free place for two
+// seconds.
+func TestAdmittedLateRequestsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lane urgency.Lane
+		var limiter urgency.Lane
 		const limit, sent = 3, 10
-		entered := make(chan func(), sent)
+		admitted := make(chan func(), sent)
 		for range sent {
 			go func() {
-				entered <- lane.Enter("engines/large", limit, time.Second)
+				admitted <- limiter.Enter("engines/large", limit, time.Second)
 			}()
 		}
 		synctest.Wait()
-		qt.Assert(t, entered, qt.HasLen, limit)
+		qt.Assert(t, admitted, qt.HasLen, limit)
 
-		// One leaves, one enters; leaving twice lets in no more.
-		leave := <-entered
-		leave()
-		leave()
+		// When one request is released, one is admitted. A second call of release must not
+		// admit another one.
+		release := <-admitted
+		release()
+		release()
 		synctest.Wait()
-		qt.Assert(t, entered, qt.HasLen, limit)
+		qt.Assert(t, admitted, qt.HasLen, limit)
 
-		// Nobody waits longer than its patience.
+		// No request waits longer than its timeout.
 		time.Sleep(time.Second)
 		synctest.Wait()
-		qt.Assert(t, entered, qt.HasLen, sent-1)
+		qt.Assert(t, admitted, qt.HasLen, sent-1)
 	})
 }
 
-func TestKindsHaveLanesOfTheirOwn(t *testing.T) {
+func TestKindsAreLimitedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var lane urgency.Lane
+		var limiter urgency.Lane
 		began := time.Now()
-		leave := lane.Enter("engines/large", 1, time.Second)
-		lane.Enter("engines/small", 1, time.Second)
+		release := limiter.Enter("engines/large", 1, time.Second)
+		limiter.Enter("engines/small", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Duration(0))
-		leave()
-		lane.Enter("engines/large", 1, time.Second)
+		release()
+		limiter.Enter("engines/large", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Duration(0))
-		lane.Enter("engines/large", 1, time.Second)
+		limiter.Enter("engines/large", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Second)
 	})
 }
--- a/core/urgency/overload.go
+++ b/core/urgency/overload.go
@@ -4,47 +4,45 @@
 	"sync"
 )
 
-// Figures of overload.
 const (
-	// latePart and inTimePart are how much a late request adds to the part of the
-	// requests that yield, and one in time takes from it. They balance where a tenth
-	// of those that do not yield are late.
-	latePart   = 0.09
-	inTimePart = 0.01
-	// mostPart bounds the part that yields.
-	mostPart = 0.7
-	// mostKinds bounds the kinds that are remembered.
-	mostKinds = 4096
+	// lateIncrement is added to the yield fraction for each late request, and inTimeDecrement
+	// is subtracted for each one in time. The two balance if a tenth of the requests that do
+	// not yield are late.
+	lateIncrement   = 0.09
+	inTimeDecrement = 0.01
+	// maxYieldFraction caps the yield fraction.
+	maxYieldFraction = 0.7
+	// maxKinds is the limit of recorded kinds; a new kind beyond it clears the map.
+	maxKinds = 4096
 )
 
-// Overload decides which part of the requests of a kind yields to the others when
-// not all can be in time. Without it all of them wait for each other and all are
-// late; a request that yields is served as soon as there is room, and one that
-// yields where there is no overload loses nothing. The zero value lets none yield;
-// it is safe for concurrent use.
+// Overload decides which fraction of the requests of a kind yields to the others if not all can
+// be in time. If none yielded, all requests would delay each other and all would be late. A
+// yielding request is served as soon as there is capacity, so yielding without an overload
+// costs nothing. In the zero value no request yields. It is safe for concurrent use.
 type Overload struct {
-	mutex sync.Mutex
-	parts map[string]float64
+	mutex          sync.Mutex
+	yieldFractions map[string]float64
 }
 
-// Note notes whether a request that did not yield was in time.
+// Note records whether a request that did not yield was in time.
 func (o *Overload) Note(kind string, inTime bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	_, isKnown := o.parts[kind]
-	if o.parts == nil || (!isKnown && len(o.parts) >= mostKinds) {
-		o.parts = map[string]float64{}
+	_, isKnown := o.yieldFractions[kind]
+	if o.yieldFractions == nil || (!isKnown && len(o.yieldFractions) >= maxKinds) {
+		o.yieldFractions = map[string]float64{}
 	}
 	if inTime {
-		o.parts[kind] = max(0, o.parts[kind]-inTimePart)
+		o.yieldFractions[kind] = max(0, o.yieldFractions[kind]-inTimeDecrement)
 		return
 	}
-	o.parts[kind] = min(mostPart, o.parts[kind]+latePart)
+	o.yieldFractions[kind] = min(maxYieldFraction, o.yieldFractions[kind]+lateIncrement)
 }
 
-// Part returns the part of the requests of a kind that should yield.
+// Part returns the fraction of the requests of a kind that should yield.
 func (o *Overload) Part(kind string) float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.parts[kind]
+	return o.yieldFractions[kind]
 }
--- a/core/urgency/overload_test.go
+++ b/core/urgency/overload_test.go
@@ -9,42 +9,42 @@
 	"headcourse/core/urgency"
 )
 
-func TestPartYieldsWhileRequestsAreLate(t *testing.T) {
-	var overload urgency.Overload
-	qt.Assert(t, overload.Part("engines/large"), qt.Equals, 0.0)
+func TestYieldFractionFollowsLateRequests(t *testing.T) {
+	var controller urgency.Overload
+	qt.Assert(t, controller.Part("engines/large"), qt.Equals, 0.0)
 	for range 20 {
-		overload.Note("engines/large", false)
+		controller.Note("engines/large", false)
 	}
-	part := overload.Part("engines/large")
-	qt.Assert(t, part > 0.5 && part < 1, qt.IsTrue, qt.Commentf("%v", part))
-	// Other kinds have an overload of their own.
-	qt.Assert(t, overload.Part("engines/small"), qt.Equals, 0.0)
+	fraction := controller.Part("engines/large")
+	qt.Assert(t, fraction > 0.5 && fraction < 1, qt.IsTrue, qt.Commentf("%v", fraction))
+	// Each kind has a yield fraction of its own.
+	qt.Assert(t, controller.Part("engines/small"), qt.Equals, 0.0)
 	for range 100 {
-		overload.Note("engines/large", true)
+		controller.Note("engines/large", true)
 	}
-	qt.Assert(t, overload.Part("engines/large"), qt.Equals, 0.0)
+	qt.Assert(t, controller.Part("engines/large"), qt.Equals, 0.0)
 }
 
-func TestFewLateRequestsLetNoneYield(t *testing.T) {
-	var overload urgency.Overload
+func TestFewLateRequestsKeepTheYieldFractionLow(t *testing.T) {
+	var controller urgency.Overload
 	for i := range 200 {
-		overload.Note("engines/large", i%20 != 0)
+		controller.Note("engines/large", i%20 != 0)
 	}
-	qt.Assert(t, overload.Part("engines/large") < 0.1, qt.IsTrue)
+	qt.Assert(t, controller.Part("engines/large") < 0.1, qt.IsTrue)
 }
 
-// An engine that serves 10 requests a second in time is sent 15: while a part
+// An engine that can serve 10 requests a second in time gets 15. While a fraction of them
 // yields, most of the others are in time.
-func TestOthersAreInTimeWhileAPartYields(t *testing.T) {
+func TestMostRequestsMeetTheGoalWhileOthersYield(t *testing.T) {
 	const served, sent = 10, 15
-	var overload urgency.Overload
+	var controller urgency.Overload
 	inTime, late := 0, 0
 	for second := range 60 {
-		part := overload.Part("engines/large")
-		urgent := int(float64(sent) * (1 - part))
+		fraction := controller.Part("engines/large")
+		urgent := int(float64(sent) * (1 - fraction))
 		for i := range urgent {
 			isInTime := i < served && urgent <= served+1
-			overload.Note("engines/large", isInTime)
+			controller.Note("engines/large", isInTime)
 			if second >= 30 && isInTime {
 				inTime++
 			} else if second >= 30 {
@@ -55,9 +55,9 @@
 	qt.Assert(t, inTime > 3*late, qt.IsTrue, qt.Commentf("%d in time, %d late", inTime, late))
 }
 
-func TestGoalOfNothingIsMet(t *testing.T) {
-	asked := time.Now()
-	qt.Assert(t, urgency.InTime(asked, asked.Add(time.Hour), 0), qt.IsTrue)
-	qt.Assert(t, urgency.InTime(asked, asked.Add(300*time.Millisecond), 300*time.Millisecond), qt.IsTrue)
-	qt.Assert(t, urgency.InTime(asked, asked.Add(301*time.Millisecond), 300*time.Millisecond), qt.IsFalse)
+func TestZeroGoalIsAlwaysMet(t *testing.T) {
+	requestedAt := time.Now()
+	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(time.Hour), 0), qt.IsTrue)
+	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(300*time.Millisecond), 300*time.Millisecond), qt.IsTrue)
+	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(301*time.Millisecond), 300*time.Millisecond), qt.IsFalse)
 }
--- a/core/urgency/urgency_test.go
+++ b/core/urgency/urgency_test.go
@@ -10,40 +10,40 @@
 	"headcourse/core/urgency"
 )
 
-func TestClientThatWillWaitLessHasBeenWaiting(t *testing.T) {
-	var patience urgency.Patience
-	qt.Assert(t, patience.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
-	qt.Assert(t, patience.Waited("plans", 4500*time.Millisecond), qt.Equals, 1500*time.Millisecond)
-	qt.Assert(t, patience.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
-	// Clients of another route have their own patience.
-	qt.Assert(t, patience.Waited("meters", time.Second), qt.Equals, time.Duration(0))
+func TestShorterRemainingWaitCountsAsTimeWaited(t *testing.T) {
+	var estimator urgency.Patience
+	qt.Assert(t, estimator.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.Waited("plans", 4500*time.Millisecond), qt.Equals, 1500*time.Millisecond)
+	qt.Assert(t, estimator.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
+	// Each route has an initial wait of its own.
+	qt.Assert(t, estimator.Waited("meters", time.Second), qt.Equals, time.Duration(0))
 }
 
-func TestLongerPatienceIsLearned(t *testing.T) {
-	var patience urgency.Patience
-	patience.Waited("plans", 2*time.Second)
-	qt.Assert(t, patience.Waited("plans", 8*time.Second), qt.Equals, time.Duration(0))
-	qt.Assert(t, patience.Waited("plans", 2*time.Second), qt.Equals, 6*time.Second)
+func TestLongerWaitRaisesTheInitialWait(t *testing.T) {
+	var estimator urgency.Patience
+	estimator.Waited("plans", 2*time.Second)
+	qt.Assert(t, estimator.Waited("plans", 8*time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.Waited("plans", 2*time.Second), qt.Equals, 6*time.Second)
 }
 
-func TestManyRoutesAreBounded(t *testing.T) {
-	var patience urgency.Patience
-	patience.Waited("plans", 8*time.Second)
+func TestNewRouteClearsAFullMap(t *testing.T) {
+	var estimator urgency.Patience
+	estimator.Waited("plans", 8*time.Second)
 	for i := range 5000 {
-		patience.Waited(fmt.Sprint(i), time.Second)
+		estimator.Waited(fmt.Sprint(i), time.Second)
 	}
-	// The route was forgotten and is learned again; nobody counts as late.
-	qt.Assert(t, patience.Waited("plans", 2*time.Second), qt.Equals, time.Duration(0))
+	// The route was discarded and is recorded anew; no request counts as late.
+	qt.Assert(t, estimator.Waited("plans", 2*time.Second), qt.Equals, time.Duration(0))
 }
 
-func TestFullMemoryKeepsTheRoutesItKnows(t *testing.T) {
-	const most = 4096
-	var patience urgency.Patience
-	for i := range most {
-		patience.Waited(fmt.Sprint(i), 8*time.Second)
+func TestKnownRoutesDoNotClearAFullMap(t *testing.T) {
+	const maxRoutes = 4096
+	var estimator urgency.Patience
+	for i := range maxRoutes {
+		estimator.Waited(fmt.Sprint(i), 8*time.Second)
 	}
-	for i := range most {
-		qt.Assert(t, patience.Waited(fmt.Sprint(i), 2*time.Second), qt.Equals, 6*time.Second)
+	for i := range maxRoutes {
+		qt.Assert(t, estimator.Waited(fmt.Sprint(i), 2*time.Second), qt.Equals, 6*time.Second)
 	}
 }
 
