--- a/core/directive/directive.go
+++ b/core/directive/directive.go
@@ -1,9 +1,9 @@
-// Package directive keeps what backend servers told this daemon about sending to them: for
-// how long one wants no request, and that one leaves.
+// Package directive keeps what backend servers asked of this daemon: to pause requests for some
+// time, or to send none any more because the server drains.
 //
-// What a server says itself is binding and holds until the time is over, whatever this daemon
-// sees of it meanwhile. What a daemon concludes from failures and silence is a preference,
-// and stands in package balancer. A directive is for one daemon and one start of a server.
+// A directive is binding until its time is over, whatever the daemon observes in the meantime.
+// What a daemon infers from failures and silence is only a preference, and is kept in package
+// balancer. A directive holds for one daemon and one server start.
 package directive
 
 import (
@@ -13,132 +13,133 @@
 	"headcourse/core/boottime"
 )
 
-// MaxPause bounds the pause that is kept, so that one absurd word does not put a server out
-// of use for as long as the daemon runs.
+// MaxPause caps a pause, so that one absurd value does not exclude a server for as long as the
+// daemon runs.
 const MaxPause = time.Hour
 
-// LeaveKept is how long a leave is kept after its server was last known: longer than servers take
-// to end and outages of the store, after which their entries come back.
+// LeaveKept is how long a drain is kept after its server was last known. It exceeds the time in
+// which servers end, and outages of the store, after which server entries come back.
 const LeaveKept = 10 * time.Minute
 
-// Directive is what one answer of a server says about further requests. The zero value says
+// Directive is what one answer of a server asks about further requests. The zero value asks
 // nothing.
 type Directive struct {
-	// Pause is for how long the server wants no request; 0: not said.
+	// Pause is how long the server wants no request; 0 if it did not say.
 	Pause time.Duration
-	// IsLeaving tells that the server finishes what it has, and then ends.
+	// IsLeaving reports that the server drains: it finishes its requests in flight and then
+	// ends.
 	IsLeaving bool
 }
 
-// IsAny tells whether the directive says anything.
+// IsAny reports whether the directive asks anything.
 func (d Directive) IsAny() bool {
 	return d.Pause > 0 || d.IsLeaving
 }
 
-// Book keeps directives by the starts of servers (fleet.Server.Start). The zero value is
-// empty and safe for concurrent use.
+// Book keeps directives by server start (fleet.Server.Start). The zero value is empty. It is
+// safe for concurrent use.
 type Book struct {
-	// Clock goes on while the machine is suspended, as the server's time does. Set before use.
+	// Clock must not stop while the VM is suspended, since the server's clock does not stop
+	// either. It must be set before first use.
 	Clock boottime.Clock
 
-	mutex sync.Mutex
-	kept  map[string]entry
+	mutex   sync.Mutex
+	entries map[string]entry
 }
 
-// entry is what one start of a server said.
+// entry holds the directives of one server start.
 type entry struct {
 	pausedUntil time.Time
-	isLeaving   bool
-	// known is when a leaving start was known last.
-	known time.Time
+	isDraining  bool
+	// lastKnown is when a draining start was last known.
+	lastKnown time.Time
 }
 
-// Note keeps a directive that has just come, and returns what of it is news: a pause of a
-// start that was not paused, and the first word of its leave. Of several pauses the one that
-// ends last holds: each answer was given for its own time. Nothing ends a leave.
-func (b *Book) Note(start string, said Directive) Directive {
-	if !said.IsAny() {
+// Note records a directive that has just arrived and returns what is new in it: a pause of a
+// start that was not paused, and the first directive to drain. Of several pauses the one that
+// ends last applies, since each answer covers its own time. A drain never ends.
+func (b *Book) Note(start string, directive Directive) Directive {
+	if !directive.IsAny() {
 		return Directive{}
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	one := b.kept[start]
-	news := said
-	if now.Before(one.pausedUntil) {
-		news.Pause = 0
+	e := b.entries[start]
+	changes := directive
+	if now.Before(e.pausedUntil) {
+		changes.Pause = 0
 	}
-	if until := now.Add(min(said.Pause, MaxPause)); until.After(one.pausedUntil) {
-		one.pausedUntil = until
+	if until := now.Add(min(directive.Pause, MaxPause)); until.After(e.pausedUntil) {
+		e.pausedUntil = until
 	}
-	if said.IsLeaving {
-		news.IsLeaving = !one.isLeaving
-		one.isLeaving = true
-		one.known = now
+	if directive.IsLeaving {
+		changes.IsLeaving = !e.isDraining
+		e.isDraining = true
+		e.lastKnown = now
 	}
-	if b.kept == nil {
-		b.kept = map[string]entry{}
+	if b.entries == nil {
+		b.entries = map[string]entry{}
 	}
-	b.kept[start] = one
-	return news
+	b.entries[start] = e
+	return changes
 }
 
-// Forbids tells whether the start may be sent no request now.
+// Forbids reports whether no request may be sent to the start now.
 func (b *Book) Forbids(start string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one := b.kept[start]
-	return one.isLeaving || b.Clock.Until(one.pausedUntil) > 0
+	e := b.entries[start]
+	return e.isDraining || b.Clock.Until(e.pausedUntil) > 0
 }
 
-// PauseLeft returns for how much longer the start wants no request; 0: it has not said so,
-// or its time is over, or it leaves and never wants one again.
+// PauseLeft returns the remaining pause of a start. It is 0 if the start is not paused, or if
+// it drains and will never want a request again.
 func (b *Book) PauseLeft(start string) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	one := b.kept[start]
-	if one.isLeaving {
+	e := b.entries[start]
+	if e.isDraining {
 		return 0
 	}
-	return max(0, b.Clock.Until(one.pausedUntil))
+	return max(0, b.Clock.Until(e.pausedUntil))
 }
 
-// IsEmpty tells whether nothing is kept, which is so at most times: then nobody needs to
-// look at each server.
+// IsEmpty reports whether there are no directives. This is the usual case, and spares callers a
+// look-up of each server.
 func (b *Book) IsEmpty() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return len(b.kept) == 0
+	return len(b.entries) == 0
 }
 
-// Restarted notes that a server's entry tells of its next start under the same ID. The entry
-// comes later than the start, so a pause may have been asked by the next one already and goes
-// on. A leave is of the former: it would put the next out of use for good.
-func (b *Book) Restarted(former, next string) {
+// Restarted carries a pause over to the next start of a server under the same ID. The server's
+// new entry arrives later than the start, so the next start may have asked for the pause
+// already. A drain is not carried over: it would exclude the next start for good.
+func (b *Book) Restarted(previous, next string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	until := b.kept[former].pausedUntil
-	one := b.kept[next]
-	if !until.After(b.Clock.Now()) || !until.After(one.pausedUntil) {
+	until := b.entries[previous].pausedUntil
+	e := b.entries[next]
+	if !until.After(b.Clock.Now()) || !until.After(e.pausedUntil) {
 		return
 	}
-	one.pausedUntil = until
-	b.kept[next] = one
+	e.pausedUntil = until
+	b.entries[next] = e
 }
 
-// Sweep forgets pauses that are over, and leaves of starts that isKnown has not known for
-// LeaveKept.
+// Sweep discards expired pauses, and drains of starts that isKnown has not known for LeaveKept.
 func (b *Book) Sweep(isKnown func(start string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
-	for start, one := range b.kept {
+	for start, e := range b.entries {
 		switch {
-		case !one.isLeaving && !now.Before(one.pausedUntil), one.isLeaving && now.Sub(one.known) >= LeaveKept && !isKnown(start):
-			delete(b.kept, start)
-		case one.isLeaving && isKnown(start):
-			one.known = now
-			b.kept[start] = one
+		case !e.isDraining && !now.Before(e.pausedUntil), e.isDraining && now.Sub(e.lastKnown) >= LeaveKept && !isKnown(start):
+			delete(b.entries, start)
+		case e.isDraining && isKnown(start):
+			e.lastKnown = now
+			b.entries[start] = e
 		}
 	}
 }
