--- a/core/locality/locality.go
+++ b/core/locality/locality.go
@@ -1,108 +1,107 @@
-// Package locality divides the requests of each availability zone over the zones
-// whose backend servers may take them.
+// Package locality divides the requests of each availability zone over the zones whose backend
+// servers can take them.
 //
-// Bytes between zones cost money and time, so requests stay in their zone as long as
-// its servers carry no more than those of the others. A zone that lost servers, or is
-// asked more than its servers' part, sends the excess away: to each zone in proportion
-// to what that one could take beyond its own requests. All servers are then equally
-// busy, and as few requests as possible travel. Every daemon works this out by itself
-// from the servers it sees and from what is asked in each zone; nothing is agreed. It
-// is what Envoy calls zone aware routing.
+// Traffic between zones costs money and time, so requests stay in their zone as long as its
+// servers carry no more than those of other zones. If a zone has lost servers, or has more
+// demand than its part of the capacity, it sends the excess to other zones, to each in
+// proportion to its spare capacity. All servers are then equally loaded, and as few requests as
+// possible cross zones. Every daemon computes this by itself from the servers that it knows and
+// the demand of each zone, without coordination. Envoy calls it zone aware routing.
 //
-// A fixed preference for the own zone, by which a daemon compares the servers' loads as far as
-// it knows them, works where a daemon sees a good part of the requests. With hundreds of
-// daemons each sees one at a time, and nobody would leave a zone that has lost groups
-// (TestZoneThatLostServers).
+// A fixed preference for the daemon's own zone, weighed against observed loads, works only if a
+// daemon sees a good part of the requests. With hundreds of daemons each one sees a single
+// request at a time, and none would leave a zone that has lost groups
+// (TestZoneWithFewerServersSendsExcessAway in core/balancer).
 package locality
 
-// Zone is an availability zone as one kind of request sees it.
+// Zone is an availability zone with its capacity and demand for one kind of request.
 type Zone struct {
 	Name string
-	// Room is how many requests its servers can have under way.
+	// Room is the capacity of the zone's servers in requests in flight.
 	Room float64
-	// Asked is what is asked there, in any unit that is the same for all zones.
+	// Asked is the zone's demand, in any unit that is the same for all zones.
 	Asked float64
 }
 
-// Share is the part of a zone's requests that goes to one zone.
+// Share is the fraction of a zone's requests that goes to one zone.
 type Share struct {
 	Zone string
 	Part float64
 }
 
-// Divide returns how the requests of one zone are divided. The parts add up to 1, but
-// for a division without any room, which is empty. Where nothing is known of what is
-// asked, requests stay in their zone if it has any room.
-func Divide(own string, zones []Zone) []Share {
-	room, asked := totals(zones)
-	if room <= 0 {
+// Divide returns how the requests of ownZone are divided over the zones. The fractions add up
+// to 1. The result is empty if there is no capacity. If the demand is unknown, requests stay in
+// their zone if it has any capacity.
+func Divide(ownZone string, zones []Zone) []Share {
+	capacity, demand := totals(zones)
+	if capacity <= 0 {
 		return nil
 	}
-	kept := kept(own, zones, room, asked)
+	local := localFraction(ownZone, zones, capacity, demand)
 	var shares []Share
 	for _, zone := range zones {
-		part := (1 - kept) * spare(zone, room, asked) / max(spares(zones, room, asked), tiny)
-		if zone.Name == own {
-			part = kept
+		fraction := (1 - local) * spareFraction(zone, capacity, demand) / max(totalSpareFraction(zones, capacity, demand), epsilon)
+		if zone.Name == ownZone {
+			fraction = local
 		}
-		if part > 0 {
+		if fraction > 0 {
 			shares = append(shares, Share{
 				Zone: zone.Name,
-				Part: part,
+				Part: fraction,
 			})
 		}
 	}
 	return shares
 }
 
-// tiny keeps a division by nothing from being one by 0.
-const tiny = 1e-12
+// epsilon prevents division by zero.
+const epsilon = 1e-12
 
-// totals returns the room and what is asked in all zones.
-func totals(zones []Zone) (room, asked float64) {
+// totals returns the capacity and the demand of all zones.
+func totals(zones []Zone) (capacity, demand float64) {
 	for _, zone := range zones {
-		room += zone.Room
-		asked += zone.Asked
+		capacity += zone.Room
+		demand += zone.Asked
 	}
-	return room, asked
+	return capacity, demand
 }
 
-// kept returns the part of a zone's requests that stay there: all of them unless the
-// zone's part of what is asked is above its part of the room.
-func kept(own string, zones []Zone, room, asked float64) float64 {
+// localFraction returns the fraction of a zone's requests that stay there. It is 1 unless the
+// zone's fraction of the demand exceeds its fraction of the capacity.
+func localFraction(ownZone string, zones []Zone, capacity, demand float64) float64 {
 	for _, zone := range zones {
-		if zone.Name != own {
+		if zone.Name != ownZone {
 			continue
 		}
-		if zone.Room > 0 && (asked <= 0 || zone.Asked <= 0) {
+		if zone.Room > 0 && (demand <= 0 || zone.Asked <= 0) {
 			return 1
 		}
-		return min(1, (zone.Room/room)/max(zone.Asked/max(asked, tiny), tiny))
+		return min(1, (zone.Room/capacity)/max(zone.Asked/max(demand, epsilon), epsilon))
 	}
 	return 0
 }
 
-// spare returns how much a zone could take beyond its own requests, as a part of all.
-// A zone that nobody asks in has all of its room to spare.
-func spare(zone Zone, room, asked float64) float64 {
-	return max(0, zone.Room/room-zone.Asked/max(asked, tiny))
+// spareFraction returns the capacity of a zone beyond its own demand, as a fraction of the
+// total. In a zone without demand all capacity is spare.
+func spareFraction(zone Zone, capacity, demand float64) float64 {
+	return max(0, zone.Room/capacity-zone.Asked/max(demand, epsilon))
 }
 
-// spares adds up what all zones could take beyond their own requests.
-func spares(zones []Zone, room, asked float64) float64 {
+// totalSpareFraction returns the sum of the spare fractions of all zones.
+func totalSpareFraction(zones []Zone, capacity, demand float64) float64 {
 	sum := 0.0
 	for _, zone := range zones {
-		sum += spare(zone, room, asked)
+		sum += spareFraction(zone, capacity, demand)
 	}
 	return sum
 }
 
-// Draw returns the zone at a place between 0 and 1 of the division, or nothing where
-// the division is empty.
-func Draw(shares []Share, at float64) string {
+// Draw returns the zone at a point from 0 to 1 of the shares, or an empty string if there are
+// none.
+func Draw(shares []Share, point float64) string {
 	for _, share := range shares {
-		at -= share.Part
-		if at < 0 {
+		point -= share.Part
+		if point < 0 {
 			return share.Zone
 		}
 	}
--- a/core/locality/locality_test.go
+++ b/core/locality/locality_test.go
@@ -10,8 +10,8 @@
 	"headcourse/core/locality"
 )
 
-// part returns the part of a zone in a division.
-func part(shares []locality.Share, zone string) float64 {
+// fractionOf returns the fraction of the requests that goes to a zone.
+func fractionOf(shares []locality.Share, zone string) float64 {
 	for _, share := range shares {
 		if share.Zone == zone {
 			return share.Part
@@ -20,13 +20,13 @@
 	return 0
 }
 
-// zones returns three zones.
-func zones(roomA, askedA float64) []locality.Zone {
+// threeZones returns three zones; the first one has the given capacity and demand.
+func threeZones(capacityA, demandA float64) []locality.Zone {
 	return []locality.Zone{
 		{
 			Name:  "a",
-			Room:  roomA,
-			Asked: askedA,
+			Room:  capacityA,
+			Asked: demandA,
 		},
 		{
 			Name:  "b",
@@ -41,19 +41,19 @@
 	}
 }
 
-func TestRequestsStayWhereThereIsRoom(t *testing.T) {
-	qt.Assert(t, part(locality.Divide("a", zones(100, 50)), "a"), qt.Equals, 1.0)
-	qt.Assert(t, part(locality.Divide("a", zones(200, 50)), "a"), qt.Equals, 1.0)
+func TestRequestsStayInAZoneWithCapacity(t *testing.T) {
+	qt.Assert(t, fractionOf(locality.Divide("a", threeZones(100, 50)), "a"), qt.Equals, 1.0)
+	qt.Assert(t, fractionOf(locality.Divide("a", threeZones(200, 50)), "a"), qt.Equals, 1.0)
 }
 
-func TestZoneWithoutServersSendsAllAway(t *testing.T) {
-	shares := locality.Divide("a", zones(0, 50))
-	qt.Assert(t, part(shares, "a"), qt.Equals, 0.0)
-	qt.Assert(t, part(shares, "b"), qt.Equals, 0.5)
+func TestZoneWithoutCapacitySendsAllRequestsAway(t *testing.T) {
+	shares := locality.Divide("a", threeZones(0, 50))
+	qt.Assert(t, fractionOf(shares, "a"), qt.Equals, 0.0)
+	qt.Assert(t, fractionOf(shares, "b"), qt.Equals, 0.5)
 }
 
-func TestWithoutWordOfWhatIsAskedRequestsStay(t *testing.T) {
-	known := []locality.Zone{
+func TestRequestsStayWithoutKnownDemand(t *testing.T) {
+	zones := []locality.Zone{
 		{
 			Name: "a",
 			Room: 10,
@@ -63,44 +63,43 @@
 			Room: 100,
 		},
 	}
-	qt.Assert(t, part(locality.Divide("a", known), "a"), qt.Equals, 1.0)
-	known[0].Room = 0
-	qt.Assert(t, part(locality.Divide("a", known), "b"), qt.Equals, 1.0)
+	qt.Assert(t, fractionOf(locality.Divide("a", zones), "a"), qt.Equals, 1.0)
+	zones[0].Room = 0
+	qt.Assert(t, fractionOf(locality.Divide("a", zones), "b"), qt.Equals, 1.0)
 }
 
-func TestWithoutAnyRoomThereIsNoDivision(t *testing.T) {
+func TestNoCapacityYieldsNoShares(t *testing.T) {
 	qt.Assert(t, locality.Divide("a", nil), qt.HasLen, 0)
 	qt.Assert(t, locality.Draw(nil, 0.5), qt.Equals, "")
 }
 
-// Whatever the zones, the parts add up to one, and servers of zones that are asked
-// something are equally busy wherever requests travel.
-func TestServersAreEquallyBusy(t *testing.T) {
+// For any zones, the fractions add up to 1, and the servers of all zones are equally loaded.
+func TestZonesAreEquallyLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 6).Draw(t, "zones")
-		known := make([]locality.Zone, count)
-		for i := range known {
-			known[i] = locality.Zone{
+		zones := make([]locality.Zone, count)
+		for i := range zones {
+			zones[i] = locality.Zone{
 				Name:  string(rune('a' + i)),
 				Room:  float64(rapid.IntRange(1, 300).Draw(t, "room")),
 				Asked: float64(rapid.IntRange(1, 300).Draw(t, "asked")),
 			}
 		}
-		taken := map[string]float64{}
-		for _, own := range known {
+		load := map[string]float64{}
+		for _, ownZone := range zones {
 			sum := 0.0
-			for _, share := range locality.Divide(own.Name, known) {
+			for _, share := range locality.Divide(ownZone.Name, zones) {
 				sum += share.Part
-				taken[share.Zone] += share.Part * own.Asked
+				load[share.Zone] += share.Part * ownZone.Asked
 			}
 			if math.Abs(sum-1) > 1e-9 {
-				t.Fatalf("parts of %s add up to %v", own.Name, sum)
+				t.Fatalf("fractions of %s add up to %v", ownZone.Name, sum)
 			}
 		}
-		busy := taken["a"] / known[0].Room
-		for _, zone := range known {
-			if math.Abs(taken[zone.Name]/zone.Room-busy) > 1e-6 {
-				t.Fatalf("%s is busy %v, a is %v", zone.Name, taken[zone.Name]/zone.Room, busy)
+		utilisation := load["a"] / zones[0].Room
+		for _, zone := range zones {
+			if math.Abs(load[zone.Name]/zone.Room-utilisation) > 1e-6 {
+				t.Fatalf("utilisation of %s is %v, of a %v", zone.Name, load[zone.Name]/zone.Room, utilisation)
 			}
 		}
 	})
