--- a/core/subset/main_test.go
+++ b/core/subset/main_test.go
@@ -6,7 +6,7 @@
 	"headcourse/lab/fuzz"
 )
 
-// TestMain fixes the seeds of what is drawn.
+// TestMain fixes the seeds of random cases.
 func TestMain(m *testing.M) {
 	fuzz.Exit(m)
 }
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -1,18 +1,18 @@
-// Package subset gives each daemon a few of the backend servers to use first.
+// Package subset gives each daemon a small subset of the backend servers to prefer.
 //
-// A daemon spreads its own requests evenly, and that spreads all requests evenly only
-// if it has several under way at each server it uses. With hundreds of daemons each has
-// two or three in all: over all servers its choice is chance, and chance fills some
-// servers while others have room. Over a few servers its own counts say something
-// again, and connections are used again instead of made anew.
+// A daemon that spreads its own requests evenly spreads all requests evenly only if it has
+// several in flight at each server that it uses. With hundreds of daemons each one has two or
+// three in all. Spread over all servers, these are effectively random, and some servers become
+// full while others have capacity. Over a small subset the daemon's own counts are meaningful
+// again, and connections are reused.
 //
-// The subsets must cover the servers evenly. Daemons are numbered within their zone,
-// and take the servers in turn from a shuffled ring: each round of daemons covers each
-// server exactly once, and each round shuffles anew, so that what one daemon leaves behind
-// is spread over all. This is the deterministic subsetting of Beyer et al., "Site
-// Reliability Engineering" (2016), chapter 20, without its remainder. Fewer requests find
-// their server full so than by chance over all servers, and far fewer than over subsets that
-// each daemon draws by itself (TestDaemonsSpreadOverServers).
+// Subsets must cover the servers evenly. Daemons are numbered within their zone and take
+// consecutive servers from a shuffled ring. Each round of daemons covers every server exactly
+// once, and each round is shuffled anew, so that the load of a stopped daemon is spread over
+// all servers. This is the deterministic subsetting of Beyer et al., "Site Reliability
+// Engineering" (2016), chapter 20, without its remainder. Fewer requests reach a full server
+// than with random choice over all servers, and far fewer than with subsets that each daemon
+// draws by itself (TestDaemonsSpreadRequestsEvenlyOverServers in core/balancer).
 package subset
 
 import (
@@ -24,64 +24,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// leastSize is the fewest servers a daemon uses: with fewer, one that is lost or slow
-// leaves too little choice, and a busy daemon cannot spread what it has.
-const leastSize = 4
+// minSize is the smallest subset. In a smaller one, a lost or slow server leaves too little
+// choice, and a busy daemon cannot spread its load.
+const minSize = 4
 
-// Daemon is a daemon's place among those that share servers.
+// Daemon is a daemon's position among the daemons that share servers.
 type Daemon struct {
-	// Rank is its number among them, from 0.
+	// Rank is the daemon's number, from 0.
 	Rank int
-	// Of is how many there are; 0: not known.
+	// Of is the number of daemons; 0 if not known.
 	Of int
 }
 
-// Size returns how many servers a daemon uses first, of so many that can have places
-// requests under way in all: as many as it may itself have requests under way while all
-// servers are full. A daemon among few uses all of them.
-func (d Daemon) Size(servers, places int) int {
+// Size returns the size of the daemon's subset for the given number of servers and their total
+// capacity in requests in flight. It is the number of requests that the daemon itself has in
+// flight while all servers are full. A daemon among few uses all servers.
+func (d Daemon) Size(servers, capacity int) int {
 	if d.Of <= 0 {
 		return servers
 	}
 	const half = 2
-	size := max(leastSize, int(math.Ceil(float64(places)/float64(d.Of))))
+	size := max(minSize, int(math.Ceil(float64(capacity)/float64(d.Of))))
 	if half*size > servers {
 		return servers
 	}
 	return size
 }
 
-// Choose returns the servers that a daemon uses first, by their IDs.
-func (d Daemon) Choose(ids []string, places int) []string {
-	size := d.Size(len(ids), places)
+// Choose returns the IDs of the daemon's subset.
+func (d Daemon) Choose(ids []string, capacity int) []string {
+	size := d.Size(len(ids), capacity)
 	if size >= len(ids) {
 		return ids
 	}
 	first := d.Rank * size
-	number, from := first/len(ids), first%len(ids)
-	rest := round(ids, number, size)[from:]
-	if len(rest) >= size {
-		return rest[:size]
+	roundNumber, offset := first/len(ids), first%len(ids)
+	remaining := roundOrder(ids, roundNumber, size)[offset:]
+	if len(remaining) >= size {
+		return remaining[:size]
 	}
-	return append(rest, round(ids, number+1, size)[:size-len(rest)]...)
+	return append(remaining, roundOrder(ids, roundNumber+1, size)[:size-len(remaining)]...)
 }
 
-// round returns the servers in the order of a round, each once. The daemon that took the
-// last few of the round before goes on in this one, so these few are not among the first
-// that it takes here: they come right after them. A subset is at most half of the servers,
-// so that this does not reach the last few of this round.
-func round(ids []string, number, size int) []string {
-	order := shuffled(ids, number)
-	left := number * len(ids) % size
-	if left == 0 {
+// roundOrder returns the order of the servers in a round, each once. A daemon that took the
+// last few servers of the previous round completes its subset from this round. Those few are
+// therefore not among the first ones here and follow right after them. A subset is at most half
+// of the servers, so this does not affect the last few servers of this round.
+func roundOrder(ids []string, roundNumber, size int) []string {
+	order := shuffledRing(ids, roundNumber)
+	carried := roundNumber * len(ids) % size
+	if carried == 0 {
 		return order
 	}
-	before := shuffled(ids, number-1)
-	taken := before[len(before)-left:]
+	previous := shuffledRing(ids, roundNumber-1)
+	alreadyTaken := previous[len(previous)-carried:]
 	first := make([]string, 0, len(order))
 	var others []string
 	for _, id := range order {
-		if len(first) < size-left && !slices.Contains(taken, id) {
+		if len(first) < size-carried && !slices.Contains(alreadyTaken, id) {
 			first = append(first, id)
 		} else {
 			others = append(others, id)
@@ -90,27 +90,28 @@
 	return append(first, others...)
 }
 
-// turn is a server's place in a round.
-type turn struct {
+// ringEntry is a server with its hash for a round.
+type ringEntry struct {
 	id   string
 	hash uint64
 }
 
-// shuffled returns the servers in the order of a round, the same at every daemon.
-func shuffled(ids []string, round int) []string {
-	turns := make([]turn, len(ids))
+// shuffledRing returns the servers in the shuffled order of a round. All daemons compute the
+// same order.
+func shuffledRing(ids []string, round int) []string {
+	entries := make([]ringEntry, len(ids))
 	for i, id := range ids {
-		turns[i] = turn{
+		entries[i] = ringEntry{
 			id:   id,
 			hash: xxhash.Sum64String(id + "/" + strconv.Itoa(round)),
 		}
 	}
-	slices.SortFunc(turns, func(a, b turn) int {
+	slices.SortFunc(entries, func(a, b ringEntry) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
 	})
-	order := make([]string, len(turns))
-	for i, one := range turns {
-		order[i] = one.id
+	order := make([]string, len(entries))
+	for i, entry := range entries {
+		order[i] = entry.id
 	}
 	return order
 }
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -11,8 +11,8 @@
 	"headcourse/core/subset"
 )
 
-// ids returns the IDs of some servers.
-func ids(count int) []string {
+// serverIDs returns the IDs of the given number of servers.
+func serverIDs(count int) []string {
 	all := make([]string, count)
 	for i := range all {
 		all[i] = fmt.Sprintf("i-%04x", i*7919)
@@ -20,19 +20,20 @@
 	return all
 }
 
-// Any number of daemons uses each server the same number of times, but for one. Subsets
-// that passed over servers when they crossed two rounds used some 19 times, others 27.
+// Any number of daemons uses each server equally often, with a difference of at most one.
+// Guards against subsets that pass over servers at the boundary of two rounds: some servers
+// were used 19 times, others 27 times.
 func TestSubsetsCoverServersEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		servers := ids(rapid.IntRange(1, 110).Draw(t, "servers"))
+		servers := serverIDs(rapid.IntRange(1, 110).Draw(t, "servers"))
 		daemons := rapid.IntRange(1, 500).Draw(t, "daemons")
-		const places = 22
+		const capacity = 22
 		uses := map[string]int{}
 		for rank := range daemons {
 			chosen := subset.Daemon{
 				Rank: rank,
 				Of:   daemons,
-			}.Choose(servers, places*len(servers))
+			}.Choose(servers, capacity*len(servers))
 			distinct := slices.Compact(slices.Sorted(slices.Values(chosen)))
 			if len(distinct) != len(chosen) || len(chosen) < min(4, len(servers)) {
 				t.Fatalf("daemon %d chose %v", rank, chosen)
@@ -41,39 +42,39 @@
 				uses[id]++
 			}
 		}
-		least, most := daemons, 0
+		minimum, maximum := daemons, 0
 		for _, id := range servers {
-			least, most = min(least, uses[id]), max(most, uses[id])
+			minimum, maximum = min(minimum, uses[id]), max(maximum, uses[id])
 		}
-		if most-least > 1 {
-			t.Fatalf("%d daemons, %d servers: used %d to %d times", daemons, len(servers), least, most)
+		if maximum-minimum > 1 {
+			t.Fatalf("%d daemons, %d servers: used %d to %d times", daemons, len(servers), minimum, maximum)
 		}
 	})
 }
 
 func TestFewDaemonsUseAllServers(t *testing.T) {
-	servers := ids(13)
-	const places = 13 * 22
+	servers := serverIDs(13)
+	const capacity = 13 * 22
 	for _, daemons := range []int{0, 1, 3, 9, 40} {
 		chosen := subset.Daemon{
 			Of: daemons,
-		}.Choose(servers, places)
+		}.Choose(servers, capacity)
 		qt.Assert(t, chosen, qt.HasLen, len(servers), qt.Commentf("%d daemons", daemons))
 	}
 	chosen := subset.Daemon{
 		Of: 59,
-	}.Choose(servers, places)
+	}.Choose(servers, capacity)
 	qt.Assert(t, chosen, qt.HasLen, 5)
 }
 
-// All daemons work out the same rounds, whatever the order in which they know servers.
-func TestOrderOfServersDoesNotMatter(t *testing.T) {
-	servers := ids(40)
-	turned := slices.Clone(servers)
-	slices.Reverse(turned)
+// All daemons compute the same rounds, in whichever order they know the servers.
+func TestSubsetDoesNotDependOnServerOrder(t *testing.T) {
+	servers := serverIDs(40)
+	reversed := slices.Clone(servers)
+	slices.Reverse(reversed)
 	daemon := subset.Daemon{
 		Rank: 17,
 		Of:   100,
 	}
-	qt.Assert(t, daemon.Choose(servers, 880), qt.DeepEquals, daemon.Choose(turned, 880))
+	qt.Assert(t, daemon.Choose(servers, 880), qt.DeepEquals, daemon.Choose(reversed, 880))
 }
