--- a/core/usage/rate.go
+++ b/core/usage/rate.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Rate is what is asked of a model in a second. Rates of several daemons add up.
+// Rate is the demand for a model in each second. Rates of several daemons can be added.
 type Rate struct {
-	// Requests is how many there are.
+	// Requests is the number of requests.
 	Requests float64
-	// Prompt is tokens to be read, Answer tokens to be written.
+	// Prompt is the number of prompt tokens, Answer the number of answer tokens.
 	Prompt float64
 	Answer float64
-	// Squares is the squares of the prompts' tokens: prompts differ widely, and a long one
-	// holds up all others at its server while it is read.
+	// Squares is the sum of the squares of the prompts' token counts. Prompts differ widely,
+	// and a long one delays all other requests at its server while it is read.
 	Squares float64
-	// Goals is the time, in seconds, within which answers are to begin, counted once for
-	// each token of a prompt.
+	// Goals is the sum of the goals for the start of answers, in seconds, each weighted by its
+	// prompt's tokens.
 	Goals float64
 }
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// Times returns the rate of so many times as many requests.
+// Times returns the rate multiplied by a factor.
 func (r Rate) Times(factor float64) Rate {
 	return Rate{
 		Requests: factor * r.Requests,
@@ -50,7 +50,8 @@
 	}
 }
 
-// Goal returns the mean goal, 0 where nothing is asked or there is none.
+// Goal returns the mean goal weighted by prompt tokens. It is 0 if there is no demand or no
+// goal.
 func (r Rate) Goal() time.Duration {
 	if r.Prompt <= 0 {
 		return 0
@@ -58,7 +59,7 @@
 	return time.Duration(r.Goals / r.Prompt * float64(time.Second))
 }
 
-// Typical returns how many tokens the prompt has that the mean token belongs to.
+// Typical returns the mean prompt size in tokens, weighted by the prompts' tokens.
 func (r Rate) Typical() float64 {
 	if r.Prompt <= 0 {
 		return 0
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,65 +1,66 @@
-// Package usage learns how large the requests of each model are.
+// Package usage estimates the mean size of the requests of each model.
 //
-// How much of an engine's time a request takes depends on what is read and what is
-// written for it, and both differ much between models and change with what callers
-// ask. The operator's configuration tells one mean for all models; what a daemon has
-// seen of its own requests tells more.
+// The engine time of a request depends on its prompt and answer tokens. Both differ between
+// models and change with what callers ask. The operator's configuration has one mean for all
+// models; the requests that a daemon has observed give a better one.
 package usage
 
 import "sync"
 
-// Figures of the estimates.
 const (
-	// weight is the part of a new request in the mean, once that is of many: sizes spread
-	// widely. Before, each of the first requests counts alike: a daemon among hundreds is
-	// asked for a model once in two seconds, and would go by its first request all day.
-	weight = 0.02
-	// leastSeen requests must have been seen for the mean to say more than the operator.
-	leastSeen = 5
-	// mostModels bounds the models that are remembered; clients name them freely.
-	mostModels = 256
+	// minGain is the weight of a new request in the mean once there are many requests; a low
+	// weight is needed because sizes vary widely. Before that, all requests have equal weights.
+	// Otherwise a daemon among hundreds, which gets a request for a model every two seconds,
+	// would rely on its first request all day.
+	minGain = 0.02
+	// minSamples is the number of requests from which the mean is better than the configured
+	// one.
+	minSamples = 5
+	// maxModels is the limit of recorded models, since clients can name any model. A new model
+	// beyond it clears the map.
+	maxModels = 256
 )
 
-// Size is the mean size of requests, in tokens.
+// Size is the mean size of requests in tokens.
 type Size struct {
 	Prompt float64
 	Answer float64
 }
 
-// Sizes are the mean sizes of requests by model. The zero value knows none; it is safe
-// for concurrent use.
+// Sizes holds the mean request size of each model. The zero value is empty. It is safe for
+// concurrent use.
 type Sizes struct {
-	mutex  sync.Mutex
-	models map[string]seen
+	mutex     sync.Mutex
+	estimates map[string]estimate
 }
 
-// seen is the mean size of the requests of a model, and how many they were.
-type seen struct {
+// estimate is the mean request size of a model, with the number of requests.
+type estimate struct {
 	mean  Size
 	count float64
 }
 
-// Note notes the size of a request that was answered whole.
+// Note records the size of a request that was answered in full.
 func (s *Sizes) Note(model string, size Size) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known, ok := s.models[model]
-	if !ok && (s.models == nil || len(s.models) >= mostModels) {
-		s.models = map[string]seen{}
+	known, ok := s.estimates[model]
+	if !ok && (s.estimates == nil || len(s.estimates) >= maxModels) {
+		s.estimates = map[string]estimate{}
 	}
 	known.count++
-	part := max(weight, 1/known.count)
-	known.mean.Prompt += part * (size.Prompt - known.mean.Prompt)
-	known.mean.Answer += part * (size.Answer - known.mean.Answer)
-	s.models[model] = known
+	gain := max(minGain, 1/known.count)
+	known.mean.Prompt += gain * (size.Prompt - known.mean.Prompt)
+	known.mean.Answer += gain * (size.Answer - known.mean.Answer)
+	s.estimates[model] = known
 }
 
-// Of returns the mean size of a model's requests, or usual where too few were seen.
-func (s *Sizes) Of(model string, usual Size) Size {
+// Of returns the mean request size of a model, or fallback if there are too few samples.
+func (s *Sizes) Of(model string, fallback Size) Size {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known := s.models[model]; known.count >= leastSeen {
+	if known := s.estimates[model]; known.count >= minSamples {
 		return known.mean
 	}
-	return usual
+	return fallback
 }
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -9,13 +9,13 @@
 	"headcourse/core/usage"
 )
 
-func TestMeanFollowsWhatIsAsked(t *testing.T) {
+func TestMeanFollowsRecordedSizes(t *testing.T) {
 	var sizes usage.Sizes
-	usual := usage.Size{
+	fallback := usage.Size{
 		Prompt: 1000,
 		Answer: 100,
 	}
-	qt.Assert(t, sizes.Of("large", usual), qt.Equals, usual)
+	qt.Assert(t, sizes.Of("large", fallback), qt.Equals, fallback)
 	for range 400 {
 		sizes.Note("large", usage.Size{
 			Prompt: 2000,
@@ -26,14 +26,14 @@
 			Answer: 120,
 		})
 	}
-	mean := sizes.Of("large", usual)
+	mean := sizes.Of("large", fallback)
 	qt.Assert(t, mean.Prompt > 1450 && mean.Prompt < 1550, qt.IsTrue, qt.Commentf("%v", mean))
 	qt.Assert(t, mean.Answer > 65 && mean.Answer < 75, qt.IsTrue, qt.Commentf("%v", mean))
-	// Other models have sizes of their own.
-	qt.Assert(t, sizes.Of("small", usual), qt.Equals, usual)
+	// Each model has an estimate of its own.
+	qt.Assert(t, sizes.Of("small", fallback), qt.Equals, fallback)
 }
 
-func TestManyModelsAreBounded(t *testing.T) {
+func TestNewModelClearsAFullMap(t *testing.T) {
 	var sizes usage.Sizes
 	for i := range 10_000 {
 		sizes.Note(fmt.Sprint(i), usage.Size{
@@ -45,17 +45,17 @@
 			Prompt: 1,
 		})
 	}
-	// The last one is known, the first was forgotten.
+	// The last model is known, and the first one was discarded.
 	qt.Assert(t, sizes.Of("9999", usage.Size{}).Prompt, qt.Equals, 1.0)
 	qt.Assert(t, sizes.Of("0", usage.Size{}).Prompt, qt.Equals, 0.0)
 }
 
-// A daemon among 295 is asked for the larger model once in two seconds: the first request
-// that it saw end, mostly a short one, stood for all of them through the day, and the
-// model seemed to need half of its groups.
-func TestFirstRequestDoesNotStandForAll(t *testing.T) {
+// Guards against a first request that sets the mean. A daemon among 295 gets a request for the
+// larger model every two seconds. The first one to end, mostly a short one, stood for all of
+// them through the day, and the estimate halved the groups that the model needed.
+func TestFirstRequestDoesNotSetTheMean(t *testing.T) {
 	var sizes usage.Sizes
-	usual := usage.Size{
+	fallback := usage.Size{
 		Prompt: 1000,
 		Answer: 100,
 	}
@@ -63,13 +63,13 @@
 		Prompt: 40,
 		Answer: 8,
 	})
-	qt.Assert(t, sizes.Of("large", usual), qt.Equals, usual)
+	qt.Assert(t, sizes.Of("large", fallback), qt.Equals, fallback)
 	for range 9 {
 		sizes.Note("large", usage.Size{
 			Prompt: 1540,
 			Answer: 158,
 		})
 	}
-	mean := sizes.Of("large", usual)
+	mean := sizes.Of("large", fallback)
 	qt.Assert(t, mean.Answer > 130 && mean.Answer < 150, qt.IsTrue, qt.Commentf("%v", mean))
 }
