--- /dev/null
+++ b/core/quarantine/eviction.go
@@ -0,0 +1,131 @@
+package quarantine
+
+import (
+	"time"
+
+	"headcourse/core/rowstore"
+)
+
+// evictOldest makes room in a full ledger. It evicts a digest that is not held, if there is one,
+// and among these the one whose last change is longest ago. The mutex must be held.
+func (l *Ledger) evictOldest() {
+	if len(l.suspects) < maxSuspects {
+		return
+	}
+	var oldest *suspect
+	var oldestDigest Digest
+	for digest, s := range l.suspects {
+		if oldest == nil || s.isEvictedBefore(oldest) {
+			oldest = s
+			oldestDigest = digest
+		}
+	}
+	delete(l.suspects, oldestDigest)
+	if cleared := oldest.storedRows(oldestDigest); cleared.IsAny() {
+		l.evicted = append(l.evicted, cleared)
+	}
+}
+
+// isEvictedBefore reports whether s is evicted before other.
+func (s *suspect) isEvictedBefore(other *suspect) bool {
+	if s.hasFailedTrial() != other.hasFailedTrial() {
+		return !s.hasFailedTrial()
+	}
+	return s.lastChange.Before(other.lastChange)
+}
+
+// Removed applies the removal of an end's row from the store: another daemon saw the request
+// answered, or an operator released it.
+func (l *Ledger) Removed(end End) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	s := l.suspects[end.Digest]
+	if s == nil {
+		return
+	}
+	delete(s.ends, end.Start)
+	l.removeIfEmpty(end.Digest, s)
+}
+
+// RemovedTrial applies the removal of a request's trial row from the store.
+func (l *Ledger) RemovedTrial(digest Digest) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if s := l.suspects[digest]; s != nil {
+		s.clearTrials()
+		l.removeIfEmpty(digest, s)
+	}
+}
+
+// clearTrials discards the trials and their results.
+func (s *suspect) clearTrials() {
+	s.lastTrial = 0
+	s.trialRevision = rowstore.Revision{}
+	s.failedTrial = 0
+}
+
+// removeIfEmpty discards a suspect without ends and trials. The mutex must be held.
+func (l *Ledger) removeIfEmpty(digest Digest, s *suspect) {
+	if len(s.ends) == 0 && !s.hasTrial() {
+		delete(l.suspects, digest)
+	}
+}
+
+// Keep reconciles the ledger with a full read of the store: it discards stored ends and trials
+// that are not in the given ones. Ends that have not been stored yet stay.
+func (l *Ledger) Keep(ends []End, trials []Digest) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	type endKey struct {
+		digest Digest
+		start  string
+	}
+	isStored, hasStoredTrial := map[endKey]bool{}, map[Digest]bool{}
+	for _, end := range ends {
+		isStored[endKey{
+			digest: end.Digest,
+			start:  end.Start,
+		}] = true
+	}
+	for _, digest := range trials {
+		hasStoredTrial[digest] = true
+	}
+	for digest, s := range l.suspects {
+		for _, start := range s.storedRows(digest).Starts {
+			if !isStored[endKey{
+				digest: digest,
+				start:  start,
+			}] {
+				delete(s.ends, start)
+			}
+		}
+		if s.hasTrial() && !hasStoredTrial[digest] {
+			s.clearTrials()
+		}
+		l.removeIfEmpty(digest, s)
+	}
+}
+
+// Sweep discards requests that have been suspected or held for long enough. It returns their
+// rows in the store, and those of requests evicted since the last call, so that the caller can
+// remove them.
+func (l *Ledger) Sweep() []Cleared {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	removals := l.evicted
+	l.evicted = nil
+	for digest, s := range l.suspects {
+		retention := suspicionTime
+		if s.hasFailedTrial() {
+			retention = HeldFor
+		}
+		if time.Since(s.lastChange) <= retention {
+			continue
+		}
+		delete(l.suspects, digest)
+		if cleared := s.storedRows(digest); cleared.IsAny() {
+			removals = append(removals, cleared)
+		}
+	}
+	return removals
+}
