--- a/io/gateway/await.go
+++ b/io/gateway/await.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// How long a request is held until the daemon has read what it serves by: at most
-// viewPatience, longer than a start takes until the first view, and a part of the client's
-// time.
+// A request waits for the daemon's first view for at most maxViewWait, which is longer than a
+// start usually takes to read it, and for at most 1/viewWaitDivisor of the client's timeout.
 const (
-	viewPatience = 700 * time.Millisecond
-	viewPart     = 4
+	maxViewWait     = 700 * time.Millisecond
+	viewWaitDivisor = 4
 )
 
-// awaitView holds a request that comes before the daemon has read what it serves by.
-// After a restart of all daemons that takes some tenths of a second; a refusal would
-// cost the client more than the wait. Where the store cannot be read nobody knows how
-// long it takes, and the client is refused at once.
-func (j *job) awaitView() {
-	known := j.server.source.Known()
+// waitForView delays a request that arrives before the daemon has read its first view. After a
+// restart of all daemons the read takes some tenths of a second, which costs the client less
+// than a refusal. If the store is unreadable, the delay is unknown, so the request is refused
+// at once.
+func (j *job) waitForView() {
+	ready := j.server.source.Known()
 	select {
-	case <-known:
+	case <-ready:
 		return
 	default:
 	}
-	timer := time.NewTimer(min(j.server.viewPatience, j.request.Wait/viewPart))
+	timer := time.NewTimer(min(j.server.maxViewWait, j.request.Wait/viewWaitDivisor))
 	defer timer.Stop()
 	select {
-	case <-known:
+	case <-ready:
 	case <-j.server.source.Unreadable():
 	case <-timer.C:
 	}
--- a/io/gateway/budget_test.go
+++ b/io/gateway/budget_test.go
@@ -16,17 +16,18 @@
 	"headcourse/platform/wire"
 )
 
-// noRetries returns budgets that pay for no retry.
-func noRetries() *retry.Budgets {
+// emptyRetryBudgets returns budgets that allow no retry.
+func emptyRetryBudgets() *retry.Budgets {
 	const share, burst = 0.01, 0.1
 	budgets := &retry.Budgets{}
 	budgets.SetFigures(share, burst, time.Minute)
 	return budgets
 }
 
-// A request was refused after one send although other servers were free, and its line did
-// not say that the retry budget was the cause: of 734 such on one day only the counter told.
-func TestLineSaysThatTheRetryBudgetWasSpent(t *testing.T) {
+// A request was refused after one attempt although other servers were free, and its log line
+// did not show that the retry budget was the cause: of 734 such refusals on one day only the
+// counter gave evidence.
+func TestLogLineReportsSpentRetryBudget(t *testing.T) {
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 		w.Header().Set(wire.HeaderNotExecuted, "1")
@@ -35,22 +36,22 @@
 	t.Cleanup(full.Close)
 	address := full.Listener.Addr().String()
 	core, logs := observer.New(zap.InfoLevel)
-	used := options(newSource(someServers(config.Safe, address, address)))
-	used.Budgets = noRetries()
-	used.Log = zap.New(core)
-	server := start(t, used)
+	opts := newOptions(newSource(serversView(config.Safe, address, address)))
+	opts.Budgets = emptyRetryBudgets()
+	opts.Log = zap.New(core)
+	server := startGateway(t, opts)
 
-	status, _ := ask(t, server.Address(), "r1", time.Minute)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 	lines := logs.FilterMessage("clients: request ended").All()
 	qt.Assert(t, lines, qt.HasLen, 1)
 	qt.Assert(t, lines[0].ContextMap()["retry_budget_spent"], qt.Equals, true)
 }
 
-// A slow server was silent for longer than servers are; its stream was broken off to go
-// on elsewhere, and there was no retry left in the budget for that.
-func TestSilentServerIsNotGivenUpWithoutARetryLeft(t *testing.T) {
-	// Longer than any silence after which a request is moved.
+// Guards against aborting a stream that cannot be retried: a slow server was silent for longer
+// than usual, its stream was aborted to fail over, and the retry budget was empty.
+func TestSilentServerIsKeptWhenRetryBudgetIsEmpty(t *testing.T) {
+	// Longer than any silence after which a request fails over.
 	const silence = 1600 * time.Millisecond
 	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
@@ -62,9 +63,9 @@
 	}))
 	t.Cleanup(slow.Close)
 	address := slow.Listener.Addr().String()
-	used := options(newSource(someServers(config.Stream, address, address)))
-	used.Budgets = noRetries()
-	server := start(t, used)
-	status, _ := ask(t, server.Address(), "r1", time.Hour)
+	opts := newOptions(newSource(serversView(config.Stream, address, address)))
+	opts.Budgets = emptyRetryBudgets()
+	server := startGateway(t, opts)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
 }
--- a/io/gateway/choose.go
+++ b/io/gateway/choose.go
@@ -12,9 +12,9 @@
 	"headcourse/core/usage"
 )
 
-// hasOtherServer tells whether there is a server that was not asked yet.
-func (j *job) hasOtherServer() bool {
-	for _, server := range j.server.serving(j.service, j.request.Model) {
+// hasUntriedServer reports whether an available server has not been tried for this request yet.
+func (j *job) hasUntriedServer() bool {
+	for _, server := range j.server.availableServers(j.service, j.request.Model) {
 		if !j.excluded[server.ID] {
 			return true
 		}
@@ -22,66 +22,69 @@
 	return false
 }
 
-// choice is the server for one send.
-type choice struct {
+// selection is the server selected for one attempt.
+type selection struct {
 	server fleet.Server
 	// done must be called at the end of the exchange.
 	done func()
-	// room is kept for the send, where the server takes only so many.
-	room *ratelimit.Reservation
+	// reservation reserves one request of the rate limit, if the server has one.
+	reservation *ratelimit.Reservation
 }
 
-// pick chooses the server for the next send, and keeps room for it there.
-func (j *job) pick() (choice, bool) {
-	kind := j.noteAsked()
+// selectServer selects the server for the next attempt and reserves a request of its rate
+// limit.
+func (j *job) selectServer() (selection, bool) {
+	kind := j.recordDemand()
 	preference := j.server.source.Preference(kind)
 	for {
-		serving := j.server.serving(j.service, j.request.Model)
-		candidates := preference.WithTiers(j.candidates(serving), rand.Float64())
+		available := j.server.availableServers(j.service, j.request.Model)
+		candidates := preference.WithTiers(j.candidates(available), rand.Float64())
 		chosen, done, ok := j.server.tracker.Pick(candidates, j.excluded, j.request.Cost())
 		if !ok {
-			return choice{}, false
+			return selection{}, false
 		}
-		at := slices.IndexFunc(serving, func(server fleet.Server) bool {
+		index := slices.IndexFunc(available, func(server fleet.Server) bool {
 			return server.ID == chosen.ID
 		})
-		server := serving[at]
-		room, hasRoom := j.server.limits.Reserve(server.Start(), j.server.limitPlace(server))
-		if hasRoom {
-			return choice{
-				server: server,
-				done:   done,
-				room:   room,
+		server := available[index]
+		reservation, isReserved := j.server.limits.Reserve(server.Start(), j.server.limitPlace(server))
+		if isReserved {
+			return selection{
+				server:      server,
+				done:        done,
+				reservation: reservation,
 			}, true
 		}
-		// Another request took the room meanwhile: the server serves no more.
+		// A concurrent request used the last reservation, so this server is no longer
+		// available.
 		done()
 	}
 }
 
-// whyNoServer returns why no server can be chosen.
-func (j *job) whyNoServer() request.Reason {
-	if reason := j.server.whyWithheld(j.service, j.request.Model).reason; reason != request.ReasonNone {
+// noServerReason returns why no server can be selected.
+func (j *job) noServerReason() request.Reason {
+	if reason := j.server.soonestUnavailability(j.service, j.request.Model).reason; reason != request.ReasonNone {
 		return reason
 	}
 	return request.ReasonNoServer
 }
 
-// noteAsked measures a request once, at its first send, and returns its kind.
-func (j *job) noteAsked() demand.Kind {
+// recordDemand returns the request's kind and, at the first attempt only, adds the request to
+// the measured demand.
+func (j *job) recordDemand() demand.Kind {
 	kind := demand.Kind{
 		Service: j.service,
 		Model:   j.request.Model,
 	}
-	if j.sends == 0 {
-		j.server.meter.Note(kind, j.request.Cost(), j.tokens())
+	if j.attempts == 0 {
+		j.server.meter.Note(kind, j.request.Cost(), j.tokenDemand())
 	}
 	return kind
 }
 
-// tokens returns what the request asks of a model engine: its answer is as long as those
-// to others of its model are on the mean.
-func (j *job) tokens() usage.Rate {
+// tokenDemand returns the load that the request puts on a model engine. The length of its
+// answer is estimated by the mean answer length of its model.
+func (j *job) tokenDemand() usage.Rate {
 	service := j.config.Service(j.service)
 	if service == nil || service.Engine == nil {
 		return usage.Rate{}
@@ -92,7 +95,7 @@
 	}, j.route.Goal)
 }
 
-// candidates returns the servers that may take the request.
+// candidates returns the available servers in the form that the balancer takes.
 func (j *job) candidates(serving []fleet.Server) []balancer.Candidate {
 	candidates := make([]balancer.Candidate, len(serving))
 	for i, server := range serving {
--- a/io/gateway/comeback.go
+++ b/io/gateway/comeback.go
@@ -7,65 +7,71 @@
 	"headcourse/core/request"
 )
 
-// When a refused client should try again, by what it waits for. Most clients try once
-// more only, so the time must be long enough for the second try to succeed, and they
-// do not wait longer than a part of their time.
+// A Retry-After delay depends on what a refused client waits for. Most clients retry only once,
+// so the delay must be long enough for that retry to succeed, but a client does not wait longer
+// than a fraction of its timeout.
 const (
-	// placePause is for a place: one of a group's frees every 30 ms to 80 ms.
-	placePause = 250 * time.Millisecond
-	// groupPause is for a group: one forms again within 0.6 s to 2 s, also outside an evacuated
-	// zone, and the entries of servers are back within 2 s of the end of an outage of the store.
-	groupPause = 1500 * time.Millisecond
-	// storePause is for the store, whose outages take seconds.
-	storePause = 2500 * time.Millisecond
-	// trialPause is for the trial of a request under which servers ended, which takes up
-	// to the whole length of an answer.
-	trialPause = 2 * time.Second
-	// returnSpread is the part of the pause that all servers asked for, and returnTime the
-	// time, over which clients return after its end: at one moment they would be turned
-	// away again.
-	returnSpread = 0.25
-	returnTime   = 400 * time.Millisecond
-	// obeyedPart is the part of its remaining time that a client waits at most.
-	obeyedPart = 3
-	// leastPause and pauseSpread: the pause is drawn between these parts of it, so
-	// that clients who were refused together do not come back together.
-	leastPause  = 0.6
-	pauseSpread = 0.4
+	// slotRetryDelay applies when all groups are busy: a group frees a slot every 30 ms to 80
+	// ms.
+	slotRetryDelay = 250 * time.Millisecond
+	// groupRetryDelay applies when no server is available: a group forms again within 0.6 s to
+	// 2 s, also outside an evacuated zone, and the entries of servers are back within 2 s of
+	// the end of a store outage.
+	groupRetryDelay = 1500 * time.Millisecond
+	// storeRetryDelay applies when the store is unavailable: its outages last for seconds.
+	storeRetryDelay = 2500 * time.Millisecond
+	// trialRetryDelay applies during the trial of a request that is suspected of crashing
+	// servers. The trial takes up to the full length of an answer.
+	trialRetryDelay = 2 * time.Second
+	// pauseJitterFraction and minPauseJitter spread the retries of clients after the end of a
+	// pause that all servers asked for. The jitter is minPauseJitter plus this fraction of the
+	// pause. Without it the servers would refuse the clients again, since all would return at
+	// once.
+	pauseJitterFraction = 0.25
+	minPauseJitter      = 400 * time.Millisecond
+	// maxDelayDivisor bounds a delay to 1/maxDelayDivisor of the client's remaining time;
+	// clients do not wait longer.
+	maxDelayDivisor = 3
+	// A delay is multiplied by a random factor from minDelayFactor to minDelayFactor plus
+	// delayFactorSpread, so that clients that were refused together do not retry together.
+	minDelayFactor    = 0.6
+	delayFactorSpread = 0.4
 )
 
-// comeBack returns when a refused client should try again.
-func (j *job) comeBack(reason request.Reason) time.Duration {
-	pause := placePause
+// retryAfter returns the Retry-After delay for a refused client.
+func (j *job) retryAfter(reason request.Reason) time.Duration {
+	delay := slotRetryDelay
 	switch reason {
 	case request.ReasonCrashes:
-		if j.heldFor > trialPause {
-			// No sooner try is of use, so the client is told the whole time.
-			return j.heldFor.Round(time.Second)
+		if j.quarantineLeft > trialRetryDelay {
+			// No earlier retry can succeed, so the client gets the whole remaining time.
+			return j.quarantineLeft.Round(time.Second)
 		}
-		pause = trialPause
+		delay = trialRetryDelay
 	case request.ReasonNotConfigured, request.ReasonStale:
-		pause = storePause
+		delay = storeRetryDelay
 	case request.ReasonNoServer, request.ReasonEvacuated:
-		pause = groupPause
+		delay = groupRetryDelay
 	default:
-		why := j.server.whyWithheld(j.service, j.request.Model)
+		unavailable := j.server.soonestUnavailability(j.service, j.request.Model)
 		switch {
-		case why.reason == request.ReasonLimited && (why.left == 0 || why.left > groupPause):
-			// Other daemons have a part of what the servers take too, and room sooner.
-			pause = groupPause
-		case why.left > 0:
-			return afterPause(why.left)
+		case unavailable.reason == request.ReasonLimited && (unavailable.remaining == 0 || unavailable.remaining > groupRetryDelay):
+			// The limit is shared with other daemons, which may be able to send requests
+			// earlier.
+			delay = groupRetryDelay
+		case unavailable.remaining > 0:
+			return retryAfterPause(unavailable.remaining)
 		}
 	}
-	left := j.request.Wait - j.server.clock.Since(j.came)
-	pause = min(pause, max(0, left/obeyedPart))
-	return time.Duration((leastPause + pauseSpread*rand.Float64()) * float64(pause)).Round(time.Millisecond)
+	remaining := j.request.Wait - j.server.clock.Since(j.acceptedAt)
+	delay = min(delay, max(0, remaining/maxDelayDivisor))
+	return time.Duration((minDelayFactor + delayFactorSpread*rand.Float64()) * float64(delay)).Round(time.Millisecond)
 }
 
-// afterPause returns when a client should try again whose servers all take no request for so
-// long: no sooner, since each daemon that asks them earlier breaks their word.
-func afterPause(left time.Duration) time.Duration {
-	spread := returnTime + time.Duration(returnSpread*float64(left))
-	return (left + time.Duration(rand.Float64()*float64(spread))).Round(time.Millisecond)
+// retryAfterPause returns the Retry-After delay when all servers are paused for the remaining
+// time. It is never shorter than that, since each earlier request would break the pause that
+// the servers asked for.
+func retryAfterPause(remaining time.Duration) time.Duration {
+	jitter := minPauseJitter + time.Duration(pauseJitterFraction*float64(remaining))
+	return (remaining + time.Duration(rand.Float64()*float64(jitter))).Round(time.Millisecond)
 }
--- a/io/gateway/directives.go
+++ b/io/gateway/directives.go
@@ -12,46 +12,49 @@
 	"headcourse/core/request"
 )
 
-// Counters of what servers say about further requests: of answers that ask for a pause, and
-// of starts of servers that say that they leave.
+// Counters of server directives: countPauseRequests counts answers that ask for a pause,
+// countLeaveNotices counts server starts that announce that they leave.
 const (
-	countPauses = "server_pauses_asked"
-	countLeaves = "server_leaves_said"
+	countPauseRequests = "server_pauses_asked"
+	countLeaveNotices  = "server_leaves_said"
 )
 
-// directiveLineEvery bounds the lines about what the servers of a service say: tens may ask
-// for pauses of some tenths of a second, all at once.
-const directiveLineEvery = 200 * time.Millisecond
+// throttledLogInterval is the minimum interval between log lines about the directives or limits
+// of one service's servers. Tens of servers may ask for pauses of some tenths of a second at
+// the same time.
+const throttledLogInterval = 200 * time.Millisecond
 
-// heed notes what a server's answer says about further requests.
-func (s *Server) heed(server fleet.Server, said directive.Directive) {
-	if !said.IsAny() {
+// recordDirective records the directive in a server's answer: a pause, or the notice that the
+// server leaves.
+func (s *Server) recordDirective(server fleet.Server, received directive.Directive) {
+	if !received.IsAny() {
 		return
 	}
-	news := s.directives.Note(server.Start(), said)
-	if said.Pause > 0 {
-		metrics.GetOrRegisterCounter(countPauses, s.registry).Inc(1)
+	change := s.directives.Note(server.Start(), received)
+	if received.Pause > 0 {
+		metrics.GetOrRegisterCounter(countPauseRequests, s.registry).Inc(1)
 	}
-	if news.IsLeaving {
-		metrics.GetOrRegisterCounter(countLeaves, s.registry).Inc(1)
+	if change.IsLeaving {
+		metrics.GetOrRegisterCounter(countLeaveNotices, s.registry).Inc(1)
 	}
-	if !news.IsAny() {
+	if !change.IsAny() {
 		return
 	}
-	mayWrite, leftOut := s.directiveLines.Pass(server.Service)
+	mayWrite, suppressed := s.directiveThrottle.Pass(server.Service)
 	if !mayWrite {
 		return
 	}
 	s.log.Info("servers: wants no request",
 		zap.String("server", server.ID),
 		zap.String("group", server.Membership.Group),
-		zap.Int64("pause_ms", news.Pause.Milliseconds()),
-		zap.Bool("is_leaving", news.IsLeaving),
-		zap.Int("lines_left_out", leftOut))
+		zap.Int64("pause_ms", change.Pause.Milliseconds()),
+		zap.Bool("is_leaving", change.IsLeaving),
+		zap.Int("lines_left_out", suppressed))
 }
 
-// sweepSaid forgets what servers said that holds no longer.
-func (s *Server) sweepSaid() {
+// sweepDirectives removes expired directives and limits, and those of server starts that are
+// not in the view any more.
+func (s *Server) sweepDirectives() {
 	if s.directives.IsEmpty() && s.limits.IsEmpty() {
 		return
 	}
@@ -64,81 +67,83 @@
 	s.limits.Sweep(isKnown)
 }
 
-// serving returns the servers that may be sent a request of a service and model now: those
-// of the view without those that said that they want none, get no more than they take, or are
-// in an evacuated zone. The caller must not change it.
-func (s *Server) serving(service, model string) []fleet.Server {
+// availableServers returns the servers that may receive a request for a service and model now:
+// those of the view that are not paused, leaving, at their rate limit or in an evacuated zone.
+// The caller must not modify the slice.
+func (s *Server) availableServers(service, model string) []fleet.Server {
 	view := s.source.View()
-	known := view.Fleet.Serving(service, model)
+	listed := view.Fleet.Serving(service, model)
 	if s.directives.IsEmpty() && s.limits.IsEmpty() && view.Evacuated.IsEmpty() {
-		return known
+		return listed
 	}
-	getsNone := func(server fleet.Server) bool {
-		return s.isLeft(view, server) || s.wantsNone(server)
+	isUnavailable := func(server fleet.Server) bool {
+		return s.isEvacuated(view, server) || s.isPausedOrLimited(server)
 	}
-	if !slices.ContainsFunc(known, getsNone) {
-		return known
+	if !slices.ContainsFunc(listed, isUnavailable) {
+		return listed
 	}
-	return slices.DeleteFunc(slices.Clone(known), getsNone)
+	return slices.DeleteFunc(slices.Clone(listed), isUnavailable)
 }
 
-// isLeft tells whether a server's zone is evacuated, so that it gets no more requests.
-func (s *Server) isLeft(view View, server fleet.Server) bool {
+// isEvacuated reports whether the server is in an evacuated zone and must receive no requests.
+func (s *Server) isEvacuated(view View, server fleet.Server) bool {
 	return !view.Evacuated.IsEmpty() && view.Evacuated.IsLeft(server.Zone, s.clock.Now())
 }
 
-// wantsNone tells whether a server has said that it wants no request of this daemon now.
-func (s *Server) wantsNone(server fleet.Server) bool {
-	return s.directives.Forbids(server.Start()) || !s.hasRoom(server)
+// isPausedOrLimited reports whether the server is paused, leaving, or at this daemon's share of
+// its rate limit.
+func (s *Server) isPausedOrLimited(server fleet.Server) bool {
+	return s.directives.Forbids(server.Start()) || !s.isWithinLimit(server)
 }
 
-// withheld tells why no server of a service and model is sent a request now, though there
-// are some.
-type withheld struct {
-	// reason is ReasonPaused, ReasonLimited or ReasonEvacuated; none where a server takes
-	// requests.
+// unavailability is why all servers of a service and model, or one of them, receive no
+// requests.
+type unavailability struct {
+	// reason is ReasonPaused, ReasonLimited or ReasonEvacuated, or ReasonNone if a server is
+	// available.
 	reason request.Reason
-	// left is when the first one takes requests of this daemon again; 0: not known.
-	left time.Duration
+	// remaining is the time until the server accepts requests from this daemon again; 0 if
+	// unknown.
+	remaining time.Duration
 }
 
-// whyWithheld returns why the servers of a service and model are sent none, by the one that
-// takes requests again first.
-func (s *Server) whyWithheld(service, model string) withheld {
-	var first withheld
-	if len(s.serving(service, model)) > 0 {
+// soonestUnavailability returns why no server of a service and model is available, with the
+// reason of the server that becomes available first. Servers that leave are ignored.
+func (s *Server) soonestUnavailability(service, model string) unavailability {
+	var first unavailability
+	if len(s.availableServers(service, model)) > 0 {
 		return first
 	}
 	view := s.source.View()
 	for _, server := range view.Fleet.Serving(service, model) {
-		one := s.whyNone(view, server)
-		if isLeaving := one.reason == request.ReasonPaused && one.left == 0; isLeaving {
+		current := s.unavailabilityOf(view, server)
+		if isLeaving := current.reason == request.ReasonPaused && current.remaining == 0; isLeaving {
 			continue
 		}
-		if first.reason == request.ReasonNone || first.left == 0 || (one.left > 0 && one.left < first.left) {
-			first = one
+		if first.reason == request.ReasonNone || first.remaining == 0 || (current.remaining > 0 && current.remaining < first.remaining) {
+			first = current
 		}
 	}
 	return first
 }
 
-// whyNone returns why a server is sent no request now.
-func (s *Server) whyNone(view View, server fleet.Server) withheld {
+// unavailabilityOf returns why one server receives no requests now.
+func (s *Server) unavailabilityOf(view View, server fleet.Server) unavailability {
 	switch {
-	case s.isLeft(view, server):
-		return withheld{
+	case s.isEvacuated(view, server):
+		return unavailability{
 			reason: request.ReasonEvacuated,
 		}
 	case s.directives.Forbids(server.Start()):
-		return withheld{
-			reason: request.ReasonPaused,
-			left:   s.directives.PauseLeft(server.Start()),
+		return unavailability{
+			reason:    request.ReasonPaused,
+			remaining: s.directives.PauseLeft(server.Start()),
 		}
 	default:
-		left, _ := s.limits.Wait(server.Start(), s.source.LimitPlace(server))
-		return withheld{
-			reason: request.ReasonLimited,
-			left:   left,
+		remaining, _ := s.limits.Wait(server.Start(), s.source.LimitPlace(server))
+		return unavailability{
+			reason:    request.ReasonLimited,
+			remaining: remaining,
 		}
 	}
 }
--- a/io/gateway/directives_test.go
+++ b/io/gateway/directives_test.go
@@ -20,237 +20,237 @@
 	"headcourse/platform/wire"
 )
 
-// pauseAsked is the pause that the tests' servers ask for: longer than any test takes.
-const pauseAsked = 20 * time.Minute
+// requestedPause is the pause that the tests' servers ask for: longer than any test takes.
+const requestedPause = 20 * time.Minute
 
-// ownRest is longer than a daemon rests a server by itself after its first refusal.
-const ownRest = 500 * time.Millisecond
+// ejectionTime is longer than a daemon ejects a server by itself after its first refusal.
+const ejectionTime = 500 * time.Millisecond
 
-// turnAway says that the server did not run the request and wants none for a while.
-func turnAway(w http.ResponseWriter, r *http.Request, pause time.Duration) {
+// refuseWithPause answers that the server did not run the request and asks for a pause.
+func refuseWithPause(w http.ResponseWriter, r *http.Request, pause time.Duration) {
 	w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 	w.Header().Set(wire.HeaderNotExecuted, "1")
 	w.Header().Set("Retry-After", strconv.Itoa(int(pause.Seconds())))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// answerEvent answers with a stream of one event, and leaves it open.
-func answerEvent(t *testing.T, w http.ResponseWriter, r *http.Request) {
+// answerOneEvent answers with a stream of one event and leaves it open.
+func answerOneEvent(t *testing.T, w http.ResponseWriter, r *http.Request) {
 	t.Helper()
-	answerWhole(w, r)
+	answerOK(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, err := io.WriteString(w, "id: 1\ndata: first\n\n")
 	qt.Check(t, err, qt.IsNil)
 	w.(http.Flusher).Flush()
 }
 
-// askMany sends some requests and returns the statuses of their answers.
-func askMany(t *testing.T, address string, count int) []int {
+// sendRequests sends requests one after the other and returns the statuses of their answers.
+func sendRequests(t *testing.T, address string, count int) []int {
 	t.Helper()
 	var statuses []int
 	for i := range count {
-		status, _ := ask(t, address, "many"+strconv.Itoa(i), 10*pauseAsked)
+		status, _ := sendRequest(t, address, "many"+strconv.Itoa(i), 10*requestedPause)
 		statuses = append(statuses, status)
 	}
 	return statuses
 }
 
-// Servers that turned requests away, and asked with each answer for three seconds without
-// any, got up to six from one daemon in that time. Daemons did not read the time: they rested
-// a server that refused by a figure of their own, 0.4 s and more, which a success of what was
-// under way before ended at once, and which was no more than a preference: a server at rest
-// was asked again where no other was left. Lines of sends in a pause showed all three.
-func TestServerThatAskedForAPauseIsSentNothingBeforeItsEnd(t *testing.T) {
-	t.Run("when the daemon's own rest is over", func(t *testing.T) {
-		var asked atomic.Int64
-		paused := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-			asked.Add(1)
-			turnAway(w, r, pauseAsked)
+// Servers that refused requests, and asked for a pause of three seconds in each answer,
+// received up to six requests from one daemon within the pause. Daemons ignored the requested
+// pause: they ejected a refusing server for 0.4 s or more of their own choice, a success of an
+// earlier request ended the ejection at once, and an ejected server was tried again if no other
+// was left. Log lines of these attempts showed all three causes.
+func TestPausedServerReceivesNoRequests(t *testing.T) {
+	t.Run("after the daemon's own ejection ends", func(t *testing.T) {
+		var received atomic.Int64
+		paused := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+			received.Add(1)
+			refuseWithPause(w, r, requestedPause)
 		})
-		well := backends(t, 1, answerWhole)
+		healthy := startBackends(t, 1, answerOK)
 		core, logs := observer.New(zap.InfoLevel)
-		used := options(newSource(someServers(config.Safe, paused[0], well[0])))
-		used.Log = zap.New(core)
-		server := start(t, used)
-		for asked.Load() == 0 {
-			askMany(t, server.Address(), 1)
+		opts := newOptions(newSource(serversView(config.Safe, paused[0], healthy[0])))
+		opts.Log = zap.New(core)
+		server := startGateway(t, opts)
+		for received.Load() == 0 {
+			sendRequests(t, server.Address(), 1)
 		}
 		for range 2 {
-			time.Sleep(ownRest)
-			for _, status := range askMany(t, server.Address(), 20) {
+			time.Sleep(ejectionTime)
+			for _, status := range sendRequests(t, server.Address(), 20) {
 				qt.Assert(t, status, qt.Equals, http.StatusOK)
 			}
 		}
 		for _, line := range logs.FilterMessage("clients: sent to a server that asked for a pause").All() {
 			t.Log(line.ContextMap())
 		}
-		qt.Assert(t, asked.Load(), qt.Equals, int64(1))
+		qt.Assert(t, received.Load(), qt.Equals, int64(1))
 	})
-	t.Run("when a request that began before ends well", func(t *testing.T) {
+	t.Run("after an earlier request succeeds", func(t *testing.T) {
 		var began, turned atomic.Int64
 		endStream := make(chan struct{})
-		paused := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+		paused := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
 			if began.Add(1) > 1 {
 				turned.Add(1)
-				turnAway(w, r, pauseAsked)
+				refuseWithPause(w, r, requestedPause)
 				return
 			}
-			answerEvent(t, w, r)
+			answerOneEvent(t, w, r)
 			<-endStream
 		})
-		well := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-			// As long as it has requests, others are better off elsewhere.
+		healthy := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+			// While this server has requests in flight, the paused one looks less loaded.
 			time.Sleep(50 * time.Millisecond)
-			answerEvent(t, w, r)
+			answerOneEvent(t, w, r)
 		})
-		_, address := listen(t, newSource(someServers(config.Stream, paused[0], well[0])), time.Minute)
+		_, address := startWithViewWait(t, newSource(serversView(config.Stream, paused[0], healthy[0])), time.Minute)
 		var clients conc.WaitGroup
 		for turned.Load() == 0 {
-			clients.Go(func() { askMany(t, address, 1) })
+			clients.Go(func() { sendRequests(t, address, 1) })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(endStream)
 		clients.Wait()
-		// Some may have been on their way together.
+		// Several requests may have been in flight at the same time.
 		before := turned.Load()
 		for range 20 {
-			clients.Go(func() { askMany(t, address, 1) })
+			clients.Go(func() { sendRequests(t, address, 1) })
 		}
 		clients.Wait()
 		qt.Assert(t, turned.Load(), qt.Equals, before)
 	})
-	t.Run("when no other server is left", func(t *testing.T) {
-		var asked atomic.Int64
-		paused := backends(t, 2, func(w http.ResponseWriter, r *http.Request) {
-			asked.Add(1)
-			turnAway(w, r, pauseAsked)
+	t.Run("when no other server is available", func(t *testing.T) {
+		var received atomic.Int64
+		paused := startBackends(t, 2, func(w http.ResponseWriter, r *http.Request) {
+			received.Add(1)
+			refuseWithPause(w, r, requestedPause)
 		})
-		_, address := listen(t, newSource(someServers(config.Safe, paused...)), time.Minute)
-		for _, status := range askMany(t, address, 5) {
+		_, address := startWithViewWait(t, newSource(serversView(config.Safe, paused...)), time.Minute)
+		for _, status := range sendRequests(t, address, 5) {
 			qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 		}
-		qt.Assert(t, asked.Load(), qt.Equals, int64(2))
+		qt.Assert(t, received.Load(), qt.Equals, int64(2))
 	})
 }
 
-// Clients that were told to come back sooner found no server again, and lost their last try;
-// all at one moment, they would be turned away together.
-func TestClientsReturnAfterTheFirstPauseOfAllServersIsOver(t *testing.T) {
-	var asked atomic.Int64
-	longer := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
-		turnAway(w, r, 2*pauseAsked)
+// Clients that were told to retry before the pauses ended found no server again and lost their
+// last retry. If all retried at the same moment, they would be refused together.
+func TestRetryAfterCoversShortestPauseOfAllServers(t *testing.T) {
+	var received atomic.Int64
+	longer := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+		received.Add(1)
+		refuseWithPause(w, r, 2*requestedPause)
 	})
-	shorter := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
-		turnAway(w, r, pauseAsked)
+	shorter := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+		received.Add(1)
+		refuseWithPause(w, r, requestedPause)
 	})
-	_, address := listen(t, newSource(someServers(config.Safe, longer[0], shorter[0])), time.Minute)
-	drawn := map[time.Duration]bool{}
+	_, address := startWithViewWait(t, newSource(serversView(config.Safe, longer[0], shorter[0])), time.Minute)
+	delays := map[time.Duration]bool{}
 	for i := range 20 {
-		status, header := ask(t, address, "r"+strconv.Itoa(i), 10*pauseAsked)
+		status, header := sendRequest(t, address, "r"+strconv.Itoa(i), 10*requestedPause)
 		qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-		pause := comesBack(t, header)
-		// The tests themselves take less than a minute.
-		qt.Assert(t, pause >= pauseAsked-time.Minute && pause < 2*pauseAsked-time.Minute, qt.IsTrue, qt.Commentf("%s", pause))
-		drawn[pause] = true
+		delay := retryAfterOf(t, header)
+		// The test itself takes less than a minute.
+		qt.Assert(t, delay >= requestedPause-time.Minute && delay < 2*requestedPause-time.Minute, qt.IsTrue, qt.Commentf("%s", delay))
+		delays[delay] = true
 	}
-	qt.Assert(t, len(drawn) > 10, qt.IsTrue)
-	qt.Assert(t, asked.Load(), qt.Equals, int64(2))
+	qt.Assert(t, len(delays) > 10, qt.IsTrue)
+	qt.Assert(t, received.Load(), qt.Equals, int64(2))
 }
 
-// leave marks an answer as that of a server that leaves.
-func leave(w http.ResponseWriter) {
+// markLeaving marks an answer as that of a server that leaves.
+func markLeaving(w http.ResponseWriter) {
 	w.Header().Set(wire.HeaderLeaving, "1")
 }
 
-// A server that leaves says so in its answers some time before its entry does, and some
-// servers' entries never do: daemons that went by the entry alone sent it requests until it
-// was gone.
-func TestServerThatSaysThatItLeavesIsSentNothingMore(t *testing.T) {
+// A leaving server says so in its answers some time before its entry does, and some entries
+// never do: daemons that used the entry alone sent it requests until it stopped.
+func TestLeavingServerReceivesNoRequests(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"whole answer": func(w http.ResponseWriter, r *http.Request) {
-			leave(w)
-			answerWhole(w, r)
+			markLeaving(w)
+			answerOK(w, r)
 		},
 		"refusal": func(w http.ResponseWriter, _ *http.Request) {
-			leave(w)
+			markLeaving(w)
 			w.Header().Set(wire.HeaderNotExecuted, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
 		"other server": func(w http.ResponseWriter, _ *http.Request) {
-			leave(w)
+			markLeaving(w)
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		},
 		"error": func(w http.ResponseWriter, r *http.Request) {
-			leave(w)
-			answerWhole(w, r)
+			markLeaving(w)
+			answerOK(w, r)
 			w.WriteHeader(http.StatusInternalServerError)
 		},
 		"stream that breaks off": func(w http.ResponseWriter, r *http.Request) {
-			leave(w)
-			answerEvent(t, w, r)
+			markLeaving(w)
+			answerOneEvent(t, w, r)
 			panic(http.ErrAbortHandler)
 		},
 		"answer to an earlier request": func(w http.ResponseWriter, _ *http.Request) {
-			leave(w)
+			markLeaving(w)
 			w.Header().Set(wire.HeaderID, "earlier")
 		},
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
-			var asked atomic.Int64
-			leaving := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-				asked.Add(1)
+			var received atomic.Int64
+			leaving := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+				received.Add(1)
 				answer(w, r)
 			})
-			well := backends(t, 1, answerWhole)
-			used := options(newSource(someServers(config.Safe, leaving[0], well[0])))
-			server := start(t, used)
-			for asked.Load() == 0 {
-				askMany(t, server.Address(), 1)
+			healthy := startBackends(t, 1, answerOK)
+			opts := newOptions(newSource(serversView(config.Safe, leaving[0], healthy[0])))
+			server := startGateway(t, opts)
+			for received.Load() == 0 {
+				sendRequests(t, server.Address(), 1)
 			}
-			// Past the daemon's own rest of a server that failed.
-			time.Sleep(ownRest)
-			for _, status := range askMany(t, server.Address(), 20) {
+			// Longer than the daemon's own ejection of a server that failed.
+			time.Sleep(ejectionTime)
+			for _, status := range sendRequests(t, server.Address(), 20) {
 				qt.Assert(t, status, qt.Equals, http.StatusOK)
 			}
-			qt.Assert(t, asked.Load(), qt.Equals, int64(1))
-			count := metrics.GetOrRegisterCounter("server_leaves_said", used.Registry).Count()
+			qt.Assert(t, received.Load(), qt.Equals, int64(1))
+			count := metrics.GetOrRegisterCounter("server_leaves_said", opts.Registry).Count()
 			qt.Assert(t, count, qt.Equals, int64(1))
 		})
 	}
 }
 
-// What a server says of its connections is for the daemon: clients have others.
-func TestClientsAreNotToldThatAServerLeaves(t *testing.T) {
-	addresses := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-		leave(w)
-		answerWhole(w, r)
+// The notice concerns the daemon's connections to the server, not those of clients.
+func TestLeavingHeaderIsNotForwarded(t *testing.T) {
+	addresses := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+		markLeaving(w)
+		answerOK(w, r)
 	})
-	_, address := listen(t, newSource(someServers(config.Safe, addresses...)), time.Minute)
-	status, header := ask(t, address, "r1", time.Minute)
+	_, address := startWithViewWait(t, newSource(serversView(config.Safe, addresses...)), time.Minute)
+	status, header := sendRequest(t, address, "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
 	qt.Assert(t, header.Get(wire.HeaderLeaving), qt.Equals, "")
 
 	// The next request has no server, and is refused at once.
-	status, header = ask(t, address, "r2", time.Minute)
+	status, header = sendRequest(t, address, "r2", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-	qt.Assert(t, comesBack(t, header) > 0, qt.IsTrue)
+	qt.Assert(t, retryAfterOf(t, header) > 0, qt.IsTrue)
 }
 
-// changingSource is a source whose view changes.
+// changingSource is a testSource whose view changes.
 type changingSource struct {
-	*source
-	now atomic.Pointer[gateway.View]
+	*testSource
+	current atomic.Pointer[gateway.View]
 }
 
-// View returns the view as it is now.
-func (s *changingSource) View() gateway.View { return *s.now.Load() }
+// View returns the current view.
+func (s *changingSource) View() gateway.View { return *s.current.Load() }
 
-// A server that starts again under its ID has not said that it leaves. Nor has it asked for a
-// pause, but for what it asked before its entry was read, which the daemon cannot tell apart.
-func TestPauseButNoLeaveOutlivesAStartUnderTheSameID(t *testing.T) {
+// A server that restarts under its ID is not leaving any more. A pause stays in force, since
+// the daemon cannot tell whether the former or the new process asked for it before the new
+// entry was read.
+func TestRestartUnderSameIDKeepsPauseAndClearsLeaving(t *testing.T) {
 	for _, example := range []struct {
 		name string
 		say  http.HandlerFunc
@@ -259,45 +259,45 @@
 		{
 			name: "leaving",
 			say: func(w http.ResponseWriter, r *http.Request) {
-				leave(w)
-				answerWhole(w, r)
+				markLeaving(w)
+				answerOK(w, r)
 			},
 			want: http.StatusOK,
 		},
 		{
 			name: "paused",
 			say: func(w http.ResponseWriter, r *http.Request) {
-				turnAway(w, r, pauseAsked)
+				refuseWithPause(w, r, requestedPause)
 			},
 			want: http.StatusServiceUnavailable,
 		},
 	} {
 		t.Run(example.name, func(t *testing.T) {
-			var asked atomic.Int64
-			addresses := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-				if asked.Add(1) == 1 {
+			var received atomic.Int64
+			addresses := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+				if received.Add(1) == 1 {
 					example.say(w, r)
 					return
 				}
-				answerWhole(w, r)
+				answerOK(w, r)
 			})
-			view := someServers(config.Safe, addresses...)
-			from := &changingSource{
-				source: newSource(view),
+			view := serversView(config.Safe, addresses...)
+			source := &changingSource{
+				testSource: newSource(view),
 			}
-			from.now.Store(&view)
-			server, address := listen(t, from, time.Minute)
-			askMany(t, address, 3)
-			qt.Assert(t, asked.Load(), qt.Equals, int64(1))
+			source.current.Store(&view)
+			server, address := startWithViewWait(t, source, time.Minute)
+			sendRequests(t, address, 3)
+			qt.Assert(t, received.Load(), qt.Equals, int64(1))
 
-			again := view
+			nextView := view
 			before := view.Fleet.Servers()[0]
-			started := before
-			started.Born++
-			again.Fleet = view.Fleet.WithAll(2, []fleet.Server{started}, time.Now())
-			server.Restarted(before, started)
-			from.now.Store(&again)
-			qt.Assert(t, askMany(t, address, 1), qt.DeepEquals, []int{example.want})
+			restarted := before
+			restarted.Born++
+			nextView.Fleet = view.Fleet.WithAll(2, []fleet.Server{restarted}, time.Now())
+			server.Restarted(before, restarted)
+			source.current.Store(&nextView)
+			qt.Assert(t, sendRequests(t, address, 1), qt.DeepEquals, []int{example.want})
 		})
 	}
 }
--- a/io/gateway/evacuation_test.go
+++ b/io/gateway/evacuation_test.go
@@ -17,9 +17,10 @@
 	"headcourse/io/gateway"
 )
 
-// zonedServers returns a view of backend servers, each in a zone of its own: "0", "1" and so on.
-func zonedServers(kind config.Kind, addresses ...string) gateway.View {
-	view := someServers(kind, addresses...)
+// zonedServersView returns a view of backend servers, each in a zone of its own: "0", "1" and
+// so on.
+func zonedServersView(kind config.Kind, addresses ...string) gateway.View {
+	view := serversView(kind, addresses...)
 	var servers []fleet.Server
 	for _, server := range view.Fleet.Servers() {
 		server.Zone = server.ID[len("i-"):]
@@ -29,79 +30,82 @@
 	return view
 }
 
-// evacuated returns the zones of a view that are left from a time on.
-func evacuated(from time.Time, zones ...string) evacuation.Zones {
+// evacuatedZones returns zones that receive no requests from leaveAt on.
+func evacuatedZones(leaveAt time.Time, zones ...string) evacuation.Zones {
 	var all evacuation.Zones
 	for _, zone := range zones {
 		all = all.With(zone, evacuation.Evacuation{
-			LeaveAt: from,
+			LeaveAt: leaveAt,
 		})
 	}
 	return all
 }
 
-// countedBackends returns servers that answer whole, and what counts their requests.
-func countedBackends(t *testing.T, count int) ([]string, *atomic.Int64) {
+// startCountingBackends starts servers that answer every request, and returns their addresses
+// and a counter of their requests.
+func startCountingBackends(t *testing.T, count int) ([]string, *atomic.Int64) {
 	t.Helper()
-	var asked atomic.Int64
-	return backends(t, count, func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
-		answerWhole(w, r)
-	}), &asked
+	var received atomic.Int64
+	return startBackends(t, count, func(w http.ResponseWriter, r *http.Request) {
+		received.Add(1)
+		answerOK(w, r)
+	}), &received
 }
 
-func TestServersOfAnEvacuatedZoneGetNothing(t *testing.T) {
-	left, asked := countedBackends(t, 1)
-	well, _ := countedBackends(t, 1)
-	view := zonedServers(config.Safe, left[0], well[0])
-	view.Evacuated = evacuated(time.Now(), "0")
-	_, address := listen(t, newSource(view), time.Minute)
-	for _, status := range askMany(t, address, 20) {
+func TestEvacuatedZoneReceivesNoRequests(t *testing.T) {
+	inEvacuatedZone, received := startCountingBackends(t, 1)
+	healthy, _ := startCountingBackends(t, 1)
+	view := zonedServersView(config.Safe, inEvacuatedZone[0], healthy[0])
+	view.Evacuated = evacuatedZones(time.Now(), "0")
+	_, address := startWithViewWait(t, newSource(view), time.Minute)
+	for _, status := range sendRequests(t, address, 20) {
 		qt.Assert(t, status, qt.Equals, http.StatusOK)
 	}
-	qt.Assert(t, asked.Load(), qt.Equals, int64(0))
+	qt.Assert(t, received.Load(), qt.Equals, int64(0))
 }
 
-// Until a daemon leaves the zone its requests go on there: groups form elsewhere meanwhile.
-func TestZoneIsUsedUntilItIsLeft(t *testing.T) {
-	well, asked := countedBackends(t, 1)
-	view := zonedServers(config.Safe, well[0])
-	view.Evacuated = evacuated(time.Now().Add(time.Hour), "0")
-	_, address := listen(t, newSource(view), time.Minute)
-	for _, status := range askMany(t, address, 5) {
+// Until the evacuation takes effect at this daemon, its requests still go to the zone, so that
+// groups can form elsewhere.
+func TestZoneReceivesRequestsUntilEvacuationStarts(t *testing.T) {
+	healthy, received := startCountingBackends(t, 1)
+	view := zonedServersView(config.Safe, healthy[0])
+	view.Evacuated = evacuatedZones(time.Now().Add(time.Hour), "0")
+	_, address := startWithViewWait(t, newSource(view), time.Minute)
+	for _, status := range sendRequests(t, address, 5) {
 		qt.Assert(t, status, qt.Equals, http.StatusOK)
 	}
-	qt.Assert(t, asked.Load(), qt.Equals, int64(5))
+	qt.Assert(t, received.Load(), qt.Equals, int64(5))
 }
 
-// Where all zones are evacuated, a request is refused at once, by a reason of its own.
-func TestRequestWithoutAZoneIsRefusedAtOnce(t *testing.T) {
-	servers, asked := countedBackends(t, 2)
-	view := zonedServers(config.Safe, servers...)
-	view.Evacuated = evacuated(time.Now(), "0", "1")
-	used := options(newSource(view))
-	server := start(t, used)
+// If all zones are evacuated, a request is refused at once, with a reason of its own.
+func TestRequestIsRefusedAtOnceWhenAllZonesAreEvacuated(t *testing.T) {
+	servers, received := startCountingBackends(t, 2)
+	view := zonedServersView(config.Safe, servers...)
+	view.Evacuated = evacuatedZones(time.Now(), "0", "1")
+	opts := newOptions(newSource(view))
+	server := startGateway(t, opts)
 	for i := range 5 {
-		status, header := ask(t, server.Address(), "r"+strconv.Itoa(i), time.Hour)
+		status, header := sendRequest(t, server.Address(), "r"+strconv.Itoa(i), time.Hour)
 		qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 		// A group forms elsewhere within 2 s.
-		qt.Assert(t, comesBack(t, header) >= 900*time.Millisecond, qt.IsTrue)
+		qt.Assert(t, retryAfterOf(t, header) >= 900*time.Millisecond, qt.IsTrue)
 	}
-	qt.Assert(t, asked.Load(), qt.Equals, int64(0))
-	refused := metrics.GetOrRegisterCounter("requests_refused.zone_evacuated", used.Registry).Count()
+	qt.Assert(t, received.Load(), qt.Equals, int64(0))
+	refused := metrics.GetOrRegisterCounter("requests_refused.zone_evacuated", opts.Registry).Count()
 	qt.Assert(t, refused, qt.Equals, int64(5))
 }
 
-// A cold server gets as many requests as it bears, and the others the rest.
-func TestColdServerGetsNoMoreThanItBears(t *testing.T) {
-	cold, asked := countedBackends(t, 1)
-	well, _ := countedBackends(t, 1)
-	used := options(newSource(someServers(config.Safe, cold[0], well[0])))
-	used.Limits.LimitCold("i-0", ratelimit.Cold(2, 1.5, 5), time.Hour)
-	server := start(t, used)
-	for _, status := range askMany(t, server.Address(), 40) {
+// A cold server receives no more requests than its cold rate allows, and the other servers
+// receive the rest.
+func TestColdServerIsRateLimited(t *testing.T) {
+	cold, received := startCountingBackends(t, 1)
+	healthy, _ := startCountingBackends(t, 1)
+	opts := newOptions(newSource(serversView(config.Safe, cold[0], healthy[0])))
+	opts.Limits.LimitCold("i-0", ratelimit.Cold(2, 1.5, 5), time.Hour)
+	server := startGateway(t, opts)
+	for _, status := range sendRequests(t, server.Address(), 40) {
 		qt.Assert(t, status, qt.Equals, http.StatusOK)
 	}
 	const allowed = 1.5*2 + 5
-	qt.Assert(t, asked.Load() <= allowed, qt.IsTrue, qt.Commentf("%d requests at once", asked.Load()))
+	qt.Assert(t, received.Load() <= allowed, qt.IsTrue, qt.Commentf("%d requests at once", received.Load()))
 }
--- a/io/gateway/figures.go
+++ b/io/gateway/figures.go
@@ -9,29 +9,29 @@
 	"headcourse/io/exposition"
 )
 
-// Prefixes of counters; a reason follows.
+// Prefixes of counter names, each completed by a reason.
 const (
 	countRefused   = "requests_refused."
-	countSentAgain = "requests_sent_again."
+	countRetried   = "requests_sent_again."
 	countFailed    = "requests_failed."
 	countResumed   = "streams_resumed."
-	countDone      = "requests_done."
+	countSucceeded = "requests_done."
 	countYielding  = "requests_yielding."
 )
 
 // Names of histograms, in milliseconds.
 const (
-	timeFirstEvent  = "first_event_ms"
-	timeWholeAnswer = "whole_answer_ms"
-	timePause       = "longest_pause_ms"
+	timeFirstEvent      = "first_event_ms"
+	timeCompleteAnswer  = "whole_answer_ms"
+	timeLongestEventGap = "longest_pause_ms"
 )
 
-// count adds one to a counter.
+// count increments the counter of a prefix and reason.
 func (s *Server) count(prefix string, reason request.Reason) {
 	metrics.GetOrRegisterCounter(prefix+string(reason), s.registry).Inc(1)
 }
 
-// observe adds a time to a histogram, in milliseconds.
+// observe records a duration in a histogram.
 func (s *Server) observe(name string, took time.Duration) {
 	exposition.Observe(s.registry, name, took)
 }
--- a/io/gateway/gateway.go
+++ b/io/gateway/gateway.go
@@ -1,16 +1,14 @@
-// Package gateway is the entry for clients: it takes a request, finds its
-// route, sends it to a backend server and gives the client that server's whole
-// answer.
+// Package gateway accepts client requests, routes each to a backend server and returns that
+// server's complete answer to the client.
 //
-// What may be said of a request depends on what may have become of it. "Not
-// run" (503) is said only while no byte of the request can have been run by
-// any server, or every server that had it said that it ran nothing. Anything
-// else ends with 502 or 504. A request is sent again only if it was not run,
-// or its route allows it to run more than once; and only within the budget
-// that all daemons share.
+// The status of a failed request depends on whether a server may have run it. The gateway
+// answers 503 ("not run") only if no byte of the request can have been run by any server, or if
+// every server that received it said that it did not run it. All other failures are 502 or 504.
+// A request is retried only if it was not run or its route allows it to run more than once, and
+// only within the retry budget that all daemons share.
 //
-// A request that comes before the daemon has read what it serves by is held for a
-// moment. Each send tells the server how urgent the request is.
+// A request that arrives before the daemon has read its first view waits for it briefly. Each
+// attempt carries the request's priority to the server.
 package gateway
 
 import (
@@ -43,8 +41,8 @@
 	"headcourse/io/tcp"
 )
 
-// Dialect reads and writes what clients and backend servers speak. Name puts a
-// request's id on an answer of the system's own.
+// Dialect converts between HTTP messages and requests and answers. Name writes the request ID
+// into an answer that the gateway itself generates.
 type Dialect interface {
 	ReadRequest(ctx *fasthttp.RequestCtx) (*request.Request, error)
 	WriteHead(r *request.Request, attempt request.Attempt) []byte
@@ -52,138 +50,141 @@
 	Name(ctx *fasthttp.RequestCtx, id string)
 }
 
-// View is what a daemon knows when it serves a request.
+// View is a snapshot of the configuration and the fleet, used to serve a request.
 type View struct {
-	// Config is nil until one is known.
+	// Config is nil until a configuration has been read.
 	Config *config.Config
 	Fleet  fleet.View
-	// Evacuated are the zones whose servers are to get no requests.
+	// Evacuated are the zones whose servers must receive no requests.
 	Evacuated evacuation.Zones
 }
 
-// Source gives the view and takes what requests find out.
+// Source provides the view and receives observations about servers and requests.
 type Source interface {
 	View() View
-	// Known is closed when configuration and servers were read for the first time.
+	// Known is closed when the configuration and the servers have been read for the first time.
 	Known() <-chan struct{}
-	// Unreadable is closed when they could not be read.
+	// Unreadable is closed when that first read has failed.
 	Unreadable() <-chan struct{}
-	// KnownFor is how long ago that was; 0 before.
+	// KnownFor is the time since the first read; 0 before it.
 	KnownFor() time.Duration
-	// Age is how old the view of configuration and keys may be; MayAcceptKeys
-	// whether keys may still be accepted by it; IsCurrent whether keys and routes
-	// that it does not hold may be denied.
+	// Age is the maximum age of the configuration and keys in the view. MayAcceptKeys reports
+	// whether the view is recent enough to accept keys. IsCurrent reports whether it is recent
+	// enough to reject keys and routes that it does not contain.
 	Age() time.Duration
 	MayAcceptKeys() bool
 	IsCurrent() bool
-	// Daemons is how many daemons there are.
+	// Daemons is the number of daemons.
 	Daemons() int
-	// Preference is what a request of a kind goes by when a server is chosen.
+	// Preference returns the balancing preference for requests of a kind.
 	Preference(kind demand.Kind) balancer.Preference
-	// IsTroubled tells whether other daemons found a server standing still or slow.
+	// IsTroubled reports whether other daemons observed that a server has stalled or is slow.
 	IsTroubled(server fleet.Server) bool
-	// IsStill tells whether other daemons found that a member of its group is silent.
+	// IsStill reports whether other daemons observed that a member of the server's group does
+	// not answer.
 	IsStill(server fleet.Server) bool
-	// LimitPlace is this daemon's place among those that may share the limit of a server.
+	// LimitPlace returns this daemon's place among the daemons that may share a server's rate
+	// limit.
 	LimitPlace(server fleet.Server) ratelimit.Place
-	// LimitObserved takes what an answer of a server says of its limit, where it names one or
-	// told that one is over.
-	LimitObserved(server fleet.Server, said ratelimit.Limit)
-	// ServerCold takes from an answer that a server is cold.
+	// LimitObserved receives the limit in a server's answer, if the answer names one or shows
+	// that an earlier one has ended.
+	LimitObserved(server fleet.Server, limit ratelimit.Limit)
+	// ServerCold receives a server whose answer says that it is cold.
 	ServerCold(server fleet.Server)
-	// Stalled is told of a server that stands still with requests under way.
+	// Stalled receives a server that makes no progress on requests in flight.
 	Stalled(server fleet.Server)
-	// Ended is told of a server that ended with a request under way, of which all
-	// daemons are to know; Cleared that a request which they suspect was answered.
-	Ended(end quarantine.End)
+	// Ended receives the crash of a server with a request in flight, which is reported to all
+	// daemons. Cleared receives a suspect request that was answered successfully.
+	Ended(crash quarantine.End)
 	Cleared(cleared quarantine.Cleared)
-	// MayTry tells whether the other daemons agree to a trial. It waits for the store.
+	// MayTry reports whether the other daemons agree to a trial. It blocks on the store.
 	MayTry(trial quarantine.Trial) bool
 }
 
-// Server serves clients. Use Listen.
+// Server serves client requests. Create it with Listen.
 type Server struct {
-	source       Source
-	dialect      Dialect
-	meter        *demand.Meter
-	viewPatience time.Duration
-	clock        boottime.Clock
-	log          *zap.Logger
-	registry     metrics.Registry
-	backends     *backend.Client
-	tracker      balancer.Tracker
-	patience     urgency.Patience
-	overload     urgency.Overload
-	lane         urgency.Lane
-	sizes        usage.Sizes
-	budgets      *retry.Budgets
-	// directives are what servers said about further requests.
+	source      Source
+	dialect     Dialect
+	meter       *demand.Meter
+	maxViewWait time.Duration
+	clock       boottime.Clock
+	log         *zap.Logger
+	registry    metrics.Registry
+	backends    *backend.Client
+	tracker     balancer.Tracker
+	patience    urgency.Patience
+	overload    urgency.Overload
+	lateStreams urgency.Lane
+	sizes       usage.Sizes
+	budgets     *retry.Budgets
+	// directives holds the directives that servers sent: pauses, and notices that they leave.
 	directives directive.Book
-	// directiveLines bounds the lines about them.
-	directiveLines logline.Rarely
-	// limits are what servers said that they take from all daemons together; limitLines
-	// bounds the lines about them.
-	limits     *ratelimit.Book
-	limitLines logline.Rarely
-	// ledger knows which requests are held; underWay finds those that were sent before;
-	// checks find out which servers have ended.
-	ledger   *quarantine.Ledger
-	underWay underWay
-	checks   checks
-	http     *fasthttp.Server
-	listener net.Listener
-	// gone finds out which clients went away.
-	gone    tcp.Watcher
-	stop    context.CancelFunc
-	leaving atomic.Bool
-	// open counts requests under way; hadAny tells that one ever came.
-	open   atomic.Int64
-	hadAny atomic.Bool
-	// thinning bounds the log lines of requests that ended well.
-	thinning thinner
-	// conns holds the open connections of clients.
+	// directiveThrottle limits the log lines about directives.
+	directiveThrottle logline.Rarely
+	// limits holds the rate limits that servers name, each shared by all daemons; limitThrottle
+	// limits the log lines about them.
+	limits        *ratelimit.Book
+	limitThrottle logline.Rarely
+	// ledger holds the crashes recorded per request content and decides which requests are
+	// quarantined. inFlightByContent finds requests in flight by their content. crashChecks
+	// runs the checks whether a server has crashed.
+	ledger            *quarantine.Ledger
+	inFlightByContent contentIndex
+	crashChecks       crashChecks
+	http              *fasthttp.Server
+	listener          net.Listener
+	// clientWatcher detects clients that close their connection.
+	clientWatcher tcp.Watcher
+	stop          context.CancelFunc
+	isDraining    atomic.Bool
+	// inFlight counts requests in flight; hadRequests is set by the first request.
+	inFlight    atomic.Int64
+	hadRequests atomic.Bool
+	// successThrottle limits the log lines of successful requests.
+	successThrottle successThrottle
+	// conns holds the open client connections.
 	conns tcp.Conns
 }
 
-// Figures of the HTTP server.
 const (
-	// bodyLimit bounds what is read of any client; the configuration's own
-	// limit is checked after reading.
-	bodyLimit = 8 << 20
-	// headLimit holds the largest head the configuration allows, twice over.
-	headLimit = 32 << 10
-	// readTime bounds reading one request; the slowest clients send a body of
-	// some KB over seconds.
-	readTime = 30 * time.Second
-	// idleTime is longer than any limit the operator sets, so that a client
-	// that keeps within the limit is never cut off.
-	idleTime = 3 * time.Minute
-	// sweepEvery is the time between two clean-ups of kept connections.
-	sweepEvery = 2 * time.Second
+	// maxRequestBodyBytes bounds the body that is read from any client; the configured limit is
+	// checked after reading.
+	maxRequestBodyBytes = 8 << 20
+	// maxRequestHeaderBytes is twice the largest header that the configuration allows.
+	maxRequestHeaderBytes = 32 << 10
+	// requestReadTimeout bounds reading one request; the slowest clients take seconds to send a
+	// body of some KB.
+	requestReadTimeout = 30 * time.Second
+	// clientIdleTimeout is longer than any idle limit that the operator configures, so a client
+	// within that limit is never disconnected.
+	clientIdleTimeout = 3 * time.Minute
+	// sweepInterval is the interval between removals of old backend connections, trackers and
+	// directives.
+	sweepInterval = 2 * time.Second
 )
 
-// Options are what a Server needs.
+// Options configure a Server.
 type Options struct {
 	Address string
 	Source  Source
 	Dialect Dialect
-	// Meter measures what is asked.
+	// Meter measures the demand.
 	Meter   *demand.Meter
 	Budgets *retry.Budgets
-	// Ledger knows which requests servers ended under.
+	// Ledger holds the crashes recorded per request content.
 	Ledger *quarantine.Ledger
-	// Limits knows what servers take a second from all daemons together.
+	// Limits holds the rate limits of servers, in requests per second, shared by all daemons.
 	Limits   *ratelimit.Book
 	Registry metrics.Registry
 	Log      *zap.Logger
-	// Clock goes on while the machine is suspended, as clients' patience does.
+	// Clock continues while the VM is suspended, as clients' timeouts do.
 	Clock boottime.Clock
-	// ViewPatience is how long a request is held at most until the daemon has read
-	// what it serves by; 0: the default.
+	// ViewPatience is the maximum time that a request waits for the first view; 0 means the
+	// default.
 	ViewPatience time.Duration
 }
 
-// Listen serves clients at IP:port.
+// Listen starts a Server on IP:port.
 func Listen(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -191,30 +192,30 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	server := &Server{
-		source:       options.Source,
-		dialect:      options.Dialect,
-		meter:        options.Meter,
-		viewPatience: cmp.Or(options.ViewPatience, viewPatience),
-		clock:        options.Clock,
-		log:          options.Log,
-		registry:     options.Registry,
-		backends:     &backend.Client{},
-		budgets:      options.Budgets,
-		ledger:       options.Ledger,
-		limits:       options.Limits,
-		listener:     listener,
-		stop:         stop,
+		source:      options.Source,
+		dialect:     options.Dialect,
+		meter:       options.Meter,
+		maxViewWait: cmp.Or(options.ViewPatience, maxViewWait),
+		clock:       options.Clock,
+		log:         options.Log,
+		registry:    options.Registry,
+		backends:    &backend.Client{},
+		budgets:     options.Budgets,
+		ledger:      options.Ledger,
+		limits:      options.Limits,
+		listener:    listener,
+		stop:        stop,
 	}
 	server.directives.Clock = options.Clock
-	server.directiveLines.Every = directiveLineEvery
-	server.limitLines.Every = directiveLineEvery
+	server.directiveThrottle.Every = throttledLogInterval
+	server.limitThrottle.Every = throttledLogInterval
 	server.http = &fasthttp.Server{
 		Handler:                      server.handle,
 		ErrorHandler:                 server.handleBadRequest,
-		MaxRequestBodySize:           bodyLimit,
-		ReadBufferSize:               headLimit,
-		ReadTimeout:                  readTime,
-		IdleTimeout:                  idleTime,
+		MaxRequestBodySize:           maxRequestBodyBytes,
+		ReadBufferSize:               maxRequestHeaderBytes,
+		ReadTimeout:                  requestReadTimeout,
+		IdleTimeout:                  clientIdleTimeout,
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
 		NoDefaultContentType:         true,
@@ -222,70 +223,70 @@
 		Logger:                       logline.Quiet{},
 	}
 	server.http.ConnState = server.conns.Note
-	server.ledger.Listen(server.endHeld)
-	go server.gone.Run(ctx)
+	server.ledger.Listen(server.abortQuarantined)
+	go server.clientWatcher.Run(ctx)
 	go server.sweep(ctx)
 	go func() {
-		if serveErr := server.http.Serve(listener); serveErr != nil && !server.leaving.Load() {
-			server.log.Error("clients: server ended", logline.Err(serveErr))
+		if serveErr := server.http.Serve(listener); serveErr != nil && !server.isDraining.Load() {
+			server.log.Error("clients: HTTP server failed", logline.Err(serveErr))
 		}
 	}()
 	return server, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the server listens on.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// HadRequests tells whether any request has come since the start.
+// HadRequests reports whether any request has arrived since the start.
 func (s *Server) HadRequests() bool {
-	return s.hadAny.Load()
+	return s.hadRequests.Load()
 }
 
-// Open returns how many requests are under way.
+// Open returns the number of requests in flight.
 func (s *Server) Open() int64 {
-	return s.open.Load()
+	return s.inFlight.Load()
 }
 
-// Connections returns how many connections to backend servers were made, and how
-// often one was used again.
+// Connections returns how many connections to backend servers were opened, and how often one
+// was reused.
 func (s *Server) Connections() (opened, reused int64) {
 	return s.backends.Counts()
 }
 
-// Restarted tells that a backend server has started again under its ID, before the view
-// shows so.
+// Restarted records that a backend server has restarted under its ID. It is called before the
+// view contains the new start.
 func (s *Server) Restarted(former, next fleet.Server) {
 	s.tracker.Forget(former.ID)
 	s.directives.Restarted(former.Start(), next.Start())
 }
 
-// Leave makes every further answer ask its client to use another connection.
+// Leave adds "Connection: close" to every further answer, so that clients move to other
+// connections.
 func (s *Server) Leave() {
-	s.leaving.Store(true)
+	s.isDraining.Store(true)
 }
 
-// Close takes no more requests and waits until those under way have ended, or
-// ctx ends.
+// Close stops accepting requests and waits until those in flight have finished, or ctx ends.
 func (s *Server) Close(ctx context.Context) error {
-	s.leaving.Store(true)
+	s.isDraining.Store(true)
 	err := s.http.ShutdownWithContext(ctx)
 	s.stop()
-	return errors.Wrapf(err, "stop clients' server with %d requests under way", s.open.Load())
+	return errors.Wrapf(err, "stop HTTP server for clients with %d requests in flight", s.inFlight.Load())
 }
 
-// Kill closes everything at once, as a crash would.
+// Kill closes the listener and all connections at once, as a crash would.
 func (s *Server) Kill() {
-	s.leaving.Store(true)
+	s.isDraining.Store(true)
 	s.stop()
 	_ = s.listener.Close()
 	s.conns.CloseAll()
 }
 
-// sweep closes old connections to servers until ctx ends.
+// sweep periodically removes old backend connections, trackers and directives until ctx ends.
 func (s *Server) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -295,7 +296,7 @@
 			isKnown := s.source.View().Fleet.IsUsable
 			s.backends.Sweep(isKnown)
 			s.tracker.Sweep(isKnown)
-			s.sweepSaid()
+			s.sweepDirectives()
 		}
 	}
 }
--- a/io/gateway/gateway_test.go
+++ b/io/gateway/gateway_test.go
@@ -30,27 +30,27 @@
 	"headcourse/platform/wire"
 )
 
-// host and path are where the tests' route is.
+// host and path are those of the tests' route.
 const (
 	host = "water.example"
 	path = "/status/"
 )
 
-// source is a view that the tests give.
-type source struct {
+// testSource is a Source whose view the test sets.
+type testSource struct {
 	view  gateway.View
 	known chan struct{}
-	// unreadable is closed when the view cannot be read; nil: never.
+	// unreadable is closed if the view cannot be read; nil means never.
 	unreadable chan struct{}
-	// isRevoked and isOutdated tell that keys may not be accepted by the view, and
-	// that nothing may be denied by it.
-	isRevoked  bool
-	isOutdated bool
+	// rejectsKeys and isStale are set if the view is too old to accept keys, or to reject
+	// unknown routes and keys.
+	rejectsKeys bool
+	isStale     bool
 }
 
-// newSource returns a source of a view that is known.
-func newSource(view gateway.View) *source {
-	s := &source{
+// newSource returns a source whose view has been read.
+func newSource(view gateway.View) *testSource {
+	s := &testSource{
 		view:  view,
 		known: make(chan struct{}),
 	}
@@ -58,69 +58,69 @@
 	return s
 }
 
-// View returns the view.
-func (s *source) View() gateway.View { return s.view }
+// View returns the test's view.
+func (s *testSource) View() gateway.View { return s.view }
 
-// Known is closed when the view is known.
-func (s *source) Known() <-chan struct{} { return s.known }
+// Known is closed when the view has been read.
+func (s *testSource) Known() <-chan struct{} { return s.known }
 
-// Unreadable is closed when the test says so.
-func (s *source) Unreadable() <-chan struct{} { return s.unreadable }
+// Unreadable is closed if the test closes it.
+func (s *testSource) Unreadable() <-chan struct{} { return s.unreadable }
 
-// KnownFor is always a moment.
-func (s *source) KnownFor() time.Duration { return time.Millisecond }
+// KnownFor returns one millisecond.
+func (s *testSource) KnownFor() time.Duration { return time.Millisecond }
 
-// Age is always 0.
-func (s *source) Age() time.Duration { return 0 }
+// Age returns 0.
+func (s *testSource) Age() time.Duration { return 0 }
 
-// MayAcceptKeys tells what the test chose.
-func (s *source) MayAcceptKeys() bool { return !s.isRevoked }
+// MayAcceptKeys returns what the test set.
+func (s *testSource) MayAcceptKeys() bool { return !s.rejectsKeys }
 
-// IsCurrent tells what the test chose.
-func (s *source) IsCurrent() bool { return !s.isOutdated }
+// IsCurrent returns what the test set.
+func (s *testSource) IsCurrent() bool { return !s.isStale }
 
-// Daemons is always 1.
-func (s *source) Daemons() int { return 1 }
+// Daemons returns 1.
+func (s *testSource) Daemons() int { return 1 }
 
-// Preference is none.
-func (s *source) Preference(demand.Kind) balancer.Preference { return balancer.Preference{} }
+// Preference returns no preference.
+func (s *testSource) Preference(demand.Kind) balancer.Preference { return balancer.Preference{} }
 
-// IsTroubled is never true.
-func (s *source) IsTroubled(fleet.Server) bool { return false }
+// IsTroubled returns false.
+func (s *testSource) IsTroubled(fleet.Server) bool { return false }
 
-// IsStill is never true.
-func (s *source) IsStill(fleet.Server) bool { return false }
+// IsStill returns false.
+func (s *testSource) IsStill(fleet.Server) bool { return false }
 
-// LimitPlace is that of the only daemon.
-func (s *source) LimitPlace(fleet.Server) ratelimit.Place {
+// LimitPlace returns the place of a single daemon.
+func (s *testSource) LimitPlace(fleet.Server) ratelimit.Place {
 	return ratelimit.Place{
 		Of: 1,
 	}
 }
 
-// LimitObserved notes nothing.
-func (s *source) LimitObserved(fleet.Server, ratelimit.Limit) {}
+// LimitObserved does nothing.
+func (s *testSource) LimitObserved(fleet.Server, ratelimit.Limit) {}
 
-// ServerCold notes nothing.
-func (s *source) ServerCold(fleet.Server) {}
+// ServerCold does nothing.
+func (s *testSource) ServerCold(fleet.Server) {}
 
-// Stalled notes nothing.
-func (s *source) Stalled(fleet.Server) {}
+// Stalled does nothing.
+func (s *testSource) Stalled(fleet.Server) {}
 
-// Ended notes nothing.
-func (s *source) Ended(quarantine.End) {}
+// Ended does nothing.
+func (s *testSource) Ended(quarantine.End) {}
 
-// Cleared notes nothing.
-func (s *source) Cleared(quarantine.Cleared) {}
+// Cleared does nothing.
+func (s *testSource) Cleared(quarantine.Cleared) {}
 
-// MayTry always agrees.
-func (s *source) MayTry(quarantine.Trial) bool { return true }
+// MayTry returns true.
+func (s *testSource) MayTry(quarantine.Trial) bool { return true }
 
-// options are what a gateway of a test needs.
-func options(from gateway.Source) gateway.Options {
+// newOptions returns the options of a test's gateway.
+func newOptions(source gateway.Source) gateway.Options {
 	return gateway.Options{
 		Address:  "127.0.0.1:0",
-		Source:   from,
+		Source:   source,
 		Dialect:  platform.Dialect{},
 		Meter:    &demand.Meter{},
 		Budgets:  &retry.Budgets{},
@@ -131,8 +131,8 @@
 	}
 }
 
-// start starts a gateway that ends with the test.
-func start(t *testing.T, options gateway.Options) *gateway.Server {
+// startGateway starts a gateway that is killed at the end of the test.
+func startGateway(t *testing.T, options gateway.Options) *gateway.Server {
 	t.Helper()
 	server, err := gateway.Listen(options)
 	qt.Assert(t, err, qt.IsNil)
@@ -140,17 +140,19 @@
 	return server
 }
 
-// listen starts a gateway that holds requests for a time, and returns its address.
-func listen(t *testing.T, from gateway.Source, patience time.Duration) (*gateway.Server, string) {
+// startWithViewWait starts a gateway that holds requests for maxWait until the first view, and
+// returns it with its address.
+func startWithViewWait(t *testing.T, source gateway.Source, maxWait time.Duration) (*gateway.Server, string) {
 	t.Helper()
-	used := options(from)
-	used.ViewPatience = patience
-	server := start(t, used)
+	opts := newOptions(source)
+	opts.ViewPatience = maxWait
+	server := startGateway(t, opts)
 	return server, server.Address()
 }
 
-// ask sends a request that waits so long and returns the answer's status.
-func ask(t *testing.T, address, id string, wait time.Duration) (status int, header http.Header) {
+// sendRequest sends a request with a timeout and returns the status and the header of the
+// answer.
+func sendRequest(t *testing.T, address, id string, wait time.Duration) (status int, header http.Header) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
 	qt.Assert(t, err, qt.IsNil)
@@ -167,13 +169,13 @@
 	return answer.StatusCode, answer.Header
 }
 
-// oneServer returns a view of one backend server behind one route.
-func oneServer(backend *httptest.Server, kind config.Kind) gateway.View {
-	return someServers(kind, backend.Listener.Addr().String())
+// singleServerView returns a view of one backend server behind one route.
+func singleServerView(backend *httptest.Server, kind config.Kind) gateway.View {
+	return serversView(kind, backend.Listener.Addr().String())
 }
 
-// someServers returns a view of backend servers behind one route.
-func someServers(kind config.Kind, addresses ...string) gateway.View {
+// serversView returns a view of backend servers behind one route.
+func serversView(kind config.Kind, addresses ...string) gateway.View {
 	var servers []fleet.Server
 	for i, address := range addresses {
 		servers = append(servers, fleet.Server{
@@ -209,118 +211,119 @@
 	}
 }
 
-// After a restart of all daemons, hundreds of requests were refused in the tenths of
-// a second before the first view was read.
-func TestRequestBeforeTheFirstViewIsHeldUntilItIsRead(t *testing.T) {
-	from := &source{
+// After a restart of all daemons, hundreds of requests were refused in the tenths of a second
+// before the first view was read.
+func TestRequestWaitsForFirstView(t *testing.T) {
+	source := &testSource{
 		view: gateway.View{
 			Config: config.New(config.Config{}),
 		},
 		known: make(chan struct{}),
 	}
-	server, address := listen(t, from, time.Minute)
+	server, address := startWithViewWait(t, source, time.Minute)
 	go func() {
 		for server.Open() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		close(from.known)
+		close(source.known)
 	}()
-	status, _ := ask(t, address, "r1", time.Hour)
-	// The configuration has no routes; before it was known the answer is 503.
+	status, _ := sendRequest(t, address, "r1", time.Hour)
+	// The configuration has no routes; before it has been read, the answer is 503.
 	qt.Assert(t, status, qt.Equals, http.StatusNotFound)
 }
 
-// Where the store cannot be read nobody knows when it can: 231 requests were held for
-// 0.7 s and then refused, of which all that follow at once are refused too.
-func TestRequestIsNotHeldWhileTheStoreCannotBeRead(t *testing.T) {
-	from := &source{
+// While the store is unreadable, the time until the first view is unknown. 231 requests were
+// held for 0.7 s and then refused, and so were all that followed.
+func TestRequestIsRefusedAtOnceWhenStoreIsUnreadable(t *testing.T) {
+	source := &testSource{
 		known:      make(chan struct{}),
 		unreadable: make(chan struct{}),
 	}
-	close(from.unreadable)
-	_, address := listen(t, from, time.Hour)
-	status, header := ask(t, address, "r1", time.Hour)
+	close(source.unreadable)
+	_, address := startWithViewWait(t, source, time.Hour)
+	status, header := sendRequest(t, address, "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-	qt.Assert(t, comesBack(t, header) >= 1500*time.Millisecond, qt.IsTrue)
+	qt.Assert(t, retryAfterOf(t, header) >= 1500*time.Millisecond, qt.IsTrue)
 }
 
-// comesBack returns when a refused client is to try again.
-func comesBack(t *testing.T, header http.Header) time.Duration {
+// retryAfterOf returns the delay in a Retry-After header.
+func retryAfterOf(t *testing.T, header http.Header) time.Duration {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	qt.Assert(t, err, qt.IsNil)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// A client that is sent back too soon spends its last try while nothing can serve it;
-// one that is sent back later than a third of its time does not obey.
-func TestRetryAfterIsWhenServiceIsExpected(t *testing.T) {
-	from := newSource(someServers(config.Stream))
-	_, address := listen(t, from, time.Minute)
-	drawn := map[time.Duration]bool{}
+// If Retry-After is too short, the client's last retry fails as well. A client ignores a delay
+// longer than a third of its timeout.
+func TestRetryAfterMatchesExpectedRecoveryTime(t *testing.T) {
+	source := newSource(serversView(config.Stream))
+	_, address := startWithViewWait(t, source, time.Minute)
+	delays := map[time.Duration]bool{}
 	for i := range 20 {
-		status, header := ask(t, address, "r"+strconv.Itoa(i), time.Minute)
+		status, header := sendRequest(t, address, "r"+strconv.Itoa(i), time.Minute)
 		qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-		pause := comesBack(t, header)
-		qt.Assert(t, pause >= 900*time.Millisecond && pause <= 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%s", pause))
-		drawn[pause] = true
+		delay := retryAfterOf(t, header)
+		qt.Assert(t, delay >= 900*time.Millisecond && delay <= 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%s", delay))
+		delays[delay] = true
 	}
-	// Clients that were refused together do not return together.
-	qt.Assert(t, len(drawn) > 10, qt.IsTrue)
+	// Clients that were refused together must not retry together.
+	qt.Assert(t, len(delays) > 10, qt.IsTrue)
 
-	_, header := ask(t, address, "short", 600*time.Millisecond)
-	qt.Assert(t, comesBack(t, header) <= 200*time.Millisecond, qt.IsTrue)
+	_, header := sendRequest(t, address, "short", 600*time.Millisecond)
+	qt.Assert(t, retryAfterOf(t, header) <= 200*time.Millisecond, qt.IsTrue)
 }
 
-func TestRequestWithoutAViewIsRefusedInTheEnd(t *testing.T) {
-	_, address := listen(t, &source{
+func TestRequestIsRefusedWhenViewWaitTimesOut(t *testing.T) {
+	_, address := startWithViewWait(t, &testSource{
 		known: make(chan struct{}),
 	}, time.Millisecond)
-	status, header := ask(t, address, "r1", time.Hour)
+	status, header := sendRequest(t, address, "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 	qt.Assert(t, header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// A view that may be outdated denies nothing: the route may have been added since.
-func TestOutdatedViewRefusesWhatItDoesNotHold(t *testing.T) {
-	from := newSource(gateway.View{
+// A stale view must not reject a route that it does not contain: the route may have been added
+// since.
+func TestStaleViewAnswersUnavailableForUnknownRoute(t *testing.T) {
+	source := newSource(gateway.View{
 		Config: config.New(config.Config{}),
 	})
-	_, address := listen(t, from, time.Minute)
-	status, _ := ask(t, address, "r1", time.Hour)
+	_, address := startWithViewWait(t, source, time.Minute)
+	status, _ := sendRequest(t, address, "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusNotFound)
 
-	from.isOutdated = true
-	status, header := ask(t, address, "r2", time.Hour)
+	source.isStale = true
+	status, header := sendRequest(t, address, "r2", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 	qt.Assert(t, header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// Found after a loss of power of all daemons: clients that had waited for seconds
-// went before those that could still be in time.
-func TestClientThatIsLateAlreadyYieldsWithinItsPriority(t *testing.T) {
-	levels := make(chan string, 1)
+// Guards against late requests being served first. After a loss of power of all daemons,
+// clients that had waited for seconds were served before those that could still be in time.
+func TestLateRequestGetsLowerServerPriority(t *testing.T) {
+	priorities := make(chan string, 1)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		levels <- r.Header.Get(wire.HeaderPriority)
+		priorities <- r.Header.Get(wire.HeaderPriority)
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 		w.Header().Set(wire.HeaderSeal, "seal")
 	}))
 	t.Cleanup(backend.Close)
-	_, address := listen(t, newSource(oneServer(backend, config.Safe)), time.Minute)
+	_, address := startWithViewWait(t, newSource(singleServerView(backend, config.Safe)), time.Minute)
 
-	status, _ := ask(t, address, "r1", time.Hour)
+	status, _ := sendRequest(t, address, "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
-	qt.Assert(t, <-levels, qt.Equals, "4")
+	qt.Assert(t, <-priorities, qt.Equals, "4")
 
-	// It has waited for half an hour, which is past its goal.
-	status, _ = ask(t, address, "r2", 30*time.Minute)
+	// The client has waited for half an hour already, which is past its goal.
+	status, _ = sendRequest(t, address, "r2", 30*time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
-	qt.Assert(t, <-levels, qt.Equals, "5")
+	qt.Assert(t, <-priorities, qt.Equals, "5")
 }
 
-// A server that works on for a client who has left wastes a place (GONE).
-func TestServerIsLeftWhenItsClientGoes(t *testing.T) {
-	left := make(chan struct{})
+// A server that continues to work for a client that has disconnected wastes a slot (GONE).
+func TestBackendExchangeIsAbortedWhenClientDisconnects(t *testing.T) {
+	aborted := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 		w.Header().Set(wire.HeaderSeal, "seal")
@@ -329,39 +332,39 @@
 		qt.Check(t, err, qt.IsNil)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-		close(left)
+		close(aborted)
 	}))
 	t.Cleanup(func() {
 		backend.CloseClientConnections()
 		backend.Close()
 	})
-	_, address := listen(t, newSource(oneServer(backend, config.Stream)), time.Minute)
+	_, address := startWithViewWait(t, newSource(singleServerView(backend, config.Stream)), time.Minute)
 
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	qt.Assert(t, err, qt.IsNil)
 	request.Host = host
 	request.Header.Set(wire.HeaderID, "r1")
-	// The deadline must not be what ends the work.
+	// The deadline must not end the exchange in this test.
 	request.Header.Set(wire.HeaderDeadline, strconv.FormatInt(time.Hour.Milliseconds(), 10))
 	answer, err := http.DefaultClient.Do(request)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = io.ReadFull(answer.Body, make([]byte, 1))
 	qt.Assert(t, err, qt.IsNil)
 
-	leave()
+	disconnect()
 	qt.Check(t, answer.Body.Close(), qt.IsNil)
 	select {
-	case <-left:
+	case <-aborted:
 	case <-time.After(45 * time.Second):
-		t.Fatal("the server still works for a client that has left")
+		t.Fatal("server still works for a disconnected client")
 	}
 }
 
-// cutting serves streams of three events over raw connections. A request for the
-// whole stream gets two events and the beginning of a chunk that never ends; one that
-// goes on after an event gets the rest.
-func cutting(t *testing.T) string {
+// startTruncatingServer starts a server of streams of three events. A request for the whole
+// stream gets two events and the start of a chunk that is never completed; a request that
+// resumes after an event gets the rest.
+func startTruncatingServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -374,24 +377,24 @@
 			if err != nil {
 				return
 			}
-			go cutOne(conn)
+			go serveTruncated(conn)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// cutOne answers one request.
-func cutOne(conn net.Conn) {
+// serveTruncated answers one request.
+func serveTruncated(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
 	}()
-	asked, err := http.ReadRequest(bufio.NewReader(conn))
+	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
-		wire.HeaderSeal + ": seal\r\n" + wire.HeaderID + ": " + asked.Header.Get(wire.HeaderID) + "\r\n\r\n"
-	last, err := strconv.Atoi(asked.Header.Get(wire.HeaderLastEvent))
+		wire.HeaderSeal + ": seal\r\n" + wire.HeaderID + ": " + request.Header.Get(wire.HeaderID) + "\r\n\r\n"
+	last, err := strconv.Atoi(request.Header.Get(wire.HeaderLastEvent))
 	if err != nil {
 		last = 0
 	}
@@ -401,18 +404,18 @@
 	}
 	answer := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(events), events)
 	if last == 0 {
-		// Two events of a chunk that was to be longer.
+		// Two events of a chunk with a larger declared size.
 		answer = fmt.Sprintf("%x\r\n%s", 2*len(events), events[:len(events)*2/3])
 	}
-	// A client that went away gets nothing.
+	// A write to a disconnected client may fail.
 	_, _ = io.WriteString(conn, head+answer)
 }
 
-// Found by a hunt of a deployment of our own (ORDER, mix with seed 459474126019): events
-// that were read together with the end of a connection were lost, and the next server
-// went on after them.
-func TestEventsBeforeABreakAreNotLost(t *testing.T) {
-	_, address := listen(t, newSource(someServers(config.Stream, cutting(t), cutting(t))), time.Minute)
+// Guards against the loss of events that are read together with the end of a connection: the
+// next server resumed after them, so the client never received them. Found by a fault-injection
+// run (ORDER, mix with seed 459474126019).
+func TestEventsReadWithConnectionErrorAreDelivered(t *testing.T) {
+	_, address := startWithViewWait(t, newSource(serversView(config.Stream, startTruncatingServer(t), startTruncatingServer(t))), time.Minute)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
 	qt.Assert(t, err, qt.IsNil)
 	request.Host = host
@@ -427,20 +430,20 @@
 	qt.Assert(t, string(body), qt.Equals, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n")
 }
 
-// Servers ended under one request that came again and again under new ids, and no line told
-// that it was one: 26 ends looked like 26 accidents.
-func TestLinesOfRepeatsTellThatTheirContentIsTheSame(t *testing.T) {
+// A request that crashed servers was repeated under new IDs, and no log field showed that its
+// content was the same: 26 crashes looked unrelated.
+func TestLogLinesOfRepeatedRequestShareContentDigest(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(backend.Close)
 	core, logs := observer.New(zap.InfoLevel)
-	used := options(newSource(oneServer(backend, config.Safe)))
-	used.Log = zap.New(core)
-	server := start(t, used)
+	opts := newOptions(newSource(singleServerView(backend, config.Safe)))
+	opts.Log = zap.New(core)
+	server := startGateway(t, opts)
 
 	for _, id := range []string{"first", "again"} {
-		status, _ := ask(t, server.Address(), id, time.Minute)
+		status, _ := sendRequest(t, server.Address(), id, time.Minute)
 		qt.Assert(t, status, qt.Equals, http.StatusBadGateway)
 	}
 	lines := logs.FilterMessage("clients: request ended").All()
@@ -450,28 +453,28 @@
 	qt.Assert(t, lines[0].ContextMap()["broke_after_ms"], qt.HasLen, 1)
 }
 
-// A request that was held through a sleep of the machine was sent with all of the time that
-// its client had had, though the client had left.
-func TestRequestOfASuspendedMachineIsNotSentTooLate(t *testing.T) {
+// A request was held while the VM was suspended, and was then sent with its full timeout
+// although its client had disconnected.
+func TestRequestIsNotSentAfterDeadlinePassedDuringSuspend(t *testing.T) {
 	var arrived atomic.Int64
-	addresses := backends(t, 1, func(http.ResponseWriter, *http.Request) {
+	addresses := startBackends(t, 1, func(http.ResponseWriter, *http.Request) {
 		arrived.Add(1)
 	})
 	var suspended atomic.Int64
-	from := newSource(someServers(config.Safe, addresses...))
-	from.known = make(chan struct{})
-	used := options(from)
-	used.ViewPatience = time.Hour
-	used.Clock.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
-	server := start(t, used)
+	source := newSource(serversView(config.Safe, addresses...))
+	source.known = make(chan struct{})
+	opts := newOptions(source)
+	opts.ViewPatience = time.Hour
+	opts.Clock.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
+	server := startGateway(t, opts)
 	go func() {
 		for server.Open() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		suspended.Add(int64(2 * time.Hour))
-		close(from.known)
+		close(source.known)
 	}()
-	status, _ := ask(t, server.Address(), "r1", time.Hour)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
 	qt.Assert(t, arrived.Load(), qt.Equals, int64(0))
 }
--- a/io/gateway/handle.go
+++ b/io/gateway/handle.go
@@ -12,51 +12,52 @@
 	"headcourse/core/request"
 )
 
-// writeSlack is how much longer than its client waits an answer may take to be written: one that
-// is ready is delivered also when late.
-const writeSlack = 2 * time.Second
+// writeGrace is how long after the client's timeout an answer may still be written, so that an
+// answer that is ready is delivered even if it is late.
+const writeGrace = 2 * time.Second
 
-// limitWriting ends the connection of a client that does not read its answer. Until then the
-// server's stream is held up by what the connection holds, and neither grows.
-func limitWriting(ctx *fasthttp.RequestCtx, wait time.Duration) {
-	// It fails on a closed connection only.
-	_ = ctx.Conn().SetWriteDeadline(time.Now().Add(wait + writeSlack))
+// setWriteDeadline makes the connection of a client that does not read its answer fail at the
+// deadline. Until then the backend stream is blocked once the connection's buffers are full, so
+// memory does not grow.
+func setWriteDeadline(ctx *fasthttp.RequestCtx, wait time.Duration) {
+	// SetWriteDeadline fails only on a closed connection.
+	_ = ctx.Conn().SetWriteDeadline(time.Now().Add(wait + writeGrace))
 }
 
 // handle serves one request.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	came := s.clock.Now()
-	read, err := s.dialect.ReadRequest(ctx)
-	s.open.Add(1)
-	s.hadAny.Store(true)
+	acceptedAt := s.clock.Now()
+	parsed, err := s.dialect.ReadRequest(ctx)
+	s.inFlight.Add(1)
+	s.hadRequests.Store(true)
 	j := &job{
-		server:   s,
-		request:  read,
-		excluded: map[string]bool{},
-		priority: noPriority,
-		came:     came,
-		last:     read.LastEvent,
-	}
-	limitWriting(ctx, read.Wait)
-	if s.leaving.Load() {
+		server:      s,
+		request:     parsed,
+		excluded:    map[string]bool{},
+		priority:    noPriority,
+		acceptedAt:  acceptedAt,
+		lastEventID: parsed.LastEvent,
+	}
+	setWriteDeadline(ctx, parsed.Wait)
+	if s.isDraining.Load() {
 		ctx.SetConnectionClose()
 	}
 	if err != nil {
 		j.refuse(ctx, fasthttp.StatusBadRequest, request.ReasonBadRequest)
 		return
 	}
-	j.awaitView()
+	j.waitForView()
 	status, reason := j.admit()
 	if reason != request.ReasonNone {
 		j.refuse(ctx, status, reason)
 		return
 	}
-	j.forget = s.gone.Watch(ctx.Conn(), j.clientGone)
+	j.stopClientWatch = s.clientWatcher.Watch(ctx.Conn(), j.abortForClient)
 	s.budgets.Of(j.service).Earn()
 	j.serve(ctx)
 }
 
-// handleBadRequest answers what is no request.
+// handleBadRequest answers input that cannot be parsed as a request.
 func (s *Server) handleBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	var tooSmall *fasthttp.ErrSmallBuffer
@@ -71,8 +72,8 @@
 	ctx.SetStatusCode(status)
 }
 
-// admit finds the route, the organisation and the service of a request, and how
-// urgent it is, or returns the status and the reason of its refusal.
+// admit determines the route, organisation, service and priority of a request, or returns the
+// status and the reason of its refusal.
 func (j *job) admit() (int, request.Reason) {
 	view := j.server.source.View()
 	if view.Config == nil {
@@ -87,18 +88,18 @@
 		return j.deny(fasthttp.StatusNotFound, request.ReasonNoRoute)
 	}
 	j.priority = j.route.Priority
-	if status, reason := j.admitKey(); reason != request.ReasonNone {
+	if status, reason := j.authenticate(); reason != request.ReasonNone {
 		return status, reason
 	}
-	j.service = pickService(j.route)
-	j.setTimes()
-	j.drawYielding()
+	j.service = selectService(j.route)
+	j.setDeadline()
+	j.decideYielding()
 	return 0, request.ReasonNone
 }
 
-// admitKey finds the organisation of a request whose route needs a key, or returns
+// authenticate determines the organisation of a request whose route requires a key, or returns
 // the status and the reason of its refusal.
-func (j *job) admitKey() (int, request.Reason) {
+func (j *job) authenticate() (int, request.Reason) {
 	if !j.config.NeedsKey(j.route) {
 		return 0, request.ReasonNone
 	}
@@ -116,8 +117,8 @@
 	return 0, request.ReasonNone
 }
 
-// deny returns how a request is refused for which the view holds no route or no key;
-// where the view is not current, one may have been added since.
+// deny returns the refusal of a request whose route or key is not in the view. If the view is
+// stale, the refusal is 503, since the route or key may have been added since.
 func (j *job) deny(status int, reason request.Reason) (int, request.Reason) {
 	if !j.server.source.IsCurrent() {
 		return fasthttp.StatusServiceUnavailable, request.ReasonStale
@@ -125,19 +126,19 @@
 	return status, reason
 }
 
-// setTimes works out until when the client waits, and since when.
-func (j *job) setTimes() {
+// setDeadline sets the request's deadline and the estimated time of the client's first attempt.
+func (j *job) setDeadline() {
 	wait := j.request.Wait
 	if j.route.Timeout > 0 {
 		wait = min(wait, j.route.Timeout)
 	}
-	waited := j.server.patience.Waited(j.route.Name, wait)
-	j.asked = j.request.Arrived.Add(-waited)
-	j.deadline = j.came.Add(wait)
+	alreadyWaited := j.server.patience.Waited(j.route.Name, wait)
+	j.firstAttemptAt = j.request.Arrived.Add(-alreadyWaited)
+	j.deadline = j.acceptedAt.Add(wait)
 }
 
-// pickService draws one of a route's services by weight.
-func pickService(route *config.Route) string {
+// selectService selects one of a route's services at random, by weight.
+func selectService(route *config.Route) string {
 	total := 0
 	for _, backend := range route.Backends {
 		total += max(0, backend.Weight)
@@ -148,30 +149,31 @@
 		}
 		return route.Backends[0].Service
 	}
-	drawn := rand.IntN(total)
+	remainder := rand.IntN(total)
 	for _, backend := range route.Backends {
-		drawn -= max(0, backend.Weight)
-		if drawn < 0 {
+		remainder -= max(0, backend.Weight)
+		if remainder < 0 {
 			return backend.Service
 		}
 	}
 	return route.Backends[0].Service
 }
 
-// refuse answers a request that was not run, and ends it.
+// refuse answers a request that was not run, and finishes it.
 func (j *job) refuse(ctx *fasthttp.RequestCtx, status int, reason request.Reason) {
 	j.server.count(countRefused, reason)
-	j.answerOwn(ctx, status, reason)
+	j.answerWithStatus(ctx, status, reason)
 }
 
-// answerOwn answers with a status of the system's own, and ends the request.
-func (j *job) answerOwn(ctx *fasthttp.RequestCtx, status int, reason request.Reason) {
+// answerWithStatus writes an answer that the gateway itself generates, and finishes the
+// request.
+func (j *job) answerWithStatus(ctx *fasthttp.RequestCtx, status int, reason request.Reason) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("text/plain")
 	j.server.dialect.Name(ctx, j.request.ID)
 	if status == fasthttp.StatusServiceUnavailable {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(j.comeBack(reason).Seconds(), 'f', -1, 64))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(j.retryAfter(reason).Seconds(), 'f', -1, 64))
 	}
 	ctx.SetBodyString(string(reason) + "\n")
-	j.end(status, reason)
+	j.finish(status, reason)
 }
--- a/io/gateway/job.go
+++ b/io/gateway/job.go
@@ -14,20 +14,19 @@
 	"headcourse/io/backend"
 )
 
-// Figures of a job.
 const (
-	// maxSends bounds how many servers are asked for one request, those that
-	// refuse it included.
-	maxSends = 3
-	// noPriority leaves the priority to the server.
+	// maxAttempts bounds the servers that are tried for one request, including those that
+	// refuse it.
+	maxAttempts = 3
+	// noPriority means that the server sets the priority.
 	noPriority = -1
-	// leastLeft is the least time that must remain for a send.
-	leastLeft = 5 * time.Millisecond
-	// answerLimit bounds an answer that is not a stream.
-	answerLimit = 32 << 20
+	// minTimeLeft is the minimum time that must remain before the deadline for another attempt.
+	minTimeLeft = 5 * time.Millisecond
+	// maxAnswerBytes bounds the body of an answer that is not a stream.
+	maxAnswerBytes = 32 << 20
 )
 
-// job is one request on its way.
+// job is a client request while it is served.
 type job struct {
 	server       *Server
 	request      *request.Request
@@ -36,73 +35,76 @@
 	organisation string
 	service      string
 	priority     int
-	// asked is when the client asked first, as far as known: before this attempt if
-	// it tried before.
-	asked time.Time
-	// came is when the request was taken up, deadline until when its client waits; both
-	// by the server's clock.
-	came     time.Time
-	deadline time.Time
-	// yields tells that the request gives way to others of its kind, since not all
-	// can be in time.
-	yields bool
-	forget func()
-
-	// excluded are servers that were asked; sends counts them, runs those that
-	// may have run the request.
-	excluded map[string]bool
-	sends    int
-	runs     int
-	// arrivals counts the sends that may have reached a server: what was never
-	// sent is not sent again.
-	arrivals int
-	trail    []string
-	// content names what the request asks; digest works it out once.
-	content    quarantine.Digest
-	isDigested bool
-	// brokeAfter tells of each send that the server broke off how long it had lasted.
-	brokeAfter []time.Duration
-	// isPaid tells that the next send has been paid for out of the retry budget.
-	isPaid atomic.Bool
-	// isBudgetSpent tells that the request was not sent again for want of budget.
-	isBudgetSpent bool
-	// last is the id of the last event that the client has.
-	last int64
-
-	// leaveLane ends the wait for the first event of a request that came late.
-	leaveLane func()
-
-	// exchange is the one under way, or nil; mutex guards it, since the client
-	// may go away at any time.
-	mutex    sync.Mutex
-	exchange *backend.Exchange
-	isGone   atomic.Bool
-	// isHeld tells that a server ended under the trial of a request with the same content:
-	// this one is broken off and not sent any more. trial is the number of the trial that
-	// its send is, 0: none; heldFor is for how long such requests are held.
-	isHeld  atomic.Bool
-	trial   int
-	heldFor time.Duration
-	ended   atomic.Bool
-
-	// sentAt is when the request was last sent; the rest measures a stream's
-	// events as the client gets them.
-	sentAt time.Time
-	// tookRoom is when the request was last sent by the server's clock, by which limits count.
-	tookRoom     time.Time
-	lastEventAt  time.Time
-	firstEvent   time.Duration
-	longestPause time.Duration
-	events       int
+	// firstAttemptAt is the estimated time of the client's first attempt, which is before this
+	// one if the client retries.
+	firstAttemptAt time.Time
+	// acceptedAt is when the request was accepted; deadline is when its client stops waiting.
+	// Both are by the server's clock.
+	acceptedAt time.Time
+	deadline   time.Time
+	// yields is set if the request gives way to others of its class because not all can be in
+	// time.
+	yields          bool
+	stopClientWatch func()
+
+	// excluded holds the servers that were tried already. attempts counts them, and
+	// possibleRuns counts the attempts after which the server may have run the request.
+	excluded     map[string]bool
+	attempts     int
+	possibleRuns int
+	// possibleArrivals counts the attempts that may have reached a server. A further attempt is
+	// a retry, and needs retry budget, only if this is above 0.
+	possibleArrivals int
+	attemptTrail     []string
+	// cachedDigest is the digest of the request's content; it is valid if hasDigest is set.
+	cachedDigest quarantine.Digest
+	hasDigest    bool
+	// breakTimes holds, for each attempt that the server broke off, the time from the attempt
+	// to the break.
+	breakTimes []time.Duration
+	// isRetryPaid is set if the next retry has been paid for from the retry budget.
+	isRetryPaid atomic.Bool
+	// isRetryBudgetSpent is set if the request was not retried because the retry budget was
+	// empty.
+	isRetryBudgetSpent bool
+	// lastEventID is the ID of the last event that the client has received.
+	lastEventID int64
+
+	// releaseLateSlot releases the slot of a late stream.
+	releaseLateSlot func()
+
+	// exchange is the exchange in flight, or nil. It is guarded by mutex, since the client may
+	// disconnect at any time.
+	mutex        sync.Mutex
+	exchange     *backend.Exchange
+	isClientGone atomic.Bool
+	// isQuarantined is set if a server crashed under the trial of a request with the same
+	// content: this request is aborted and not retried. trial is the number of the trial that
+	// the current attempt belongs to, 0 if none. quarantineLeft is how long such requests stay
+	// quarantined.
+	isQuarantined  atomic.Bool
+	trial          int
+	quarantineLeft time.Duration
+	isFinished     atomic.Bool
+
+	// lastSentAt is the time of the last attempt; the other fields measure a stream's events as
+	// the client receives them.
+	lastSentAt time.Time
+	// limitSentAt is the time of the last attempt by the server's clock, which rate limits use.
+	limitSentAt      time.Time
+	lastEventAt      time.Time
+	timeToFirstEvent time.Duration
+	longestEventGap  time.Duration
+	eventCount       int
 }
 
-// clientGone stops the work for a client that has closed its connection.
-func (j *job) clientGone() {
-	j.isGone.Store(true)
+// abortForClient aborts the exchange of a client that has closed its connection.
+func (j *job) abortForClient() {
+	j.isClientGone.Store(true)
 	j.abort()
 }
 
-// abort breaks off the exchange under way.
+// abort aborts the exchange in flight.
 func (j *job) abort() {
 	j.mutex.Lock()
 	exchange := j.exchange
@@ -112,54 +114,54 @@
 	}
 }
 
-// digest returns what names the request's content, which its repeats share.
+// digest returns the digest of the request's content, which is the same for all retries by the
+// client.
 func (j *job) digest() quarantine.Digest {
-	if !j.isDigested {
-		j.content = quarantine.DigestOf(j.request.Target, j.organisation, j.request.Body)
-		j.isDigested = true
+	if !j.hasDigest {
+		j.cachedDigest = quarantine.DigestOf(j.request.Target, j.organisation, j.request.Body)
+		j.hasDigest = true
 	}
-	return j.content
+	return j.cachedDigest
 }
 
-// left returns how long the client still waits.
-func (j *job) left() time.Duration {
+// timeLeft returns the time until the client's deadline.
+func (j *job) timeLeft() time.Duration {
 	return j.server.clock.Until(j.deadline)
 }
 
-// hold notes the exchange under way, so that it ends if the client goes.
-func (j *job) hold(exchange *backend.Exchange) {
+// setExchange sets the exchange in flight, so that it is aborted if the client disconnects.
+func (j *job) setExchange(exchange *backend.Exchange) {
 	j.mutex.Lock()
 	j.exchange = exchange
 	j.mutex.Unlock()
-	if (j.isGone.Load() || j.isHeld.Load()) && exchange != nil {
+	if (j.isClientGone.Load() || j.isQuarantined.Load()) && exchange != nil {
 		exchange.Abort()
 	}
 }
 
-// serve sends the request until there is an answer for the client, or no
-// further send is allowed.
+// serve tries servers until there is an answer for the client or no further attempt is allowed.
 func (j *job) serve(ctx *fasthttp.RequestCtx) {
-	j.awaitLane()
-	defer j.leaveLane()
-	j.server.underWay.enter(j)
-	for !j.isGone.Load() {
-		result := j.try(j.last)
+	j.waitForLateSlot()
+	defer j.releaseLateSlot()
+	j.server.inFlightByContent.add(j)
+	for !j.isClientGone.Load() {
+		result := j.attempt(j.lastEventID)
 		if result.reason == request.ReasonNone {
 			j.deliver(ctx, result)
 			return
 		}
-		if !j.maySendAgain(result) {
-			j.fail(ctx, result)
+		if !j.mayRetry(result) {
+			j.answerFailure(ctx, result)
 			return
 		}
 	}
-	j.fail(ctx, tried{
+	j.answerFailure(ctx, attemptResult{
 		reason: request.ReasonClientGone,
 	})
 }
 
-// deliver gives the client a server's answer.
-func (j *job) deliver(ctx *fasthttp.RequestCtx, result tried) {
+// deliver passes a server's answer to the client.
+func (j *job) deliver(ctx *fasthttp.RequestCtx, result attemptResult) {
 	ctx.SetStatusCode(result.answer.Status)
 	for _, header := range result.answer.Headers {
 		ctx.Response.Header.Add(header.Name, header.Value)
@@ -169,72 +171,73 @@
 		return
 	}
 	ctx.Response.SetBodyRaw(result.body)
-	j.end(result.answer.Status, request.ReasonNone)
+	j.finish(result.answer.Status, request.ReasonNone)
 }
 
-// noteSize notes how large a stream was that was answered whole.
-func (j *job) noteSize() {
+// recordAnswerSize records the size of a stream that was answered completely.
+func (j *job) recordAnswerSize() {
 	service := j.config.Service(j.service)
 	if service == nil || service.Engine == nil || j.request.LastEvent > 0 {
 		return
 	}
 	j.server.sizes.Note(j.request.Model, usage.Size{
 		Prompt: float64(j.request.PromptTokens),
-		Answer: float64(j.events * service.Engine.TokensPerEvent),
+		Answer: float64(j.eventCount * service.Engine.TokensPerEvent),
 	})
 }
 
-// fail tells the client that there is no answer, as exactly as is known.
-func (j *job) fail(ctx *fasthttp.RequestCtx, result tried) {
+// answerFailure answers a request that failed. The status and the reason are as specific as is
+// known.
+func (j *job) answerFailure(ctx *fasthttp.RequestCtx, result attemptResult) {
 	switch {
-	case j.isGone.Load():
+	case j.isClientGone.Load():
 		ctx.SetConnectionClose()
-		j.answerOwn(ctx, fasthttp.StatusServiceUnavailable, request.ReasonClientGone)
+		j.answerWithStatus(ctx, fasthttp.StatusServiceUnavailable, request.ReasonClientGone)
 	case result.answer.Status >= fasthttp.StatusInternalServerError && result.reason == request.ReasonServerError:
 		j.deliver(ctx, result)
-	case j.runs == 0:
+	case j.possibleRuns == 0:
 		j.refuse(ctx, fasthttp.StatusServiceUnavailable, result.reason)
 	case result.reason == request.ReasonDeadline:
 		j.server.count(countFailed, result.reason)
-		j.answerOwn(ctx, fasthttp.StatusGatewayTimeout, result.reason)
+		j.answerWithStatus(ctx, fasthttp.StatusGatewayTimeout, result.reason)
 	default:
 		j.server.count(countFailed, result.reason)
-		j.answerOwn(ctx, fasthttp.StatusBadGateway, result.reason)
+		j.answerWithStatus(ctx, fasthttp.StatusBadGateway, result.reason)
 	}
 }
 
-// payAhead pays for the next send out of the retry budget, and tells whether it could. A
-// server is not given up without: its silence may end, and a request that is broken off
-// and not sent again is lost.
-func (j *job) payAhead() bool {
-	if j.isPaid.Load() || !j.server.budgets.Of(j.service).Spend() {
-		return j.isPaid.Load()
+// prepayRetry pays for the next retry from the retry budget and reports whether it is paid. An
+// attempt is not aborted without a paid retry: the server may still answer, whereas an aborted
+// request that cannot be retried is lost.
+func (j *job) prepayRetry() bool {
+	if j.isRetryPaid.Load() || !j.server.budgets.Of(j.service).Spend() {
+		return j.isRetryPaid.Load()
 	}
-	j.isPaid.Store(true)
+	j.isRetryPaid.Store(true)
 	return true
 }
 
-// maySendAgain tells whether a failed request may go to another server, and
-// counts it if so.
-func (j *job) maySendAgain(result tried) bool {
-	if j.isGone.Load() || j.isHeld.Load() || j.sends >= maxSends || j.left() < leastLeft {
+// mayRetry reports whether a failed request may be tried at another server, and counts the
+// retry if so.
+func (j *job) mayRetry(result attemptResult) bool {
+	if j.isClientGone.Load() || j.isQuarantined.Load() || j.attempts >= maxAttempts || j.timeLeft() < minTimeLeft {
 		return false
 	}
 	switch result.reason {
 	case request.ReasonNoServer, request.ReasonStale, request.ReasonDeadline, request.ReasonClientGone, request.ReasonCrashes:
 		return false
 	}
-	if j.runs > 0 && (!j.route.Repeatable() || j.runs >= j.route.MaxAttempts) {
+	if j.possibleRuns > 0 && (!j.route.Repeatable() || j.possibleRuns >= j.route.MaxAttempts) {
 		return false
 	}
-	if !j.hasOtherServer() {
+	if !j.hasUntriedServer() {
 		return false
 	}
-	if j.arrivals > 0 && !j.isPaid.Swap(false) && !j.server.budgets.Of(j.service).Spend() {
+	if j.possibleArrivals > 0 && !j.isRetryPaid.Swap(false) && !j.server.budgets.Of(j.service).Spend() {
 		j.server.count(countRefused, request.ReasonNoBudget)
-		j.isBudgetSpent = true
+		j.isRetryBudgetSpent = true
 		return false
 	}
-	j.server.count(countSentAgain, result.reason)
+	j.server.count(countRetried, result.reason)
 	return true
 }
--- a/io/gateway/lane.go
+++ b/io/gateway/lane.go
@@ -6,39 +6,40 @@
 	"headcourse/core/config"
 )
 
-// Figures of the lane of late streams.
 const (
-	// laneShare is the part of the engines' places that late requests may take in the
-	// laneTime after a start, longer than a backlog of clients takes to be served.
-	laneShare = 0.3
-	laneTime  = 4 * time.Second
-	// lanePatience is how long one waits for its turn, lanePart the part of its time
-	// at most. A client gives a stream up after two seconds of silence.
-	lanePatience = 450 * time.Millisecond
-	lanePart     = 4
+	// lateShare is the fraction of the engines' capacity that late requests may use in the
+	// lateLimitDuration after a start. That duration is longer than a backlog of clients takes
+	// to be served.
+	lateShare         = 0.3
+	lateLimitDuration = 4 * time.Second
+	// maxLateWait bounds the wait of one late stream for a slot, which is also at most
+	// 1/lateWaitDivisor of its remaining time. A client gives up a stream after two seconds of
+	// silence.
+	maxLateWait     = 450 * time.Millisecond
+	lateWaitDivisor = 4
 )
 
-// awaitLane lets a stream that is late already wait while many such are under way,
-// so that those that come next find room. It does so only after a start, when all
-// clients come back at once: in a lasting overload late requests would wait for each
-// other until their clients give up.
-func (j *job) awaitLane() {
-	j.leaveLane = func() {}
-	isBack := j.server.source.KnownFor() < laneTime
-	if !isBack || j.route.Kind != config.Stream || j.isInTime(j.request.Arrived) {
+// waitForLateSlot delays a stream that is already late while too many late streams are in
+// flight, so that capacity remains for requests that arrive next. It applies only after a
+// start, when all clients return at once: in a lasting overload late requests would wait for
+// each other until their clients give up.
+func (j *job) waitForLateSlot() {
+	j.releaseLateSlot = func() {}
+	isRecentStart := j.server.source.KnownFor() < lateLimitDuration
+	if !isRecentStart || j.route.Kind != config.Stream || j.isInTime(j.request.Arrived) {
 		return
 	}
 	kind := j.service + "/" + j.request.Model
-	patience := min(lanePatience, j.left()/lanePart)
-	j.leaveLane = j.server.lane.Enter(kind, j.laneLimit(), patience)
+	maxWait := min(maxLateWait, j.timeLeft()/lateWaitDivisor)
+	j.releaseLateSlot = j.server.lateStreams.Enter(kind, j.lateLimit(), maxWait)
 }
 
-// laneLimit returns how many late requests of the model this daemon may have under
-// way: its part of a share of all places.
-func (j *job) laneLimit() int {
-	places := 0
-	for _, server := range j.server.serving(j.service, j.request.Model) {
-		places += server.Capacity
+// lateLimit returns how many late requests of the model this daemon may have in flight: its
+// share of the capacity for late requests.
+func (j *job) lateLimit() int {
+	capacity := 0
+	for _, server := range j.server.availableServers(j.service, j.request.Model) {
+		capacity += server.Capacity
 	}
-	return max(1, int(laneShare*float64(places)/float64(max(1, j.server.source.Daemons()))))
+	return max(1, int(lateShare*float64(capacity)/float64(max(1, j.server.source.Daemons()))))
 }
--- a/io/gateway/limits.go
+++ b/io/gateway/limits.go
@@ -12,35 +12,36 @@
 	"headcourse/core/request"
 )
 
-// Counters of answers that name limits, and of requests that are sent to such servers.
+// Counters of answers that name rate limits, and of requests sent to servers with a limit.
 const (
-	countLimits      = "server_limits_named"
-	countSentLimited = "requests_sent_to_limited"
+	countLimitsNamed   = "server_limits_named"
+	countSentToLimited = "requests_sent_to_limited"
 )
 
-// heedLimit notes what a server's answer says of its limit.
-func (j *job) heedLimit(server fleet.Server, answer request.Answer) {
+// recordLimit records the rate limit in a server's answer.
+func (j *job) recordLimit(server fleet.Server, answer request.Answer) {
 	s := j.server
-	said := answer.Limit
-	if !said.IsNamed && (s.limits.IsEmpty() || answer.Status == fasthttp.StatusMisdirectedRequest) {
-		// What answers in place of the server says nothing of its limit.
+	limit := answer.Limit
+	if !limit.IsNamed && (s.limits.IsEmpty() || answer.Status == fasthttp.StatusMisdirectedRequest) {
+		// An answer with this status comes from another process, which knows nothing of the
+		// server's limit.
 		return
 	}
-	var sent time.Time
-	if isOwn := answer.ID == j.request.ID && (answer.Signed || answer.NotRun); isOwn {
-		sent = j.tookRoom
+	var sentAt time.Time
+	if isOwnAnswer := answer.ID == j.request.ID && (answer.Signed || answer.NotRun); isOwnAnswer {
+		sentAt = j.limitSentAt
 	}
-	isNews := s.limits.Observed(server.Start(), said, sent)
-	if said.IsNamed {
-		metrics.GetOrRegisterCounter(countLimits, s.registry).Inc(1)
+	isChanged := s.limits.Observed(server.Start(), limit, sentAt)
+	if limit.IsNamed {
+		metrics.GetOrRegisterCounter(countLimitsNamed, s.registry).Inc(1)
 	}
-	if said.IsNamed || isNews {
-		s.source.LimitObserved(server, said)
+	if limit.IsNamed || isChanged {
+		s.source.LimitObserved(server, limit)
 	}
-	if !isNews {
+	if !isChanged {
 		return
 	}
-	mayWrite, leftOut := s.limitLines.Pass(server.Service)
+	mayWrite, suppressed := s.limitThrottle.Pass(server.Service)
 	if !mayWrite {
 		return
 	}
@@ -48,30 +49,31 @@
 	s.log.Info("servers: limit changed",
 		zap.String("server", server.ID),
 		zap.String("group", server.Membership.Group),
-		zap.Bool("is_named", said.IsNamed),
-		zap.Float64("per_second", said.PerSecond),
-		zap.Float64("part_per_second", said.Part(place).PerSecond),
+		zap.Bool("is_named", limit.IsNamed),
+		zap.Float64("per_second", limit.PerSecond),
+		zap.Float64("part_per_second", limit.Part(place).PerSecond),
 		zap.Int("rank", place.Rank),
 		zap.Int("daemons", place.Of),
-		zap.Int("lines_left_out", leftOut))
+		zap.Int("lines_left_out", suppressed))
 }
 
-// heedCold notes that a server's answer says that it is cold.
-func (s *Server) heedCold(server fleet.Server, coldFor time.Duration) {
+// recordCold reports a server whose answer says that it is cold.
+func (s *Server) recordCold(server fleet.Server, coldFor time.Duration) {
 	if coldFor > 0 {
 		server.ColdFor = coldFor
 		s.source.ServerCold(server)
 	}
 }
 
-// hasRoom tells whether this daemon may send a server a request by its limit.
-func (s *Server) hasRoom(server fleet.Server) bool {
+// isWithinLimit reports whether the server's rate limit allows a request from this daemon now.
+func (s *Server) isWithinLimit(server fleet.Server) bool {
 	start := server.Start()
 	return !s.limits.Has(start) || s.limits.HasRoom(start, s.source.LimitPlace(server))
 }
 
-// limitPlace returns this daemon's place for a server's limit. For one without a limit, as nearly
-// all are, it is not worked out: where the server names one meanwhile, there is no room.
+// limitPlace returns this daemon's place for a server's rate limit. For servers without a
+// limit, which are nearly all, the place is not computed: if such a server names a limit in the
+// meantime, the zero place allows no request.
 func (s *Server) limitPlace(server fleet.Server) ratelimit.Place {
 	if !s.limits.Has(server.Start()) {
 		return ratelimit.Place{}
@@ -79,16 +81,16 @@
 	return s.source.LimitPlace(server)
 }
 
-// takeRoom spends the room that was kept for the request, right before its first byte, and
-// tells whether it may be sent.
-func (j *job) takeRoom(chosen choice) bool {
-	sent, ok := chosen.room.Take(j.server.limitPlace(chosen.server))
+// useReservation uses the reservation of the server's rate limit right before the first byte is
+// sent, and reports whether the request may be sent.
+func (j *job) useReservation(selected selection) bool {
+	sent, ok := selected.reservation.Take(j.server.limitPlace(selected.server))
 	if !ok {
 		return false
 	}
-	j.tookRoom = sent
-	if j.server.limits.Has(chosen.server.Start()) {
-		metrics.GetOrRegisterCounter(countSentLimited, j.server.registry).Inc(1)
+	j.limitSentAt = sent
+	if j.server.limits.Has(selected.server.Start()) {
+		metrics.GetOrRegisterCounter(countSentToLimited, j.server.registry).Inc(1)
 	}
 	return true
 }
--- a/io/gateway/line.go
+++ b/io/gateway/line.go
@@ -11,71 +11,72 @@
 	"headcourse/core/request"
 )
 
-// note adds a send to the trail that the request's log line shows.
-func (j *job) note(server fleet.Server, reason request.Reason) {
-	step := server.ID
+// recordAttempt adds an attempt to the trail in the request's log line.
+func (j *job) recordAttempt(server fleet.Server, reason request.Reason) {
+	entry := server.ID
 	if server.Membership.Group != "" {
-		step += "/" + server.Membership.Group
+		entry += "/" + server.Membership.Group
 	}
 	if reason != request.ReasonNone {
-		step += ":" + string(reason)
+		entry += ":" + string(reason)
 	}
-	j.trail = append(j.trail, step)
+	j.attemptTrail = append(j.attemptTrail, entry)
 	if reason == request.ReasonBroken {
-		j.brokeAfter = append(j.brokeAfter, time.Since(j.sentAt))
+		j.breakTimes = append(j.breakTimes, time.Since(j.lastSentAt))
 	}
 }
 
-// milliseconds returns times in whole milliseconds.
+// milliseconds returns durations in whole milliseconds.
 func milliseconds(times []time.Duration) []int64 {
-	var whole []int64
+	var rounded []int64
 	for _, one := range times {
-		whole = append(whole, one.Milliseconds())
+		rounded = append(rounded, one.Milliseconds())
 	}
-	return whole
+	return rounded
 }
 
-// end writes the request's log line and forgets the request.
-func (j *job) end(status int, reason request.Reason) {
-	if j.ended.Swap(true) {
+// finish records the request's metrics, writes its log line and releases its resources. Only
+// the first call has an effect.
+func (j *job) finish(status int, reason request.Reason) {
+	if j.isFinished.Swap(true) {
 		return
 	}
-	if j.forget != nil {
-		j.forget()
+	if j.stopClientWatch != nil {
+		j.stopClientWatch()
 	}
-	j.server.underWay.leave(j)
-	if j.sends > 0 && j.events == 0 && !j.isInTime(time.Now()) {
-		j.tellOverload()
+	j.server.inFlightByContent.remove(j)
+	if j.attempts > 0 && j.eventCount == 0 && !j.isInTime(time.Now()) {
+		j.recordTimeliness()
 	}
-	j.server.open.Add(-1)
+	j.server.inFlight.Add(-1)
 	took := time.Since(j.request.Arrived)
-	isGood := reason == request.ReasonNone && status < fasthttp.StatusInternalServerError
-	if isGood {
-		j.server.count(countDone, "whole")
-		j.server.observe(timeWholeAnswer, took)
-		if j.events > 0 {
-			j.server.observe(timeFirstEvent, j.firstEvent)
-			j.server.observe(timePause, j.longestPause)
+	isSuccess := reason == request.ReasonNone && status < fasthttp.StatusInternalServerError
+	if isSuccess {
+		j.server.count(countSucceeded, "whole")
+		j.server.observe(timeCompleteAnswer, took)
+		if j.eventCount > 0 {
+			j.server.observe(timeFirstEvent, j.timeToFirstEvent)
+			j.server.observe(timeLongestEventGap, j.longestEventGap)
 		}
 	}
-	mayWrite, leftOut := true, 0
-	if isGood {
-		mayWrite, leftOut = j.server.thinning.pass()
+	mayWrite, suppressed := true, 0
+	if isSuccess {
+		mayWrite, suppressed = j.server.successThrottle.allow()
 	}
 	if mayWrite {
-		j.write(status, reason, took, leftOut)
+		j.writeLogLine(status, reason, took, suppressed)
 	}
 }
 
-// write writes the request's log line.
-func (j *job) write(status int, reason request.Reason, took time.Duration, leftOut int) {
+// writeLogLine writes the request's log line.
+func (j *job) writeLogLine(status int, reason request.Reason, took time.Duration, suppressed int) {
 	fields := []zap.Field{
 		zap.String("request_id", j.request.ID),
 		zap.Int("status", status),
 		zap.String("reason", string(reason)),
 		zap.Int64("took_ms", took.Milliseconds()),
-		zap.String("sent_to", strings.Join(j.trail, " ")),
-		zap.Int("runs", j.runs),
+		zap.String("sent_to", strings.Join(j.attemptTrail, " ")),
+		zap.Int("runs", j.possibleRuns),
 		zap.Int64("view_age_ms", j.server.source.Age().Milliseconds()),
 	}
 	fields = append(fields, zap.Int64("servers_version", j.server.source.View().Fleet.Version))
@@ -85,26 +86,26 @@
 	if j.route != nil {
 		fields = append(fields, zap.String("route", j.route.Name), zap.String("organisation", j.organisation))
 	}
-	if j.isBudgetSpent {
+	if j.isRetryBudgetSpent {
 		fields = append(fields, zap.Bool("retry_budget_spent", true))
 	}
 	if j.yields {
 		fields = append(fields, zap.Bool("yields", true))
 	}
-	if j.events > 0 {
+	if j.eventCount > 0 {
 		fields = append(fields,
-			zap.Int("events", j.events),
-			zap.Int64("first_event_ms", j.firstEvent.Milliseconds()),
-			zap.Int64("longest_pause_ms", j.longestPause.Milliseconds()))
+			zap.Int("events", j.eventCount),
+			zap.Int64("first_event_ms", j.timeToFirstEvent.Milliseconds()),
+			zap.Int64("longest_pause_ms", j.longestEventGap.Milliseconds()))
 	}
-	if len(j.brokeAfter) > 0 || reason == request.ReasonCrashes {
+	if len(j.breakTimes) > 0 || reason == request.ReasonCrashes {
 		fields = append(fields, zap.Stringer("content", j.digest()))
 	}
-	if len(j.brokeAfter) > 0 {
-		fields = append(fields, zap.Int64s("broke_after_ms", milliseconds(j.brokeAfter)))
+	if len(j.breakTimes) > 0 {
+		fields = append(fields, zap.Int64s("broke_after_ms", milliseconds(j.breakTimes)))
 	}
-	if leftOut > 0 {
-		fields = append(fields, zap.Int("successes_not_logged", leftOut))
+	if suppressed > 0 {
+		fields = append(fields, zap.Int("successes_not_logged", suppressed))
 	}
 	j.server.log.Info("clients: request ended", fields...)
 }
--- a/io/gateway/quarantine.go
+++ b/io/gateway/quarantine.go
@@ -17,34 +17,35 @@
 	"headcourse/io/backend"
 )
 
-// Counters of requests under which servers end.
+// Counters of crashes under requests, of suspected crashes that a check refuted, and of
+// contents that were quarantined.
 const (
-	countEnds   = "quarantine_ends_noted"
-	countNoEnds = "quarantine_ends_refuted"
-	countHeld   = "quarantine_requests_held"
+	countCrashes        = "quarantine_ends_noted"
+	countCrashesRefuted = "quarantine_ends_refuted"
+	countQuarantined    = "quarantine_requests_held"
 )
 
-// isEnd tells whether a connection was closed or reset by its peer. A link that loses
-// packets ends in a timeout instead.
-func isEnd(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, end) {
+// isClosedByPeer reports whether the peer closed or reset the connection. A link that drops
+// packets causes a timeout instead.
+func isClosedByPeer(err error) bool {
+	for _, closeErr := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, closeErr) {
 			return true
 		}
 	}
 	return false
 }
 
-// maySendContent tells, right before the request would be sent, whether servers ended
-// under its content so often that it may not be: then only on a trial, to which all daemons
-// agree.
-func (j *job) maySendContent() bool {
+// passesQuarantine reports, right before the request would be sent, whether the crashes
+// recorded for its content allow that. Suspect content may be sent only in a trial that all
+// daemons agree to.
+func (j *job) passesQuarantine() bool {
 	if j.trial > 0 && j.server.ledger.MayGoOn(j.digest(), j.trial) {
 		return true
 	}
 	decision := j.server.ledger.Decide(j.digest())
 	j.trial = decision.Trial.Number
-	j.heldFor = decision.Pause
+	j.quarantineLeft = decision.Pause
 	switch decision.Step {
 	case quarantine.Send:
 		return true
@@ -56,117 +57,121 @@
 			zap.Int("trial", j.trial),
 			zap.Strings("ended", j.server.ledger.Ends(j.digest())),
 			zap.Bool("is_agreed", mayTry))
-		j.avoidEnded()
+		j.excludeCrashed()
 		return mayTry
 	default:
 		return false
 	}
 }
 
-// avoidEnded excludes servers that ended under the request, whose entries may still stand:
-// a trial there tells nothing. Where there are only such, they may have started again.
-func (j *job) avoidEnded() {
-	ends := j.server.ledger.Ends(j.digest())
-	var ended []string
-	isOtherLeft := false
-	for _, server := range j.server.serving(j.service, j.request.Model) {
-		if slices.Contains(ends, server.Start()) {
-			ended = append(ended, server.ID)
+// excludeCrashed excludes servers that crashed under the request and may still be listed, since
+// a trial there shows nothing. If no other server is available, it excludes none, since they
+// may have restarted.
+func (j *job) excludeCrashed() {
+	crashedStarts := j.server.ledger.Ends(j.digest())
+	var crashed []string
+	hasOther := false
+	for _, server := range j.server.availableServers(j.service, j.request.Model) {
+		if slices.Contains(crashedStarts, server.Start()) {
+			crashed = append(crashed, server.ID)
 		} else {
-			isOtherLeft = true
+			hasOther = true
 		}
 	}
-	if !isOtherLeft {
+	if !hasOther {
 		return
 	}
-	for _, id := range ended {
+	for _, id := range crashed {
 		j.excluded[id] = true
 	}
 }
 
-// noteEnd notes that a server ended while the request was under way there, if it did: a
-// server may also have broken off an answer, or refused a connection too many. Where servers
-// have ended under the content before, the request waits for that; else it goes on meanwhile.
-func (j *job) noteEnd(server fleet.Server) {
-	isChecked := j.server.checks.add(server, quarantine.End{
+// checkForCrash starts a check whether a server crashed while the request was in flight there.
+// A running server may also have broken off an answer or refused a surplus connection. If
+// crashes are recorded for the content already, the request waits for the result; otherwise it
+// continues meanwhile.
+func (j *job) checkForCrash(server fleet.Server) {
+	checked := j.server.crashChecks.add(server, quarantine.End{
 		Digest: j.digest(),
 		Start:  server.Start(),
 		Trial:  j.trial,
-	}, j.server.checkEnd)
+	}, j.server.recordCrashes)
 	if len(j.server.ledger.Ends(j.digest())) > 0 {
-		<-isChecked
+		<-checked
 	}
 }
 
-// checkEnd finds out whether a server has ended, and notes the ends of it if it has.
-func (s *Server) checkEnd(server fleet.Server) {
-	hasEnded := s.backends.HasEnded(server.Address)
-	ends := s.checks.take(server)
-	if !hasEnded {
-		metrics.GetOrRegisterCounter(countNoEnds, s.registry).Inc(int64(len(ends)))
+// recordCrashes checks whether a server is down, and if so records a crash for each request
+// that was in flight there.
+func (s *Server) recordCrashes(server fleet.Server) {
+	isDown := s.backends.HasEnded(server.Address)
+	crashes := s.crashChecks.finish(server)
+	if !isDown {
+		metrics.GetOrRegisterCounter(countCrashesRefuted, s.registry).Inc(int64(len(crashes)))
 		return
 	}
-	for _, end := range ends {
-		if s.ledger.Note(end) {
-			metrics.GetOrRegisterCounter(countEnds, s.registry).Inc(1)
-			s.source.Ended(end)
+	for _, crash := range crashes {
+		if s.ledger.Note(crash) {
+			metrics.GetOrRegisterCounter(countCrashes, s.registry).Inc(1)
+			s.source.Ended(crash)
 		}
 	}
 }
 
-// checks are the looks at servers that may have ended, one for all requests that were under
-// way there. The zero value has none.
-type checks struct {
-	mutex sync.Mutex
-	open  map[string]*check
+// crashChecks holds the running checks of servers that may have crashed, one per server start
+// for all requests that were in flight there. The zero value is empty.
+type crashChecks struct {
+	mutex   sync.Mutex
+	pending map[string]*crashCheck
 }
 
-// check is one look. isDone is closed when its ends have been noted.
-type check struct {
-	ends   []quarantine.End
-	isDone chan struct{}
+// crashCheck is one check. done is closed when its crashes have been recorded.
+type crashCheck struct {
+	crashes []quarantine.End
+	done    chan struct{}
 }
 
-// add adds an end to the look at its server, which look begins if there is none, and returns
-// what is closed when it is over.
-func (c *checks) add(server fleet.Server, end quarantine.End, look func(fleet.Server)) <-chan struct{} {
+// add adds a possible crash to the check of its server, which it starts with run if there is
+// none. It returns a channel that is closed when the check is over.
+func (c *crashChecks) add(server fleet.Server, crash quarantine.End, run func(fleet.Server)) <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if one, ok := c.open[end.Start]; ok {
-		one.ends = append(one.ends, end)
-		return one.isDone
+	if pending, ok := c.pending[crash.Start]; ok {
+		pending.crashes = append(pending.crashes, crash)
+		return pending.done
 	}
-	if c.open == nil {
-		c.open = map[string]*check{}
+	if c.pending == nil {
+		c.pending = map[string]*crashCheck{}
 	}
-	one := &check{
-		ends: []quarantine.End{
-			end,
+	pending := &crashCheck{
+		crashes: []quarantine.End{
+			crash,
 		},
-		isDone: make(chan struct{}),
+		done: make(chan struct{}),
 	}
-	c.open[end.Start] = one
+	c.pending[crash.Start] = pending
 	go func() {
-		defer close(one.isDone)
-		look(server)
+		defer close(pending.done)
+		run(server)
 	}()
-	return one.isDone
+	return pending.done
 }
 
-// take ends the look at a server and returns what was under way there.
-func (c *checks) take(server fleet.Server) []quarantine.End {
+// finish removes the check of a server and returns the possible crashes added to it.
+func (c *crashChecks) finish(server fleet.Server) []quarantine.End {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	one := c.open[server.Start()]
-	delete(c.open, server.Start())
-	return one.ends
+	finished := c.pending[server.Start()]
+	delete(c.pending, server.Start())
+	return finished.crashes
 }
 
-// clear notes that a server answered the request whole and lives: servers that ended
-// under it ended for another reason. Only a success shows that it ran to its end: a failure
-// may be told of a request that waited for its turn until its time was over; and an answer
-// that ends with its connection also ends so when its server crashes.
-func (j *job) clear(answer request.Answer, exchange *backend.Exchange) {
+// clearSuspicion records that a server answered the request completely without crashing, so
+// earlier crashes had another cause. Only a success proves that the request ran to its end: a
+// failure may be the answer to a request that waited in a queue until its deadline. An answer
+// whose end is the end of its connection proves nothing either, since it looks the same if the
+// server crashes.
+func (j *job) clearSuspicion(answer request.Answer, exchange *backend.Exchange) {
 	isSuccess := answer.Status >= fasthttp.StatusOK && answer.Status < fasthttp.StatusMultipleChoices
 	if !isSuccess || exchange.EndsWithConnection() {
 		return
@@ -176,13 +181,14 @@
 	}
 }
 
-// endHeld breaks off what is under way with a content that is held from now on: where it
-// still waits for its turn, it would crash one server more, with all that run there.
-func (s *Server) endHeld(digest quarantine.Digest) {
-	metrics.GetOrRegisterCounter(countHeld, s.registry).Inc(1)
-	jobs := s.underWay.with(digest)
+// abortQuarantined aborts the requests in flight whose content has just been quarantined. One
+// that still waits in a queue would crash one more server, with all the requests that run
+// there.
+func (s *Server) abortQuarantined(digest quarantine.Digest) {
+	metrics.GetOrRegisterCounter(countQuarantined, s.registry).Inc(1)
+	jobs := s.inFlightByContent.find(digest)
 	for _, j := range jobs {
-		j.isHeld.Store(true)
+		j.isQuarantined.Store(true)
 		j.abort()
 	}
 	s.log.Warn("clients: request held, a server ended under its trial",
@@ -191,44 +197,44 @@
 		zap.Int("broken_off", len(jobs)))
 }
 
-// underWay finds the requests under way by their content. The zero value is empty.
-type underWay struct {
+// contentIndex finds requests in flight by their content. The zero value is empty.
+type contentIndex struct {
 	mutex sync.Mutex
 	jobs  map[quarantine.Digest]map[*job]struct{}
 }
 
-// enter adds a request.
-func (u *underWay) enter(j *job) {
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
-	if u.jobs == nil {
-		u.jobs = map[quarantine.Digest]map[*job]struct{}{}
+// add adds a request.
+func (c *contentIndex) add(j *job) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.jobs == nil {
+		c.jobs = map[quarantine.Digest]map[*job]struct{}{}
 	}
-	if u.jobs[j.digest()] == nil {
-		u.jobs[j.digest()] = map[*job]struct{}{}
+	if c.jobs[j.digest()] == nil {
+		c.jobs[j.digest()] = map[*job]struct{}{}
 	}
-	u.jobs[j.digest()][j] = struct{}{}
+	c.jobs[j.digest()][j] = struct{}{}
 }
 
-// leave removes a request, if it is there.
-func (u *underWay) leave(j *job) {
-	if !j.isDigested {
+// remove removes a request, if it is present.
+func (c *contentIndex) remove(j *job) {
+	if !j.hasDigest {
 		return
 	}
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
-	delete(u.jobs[j.content], j)
-	if len(u.jobs[j.content]) == 0 {
-		delete(u.jobs, j.content)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.jobs[j.cachedDigest], j)
+	if len(c.jobs[j.cachedDigest]) == 0 {
+		delete(c.jobs, j.cachedDigest)
 	}
 }
 
-// with returns the requests with a content.
-func (u *underWay) with(digest quarantine.Digest) []*job {
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
+// find returns the requests with a content.
+func (c *contentIndex) find(digest quarantine.Digest) []*job {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var jobs []*job
-	for j := range u.jobs[digest] {
+	for j := range c.jobs[digest] {
 		jobs = append(jobs, j)
 	}
 	return jobs
--- a/io/gateway/quarantine_test.go
+++ b/io/gateway/quarantine_test.go
@@ -20,55 +20,56 @@
 	"headcourse/platform/wire"
 )
 
-// ledgerSource is a source that hears which ends others are to be told of.
+// ledgerSource is a testSource that records the crashes and the cleared requests reported to
+// it.
 type ledgerSource struct {
-	*source
+	*testSource
 	mutex   sync.Mutex
 	ended   []quarantine.End
 	cleared []quarantine.Cleared
-	// refusesTrials tells that other daemons do not agree to a trial.
+	// refusesTrials is set if other daemons do not agree to a trial.
 	refusesTrials bool
 }
 
-// Ended notes an end.
+// Ended records a crash.
 func (s *ledgerSource) Ended(end quarantine.End) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ended = append(s.ended, end)
 }
 
-// Cleared notes what is to be removed.
+// Cleared records a cleared request.
 func (s *ledgerSource) Cleared(cleared quarantine.Cleared) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cleared = append(s.cleared, cleared)
 }
 
-// MayTry tells what the test chose.
+// MayTry returns what the test set.
 func (s *ledgerSource) MayTry(quarantine.Trial) bool { return !s.refusesTrials }
 
-// heard returns what others are to be told.
-func (s *ledgerSource) heard() (ended []quarantine.End, cleared []quarantine.Cleared) {
+// reported returns what was reported so far.
+func (s *ledgerSource) reported() (ended []quarantine.End, cleared []quarantine.Cleared) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.ended, s.cleared
 }
 
-// listenWith starts a gateway that shares a ledger with the test.
-func listenWith(t *testing.T, from gateway.Source, ledger *quarantine.Ledger) *gateway.Server {
+// startWithLedger starts a gateway that shares a ledger with the test.
+func startWithLedger(t *testing.T, source gateway.Source, ledger *quarantine.Ledger) *gateway.Server {
 	t.Helper()
-	used := options(from)
-	used.Ledger = ledger
-	return start(t, used)
+	opts := newOptions(source)
+	opts.Ledger = ledger
+	return startGateway(t, opts)
 }
 
-// contentOfAsk is the content of what ask sends.
-func contentOfAsk() quarantine.Digest {
+// requestDigest returns the content digest of the requests that sendRequest sends.
+func requestDigest() quarantine.Digest {
 	return quarantine.DigestOf(path, "", nil)
 }
 
-// backends starts some servers with one handler and returns their addresses.
-func backends(t *testing.T, count int, handler http.HandlerFunc) []string {
+// startBackends starts servers with the same handler and returns their addresses.
+func startBackends(t *testing.T, count int, handler http.HandlerFunc) []string {
 	t.Helper()
 	var addresses []string
 	for range count {
@@ -82,9 +83,9 @@
 	return addresses
 }
 
-// crashing starts some servers that answer a request in their own way and end, and returns
-// their addresses.
-func crashing(t *testing.T, count int, answer http.HandlerFunc) []string {
+// startCrashingBackends starts servers that call answer for a request and then crash, and
+// returns their addresses.
+func startCrashingBackends(t *testing.T, count int, answer http.HandlerFunc) []string {
 	t.Helper()
 	var addresses []string
 	for range count {
@@ -100,124 +101,124 @@
 	return addresses
 }
 
-// answerWhole answers a request whole.
-func answerWhole(w http.ResponseWriter, r *http.Request) {
+// answerOK answers a request with an empty success.
+func answerOK(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 	w.Header().Set(wire.HeaderSeal, "seal")
 }
 
-// suspect has a ledger know of two ends under what ask sends.
-func suspect(ledger *quarantine.Ledger) {
+// recordTwoCrashes records two crashes under the requests that sendRequest sends.
+func recordTwoCrashes(ledger *quarantine.Ledger) {
 	for _, start := range []string{"a", "b"} {
 		ledger.Told(quarantine.End{
-			Digest: contentOfAsk(),
+			Digest: requestDigest(),
 			Start:  start,
 		})
 	}
 }
 
-// holdNow has a ledger know of an end under a trial of what ask sends.
-func holdNow(ledger *quarantine.Ledger) {
+// recordTrialCrash records a crash under a trial of the requests that sendRequest sends.
+func recordTrialCrash(ledger *quarantine.Ledger) {
 	ledger.Told(quarantine.End{
-		Digest: contentOfAsk(),
+		Digest: requestDigest(),
 		Start:  "c",
 		Trial:  1,
 	})
 }
 
-func TestHeldRequestIsRefusedBeforeItIsSent(t *testing.T) {
+func TestQuarantinedRequestIsRefusedBeforeSending(t *testing.T) {
 	for _, kind := range []config.Kind{config.Safe, config.Unsafe, config.Stream} {
 		var arrived atomic.Int64
-		addresses := crashing(t, 8, func(http.ResponseWriter, *http.Request) {
+		addresses := startCrashingBackends(t, 8, func(http.ResponseWriter, *http.Request) {
 			arrived.Add(1)
 		})
-		from := &ledgerSource{
-			source: newSource(someServers(kind, addresses...)),
+		source := &ledgerSource{
+			testSource: newSource(serversView(kind, addresses...)),
 		}
 		var ledger quarantine.Ledger
-		server := listenWith(t, from, &ledger)
-		for turn := 0; ledger.Decide(contentOfAsk()).Step != quarantine.Hold; turn++ {
-			status, _ := ask(t, server.Address(), "r"+strconv.Itoa(turn), time.Minute)
-			// Servers that may have run it, or only such as have ended, were asked.
+		server := startWithLedger(t, source, &ledger)
+		for turn := 0; ledger.Decide(requestDigest()).Step != quarantine.Hold; turn++ {
+			status, _ := sendRequest(t, server.Address(), "r"+strconv.Itoa(turn), time.Minute)
+			// The attempts reached servers that may have run the request, or only crashed ones.
 			qt.Assert(t, status == http.StatusBadGateway || status == http.StatusServiceUnavailable, qt.IsTrue)
 		}
-		// Two ends, and that of the trial.
-		ended, _ := from.heard()
-		qt.Assert(t, ended[len(ended)-1].Trial, qt.Equals, 1)
+		// The last of the recorded crashes is that of the trial.
+		crashed, _ := source.reported()
+		qt.Assert(t, crashed[len(crashed)-1].Trial, qt.Equals, 1)
 
 		before := arrived.Load()
-		status, header := ask(t, server.Address(), "again", time.Minute)
+		status, header := sendRequest(t, server.Address(), "again", time.Minute)
 		qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-		// The next trial is minutes away, and the client is told so.
-		qt.Assert(t, comesBack(t, header) > 9*time.Minute, qt.IsTrue)
+		// The next trial is minutes away, and Retry-After says so.
+		qt.Assert(t, retryAfterOf(t, header) > 9*time.Minute, qt.IsTrue)
 		qt.Assert(t, arrived.Load(), qt.Equals, before)
 	}
 }
 
-// Only one daemon may try a suspected request at a time, and none without the store.
-func TestSuspectedRequestIsNotSentWhereOthersDoNotAgree(t *testing.T) {
+// Only one daemon at a time may run a trial of a suspect request, and none without the store.
+func TestSuspectRequestIsNotSentWithoutTrialAgreement(t *testing.T) {
 	var arrived atomic.Int64
-	from := &ledgerSource{
-		source: newSource(someServers(config.Safe, backends(t, 2, func(http.ResponseWriter, *http.Request) {
+	source := &ledgerSource{
+		testSource: newSource(serversView(config.Safe, startBackends(t, 2, func(http.ResponseWriter, *http.Request) {
 			arrived.Add(1)
 		})...)),
 		refusesTrials: true,
 	}
 	var ledger quarantine.Ledger
-	suspect(&ledger)
-	server := listenWith(t, from, &ledger)
-	status, header := ask(t, server.Address(), "r1", time.Minute)
+	recordTwoCrashes(&ledger)
+	server := startWithLedger(t, source, &ledger)
+	status, header := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-	qt.Assert(t, comesBack(t, header) <= 2*time.Second, qt.IsTrue)
+	qt.Assert(t, retryAfterOf(t, header) <= 2*time.Second, qt.IsTrue)
 	qt.Assert(t, arrived.Load(), qt.Equals, int64(0))
 }
 
-// A request that waits for its turn at a busy server would crash it later, with all that
-// run there.
-func TestHeldRequestIsBrokenOffWhereItWaits(t *testing.T) {
-	arrived, left := make(chan struct{}, 1), make(chan struct{})
-	addresses := backends(t, 2, func(_ http.ResponseWriter, r *http.Request) {
+// A quarantined request that waits in the queue of a busy server would crash it later, with all
+// the requests that run there.
+func TestQuarantineAbortsRequestInFlight(t *testing.T) {
+	arrived, aborted := make(chan struct{}, 1), make(chan struct{})
+	addresses := startBackends(t, 2, func(_ http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-r.Context().Done()
-		close(left)
+		close(aborted)
 	})
 	var ledger quarantine.Ledger
-	server := listenWith(t, newSource(someServers(config.Safe, addresses...)), &ledger)
+	server := startWithLedger(t, newSource(serversView(config.Safe, addresses...)), &ledger)
 	answered := make(chan int)
 	go func() {
-		status, _ := ask(t, server.Address(), "r1", time.Hour)
+		status, _ := sendRequest(t, server.Address(), "r1", time.Hour)
 		answered <- status
 	}()
 	<-arrived
-	suspect(&ledger)
-	holdNow(&ledger)
-	<-left
-	// Its server may have run it, and no other is asked.
+	recordTwoCrashes(&ledger)
+	recordTrialCrash(&ledger)
+	<-aborted
+	// Its server may have run it, and no other server is tried.
 	qt.Assert(t, <-answered, qt.Equals, http.StatusBadGateway)
 }
 
-// A stream that broke off goes on elsewhere, but not under a content that servers end
-// under, unless the others agree to a trial.
-func TestSuspectedStreamDoesNotGoOnElsewhere(t *testing.T) {
+// A broken stream is resumed at another server, but not if servers crash under its content,
+// unless the other daemons agree to a trial.
+func TestSuspectStreamIsNotResumedWithoutTrialAgreement(t *testing.T) {
 	var arrived atomic.Int64
-	addresses := crashing(t, 3, func(w http.ResponseWriter, r *http.Request) {
+	addresses := startCrashingBackends(t, 3, func(w http.ResponseWriter, r *http.Request) {
 		arrived.Add(1)
 		w.Header().Set("Content-Type", "text/event-stream")
-		answerWhole(w, r)
+		answerOK(w, r)
 		_, err := io.WriteString(w, "id: 1\ndata: first\n\n")
 		qt.Check(t, err, qt.IsNil)
 		w.(http.Flusher).Flush()
 	})
-	from := &ledgerSource{
-		source:        newSource(someServers(config.Stream, addresses...)),
+	source := &ledgerSource{
+		testSource:    newSource(serversView(config.Stream, addresses...)),
 		refusesTrials: true,
 	}
 	var ledger quarantine.Ledger
 	ledger.Told(quarantine.End{
-		Digest: contentOfAsk(),
+		Digest: requestDigest(),
 		Start:  "a",
 	})
-	server := listenWith(t, from, &ledger)
+	server := startWithLedger(t, source, &ledger)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+server.Address()+path, nil)
 	qt.Assert(t, err, qt.IsNil)
 	request.Host = host
@@ -225,51 +226,51 @@
 	answer, err := http.DefaultClient.Do(request)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = io.ReadAll(answer.Body)
-	qt.Assert(t, err, qt.IsNotNil, qt.Commentf("a stream that broke off must not look whole"))
+	qt.Assert(t, err, qt.IsNotNil, qt.Commentf("a broken stream must not look complete"))
 	qt.Assert(t, answer.Body.Close(), qt.IsNil)
 	qt.Assert(t, arrived.Load(), qt.Equals, int64(1))
 }
 
-// What merely ran beside a request that crashes servers is answered in the end, which
-// tells that it is none.
-func TestAnswerClearsARequestForAllDaemons(t *testing.T) {
-	addresses := backends(t, 1, answerWhole)
-	from := &ledgerSource{
-		source: newSource(someServers(config.Safe, addresses...)),
+// A request that only ran beside one that crashes servers is answered eventually, which proves
+// that it does not crash them.
+func TestSuccessfulAnswerClearsSuspicionOnAllDaemons(t *testing.T) {
+	addresses := startBackends(t, 1, answerOK)
+	source := &ledgerSource{
+		testSource: newSource(serversView(config.Safe, addresses...)),
 	}
 	var ledger quarantine.Ledger
-	told := quarantine.End{
-		Digest: contentOfAsk(),
+	crash := quarantine.End{
+		Digest: requestDigest(),
 		Start:  "a",
 	}
-	ledger.Told(told)
-	server := listenWith(t, from, &ledger)
-	status, _ := ask(t, server.Address(), "r1", time.Minute)
+	ledger.Told(crash)
+	server := startWithLedger(t, source, &ledger)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
-	_, cleared := from.heard()
+	_, cleared := source.reported()
 	qt.Assert(t, cleared, qt.DeepEquals, []quarantine.Cleared{
 		{
-			Digest: told.Digest,
-			Starts: []string{told.Start},
+			Digest: crash.Digest,
+			Starts: []string{crash.Start},
 		},
 	})
-	qt.Assert(t, ledger.Ends(contentOfAsk()), qt.HasLen, 0)
+	qt.Assert(t, ledger.Ends(requestDigest()), qt.HasLen, 0)
 }
 
-// A request that crashes servers waited for its turn until its time was over, was told 504,
-// and counted as answered: it was sent on for minutes.
-func TestOnlyAWholeSuccessClearsARequest(t *testing.T) {
+// A request that crashes servers waited in a queue until its deadline and was answered 504.
+// That counted as an answer, so the request was retried for minutes.
+func TestOnlyCompleteSuccessClearsSuspicion(t *testing.T) {
 	for _, answer := range []http.HandlerFunc{
 		func(w http.ResponseWriter, r *http.Request) {
-			answerWhole(w, r)
+			answerOK(w, r)
 			w.WriteHeader(http.StatusGatewayTimeout)
 		},
 		func(w http.ResponseWriter, r *http.Request) {
-			answerWhole(w, r)
+			answerOK(w, r)
 			w.WriteHeader(http.StatusInternalServerError)
 		},
 		func(w http.ResponseWriter, r *http.Request) {
-			// It ends with its connection, as it would if the server had crashed.
+			// The answer ends with its connection, as it would if the server had crashed.
 			conn, buffer, err := http.NewResponseController(w).Hijack()
 			qt.Check(t, err, qt.IsNil)
 			_, err = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal\r\n\r\npart", wire.HeaderID, r.Header.Get(wire.HeaderID), wire.HeaderSeal)
@@ -278,98 +279,96 @@
 			qt.Check(t, conn.Close(), qt.IsNil)
 		},
 	} {
-		from := newSource(someServers(config.Unsafe, backends(t, 1, answer)...))
+		source := newSource(serversView(config.Unsafe, startBackends(t, 1, answer)...))
 		var ledger quarantine.Ledger
 		ledger.Told(quarantine.End{
-			Digest: contentOfAsk(),
+			Digest: requestDigest(),
 			Start:  "a",
 		})
-		server := listenWith(t, from, &ledger)
-		_, _ = ask(t, server.Address(), "r1", time.Minute)
-		qt.Assert(t, ledger.Ends(contentOfAsk()), qt.DeepEquals, []string{"a"})
+		server := startWithLedger(t, source, &ledger)
+		_, _ = sendRequest(t, server.Address(), "r1", time.Minute)
+		qt.Assert(t, ledger.Ends(requestDigest()), qt.DeepEquals, []string{"a"})
 	}
 }
 
-// Servers reset connections beyond their number and break answers off. Each such break was
-// taken for the end of a server; on a day without requests that crash servers two contents
-// were held.
-func TestServerThatBreaksAnswersOffHasNotEnded(t *testing.T) {
+// Servers reset surplus connections and break off answers, and each break counted as a crash.
+// On a day without requests that crash servers two contents were quarantined.
+func TestAbortedAnswerFromRunningServerIsNoCrash(t *testing.T) {
 	var arrived atomic.Int64
-	from := &ledgerSource{
-		source: newSource(someServers(config.Safe, backends(t, 4, func(http.ResponseWriter, *http.Request) {
+	source := &ledgerSource{
+		testSource: newSource(serversView(config.Safe, startBackends(t, 4, func(http.ResponseWriter, *http.Request) {
 			arrived.Add(1)
 			panic(http.ErrAbortHandler)
 		})...)),
 	}
 	var ledger quarantine.Ledger
 	ledger.Told(quarantine.End{
-		Digest: contentOfAsk(),
+		Digest: requestDigest(),
 		Start:  "a",
 	})
-	server := listenWith(t, from, &ledger)
+	server := startWithLedger(t, source, &ledger)
 	const requests = 5
 	for i := range requests {
-		status, _ := ask(t, server.Address(), "r"+strconv.Itoa(i), time.Minute)
+		status, _ := sendRequest(t, server.Address(), "r"+strconv.Itoa(i), time.Minute)
 		qt.Assert(t, status, qt.Equals, http.StatusBadGateway)
 	}
 	// Each was sent to two servers, as its route allows.
 	qt.Assert(t, arrived.Load(), qt.Equals, int64(2*requests))
-	ended, _ := from.heard()
-	qt.Assert(t, ended, qt.HasLen, 0)
+	crashed, _ := source.reported()
+	qt.Assert(t, crashed, qt.HasLen, 0)
 }
 
-// A link that falls silent is no server that ended: a request that is lost with three such
-// would be refused for a day.
-func TestSilenceIsNoEndOfAServer(t *testing.T) {
+// A link that drops packets must not count as a crash: a request that was lost on three such
+// links would be refused for a day.
+func TestTimeoutIsNoCrash(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() {
 		_ = listener.Close()
 	})
-	from := &ledgerSource{
-		source: newSource(someServers(config.Unsafe, listener.Addr().String())),
+	source := &ledgerSource{
+		testSource: newSource(serversView(config.Unsafe, listener.Addr().String())),
 	}
 	var ledger quarantine.Ledger
-	server := listenWith(t, from, &ledger)
-	status, _ := ask(t, server.Address(), "r1", 200*time.Millisecond)
+	server := startWithLedger(t, source, &ledger)
+	status, _ := sendRequest(t, server.Address(), "r1", 200*time.Millisecond)
 	qt.Assert(t, status, qt.Equals, http.StatusGatewayTimeout)
-	ended, _ := from.heard()
-	qt.Assert(t, ended, qt.HasLen, 0)
+	crashed, _ := source.reported()
+	qt.Assert(t, crashed, qt.HasLen, 0)
 }
 
-// A trial that goes to a server which has ended, since its entry still stands, tells nothing
-// of the request.
-func TestTrialIsNotSentToAServerThatEndedUnderTheRequest(t *testing.T) {
-	var toEnded atomic.Int64
-	ended := backends(t, 4, func(w http.ResponseWriter, r *http.Request) {
-		toEnded.Add(1)
-		answerWhole(w, r)
+// A trial at a server that has crashed but is still listed shows nothing about the request.
+func TestTrialAvoidsServersThatCrashedUnderRequest(t *testing.T) {
+	var receivedByCrashed atomic.Int64
+	crashed := startBackends(t, 4, func(w http.ResponseWriter, r *http.Request) {
+		receivedByCrashed.Add(1)
+		answerOK(w, r)
 	})
-	well := backends(t, 1, answerWhole)
+	healthy := startBackends(t, 1, answerOK)
 	var ledger quarantine.Ledger
-	for i := range ended {
+	for i := range crashed {
 		ledger.Told(quarantine.End{
-			Digest: contentOfAsk(),
+			Digest: requestDigest(),
 			Start:  "i-" + strconv.Itoa(i),
 		})
 	}
-	server := listenWith(t, newSource(someServers(config.Safe, append(ended, well...)...)), &ledger)
-	status, _ := ask(t, server.Address(), "r1", time.Minute)
+	server := startWithLedger(t, newSource(serversView(config.Safe, append(crashed, healthy...)...)), &ledger)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
-	qt.Assert(t, toEnded.Load(), qt.Equals, int64(0))
+	qt.Assert(t, receivedByCrashed.Load(), qt.Equals, int64(0))
 }
 
-// Where only such servers are left, they may have started again since.
-func TestTrialIsSentToAServerThatEndedWhereNoOtherIsLeft(t *testing.T) {
-	addresses := backends(t, 2, answerWhole)
+// If only such servers are left, they may have restarted since.
+func TestTrialUsesCrashedServerWhenNoOtherIsAvailable(t *testing.T) {
+	addresses := startBackends(t, 2, answerOK)
 	var ledger quarantine.Ledger
 	for i := range addresses {
 		ledger.Told(quarantine.End{
-			Digest: contentOfAsk(),
+			Digest: requestDigest(),
 			Start:  "i-" + strconv.Itoa(i),
 		})
 	}
-	server := listenWith(t, newSource(someServers(config.Safe, addresses...)), &ledger)
-	status, _ := ask(t, server.Address(), "r1", time.Minute)
+	server := startWithLedger(t, newSource(serversView(config.Safe, addresses...)), &ledger)
+	status, _ := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
 }
--- a/io/gateway/slow_reader_test.go
+++ b/io/gateway/slow_reader_test.go
@@ -15,13 +15,13 @@
 	"headcourse/platform/wire"
 )
 
-// endlessStream answers with events of 16 KiB for as long as they are taken, and counts the bytes
-// that were.
-func endlessStream(t *testing.T, taken, ended *atomic.Int64) http.HandlerFunc {
+// streamUntilClosed answers with events of 16 KiB until the client disconnects, and counts the
+// bytes written and the finished requests.
+func streamUntilClosed(t *testing.T, written, finished *atomic.Int64) http.HandlerFunc {
 	t.Helper()
 	data := strings.Repeat("x", 16<<10)
 	return func(w http.ResponseWriter, r *http.Request) {
-		defer ended.Add(1)
+		defer finished.Add(1)
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 		w.Header().Set(wire.HeaderSeal, "seal")
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -30,54 +30,55 @@
 			if err != nil {
 				return
 			}
-			taken.Add(int64(n))
+			written.Add(int64(n))
 		}
 	}
 }
 
-// await waits until something holds, and fails the test if it never does.
-func await(t *testing.T, holds func() bool) {
+// waitUntil waits until a condition is true, and fails the test if it stays false.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	const patience, pause = 30 * time.Second, 10 * time.Millisecond
-	for end := time.Now().Add(patience); !holds(); time.Sleep(pause) {
+	const timeout, interval = 30 * time.Second, 10 * time.Millisecond
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(interval) {
 		qt.Assert(t, time.Now().Before(end), qt.IsTrue)
 	}
 }
 
-// Clients that ask for a long stream and read none of it hold neither memory nor the server: what
-// is not read stays at the server, and both ends are let go when the client's time is over.
-func TestClientsThatDoNotReadHoldNothing(t *testing.T) {
+// Clients that request a long stream and never read it must not fill the daemon's memory or
+// occupy the server: unread data stays at the server, and both connections are closed when the
+// client's timeout passes.
+func TestNonReadingClientsAreDisconnectedAtDeadline(t *testing.T) {
 	const clients = 100
-	var taken, ended atomic.Int64
-	servers := backends(t, 1, endlessStream(t, &taken, &ended))
-	server, address := listen(t, newSource(someServers(config.Stream, servers...)), time.Minute)
+	var written, finished atomic.Int64
+	servers := startBackends(t, 1, streamUntilClosed(t, &written, &finished))
+	server, address := startWithViewWait(t, newSource(serversView(config.Stream, servers...)), time.Minute)
 	for i := range clients {
 		conn, err := net.Dial("tcp", address)
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(func() { _ = conn.Close() })
-		// What the client's kernel holds is not the daemon's.
+		// Limits what the client's kernel buffers, which does not count as the daemon's memory.
 		qt.Assert(t, conn.(*net.TCPConn).SetReadBuffer(4<<10), qt.IsNil)
 		_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n%s: slow-%d\r\n%s: 1500\r\n\r\n", path, host, wire.HeaderID, i, wire.HeaderDeadline)
 		qt.Assert(t, err, qt.IsNil)
 	}
-	await(t, func() bool { return server.Open() == clients })
-	await(t, func() bool { return server.Open() == 0 && ended.Load() == clients })
-	// Kernels hold some MB of a connection, on both of its sides.
-	const mostOfEach = 16 << 20
-	qt.Assert(t, taken.Load() < clients*mostOfEach, qt.IsTrue, qt.Commentf("%d bytes taken", taken.Load()))
+	waitUntil(t, func() bool { return server.Open() == clients })
+	waitUntil(t, func() bool { return server.Open() == 0 && finished.Load() == clients })
+	// Kernels buffer some MB per connection, on both of its sides.
+	const maxBytesPerClient = 16 << 20
+	qt.Assert(t, written.Load() < clients*maxBytesPerClient, qt.IsTrue, qt.Commentf("%d bytes taken", written.Load()))
 }
 
-// A client that reads slowly, but within its time, gets the whole answer.
-func TestClientThatReadsSlowlyGetsAll(t *testing.T) {
-	servers := backends(t, 1, func(w http.ResponseWriter, r *http.Request) {
-		answerWhole(w, r)
+// A client that reads slowly, but within its timeout, gets the whole answer.
+func TestSlowClientWithinDeadlineGetsWholeAnswer(t *testing.T) {
+	servers := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
+		answerOK(w, r)
 	})
-	_, address := listen(t, newSource(someServers(config.Safe, servers...)), time.Minute)
+	_, address := startWithViewWait(t, newSource(serversView(config.Safe, servers...)), time.Minute)
 	conn, err := net.Dial("tcp", address)
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	for range 3 {
-		// On one connection: each request has a time of its own.
+		// All requests use one connection, and each has its own deadline.
 		_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n%s: r\r\n%s: 100\r\n\r\n", path, host, wire.HeaderID, wire.HeaderDeadline)
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(300 * time.Millisecond)
--- a/io/gateway/stream.go
+++ b/io/gateway/stream.go
@@ -14,51 +14,50 @@
 	"headcourse/io/backend"
 )
 
-// readSize is how much of a stream is read at once.
-const readSize = 4 << 10
+// streamBufferSize is the size of one read from a stream, in bytes.
+const streamBufferSize = 4 << 10
 
-// joined is the pause below which two events came together.
-const joined = time.Millisecond
+// minEventGap is the gap below which two events count as received together.
+const minEventGap = time.Millisecond
 
-// stream passes a server's events on to the client, whole events only and each
-// at once. When the server breaks off or falls silent, the stream goes on at
-// another server after the last event passed on, within the same answer. A
-// stream that cannot go on ends without the mark that HTTP gives a whole body.
+// stream passes a server's events on to the client, each as soon as it is complete. If the
+// server breaks off or stalls, the stream resumes at another server after the last event passed
+// on, within the same answer. A stream that cannot be resumed ends without the terminating
+// chunk, so the client sees that it is incomplete.
 type stream struct {
-	job      *job
-	server   fleet.Server
-	exchange *backend.Exchange
-	answer   request.Answer
-	mayKeep  bool
-	done     func()
-	watch    *watchdog
+	job        *job
+	server     fleet.Server
+	exchange   *backend.Exchange
+	answer     request.Answer
+	isReusable bool
+	done       func()
+	watchdog   *watchdog
 
-	splitter eventstream.Splitter
-	ready    []byte
-	isWhole  bool
-	// isUnnumbered tells that an event had no id, so that nobody could go on
-	// after it.
-	isUnnumbered bool
-	// sent is when the request was sent; heard is when this server's last event
-	// came.
-	sent  time.Time
-	heard time.Time
-	// failure is an error that came together with events; it counts when these have
-	// been passed on.
-	failure error
-	buffer  [readSize]byte
-	closed  bool
+	splitter   eventstream.Splitter
+	pending    []byte
+	isComplete bool
+	// hasEventWithoutID is set if an event had no ID, after which the stream cannot be resumed.
+	hasEventWithoutID bool
+	// lastSentAt is when the request was sent; lastEventAt is when this server's last event
+	// arrived.
+	sentAt      time.Time
+	lastEventAt time.Time
+	// deferredErr is an error that arrived together with events. It is returned after these
+	// have been passed on.
+	deferredErr error
+	buffer      [streamBufferSize]byte
+	isClosed    bool
 }
 
-// Read returns the next whole events. Its error ends the client's connection
-// unless it is io.EOF, which it is only after a whole answer.
+// Read returns the next complete events. It returns io.EOF only after a complete answer; any
+// other error closes the client's connection.
 func (s *stream) Read(target []byte) (int, error) {
-	for len(s.ready) == 0 {
-		if s.isWhole {
+	for len(s.pending) == 0 {
+		if s.isComplete {
 			return 0, io.EOF
 		}
-		if s.watch == nil {
-			s.watch = s.job.watchPauses(s.server, s.exchange)
+		if s.watchdog == nil {
+			s.watchdog = s.job.watchEventGaps(s.server, s.exchange)
 		}
 		err := s.read()
 		if err == nil || errors.Is(err, io.EOF) {
@@ -68,92 +67,93 @@
 			return 0, err
 		}
 	}
-	n := copy(target, s.ready)
-	s.ready = s.ready[n:]
+	n := copy(target, s.pending)
+	s.pending = s.pending[n:]
 	return n, nil
 }
 
-// read reads from the server once and moves whole events to ready.
+// read reads from the server once and appends complete events to pending.
 func (s *stream) read() error {
-	if s.failure != nil {
-		return s.failure
+	if s.deferredErr != nil {
+		return s.deferredErr
 	}
 	n, err := s.exchange.Read(s.buffer[:])
 	if n > 0 {
 		s.splitter.Write(s.buffer[:n])
-		s.takeEvents()
+		s.extractEvents()
 	}
 	if errors.Is(err, io.EOF) {
-		s.isWhole = true
-		s.ready = append(s.ready, s.splitter.Rest()...)
-		s.exchange.Finish(s.mayKeep, s.answer.KeepFor)
+		s.isComplete = true
+		s.pending = append(s.pending, s.splitter.Rest()...)
+		s.exchange.Finish(s.isReusable, s.answer.KeepFor)
 		return err
 	}
-	if err != nil && len(s.ready) > 0 {
-		// The next server goes on after these events, so they must not be lost.
-		s.failure = err
+	if err != nil && len(s.pending) > 0 {
+		// The next server resumes after these events, so they must be delivered first.
+		s.deferredErr = err
 		return nil
 	}
 	return err
 }
 
-// takeEvents moves whole events to ready, without those that the client has.
-func (s *stream) takeEvents() {
+// extractEvents appends complete events to pending, except those that the client has received
+// already.
+func (s *stream) extractEvents() {
 	for {
 		event, ok := s.splitter.Next()
 		if !ok {
 			return
 		}
-		if event.ID != 0 && event.ID <= s.job.last {
+		if event.ID != 0 && event.ID <= s.job.lastEventID {
 			continue
 		}
 		if event.ID == 0 {
-			s.isUnnumbered = true
+			s.hasEventWithoutID = true
 		} else {
-			s.job.last = event.ID
+			s.job.lastEventID = event.ID
 		}
-		s.ready = append(s.ready, event.Raw...)
-		s.noteEvent()
+		s.pending = append(s.pending, event.Raw...)
+		s.recordEvent()
 	}
 }
 
-// noteEvent measures when events come.
-func (s *stream) noteEvent() {
+// recordEvent records the arrival time of an event.
+func (s *stream) recordEvent() {
 	now := time.Now()
 	s.job.server.tracker.Heard(s.server.ID)
-	if s.watch != nil {
-		s.watch.feed()
+	if s.watchdog != nil {
+		s.watchdog.recordProgress()
 	}
 	tracker := &s.job.server.tracker
-	if s.heard.IsZero() {
-		tracker.Silence(s.job.kind(), balancer.First, now.Sub(s.sent))
-	} else if pause := now.Sub(s.heard); pause > joined {
-		tracker.Silence(s.job.kind(), balancer.Pause, pause)
+	if s.lastEventAt.IsZero() {
+		tracker.Silence(s.job.requestClass(), balancer.First, now.Sub(s.sentAt))
+	} else if gap := now.Sub(s.lastEventAt); gap > minEventGap {
+		tracker.Silence(s.job.requestClass(), balancer.Pause, gap)
 	}
-	if s.job.events == 0 {
-		s.job.tellOverload()
-		s.job.firstEvent = now.Sub(s.job.request.Arrived)
+	if s.job.eventCount == 0 {
+		s.job.recordTimeliness()
+		s.job.timeToFirstEvent = now.Sub(s.job.request.Arrived)
 	} else {
-		s.job.longestPause = max(s.job.longestPause, now.Sub(s.job.lastEventAt))
+		s.job.longestEventGap = max(s.job.longestEventGap, now.Sub(s.job.lastEventAt))
 	}
-	s.job.events++
+	s.job.eventCount++
 	s.job.lastEventAt = now
-	s.heard = now
+	s.lastEventAt = now
 }
 
-// resume goes on at another server after an error of this one, or returns why the stream
-// ends.
+// resume continues the stream at another server after an error, or returns the error that ends
+// it.
 func (s *stream) resume(err error) error {
-	failed := s.job.broken(s.watch, err)
+	failed := s.job.brokenResult(s.watchdog, err)
 	s.release()
 	if failed.reason != request.ReasonClientGone && failed.reason != request.ReasonDeadline {
-		s.job.judge(s.server, failed)
-		s.job.note(s.server, failed.reason)
+		s.job.reportOutcome(s.server, failed)
+		s.job.recordAttempt(s.server, failed.reason)
 	}
-	for !s.isUnnumbered && s.job.maySendAgain(failed) {
-		next := s.job.try(s.job.last)
+	for !s.hasEventWithoutID && s.job.mayRetry(failed) {
+		next := s.job.attempt(s.job.lastEventID)
 		if next.reason == request.ReasonNone && next.stream != nil {
-			s.adopt(next)
+			s.switchTo(next)
 			s.job.server.count(countResumed, failed.reason)
 			return nil
 		}
@@ -163,31 +163,31 @@
 		}
 	}
 	s.job.server.count(countFailed, failed.reason)
-	s.job.end(fasthttp.StatusOK, failed.reason)
+	s.job.finish(fasthttp.StatusOK, failed.reason)
 	return errors.Errorf("stream ended early: %s", failed.reason)
 }
 
-// adopt takes over another server's stream, whose first events are ready.
-func (s *stream) adopt(next tried) {
+// switchTo replaces the exchange by another server's stream, whose first events are pending.
+func (s *stream) switchTo(next attemptResult) {
 	s.server = next.server
 	s.exchange = next.stream.exchange
 	s.answer = next.answer
-	s.mayKeep = next.stream.mayKeep
+	s.isReusable = next.stream.isReusable
 	s.done = next.stream.done
 	s.splitter = next.stream.splitter
-	s.ready = next.stream.ready
-	s.failure = next.stream.failure
-	s.isWhole = next.stream.isWhole
-	s.isUnnumbered = next.stream.isUnnumbered
-	s.sent = next.stream.sent
-	s.heard = next.stream.heard
-	s.watch = nil
+	s.pending = next.stream.pending
+	s.deferredErr = next.stream.deferredErr
+	s.isComplete = next.stream.isComplete
+	s.hasEventWithoutID = next.stream.hasEventWithoutID
+	s.sentAt = next.stream.sentAt
+	s.lastEventAt = next.stream.lastEventAt
+	s.watchdog = nil
 }
 
-// release ends the exchange under way.
+// release ends the exchange in flight.
 func (s *stream) release() {
-	if s.watch != nil {
-		s.watch.stop()
+	if s.watchdog != nil {
+		s.watchdog.stop()
 	}
 	s.exchange.Abort()
 	if s.done != nil {
@@ -195,22 +195,21 @@
 	}
 }
 
-// Close is called by the HTTP library when the answer has been written, or
-// could not be.
+// Close is called by the HTTP library when the answer has been written or could not be written.
 func (s *stream) Close() error {
-	if s.closed {
+	if s.isClosed {
 		return nil
 	}
-	s.closed = true
+	s.isClosed = true
 	s.release()
-	if !s.isWhole || len(s.ready) > 0 {
-		s.job.end(fasthttp.StatusOK, request.ReasonClientGone)
+	if !s.isComplete || len(s.pending) > 0 {
+		s.job.finish(fasthttp.StatusOK, request.ReasonClientGone)
 		return nil
 	}
-	perEvent := s.heard.Sub(s.sent).Seconds() / float64(max(1, s.job.events))
+	perEvent := s.lastEventAt.Sub(s.sentAt).Seconds() / float64(max(1, s.job.eventCount))
 	s.job.server.tracker.Succeeded(s.server.ID, perEvent)
-	s.job.noteSize()
-	s.job.clear(s.answer, s.exchange)
-	s.job.end(fasthttp.StatusOK, request.ReasonNone)
+	s.job.recordAnswerSize()
+	s.job.clearSuspicion(s.answer, s.exchange)
+	s.job.finish(fasthttp.StatusOK, request.ReasonNone)
 	return nil
 }
--- a/io/gateway/thinner.go
+++ b/io/gateway/thinner.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// successLines is how many lines a second are written of requests that ended
-// well; others are only counted. Failures are always written.
-const successLines = 20
+// maxSuccessLinesPerSecond bounds the log lines of successful requests; further ones are only
+// counted. Failures are always logged.
+const maxSuccessLinesPerSecond = 20
 
-// thinner lets a bounded number of lines a second through. The zero value
-// works.
-type thinner struct {
-	mutex  sync.Mutex
-	second int64
-	lines  int
-	left   int
+// successThrottle limits the log lines of successful requests per second. The zero value is
+// ready to use.
+type successThrottle struct {
+	mutex      sync.Mutex
+	second     int64
+	lines      int
+	suppressed int
 }
 
-// pass tells whether a line may be written, and how many were left out since
-// the last one.
-func (t *thinner) pass() (mayWrite bool, leftOut int) {
+// allow reports whether a line may be written, and how many were suppressed since the last one.
+func (t *successThrottle) allow() (mayWrite bool, suppressed int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now().Unix()
@@ -28,12 +27,12 @@
 		t.second = now
 		t.lines = 0
 	}
-	if t.lines >= successLines {
-		t.left++
+	if t.lines >= maxSuccessLinesPerSecond {
+		t.suppressed++
 		return false, 0
 	}
 	t.lines++
-	leftOut = t.left
-	t.left = 0
-	return true, leftOut
+	suppressed = t.suppressed
+	t.suppressed = 0
+	return true, suppressed
 }
--- a/io/gateway/try.go
+++ b/io/gateway/try.go
@@ -16,26 +16,27 @@
 	"headcourse/io/http1"
 )
 
-// maxMisplaced bounds how many answers to other requests are read past.
-const maxMisplaced = 3
+// maxStaleAnswers bounds the heads that are read from a connection in search of the request's
+// own answer. The others answer earlier requests.
+const maxStaleAnswers = 3
 
-// tried is the end of one send.
-type tried struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	server fleet.Server
-	// reason is why the send failed; none when answer is the server's answer.
+	// reason is why the attempt failed; ReasonNone if answer is the server's answer.
 	reason request.Reason
-	// mayHaveRun tells that the server may have begun to run the request.
+	// mayHaveRun is set if the server may have started to run the request.
 	mayHaveRun bool
-	// wasEnded tells that the server closed or reset the connection before its answer
-	// was whole, as a process that crashes does.
-	wasEnded bool
-	answer   request.Answer
-	body     []byte
-	stream   *stream
+	// closedByPeer is set if the server closed or reset the connection before its answer was
+	// complete, as a crashing process does.
+	closedByPeer bool
+	answer       request.Answer
+	body         []byte
+	stream       *stream
 }
 
-// mayHaveArrived tells whether any of the request may have reached the server.
-func (t tried) mayHaveArrived() bool {
+// mayHaveArrived reports whether any part of the request may have reached the server.
+func (t attemptResult) mayHaveArrived() bool {
 	switch t.reason {
 	case request.ReasonConnect, request.ReasonPaused, request.ReasonLimited, request.ReasonEvacuated:
 		return t.mayHaveRun
@@ -44,130 +45,130 @@
 	}
 }
 
-// try sends the request to one server, after the last event that the client
-// has, and reads its answer, or a stream's up to its first event.
-func (j *job) try(last int64) tried {
-	if !j.maySendContent() {
-		return tried{
+// attempt sends the request to one server and reads its answer, or for a stream the events up
+// to the first one after lastEventID.
+func (j *job) attempt(lastEventID int64) attemptResult {
+	if !j.passesQuarantine() {
+		return attemptResult{
 			reason: request.ReasonCrashes,
 		}
 	}
-	// After agreeing on a trial, which waits for the store: the view may be too old now.
+	// The agreement on a trial waits for the store, so the view may have become too old.
 	if j.config.NeedsKey(j.route) && !j.server.source.MayAcceptKeys() {
-		return tried{
+		return attemptResult{
 			reason: request.ReasonStale,
 		}
 	}
-	left := j.left()
-	if left < leastLeft {
-		return tried{
+	timeLeft := j.timeLeft()
+	if timeLeft < minTimeLeft {
+		return attemptResult{
 			reason: request.ReasonDeadline,
 		}
 	}
-	chosen, ok := j.pick()
+	selected, ok := j.selectServer()
 	if !ok {
-		return tried{
-			reason: j.whyNoServer(),
+		return attemptResult{
+			reason: j.noServerReason(),
 		}
 	}
-	defer chosen.room.Release()
-	server := chosen.server
-	j.sends++
-	j.sentAt = time.Now()
+	defer selected.reservation.Release()
+	server := selected.server
+	j.attempts++
+	j.lastSentAt = time.Now()
 	j.excluded[server.ID] = true
 	head := j.server.dialect.WriteHead(j.request, request.Attempt{
 		Server:       server.ID,
 		Organisation: j.organisation,
-		Left:         left,
-		Priority:     j.level(),
-		LastEvent:    last,
+		Left:         timeLeft,
+		Priority:     j.serverPriority(),
+		LastEvent:    lastEventID,
 	})
-	result := j.exchangeWith(chosen, head)
+	result := j.exchangeWith(selected, head)
 	result.server = server
 	if result.mayHaveRun || result.reason == request.ReasonNone {
-		j.runs++
+		j.possibleRuns++
 	}
 	if result.mayHaveArrived() {
-		j.arrivals++
+		j.possibleArrivals++
 	}
 	if result.stream != nil {
-		result.stream.done = chosen.done
+		result.stream.done = selected.done
 	} else {
-		chosen.done()
-		j.hold(nil)
+		selected.done()
+		j.setExchange(nil)
 	}
-	j.judge(server, result)
-	j.note(server, result.reason)
+	j.reportOutcome(server, result)
+	j.recordAttempt(server, result.reason)
 	return result
 }
 
 // exchangeWith sends the request and reads the answer.
-func (j *job) exchangeWith(chosen choice, head []byte) tried {
-	server := chosen.server
-	exchange, err := j.send(chosen, head)
+func (j *job) exchangeWith(selected selection, head []byte) attemptResult {
+	server := selected.server
+	exchange, err := j.send(selected, head)
 	switch {
 	case errors.Is(err, errPaused):
-		return tried{
+		return attemptResult{
 			reason: request.ReasonPaused,
 		}
 	case errors.Is(err, errLimited):
-		return tried{
+		return attemptResult{
 			reason: request.ReasonLimited,
 		}
 	case errors.Is(err, errEvacuated):
-		return tried{
+		return attemptResult{
 			reason: request.ReasonEvacuated,
 		}
 	case err != nil:
 		var failed *http1.Error
 		sent := errors.As(err, &failed) && failed.Sent
-		return tried{
+		return attemptResult{
 			reason:     request.ReasonConnect,
 			mayHaveRun: sent,
 		}
 	}
-	j.hold(exchange)
-	watch := j.watchFirst(server, exchange)
+	j.setExchange(exchange)
+	watch := j.watchAnswerStart(server, exchange)
 	defer watch.stop()
-	if err = exchange.SetReadDeadline(time.Now().Add(j.left())); err != nil {
+	if err = exchange.SetReadDeadline(time.Now().Add(j.timeLeft())); err != nil {
 		exchange.Abort()
-		return j.broken(watch, err)
+		return j.brokenResult(watch, err)
 	}
-	answer, isMisplaced, err := j.readHead(server, exchange)
+	answer, hadStaleAnswer, err := j.readAnswerHead(server, exchange)
 	if err != nil {
 		exchange.Abort()
-		return j.broken(watch, err)
+		return j.brokenResult(watch, err)
 	}
-	mayKeep := !answer.Close && !isMisplaced
+	isReusable := !answer.Close && !hadStaleAnswer
 	switch {
 	case answer.NotRun:
-		return j.refusedBy(exchange, answer, mayKeep)
-	case !isProper(answer, j.request):
+		return j.handleRefusal(exchange, answer, isReusable)
+	case !isAuthentic(answer, j.request):
 		exchange.Abort()
-		return tried{
+		return attemptResult{
 			reason:     request.ReasonBadAnswer,
 			mayHaveRun: true,
 		}
 	case j.isStream(answer):
-		return j.begin(server, exchange, answer, mayKeep, watch)
+		return j.beginStream(server, exchange, answer, isReusable, watch)
 	default:
-		return j.readWhole(exchange, answer, mayKeep, watch)
+		return j.readBody(exchange, answer, isReusable, watch)
 	}
 }
 
-// Errors of requests that were not written: errPaused where the server has said that it wants
-// none, errLimited where it gets as many as it takes, errEvacuated where its zone is evacuated.
+// Errors of requests that were not written: the server is paused or leaving (errPaused), at its
+// rate limit (errLimited), or in an evacuated zone (errEvacuated).
 var (
-	errPaused    = errors.New("the server wants no request")
-	errLimited   = errors.New("the server takes no more requests now")
-	errEvacuated = errors.New("the server's zone is evacuated")
+	errPaused    = errors.New("server is paused or leaving")
+	errLimited   = errors.New("server is at its rate limit")
+	errEvacuated = errors.New("server is in an evacuated zone")
 )
 
-// send writes the request to a server. It returns errPaused, errLimited or errEvacuated where
-// that has come to hold since the server was chosen: on a busy machine, or where the connection
-// was slow to come up, that may be hundreds of milliseconds later.
-func (j *job) send(chosen choice, head []byte) (*backend.Exchange, error) {
-	server := chosen.server
+// send writes the request to a server. It returns errPaused, errLimited or errEvacuated if the
+// server has become unavailable since its selection. On a busy VM or a slow connection that may
+// be hundreds of milliseconds later.
+func (j *job) send(selected selection, head []byte) (*backend.Exchange, error) {
+	server := selected.server
 	exchange, err := j.server.backends.Connect(server.ID, server.Address)
 	if err != nil {
 		return nil, err
@@ -176,27 +177,27 @@
 		exchange.Release()
 		return nil, errPaused
 	}
-	if j.server.isLeft(j.server.source.View(), server) {
+	if j.server.isEvacuated(j.server.source.View(), server) {
 		exchange.Release()
 		return nil, errEvacuated
 	}
-	if !j.takeRoom(chosen) {
+	if !j.useReservation(selected) {
 		exchange.Release()
 		return nil, errLimited
 	}
 	return exchange, exchange.Send(head, j.request.Body)
 }
 
-// readWhole reads the body of an answer that is not a stream.
-func (j *job) readWhole(exchange *backend.Exchange, answer request.Answer, mayKeep bool, watch *watchdog) tried {
-	body, err := exchange.ReadAll(answerLimit)
+// readBody reads the body of an answer that is not a stream.
+func (j *job) readBody(exchange *backend.Exchange, answer request.Answer, isReusable bool, watch *watchdog) attemptResult {
+	body, err := exchange.ReadAll(maxAnswerBytes)
 	if err != nil {
 		exchange.Abort()
-		return j.broken(watch, err)
+		return j.brokenResult(watch, err)
 	}
-	exchange.Finish(mayKeep, answer.KeepFor)
-	j.clear(answer, exchange)
-	result := tried{
+	exchange.Finish(isReusable, answer.KeepFor)
+	j.clearSuspicion(answer, exchange)
+	result := attemptResult{
 		answer: answer,
 		body:   body,
 	}
@@ -207,55 +208,55 @@
 	return result
 }
 
-// readHead reads the head of the request's own answer. Answers to earlier
-// requests may stand before it; they are read past, and the connection is not
-// used again.
-func (j *job) readHead(server fleet.Server, exchange *backend.Exchange) (answer request.Answer, isMisplaced bool, err error) {
-	for range maxMisplaced {
+// readAnswerHead reads the head of the request's own answer. It skips answers to earlier
+// requests on the same connection; after one, the connection is not reused.
+func (j *job) readAnswerHead(server fleet.Server, exchange *backend.Exchange) (answer request.Answer, hadStaleAnswer bool, err error) {
+	for range maxStaleAnswers {
 		var head fasthttp.ResponseHeader
 		if err = exchange.ReadHead(&head); err != nil {
-			return answer, isMisplaced, err
+			return answer, hadStaleAnswer, err
 		}
 		answer = j.server.dialect.ReadAnswer(&head)
-		j.server.heed(server, answer.Directive)
-		j.heedLimit(server, answer)
-		j.server.heedCold(server, answer.ColdFor)
+		j.server.recordDirective(server, answer.Directive)
+		j.recordLimit(server, answer)
+		j.server.recordCold(server, answer.ColdFor)
 		if answer.ID == j.request.ID || answer.ID == "" {
-			return answer, isMisplaced, nil
+			return answer, hadStaleAnswer, nil
 		}
-		isMisplaced = true
-		if _, err = exchange.ReadAll(answerLimit); err != nil {
-			return answer, isMisplaced, err
+		hadStaleAnswer = true
+		if _, err = exchange.ReadAll(maxAnswerBytes); err != nil {
+			return answer, hadStaleAnswer, err
 		}
 	}
-	return answer, isMisplaced, errors.New("read answer: only answers to other requests")
+	return answer, hadStaleAnswer, errors.New("read answer: all answers on the connection belong to other requests")
 }
 
-// refusedBy returns the end of a send that the server says it did not run.
-func (j *job) refusedBy(exchange *backend.Exchange, answer request.Answer, mayKeep bool) tried {
-	if _, err := exchange.ReadAll(answerLimit); err != nil {
+// handleRefusal returns the result of an attempt that the server says it did not run.
+func (j *job) handleRefusal(exchange *backend.Exchange, answer request.Answer, isReusable bool) attemptResult {
+	if _, err := exchange.ReadAll(maxAnswerBytes); err != nil {
 		exchange.Abort()
 	} else {
-		exchange.Finish(mayKeep, answer.KeepFor)
+		exchange.Finish(isReusable, answer.KeepFor)
 	}
 	reason := request.ReasonRefused
 	if answer.Status == fasthttp.StatusMisdirectedRequest {
 		reason = request.ReasonOtherServer
 	}
-	return tried{
+	return attemptResult{
 		reason: reason,
 	}
 }
 
-// isProper tells whether an answer is the server's own to this request.
-func isProper(answer request.Answer, r *request.Request) bool {
+// isAuthentic reports whether an answer comes from the server itself and belongs to this
+// request. Answers other than 2xx are not checked.
+func isAuthentic(answer request.Answer, r *request.Request) bool {
 	if answer.Status >= fasthttp.StatusOK && answer.Status < fasthttp.StatusMultipleChoices {
 		return answer.Signed && answer.ID == r.ID && !answer.Encoded
 	}
 	return true
 }
 
-// isStream tells whether an answer is passed on event by event.
+// isStream reports whether the answer is an event stream on a stream route.
 func (j *job) isStream(answer request.Answer) bool {
 	if j.route.Kind != config.Stream || answer.Status != fasthttp.StatusOK {
 		return false
@@ -268,36 +269,36 @@
 	return false
 }
 
-// broken returns the end of a send that broke off or ran out of time.
-func (j *job) broken(watch *watchdog, err error) tried {
+// brokenResult returns the result of an attempt that broke off or timed out.
+func (j *job) brokenResult(watch *watchdog, err error) attemptResult {
 	reason := request.ReasonBroken
 	switch {
-	case j.isGone.Load():
+	case j.isClientGone.Load():
 		reason = request.ReasonClientGone
-	case j.isHeld.Load():
+	case j.isQuarantined.Load():
 		reason = request.ReasonCrashes
-	case watch.hasFired():
+	case watch.hasAborted():
 		reason = request.ReasonStalled
-	case j.left() < leastLeft:
+	case j.timeLeft() < minTimeLeft:
 		reason = request.ReasonDeadline
 	}
-	return tried{
-		reason:     reason,
-		mayHaveRun: true,
-		wasEnded:   reason == request.ReasonBroken && isEnd(err),
+	return attemptResult{
+		reason:       reason,
+		mayHaveRun:   true,
+		closedByPeer: reason == request.ReasonBroken && isClosedByPeer(err),
 	}
 }
 
-// judge tells the tracker how the server did.
-func (j *job) judge(server fleet.Server, result tried) {
+// reportOutcome reports the server's success or failure to the tracker.
+func (j *job) reportOutcome(server fleet.Server, result attemptResult) {
 	tracker := &j.server.tracker
 	switch result.reason {
 	case request.ReasonNone:
 		tracker.Heard(server.ID)
 		if result.stream == nil {
-			took := time.Since(j.sentAt)
+			took := time.Since(j.lastSentAt)
 			tracker.Succeeded(server.ID, took.Seconds())
-			tracker.Silence(j.kind(), balancer.First, took)
+			tracker.Silence(j.requestClass(), balancer.First, took)
 		}
 	case request.ReasonConnect, request.ReasonOtherServer, request.ReasonRefused:
 		tracker.Failed(server.ID, false)
@@ -307,28 +308,28 @@
 		tracker.Heard(server.ID)
 		tracker.Failed(server.ID, true)
 	}
-	if result.wasEnded {
-		j.noteEnd(server)
+	if result.closedByPeer {
+		j.checkForCrash(server)
 	}
 }
 
-// begin reads a stream up to its first event.
-func (j *job) begin(server fleet.Server, exchange *backend.Exchange, answer request.Answer, mayKeep bool, watch *watchdog) tried {
+// beginStream reads a stream up to its first event.
+func (j *job) beginStream(server fleet.Server, exchange *backend.Exchange, answer request.Answer, isReusable bool, watch *watchdog) attemptResult {
 	started := &stream{
-		job:      j,
-		server:   server,
-		exchange: exchange,
-		answer:   answer,
-		mayKeep:  mayKeep,
-		sent:     watch.fed,
-	}
-	for len(started.ready) == 0 && !started.isWhole {
+		job:        j,
+		server:     server,
+		exchange:   exchange,
+		answer:     answer,
+		isReusable: isReusable,
+		sentAt:     watch.lastProgressAt,
+	}
+	for len(started.pending) == 0 && !started.isComplete {
 		if err := started.read(); err != nil && !errors.Is(err, io.EOF) {
 			exchange.Abort()
-			return j.broken(watch, err)
+			return j.brokenResult(watch, err)
 		}
 	}
-	return tried{
+	return attemptResult{
 		answer: answer,
 		stream: started,
 	}
--- a/io/gateway/watchdog.go
+++ b/io/gateway/watchdog.go
@@ -10,126 +10,128 @@
 	"headcourse/io/backend"
 )
 
-// watchdog looks after an exchange whose server may fall silent.
+// watchdog detects an exchange whose server has stalled.
 //
-// What silence means depends on the model and the load, so the tracker learns
-// how long servers of the same kind are usually silent. After an unusual
-// silence the server is rested: others take the new requests until it is heard
-// again, which costs little when it was only busy. After a much longer one the
-// request itself goes to another server, if it may: there it begins anew, which
-// costs the other server's time, so this must not be done to a busy server.
+// The normal length of a silence depends on the model and the load, so the tracker learns how
+// long servers of the same class are usually silent. After an unusual silence the server is
+// ejected: new requests go to other servers until it sends something again, which costs little
+// if it was only busy. After a much longer silence the request itself fails over to another
+// server, if allowed. There it starts again and costs that server's time, so this must not be
+// done to a server that is only busy.
 type watchdog struct {
 	job      *job
 	server   fleet.Server
 	exchange *backend.Exchange
-	// phase is what is waited for; kind is the servers that are compared.
+	// phase is the part of the answer that is awaited; class is the class of requests whose
+	// silences are compared.
 	phase balancer.Phase
-	kind  string
-	// mayMove tells that the request may run at another server as well.
-	mayMove bool
+	class string
+	// mayFailOver is set if the request may also run at another server.
+	mayFailOver bool
 
 	mutex sync.Mutex
 	timer *time.Timer
-	// fed is when the server last sent something; isRested tells that it has
-	// been rested since; fired that the exchange was aborted.
-	fed      time.Time
-	isRested bool
-	stopped  bool
-	fired    atomic.Bool
+	// lastProgressAt is when the server last sent something. isEjected is set if the server has
+	// been ejected since. aborted is set if the exchange was aborted.
+	lastProgressAt time.Time
+	isEjected      bool
+	isStopped      bool
+	aborted        atomic.Bool
 }
 
-// watchFirst watches for the beginning of an answer. The send is not counted
-// among the job's runs yet.
-func (j *job) watchFirst(server fleet.Server, exchange *backend.Exchange) *watchdog {
-	return j.watch(server, exchange, balancer.First, j.runs+1)
+// watchAnswerStart watches for the start of an answer. The attempt is not counted in the job's
+// possibleRuns yet.
+func (j *job) watchAnswerStart(server fleet.Server, exchange *backend.Exchange) *watchdog {
+	return j.startWatchdog(server, exchange, balancer.First, j.possibleRuns+1)
 }
 
-// watchPauses watches for the next event of a stream, whose send is counted.
-func (j *job) watchPauses(server fleet.Server, exchange *backend.Exchange) *watchdog {
-	return j.watch(server, exchange, balancer.Pause, j.runs)
+// watchEventGaps watches for the next event of a stream, whose attempt is counted in
+// possibleRuns.
+func (j *job) watchEventGaps(server fleet.Server, exchange *backend.Exchange) *watchdog {
+	return j.startWatchdog(server, exchange, balancer.Pause, j.possibleRuns)
 }
 
-// watch starts a watchdog. Requests that are not repeated have none: nothing
-// can be done for them, and their length tells little.
-func (j *job) watch(server fleet.Server, exchange *backend.Exchange, phase balancer.Phase, runs int) *watchdog {
+// startWatchdog starts a watchdog. For routes that are not repeatable the watchdog has no
+// timer: such a request cannot fail over, and its duration says little about the server.
+func (j *job) startWatchdog(server fleet.Server, exchange *backend.Exchange, phase balancer.Phase, possibleRuns int) *watchdog {
 	w := &watchdog{
-		job:      j,
-		server:   server,
-		exchange: exchange,
-		phase:    phase,
-		kind:     j.kind(),
-		mayMove:  j.route.Repeatable() && runs < j.route.MaxAttempts && j.sends < maxSends,
-		fed:      time.Now(),
+		job:            j,
+		server:         server,
+		exchange:       exchange,
+		phase:          phase,
+		class:          j.requestClass(),
+		mayFailOver:    j.route.Repeatable() && possibleRuns < j.route.MaxAttempts && j.attempts < maxAttempts,
+		lastProgressAt: time.Now(),
 	}
 	if !j.route.Repeatable() {
 		return w
 	}
-	limits := j.server.tracker.Limits(w.kind, phase)
+	limits := j.server.tracker.Limits(w.class, phase)
 	w.mutex.Lock()
-	w.timer = time.AfterFunc(limits.Rest, w.look)
+	w.timer = time.AfterFunc(limits.Rest, w.check)
 	w.mutex.Unlock()
 	return w
 }
 
-// kind names the servers whose silences are alike.
-func (j *job) kind() string {
+// requestClass returns the class of requests whose silences are comparable.
+func (j *job) requestClass() string {
 	return j.service + "/" + j.request.Model + "/" + j.route.Name
 }
 
-// feed notes that the server sent something for this request.
-func (w *watchdog) feed() {
+// recordProgress records that the server sent something for this request.
+func (w *watchdog) recordProgress() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.fed = time.Now()
-	w.isRested = false
+	w.lastProgressAt = time.Now()
+	w.isEjected = false
 }
 
-// look runs when a limit may have passed.
-func (w *watchdog) look() {
+// check runs when a silence limit may have passed.
+func (w *watchdog) check() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.stopped {
+	if w.isStopped {
 		return
 	}
 	tracker := &w.job.server.tracker
-	limits := tracker.Limits(w.kind, w.phase)
-	silent := min(time.Since(w.fed), tracker.SilentFor(w.server.ID))
-	step, again := limits.Step(silent, w.job.server.source.IsStill(w.server))
-	if step != balancer.Wait && !w.isRested {
-		w.isRested = true
+	limits := tracker.Limits(w.class, w.phase)
+	silence := min(time.Since(w.lastProgressAt), tracker.SilentFor(w.server.ID))
+	step, next := limits.Step(silence, w.job.server.source.IsStill(w.server))
+	if step != balancer.Wait && !w.isEjected {
+		w.isEjected = true
 		tracker.Rest(w.server.ID)
 		w.job.server.source.Stalled(w.server)
 	}
 	if step == balancer.Move {
 		w.job.server.source.Stalled(w.server)
-		if w.mayMove && w.hasOther() && w.job.payAhead() {
-			w.fired.Store(true)
+		if w.mayFailOver && w.hasAlternative() && w.job.prepayRetry() {
+			w.aborted.Store(true)
 			w.exchange.Abort()
 			return
 		}
 	}
-	w.timer.Reset(again)
+	w.timer.Reset(next)
 }
 
-// hasFired tells whether the exchange was aborted for its silence.
-func (w *watchdog) hasFired() bool {
-	return w.fired.Load()
+// hasAborted reports whether the watchdog aborted the exchange.
+func (w *watchdog) hasAborted() bool {
+	return w.aborted.Load()
 }
 
-// stop ends the watch.
+// stop stops the watchdog.
 func (w *watchdog) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.stopped = true
+	w.isStopped = true
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 }
 
-// hasOther tells whether another server could take the request now.
-func (w *watchdog) hasOther() bool {
-	for _, other := range w.job.server.serving(w.job.service, w.job.request.Model) {
-		if other.ID != w.server.ID && !w.job.server.tracker.IsResting(other.ID) {
+// hasAlternative reports whether another available server is not ejected.
+func (w *watchdog) hasAlternative() bool {
+	for _, candidate := range w.job.server.availableServers(w.job.service, w.job.request.Model) {
+		if candidate.ID != w.server.ID && !w.job.server.tracker.IsResting(candidate.ID) {
 			return true
 		}
 	}
