--- a/io/backend/backend.go
+++ b/io/backend/backend.go
@@ -1,11 +1,11 @@
-// Package backend exchanges requests and answers with backend servers over
-// HTTP/1.1 and keeps connections to them.
+// Package backend exchanges requests and answers with backend servers over HTTP/1.1 and pools
+// connections to them.
 //
-// An exchange is written once and never repeated here. It tells apart what the
-// caller must not confuse: nothing was sent; something may have been sent; the
-// answer is whole; the answer was broken off. A connection is kept only after a
-// whole answer, and used again only if a look finds it open and empty, since
-// bytes that nobody asked for would be taken for the next answer.
+// This package writes a request once and never retries it. It distinguishes the cases that the
+// caller must treat differently: nothing was sent; something may have been sent; the answer is
+// complete; the answer was broken off. A connection returns to the pool only after a complete
+// answer. It is reused only if a check finds it open and without unread bytes, since unexpected
+// bytes would be taken for the next answer.
 package backend
 
 import (
@@ -23,33 +23,32 @@
 	"headcourse/io/tcp"
 )
 
-// Figures of a client.
 const (
-	// DefaultConnect bounds connecting: links take milliseconds, and a server
-	// that does not answer within this is dark or cut off.
+	// DefaultConnect bounds connecting: links take milliseconds, and a server that does not
+	// answer within this time is down or unreachable.
 	DefaultConnect = 250 * time.Millisecond
-	// defaultKeep is how long a connection is kept where the server does not
-	// tell; keepMargin is kept away from the end of what it tells.
-	defaultKeep = 4 * time.Second
-	keepMargin  = 700 * time.Millisecond
-	// unackedLimit ends connections to peers that take nothing any more.
-	unackedLimit = 2 * time.Second
-	// endedLook is how long a connection is watched that a server may close at once: some
-	// times longer than links take.
-	endedLook = 30 * time.Millisecond
-	// bufferSize holds the largest head of an answer.
-	bufferSize = 8 << 10
+	// defaultKeepAlive is how long an idle connection is kept if the server names no keep-alive
+	// time. It is dropped keepAliveMargin before that time ends.
+	defaultKeepAlive = 4 * time.Second
+	keepAliveMargin  = 700 * time.Millisecond
+	// unackedTimeout closes connections to peers that do not acknowledge sent bytes any more.
+	unackedTimeout = 2 * time.Second
+	// closeProbeTime is how long a new connection is watched for an immediate close by the
+	// server: several times the latency of the links.
+	closeProbeTime = 30 * time.Millisecond
+	// readBufferSize holds the largest head of an answer, in bytes.
+	readBufferSize = 8 << 10
 )
 
-// Client keeps connections to backend servers. The zero value works and is
-// safe for concurrent use.
+// Client pools connections to backend servers. The zero value is ready to use and safe for
+// concurrent use.
 type Client struct {
-	// ConnectTimeout is DefaultConnect where it is 0.
+	// ConnectTimeout bounds connecting; 0 means DefaultConnect.
 	ConnectTimeout time.Duration
 
 	mutex sync.Mutex
 	idle  map[string][]*conn
-	// opened counts connections made, reused those used again.
+	// opened counts connections made, reused how often one was used again.
 	opened int64
 	reused int64
 }
@@ -58,22 +57,21 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// goodUntil is when the server may close the idle connection.
-	goodUntil time.Time
+	// reusableUntil is the time after which the server may close the idle connection.
+	reusableUntil time.Time
 }
 
-// Counts returns how many connections were made and how often one was used
-// again.
+// Counts returns how many connections were opened and how often one was reused.
 func (c *Client) Counts() (opened, reused int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.opened, c.reused
 }
 
-// Connect returns an exchange with a server for which nothing has been written yet. The
-// error is a *http1.Error.
+// Connect returns an exchange with a server, for which nothing has been written yet. The error
+// is a *http1.Error.
 func (c *Client) Connect(server, address string) (*Exchange, error) {
-	used, err := c.connect(server, address)
+	connection, err := c.connect(server, address)
 	if err != nil {
 		return nil, err
 	}
@@ -81,69 +79,70 @@
 		client:  c,
 		server:  server,
 		address: address,
-		conn:    used,
+		conn:    connection,
 	}, nil
 }
 
-// connect returns a kept connection that is still good, or a new one.
+// connect returns an idle connection that is still usable, or a new one.
 func (c *Client) connect(server, address string) (*conn, error) {
 	for {
-		kept := c.take(server)
-		if kept == nil {
+		idle := c.popIdle(server)
+		if idle == nil {
 			break
 		}
-		if time.Now().Before(kept.goodUntil) && tcp.Look(kept.Conn) == tcp.Quiet {
+		if time.Now().Before(idle.reusableUntil) && tcp.Look(idle.Conn) == tcp.Quiet {
 			c.mutex.Lock()
 			c.reused++
 			c.mutex.Unlock()
-			return kept, nil
+			return idle, nil
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
-	made, err := c.dial(address)
+	netConn, err := c.dial(address)
 	if err != nil {
 		return nil, connectError(address, err)
 	}
 	return &conn{
-		Conn:   made,
-		reader: bufio.NewReaderSize(made, bufferSize),
+		Conn:   netConn,
+		reader: bufio.NewReaderSize(netConn, readBufferSize),
 	}, nil
 }
 
-// dial makes a connection.
+// dial opens a connection.
 func (c *Client) dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout:   cmp.Or(c.ConnectTimeout, DefaultConnect),
 		KeepAlive: -1,
-		Control:   limitUnacked,
+		Control:   setUnackedTimeout,
 	}
-	made, err := dialer.Dial("tcp", address)
+	netConn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	c.mutex.Lock()
 	c.opened++
 	c.mutex.Unlock()
-	return made, nil
+	return netConn, nil
 }
 
-// HasEnded tells whether the server at an address has ended: it takes no connection, or
-// closes one at once, as what stands before a server does when that is gone. A server that
-// merely broke off an answer keeps it open. It takes up to endedLook, or the time to connect.
+// HasEnded reports whether the server at an address is down: it refuses the connection or
+// closes it at once, as a proxy in front of a stopped server does. A running server that only
+// broke off an answer keeps the connection open. The call takes up to closeProbeTime, or the
+// time to connect.
 func (c *Client) HasEnded(address string) bool {
-	made, err := c.dial(address)
+	netConn, err := c.dial(address)
 	if err != nil {
 		return true
 	}
-	defer func() { _ = made.Close() }()
-	time.Sleep(endedLook)
-	return tcp.Look(made) == tcp.Closed
+	defer func() { _ = netConn.Close() }()
+	time.Sleep(closeProbeTime)
+	return tcp.Look(netConn) == tcp.Closed
 }
 
-// connectError returns the error of a failed connect.
+// connectError wraps the error of a failed connect.
 func connectError(address string, err error) error {
-	var operation *net.OpError
-	isRefused := errors.As(err, &operation) && !operation.Timeout()
+	var opErr *net.OpError
+	isRefused := errors.As(err, &opErr) && !opErr.Timeout()
 	return &http1.Error{
 		Peer:    address,
 		Sent:    false,
@@ -152,73 +151,72 @@
 	}
 }
 
-// limitUnacked bounds how long sent bytes may stay unacknowledged.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUnackedTimeout bounds how long sent bytes may stay unacknowledged.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
-// take returns the connection kept last, or nil.
-func (c *Client) take(server string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (c *Client) popIdle(server string) *conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	kept := c.idle[server]
-	if len(kept) == 0 {
+	idle := c.idle[server]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	c.idle[server] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	c.idle[server] = idle[:len(idle)-1]
 	return last
 }
 
-// keep stores a connection for the next request to its server.
-func (c *Client) keep(server string, used *conn, keepFor time.Duration) {
-	if keepFor == 0 {
-		keepFor = defaultKeep
+// pushIdle adds a connection to the pool for the server's keep-alive time; 0 means the default.
+func (c *Client) pushIdle(server string, released *conn, keepAlive time.Duration) {
+	if keepAlive == 0 {
+		keepAlive = defaultKeepAlive
 	}
-	used.goodUntil = time.Now().Add(keepFor - keepMargin)
-	c.putBack(server, used)
+	released.reusableUntil = time.Now().Add(keepAlive - keepAliveMargin)
+	c.addIdle(server, released)
 }
 
-// putBack stores a connection for as long as it is good.
-func (c *Client) putBack(server string, used *conn) {
+// addIdle adds a connection to the pool without changing until when it is reusable.
+func (c *Client) addIdle(server string, released *conn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.idle == nil {
 		c.idle = map[string][]*conn{}
 	}
-	c.idle[server] = append(c.idle[server], used)
+	c.idle[server] = append(c.idle[server], released)
 }
 
-// Sweep closes kept connections that are too old, or whose server isKnown does
-// not know any more.
+// Sweep closes idle connections that have expired, or whose server isKnown rejects.
 func (c *Client) Sweep(isKnown func(server string) bool) {
 	now := time.Now()
-	var old []*conn
+	var expired []*conn
 	c.mutex.Lock()
-	for server, kept := range c.idle {
-		var good []*conn
-		for _, one := range kept {
-			if now.Before(one.goodUntil) && isKnown(server) {
-				good = append(good, one)
+	for server, idle := range c.idle {
+		var usable []*conn
+		for _, one := range idle {
+			if now.Before(one.reusableUntil) && isKnown(server) {
+				usable = append(usable, one)
 			} else {
-				old = append(old, one)
+				expired = append(expired, one)
 			}
 		}
-		if len(good) == 0 {
+		if len(usable) == 0 {
 			delete(c.idle, server)
 		} else {
-			c.idle[server] = good
+			c.idle[server] = usable
 		}
 	}
 	c.mutex.Unlock()
-	for _, one := range old {
+	for _, one := range expired {
 		_ = one.Close()
 	}
 }
--- a/io/backend/backend_test.go
+++ b/io/backend/backend_test.go
@@ -18,27 +18,26 @@
 )
 
 const (
-	// patience bounds what must come; nothing depends on its passing.
-	patience = 30 * time.Second
-	// long is how long servers are said to keep connections: longer than any
-	// test runs.
-	long = time.Hour
-	// limit bounds bodies.
-	limit = 1 << 20
+	// maxWait bounds waits for expected events; no test depends on its passing.
+	maxWait = 30 * time.Second
+	// keepAlive is the keep-alive time that servers name: longer than any test runs.
+	keepAlive = time.Hour
+	// maxBody bounds bodies, in bytes.
+	maxBody = 1 << 20
 )
 
-// Requests and answers as they stand on the wire.
+// Requests and answers as bytes on the wire.
 const (
-	requestHead = "GET / HTTP/1.1\r\nHost: water.example\r\n\r\n"
-	wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
+	requestHead    = "GET / HTTP/1.1\r\nHost: water.example\r\n\r\n"
+	completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
 )
 
-// act answers one request on a connection; it returns false where the
-// connection ends after it.
-type act func(t *testing.T, conn *net.TCPConn) bool
+// responder answers one request on a connection. It returns false if the connection must be
+// closed after it.
+type responder func(t *testing.T, conn *net.TCPConn) bool
 
-// say returns an act that writes some bytes, and then keeps the connection.
-func say(text string) act {
+// respond returns a responder that writes text and keeps the connection.
+func respond(text string) responder {
 	return func(t *testing.T, conn *net.TCPConn) bool {
 		_, err := io.WriteString(conn, text)
 		qt.Check(t, err, qt.IsNil)
@@ -46,54 +45,53 @@
 	}
 }
 
-// sayAndClose returns an act that writes some bytes and closes.
-func sayAndClose(text string) act {
+// respondAndClose returns a responder that writes text and closes the connection.
+func respondAndClose(text string) responder {
 	return func(t *testing.T, conn *net.TCPConn) bool {
-		say(text)(t, conn)
+		respond(text)(t, conn)
 		return false
 	}
 }
 
-// server answers the requests that it gets, over all connections, by one act
-// each.
+// server answers each request, over all connections, with its next responder.
 type server struct {
-	t        *testing.T
-	listener net.Listener
-	acts     chan act
+	t          *testing.T
+	listener   net.Listener
+	responders chan responder
 }
 
-// serve starts a server that ends with the test.
-func serve(t *testing.T, acts ...act) *server {
+// startServer starts a server that stops at the end of the test.
+func startServer(t *testing.T, responders ...responder) *server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &server{
-		t:        t,
-		listener: listener,
-		acts:     make(chan act, len(acts)),
+		t:          t,
+		listener:   listener,
+		responders: make(chan responder, len(responders)),
 	}
-	for _, one := range acts {
-		s.acts <- one
+	for _, one := range responders {
+		s.responders <- one
 	}
 	go s.accept()
 	t.Cleanup(func() { _ = listener.Close() })
 	return s
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (s *server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		go s.converse(conn.(*net.TCPConn))
+		go s.serveConn(conn.(*net.TCPConn))
 	}
 }
 
-// converse answers on one connection until it ends. Each is closed with the
-// test at the latest.
-func (s *server) converse(conn *net.TCPConn) {
+// serveConn answers requests on one connection until it ends. The connection is closed at the
+// end of the test at the latest.
+func (s *server) serveConn(conn *net.TCPConn) {
 	s.t.Cleanup(func() { _ = conn.Close() })
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -103,13 +101,13 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		if next := <-s.acts; !next(s.t, conn) {
+		if next := <-s.responders; !next(s.t, conn) {
 			return
 		}
 	}
 }
 
-// send sends a request to the server.
+// send sends a request to the server and reads the head of the answer.
 func (s *server) send(client *backend.Client) *backend.Exchange {
 	s.t.Helper()
 	exchange, err := client.Connect("i-0001", s.listener.Addr().String())
@@ -117,78 +115,78 @@
 	err = exchange.Send([]byte(requestHead), nil)
 	qt.Assert(s.t, err, qt.IsNil)
 	s.t.Cleanup(exchange.Abort)
-	qt.Assert(s.t, exchange.SetReadDeadline(time.Now().Add(patience)), qt.IsNil)
+	qt.Assert(s.t, exchange.SetReadDeadline(time.Now().Add(maxWait)), qt.IsNil)
 	var head fasthttp.ResponseHeader
 	qt.Assert(s.t, exchange.ReadHead(&head), qt.IsNil)
 	return exchange
 }
 
-// ask sends a request, reads the whole answer and gives the connection back.
-func (s *server) ask(client *backend.Client) string {
+// roundTrip sends a request, reads the whole answer and returns the connection to the pool.
+func (s *server) roundTrip(client *backend.Client) string {
 	s.t.Helper()
 	exchange := s.send(client)
-	body, err := exchange.ReadAll(limit)
+	body, err := exchange.ReadAll(maxBody)
 	qt.Assert(s.t, err, qt.IsNil)
-	exchange.Finish(true, long)
+	exchange.Finish(true, keepAlive)
 	return string(body)
 }
 
-// opened returns how many connections a client has made.
-func opened(client *backend.Client) int64 {
+// openedConns returns how many connections a client has opened.
+func openedConns(client *backend.Client) int64 {
 	made, _ := client.Counts()
 	return made
 }
 
-func TestConnectionIsUsedAgainAfterAWholeAnswer(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteAnswer(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nin\r\n7\r\n chunks\r\n0\r\nA: trailer\r\n\r\n"
 	interim := "HTTP/1.1 102 Processing\r\n\r\n"
-	s := serve(t, say(wholeAnswer), say(chunked), say("HTTP/1.1 204 No Content\r\n\r\n"), say(interim+wholeAnswer))
+	s := startServer(t, respond(completeAnswer), respond(chunked), respond("HTTP/1.1 204 No Content\r\n\r\n"), respond(interim+completeAnswer))
 	client := &backend.Client{}
-	qt.Check(t, s.ask(client), qt.Equals, "whole")
-	qt.Check(t, s.ask(client), qt.Equals, "in chunks")
-	qt.Check(t, s.ask(client), qt.Equals, "")
-	qt.Check(t, s.ask(client), qt.Equals, "whole")
+	qt.Check(t, s.roundTrip(client), qt.Equals, "whole")
+	qt.Check(t, s.roundTrip(client), qt.Equals, "in chunks")
+	qt.Check(t, s.roundTrip(client), qt.Equals, "")
+	qt.Check(t, s.roundTrip(client), qt.Equals, "whole")
 	made, reused := client.Counts()
 	qt.Assert(t, made, qt.Equals, int64(1))
 	qt.Assert(t, reused, qt.Equals, int64(3))
 }
 
-func TestConnectionWithSurplusBytesIsNotUsedAgain(t *testing.T) {
-	s := serve(t, say(wholeAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nforeign"), say(wholeAnswer))
+func TestConnectionWithUnexpectedBytesIsNotReused(t *testing.T) {
+	s := startServer(t, respond(completeAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nforeign"), respond(completeAnswer))
 	client := &backend.Client{}
-	qt.Assert(t, s.ask(client), qt.Equals, "whole")
-	qt.Assert(t, s.ask(client), qt.Equals, "whole")
-	qt.Assert(t, opened(client), qt.Equals, int64(2))
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+	qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 }
 
-// awaitTaken waits until the peer's kernel has taken all that was sent, the end
-// of the connection included.
-func awaitTaken(t *testing.T, conn *net.TCPConn) {
+// waitUntilAcked waits until the peer's kernel has acknowledged everything that was sent,
+// including the FIN.
+func waitUntilAcked(t *testing.T, conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	qt.Assert(t, err, qt.IsNil)
-	const pause = time.Millisecond
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(pause) {
-		left := 0
+	const interval = time.Millisecond
+	for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(interval) {
+		unacked := 0
 		var ioctlErr error
 		qt.Assert(t, raw.Control(func(fd uintptr) {
-			left, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ)
+			unacked, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ)
 		}), qt.IsNil)
 		qt.Assert(t, ioctlErr, qt.IsNil)
-		if left == 0 {
+		if unacked == 0 {
 			return
 		}
 	}
-	t.Error("the peer did not take what was sent")
+	t.Error("peer did not acknowledge the sent bytes")
 }
 
-func TestKeptConnectionIsLookedAtBeforeItIsUsedAgain(t *testing.T) {
+func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// late happens while the connection is kept.
+		// late is called while the connection is idle.
 		late func(conn *net.TCPConn) error
 	}{
 		{
-			name: "surplus bytes",
+			name: "unexpected bytes",
 			late: func(conn *net.TCPConn) error {
 				_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nforeign")
 				return err
@@ -202,26 +200,26 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			kept, done := make(chan struct{}), make(chan struct{})
-			s := serve(t, func(t *testing.T, conn *net.TCPConn) bool {
+			isIdle, done := make(chan struct{}), make(chan struct{})
+			s := startServer(t, func(t *testing.T, conn *net.TCPConn) bool {
 				defer close(done)
-				say(wholeAnswer)(t, conn)
-				<-kept
+				respond(completeAnswer)(t, conn)
+				<-isIdle
 				qt.Check(t, c.late(conn), qt.IsNil)
-				awaitTaken(t, conn)
+				waitUntilAcked(t, conn)
 				return true
-			}, say(wholeAnswer))
+			}, respond(completeAnswer))
 			client := &backend.Client{}
-			qt.Assert(t, s.ask(client), qt.Equals, "whole")
-			close(kept)
+			qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+			close(isIdle)
 			<-done
-			qt.Assert(t, s.ask(client), qt.Equals, "whole")
-			qt.Assert(t, opened(client), qt.Equals, int64(2))
+			qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+			qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 		})
 	}
 }
 
-func TestAnswerThatIsCutShortIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer string
@@ -244,45 +242,45 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := serve(t, sayAndClose(c.answer), say(wholeAnswer))
+			s := startServer(t, respondAndClose(c.answer), respond(completeAnswer))
 			client := &backend.Client{}
 			exchange := s.send(client)
-			_, err := exchange.ReadAll(limit)
+			_, err := exchange.ReadAll(maxBody)
 			qt.Assert(t, err, qt.ErrorIs, io.ErrUnexpectedEOF)
-			exchange.Finish(true, long)
-			qt.Assert(t, s.ask(client), qt.Equals, "whole")
-			qt.Assert(t, opened(client), qt.Equals, int64(2))
+			exchange.Finish(true, keepAlive)
+			qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+			qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 		})
 	}
 }
 
-// untilEnd is an answer whose body ends with its connection.
-const untilEnd = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end"
+// closeDelimitedAnswer is an answer whose body ends where its connection closes.
+const closeDelimitedAnswer = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end"
 
-func TestBodyMayEndWithItsConnection(t *testing.T) {
-	s := serve(t, sayAndClose(untilEnd), say(wholeAnswer))
+func TestBodyWithoutLengthEndsWithConnection(t *testing.T) {
+	s := startServer(t, respondAndClose(closeDelimitedAnswer), respond(completeAnswer))
 	client := &backend.Client{}
-	qt.Assert(t, s.ask(client), qt.Equals, "until the end")
-	qt.Assert(t, s.ask(client), qt.Equals, "whole")
-	qt.Assert(t, opened(client), qt.Equals, int64(2))
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "until the end")
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
+	qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 }
 
-func TestAbortedBodyThatEndsWithItsConnectionIsNotWhole(t *testing.T) {
-	s := serve(t, say(untilEnd))
+func TestAbortedBodyWithoutLengthIsIncomplete(t *testing.T) {
+	s := startServer(t, respond(closeDelimitedAnswer))
 	exchange := s.send(&backend.Client{})
 	exchange.Abort()
-	_, err := exchange.ReadAll(limit)
+	_, err := exchange.ReadAll(maxBody)
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
-func TestAnswerLongerThanTheLimitIsAnError(t *testing.T) {
-	s := serve(t, say(wholeAnswer))
+func TestAnswerOverSizeLimitIsAnError(t *testing.T) {
+	s := startServer(t, respond(completeAnswer))
 	exchange := s.send(&backend.Client{})
 	_, err := exchange.ReadAll(len("whole") - 1)
 	qt.Assert(t, err, qt.ErrorMatches, "read body of answer: more than 4 bytes")
 }
 
-func TestRefusedConnectionSaysThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionReportsNothingSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	address := listener.Addr().String()
@@ -296,53 +294,53 @@
 }
 
 func TestSweepClosesConnectionsToUnknownServers(t *testing.T) {
-	s := serve(t, say(wholeAnswer), say(wholeAnswer), say(wholeAnswer))
+	s := startServer(t, respond(completeAnswer), respond(completeAnswer), respond(completeAnswer))
 	client := &backend.Client{}
-	s.ask(client)
+	s.roundTrip(client)
 	client.Sweep(func(string) bool { return true })
-	s.ask(client)
-	qt.Assert(t, opened(client), qt.Equals, int64(1))
+	s.roundTrip(client)
+	qt.Assert(t, openedConns(client), qt.Equals, int64(1))
 	client.Sweep(func(string) bool { return false })
-	s.ask(client)
-	qt.Assert(t, opened(client), qt.Equals, int64(2))
+	s.roundTrip(client)
+	qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 }
 
-// A kept connection may go silent for good without a word: the packets of a machine
-// that was cut off are dropped, not refused.
-func TestKeptConnectionThatIsSilentForGoodIsNotUsedAgain(t *testing.T) {
+// Guards against reuse of a dead connection: packets from a VM that has been cut off are
+// dropped, so an idle connection may stop responding without being closed.
+func TestUnresponsiveConnectionIsNotReused(t *testing.T) {
 	ignore := func(*testing.T, *net.TCPConn) bool {
 		return true
 	}
-	s := serve(t, say(wholeAnswer), ignore, say(wholeAnswer))
+	s := startServer(t, respond(completeAnswer), ignore, respond(completeAnswer))
 	client := &backend.Client{}
-	qt.Assert(t, s.ask(client), qt.Equals, "whole")
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
 
 	exchange, err := client.Connect("i-0001", s.listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	err = exchange.Send([]byte(requestHead), nil)
 	qt.Assert(t, err, qt.IsNil)
-	const shortly = 50 * time.Millisecond
-	qt.Assert(t, exchange.SetReadDeadline(time.Now().Add(shortly)), qt.IsNil)
+	const readTimeout = 50 * time.Millisecond
+	qt.Assert(t, exchange.SetReadDeadline(time.Now().Add(readTimeout)), qt.IsNil)
 	var head fasthttp.ResponseHeader
 	qt.Assert(t, exchange.ReadHead(&head), qt.IsNotNil)
 	exchange.Abort()
 
-	qt.Assert(t, s.ask(client), qt.Equals, "whole")
+	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
 	made, reused := client.Counts()
 	qt.Assert(t, made, qt.Equals, int64(2))
 	qt.Assert(t, reused, qt.Equals, int64(1))
 }
 
-// A connection for which nothing was written is used for the next request, and no longer
-// than the server keeps it.
-func TestConnectionThatWasNotUsedIsKept(t *testing.T) {
-	s := serve(t, say(wholeAnswer), say(wholeAnswer), say(wholeAnswer))
+// A connection for which nothing was written is used for the next request, but not beyond the
+// server's keep-alive time.
+func TestUnusedConnectionIsReleasedForReuse(t *testing.T) {
+	s := startServer(t, respond(completeAnswer), respond(completeAnswer), respond(completeAnswer))
 	client := &backend.Client{}
 	for range 2 {
 		exchange, err := client.Connect("i-0001", s.listener.Addr().String())
 		qt.Assert(t, err, qt.IsNil)
 		exchange.Release()
-		qt.Assert(t, s.ask(client), qt.Equals, "whole")
+		qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
 	}
-	qt.Assert(t, opened(client), qt.Equals, int64(1))
+	qt.Assert(t, openedConns(client), qt.Equals, int64(1))
 }
--- a/io/backend/exchange.go
+++ b/io/backend/exchange.go
@@ -13,34 +13,34 @@
 	"headcourse/io/http1"
 )
 
-// longBody is the size from which a body is written beside reading the answer:
-// a server may answer before it has read a long one.
-const longBody = 8 << 10
+// asyncBodySize is the size, in bytes, from which a body is written concurrently with reading
+// the answer: a server may answer before it has read a long body.
+const asyncBodySize = 8 << 10
 
-// writeTime bounds writing a request to a peer that does not read.
-const writeTime = 3 * time.Second
+// writeTimeout bounds writing a request to a peer that does not read.
+const writeTimeout = 3 * time.Second
 
-// Exchange is one request and its answer. Its methods are for one goroutine,
-// but Abort may be called from any.
+// Exchange is one request and its answer. Only one goroutine may use it, except for Abort,
+// which may be called from any.
 type Exchange struct {
 	client  *Client
 	server  string
 	address string
 	conn    *conn
 	body    io.Reader
-	// isWhole tells that the whole answer was read; endsWithConn that the
-	// answer's end is the end of its connection.
-	isWhole      bool
-	endsWithConn bool
-	// writing is open while a long body is being written.
-	writing  chan struct{}
-	writeErr error
-	once     sync.Once
-	aborted  atomic.Bool
+	// isComplete is set when the whole answer has been read. endsAtClose is set if the answer
+	// ends where its connection closes.
+	isComplete  bool
+	endsAtClose bool
+	// bodyWritten is closed when a long body has been written; nil for short bodies.
+	bodyWritten chan struct{}
+	writeErr    error
+	once        sync.Once
+	aborted     atomic.Bool
 }
 
-// Send writes the request, which must be done once. The error is a *http1.Error: some of the
-// request may have been sent. The exchange has then been broken off.
+// Send writes the request and must be called only once. The error is a *http1.Error, which
+// means that part of the request may have been sent; the exchange is then aborted.
 func (e *Exchange) Send(head, body []byte) error {
 	err := e.write(head, body)
 	if err == nil {
@@ -54,44 +54,43 @@
 	}
 }
 
-// Release gives back the connection of an exchange for which nothing was written.
+// Release returns the connection of an exchange for which nothing was written to the pool.
 func (e *Exchange) Release() {
 	e.once.Do(func() {
-		if e.conn.goodUntil.IsZero() {
-			e.client.keep(e.server, e.conn, 0)
+		if e.conn.reusableUntil.IsZero() {
+			e.client.pushIdle(e.server, e.conn, 0)
 			return
 		}
-		e.client.putBack(e.server, e.conn)
+		e.client.addIdle(e.server, e.conn)
 	})
 }
 
-// write writes the request, long bodies in a goroutine of their own.
+// write writes the request, and long bodies in a goroutine of their own.
 func (e *Exchange) write(head, body []byte) error {
-	if err := e.conn.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+	if err := e.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.Wrap(err, "set write deadline")
 	}
-	if len(body) < longBody {
+	if len(body) < asyncBodySize {
 		_, err := e.conn.Write(append(head, body...))
 		return errors.Wrap(err, "write request")
 	}
 	if _, err := e.conn.Write(head); err != nil {
 		return errors.Wrap(err, "write request head")
 	}
-	e.writing = make(chan struct{})
+	e.bodyWritten = make(chan struct{})
 	go func() {
-		defer close(e.writing)
+		defer close(e.bodyWritten)
 		_, e.writeErr = e.conn.Write(body)
 	}()
 	return nil
 }
 
-// SetReadDeadline bounds the next reads.
+// SetReadDeadline sets the deadline of further reads.
 func (e *Exchange) SetReadDeadline(until time.Time) error {
 	return errors.Wrap(e.conn.SetReadDeadline(until), "set read deadline")
 }
 
-// ReadHead reads the head of the next answer on the connection, without
-// interim ones.
+// ReadHead reads the head of the next answer on the connection and skips interim (1xx) answers.
 func (e *Exchange) ReadHead(head *fasthttp.ResponseHeader) error {
 	for {
 		if err := head.Read(e.conn.reader); err != nil {
@@ -101,14 +100,14 @@
 			break
 		}
 	}
-	e.isWhole = false
+	e.isComplete = false
 	switch length := head.ContentLength(); {
 	case hasNoBody(head.StatusCode()):
 		e.body = emptyBody{}
 	case length >= 0:
-		e.body = &sizedBody{
-			reader: e.conn.reader,
-			left:   length,
+		e.body = &fixedLengthBody{
+			reader:    e.conn.reader,
+			remaining: length,
 		}
 	case length == -1:
 		e.body = &chunkedBody{
@@ -116,34 +115,34 @@
 			exchange: e,
 		}
 	default:
-		e.endsWithConn = true
+		e.endsAtClose = true
 		e.body = e.conn.reader
 	}
 	return nil
 }
 
-// hasNoBody tells whether answers of a status never have a body.
+// hasNoBody reports whether answers with a status never have a body.
 func hasNoBody(status int) bool {
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// Read reads the body. It returns io.EOF only at the end of a whole answer.
+// Read reads the body. It returns io.EOF only at the end of a complete answer.
 func (e *Exchange) Read(target []byte) (int, error) {
-	if e.isWhole {
+	if e.isComplete {
 		return 0, io.EOF
 	}
 	n, err := e.body.Read(target)
 	if errors.Is(err, io.EOF) {
-		// A connection that this side closed also ends without an error.
-		if e.endsWithConn && e.aborted.Load() {
+		// A connection that was closed by Abort may also end without an error.
+		if e.endsAtClose && e.aborted.Load() {
 			return n, io.ErrUnexpectedEOF
 		}
-		e.isWhole = true
+		e.isComplete = true
 	}
 	return n, err
 }
 
-// ReadAll reads the whole body, up to limit bytes.
+// ReadAll reads the whole body, which may have up to limit bytes.
 func (e *Exchange) ReadAll(limit int) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(e, int64(limit)+1))
 	if err != nil {
@@ -155,18 +154,18 @@
 	return content, nil
 }
 
-// EndsWithConnection tells whether the end of the answer is only that of its connection: it
+// EndsWithConnection reports whether only the close of the connection ends the answer, since it
 // has neither a length nor chunks.
 func (e *Exchange) EndsWithConnection() bool {
-	return e.endsWithConn
+	return e.endsAtClose
 }
 
-// Finish gives the connection back after a whole answer, to be kept for
-// keepFor (0: as usual); mayKeep is false where the server asked to close, or
-// an answer was out of place.
-func (e *Exchange) Finish(mayKeep bool, keepFor time.Duration) {
+// Finish returns the connection to the pool after a complete answer, for keepFor (0: the
+// default). isReusable is false if the server asked to close the connection or sent an answer
+// to another request.
+func (e *Exchange) Finish(isReusable bool, keepFor time.Duration) {
 	e.once.Do(func() {
-		if !mayKeep || !e.isWhole || e.endsWithConn || !e.isWritten() || e.conn.reader.Buffered() > 0 {
+		if !isReusable || !e.isComplete || e.endsAtClose || !e.isBodyWritten() || e.conn.reader.Buffered() > 0 {
 			e.aborted.Store(true)
 			_ = e.conn.Close()
 			return
@@ -175,17 +174,17 @@
 			_ = e.conn.Close()
 			return
 		}
-		e.client.keep(e.server, e.conn, keepFor)
+		e.client.pushIdle(e.server, e.conn, keepFor)
 	})
 }
 
-// isWritten tells whether the request's body has been written whole.
-func (e *Exchange) isWritten() bool {
-	if e.writing == nil {
+// isBodyWritten reports whether the request's body has been written completely.
+func (e *Exchange) isBodyWritten() bool {
+	if e.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-e.writing:
+	case <-e.bodyWritten:
 		return e.writeErr == nil
 	default:
 		return false
@@ -203,32 +202,32 @@
 // emptyBody is the body of an answer that never has one.
 type emptyBody struct{}
 
-// Read returns the end.
+// Read returns io.EOF.
 func (emptyBody) Read([]byte) (int, error) {
 	return 0, io.EOF
 }
 
-// sizedBody is a body whose length was told.
-type sizedBody struct {
-	reader io.Reader
-	left   int
+// fixedLengthBody is a body with a Content-Length.
+type fixedLengthBody struct {
+	reader    io.Reader
+	remaining int
 }
 
-// Read reads up to the length; a connection that ends earlier is an error.
-func (s *sizedBody) Read(target []byte) (int, error) {
-	if s.left == 0 {
+// Read reads up to the length. It returns io.ErrUnexpectedEOF if the connection ends earlier.
+func (s *fixedLengthBody) Read(target []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.reader.Read(target[:min(len(target), s.left)])
-	s.left -= n
-	if errors.Is(err, io.EOF) && s.left > 0 {
+	n, err := s.reader.Read(target[:min(len(target), s.remaining)])
+	s.remaining -= n
+	if errors.Is(err, io.EOF) && s.remaining > 0 {
 		return n, io.ErrUnexpectedEOF
 	}
-	return n, nilIfData(n, err)
+	return n, deferError(n, err)
 }
 
-// nilIfData drops an error that came with bytes; the next read returns it.
-func nilIfData(n int, err error) error {
+// deferError drops an error that came with bytes; the next read returns it.
+func deferError(n int, err error) error {
 	if n > 0 {
 		return nil
 	}
@@ -242,7 +241,7 @@
 	isEnded  bool
 }
 
-// Read reads chunks; after the last one it reads the line that ends trailers.
+// Read reads chunks and, after the last one, the trailers and the empty line that ends them.
 func (c *chunkedBody) Read(target []byte) (int, error) {
 	if c.isEnded {
 		return 0, io.EOF
