--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -14,16 +14,16 @@
 	"headcourse/io/logline"
 )
 
-// connectTime bounds connecting to another daemon: links take milliseconds, and a
-// busy daemon some tens.
-const connectTime = 150 * time.Millisecond
+// connectTimeout bounds connecting to another daemon: links take milliseconds, and a busy
+// daemon some tens of milliseconds.
+const connectTimeout = 150 * time.Millisecond
 
-// Client asks one other daemon. It implements rowstore.Reader and keeps one
-// connection, which it makes when it is needed. Use NewClient.
+// Client calls one other daemon. It implements rowstore.Reader over a single connection that is
+// opened on demand. Use NewClient.
 type Client struct {
-	// Self is the name of the daemon that asks, Peer that of the one that is asked.
-	// Board is what is told with calls; nil: nothing. Refused, if set, is told of answers
-	// about it that make no sense. Set before use.
+	// Self is the name of the calling daemon, Peer that of the called one. Board provides the
+	// demand that is reported with calls; nil means none. Refused, if set, is called if the
+	// total demand in an answer is invalid. Set them before use.
 	Self    string
 	Peer    string
 	Board   *demand.Board
@@ -43,14 +43,14 @@
 
 // Read returns all rows of a table.
 func (c *Client) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	return c.call(ctx, callRead, question{
+	return c.call(ctx, callRead, callParams{
 		Table: table,
 	})
 }
 
 // Feed returns the rows that changed since a revision.
 func (c *Client) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	return c.call(ctx, callFeed, c.telling(question{
+	return c.call(ctx, callFeed, c.withDemand(callParams{
 		Table:  table,
 		Era:    since.Era,
 		Since:  since.Version,
@@ -58,67 +58,67 @@
 	}))
 }
 
-// Enlist has the daemon list the one that asks, by its entry, together with others.
+// Enlist asks the daemon to list the calling one, by its entry, in the store together with
+// others.
 func (c *Client) Enlist(ctx context.Context, entry []byte) error {
-	_, err := c.call(ctx, callEnlist, question{
+	_, err := c.call(ctx, callEnlist, callParams{
 		From:  c.Self,
 		Entry: entry,
 	})
 	return err
 }
 
-// telling returns the question with what is to be told with it, if it is time to.
-func (c *Client) telling(asked question) question {
+// withDemand adds the demand to the parameters of a call, if a report is due.
+func (c *Client) withDemand(params callParams) callParams {
 	if c.Board == nil {
-		return asked
+		return params
 	}
-	below, isTime := c.Board.Tell(c.Peer)
-	if isTime {
-		asked.From = c.Self
-		asked.Asked = encodeAsked(below.Asked)
-		asked.Depth = below.Depth
+	measured, isDue := c.Board.Tell(c.Peer)
+	if isDue {
+		params.From = c.Self
+		params.Asked = encodeDemand(measured.Asked)
+		params.Depth = measured.Depth
 	}
-	return asked
+	return params
 }
 
-// hear takes what an answer says is asked of all.
-func (c *Client) hear(answered answer) {
-	if c.Board == nil || len(answered.Asked) == 0 {
+// recordTotalDemand records the total demand of all daemons from an answer.
+func (c *Client) recordTotalDemand(result callResult) {
+	if c.Board == nil || len(result.Asked) == 0 {
 		return
 	}
-	if err := c.Board.Heard(c.Peer, decodeAsked(answered.Asked)); err != nil && c.Refused != nil {
+	if err := c.Board.Heard(c.Peer, decodeDemand(result.Asked)); err != nil && c.Refused != nil {
 		c.Refused(c.Peer, err)
 	}
 }
 
-// call makes one call. A connection on which a call got no answer is not used
-// again.
-func (c *Client) call(ctx context.Context, method string, asked question) (rowstore.Result, error) {
+// call makes one call. If it gets no answer, its connection is not reused.
+func (c *Client) call(ctx context.Context, method string, params callParams) (rowstore.Result, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return rowstore.Result{}, errors.Wrapf(rowstore.ErrRefused, "connect to daemon %s: %s", c.address, err)
 	}
-	var answered answer
-	err = conn.Call(ctx, method, asked, &answered)
+	var result callResult
+	err = conn.Call(ctx, method, params, &result)
 	if err == nil {
-		c.hear(answered)
-		return decode(asked.Table, answered)
+		c.recordTotalDemand(result)
+		return decode(params.Table, result)
 	}
-	var told *jsonrpc2.Error
-	if errors.As(err, &told) {
-		switch told.Code {
+	var rpcErr *jsonrpc2.Error
+	if errors.As(err, &rpcErr) {
+		switch rpcErr.Code {
 		case codeCompacted:
 			return rowstore.Result{}, rowstore.ErrCompacted
 		case codeNoCopy:
 			return rowstore.Result{}, errors.Wrapf(rowstore.ErrNoCopy, "daemon %s", c.address)
 		}
-		return rowstore.Result{}, errors.Wrapf(rowstore.ErrRefused, "daemon %s: %s", c.address, told.Message)
+		return rowstore.Result{}, errors.Wrapf(rowstore.ErrRefused, "daemon %s: %s", c.address, rpcErr.Message)
 	}
-	c.drop(conn)
+	c.discard(conn)
 	return rowstore.Result{}, errors.Wrapf(rowstore.ErrUnknown, "call %s of daemon %s: %s", method, c.address, err)
 }
 
-// connect returns the connection, a new one if there is none that is open.
+// connect returns the open connection, or opens a new one.
 func (c *Client) connect(ctx context.Context) (*jsonrpc2.Conn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -130,25 +130,25 @@
 		}
 	}
 	dialer := net.Dialer{
-		Timeout: connectTime,
+		Timeout: connectTimeout,
 	}
 	raw, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err != nil {
 		return nil, err
 	}
 	stream := jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{})
-	c.conn = jsonrpc2.NewConn(context.Background(), stream, refuse{}, jsonrpc2.SetLogger(logline.Quiet{}))
+	c.conn = jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, jsonrpc2.SetLogger(logline.Quiet{}))
 	return c.conn, nil
 }
 
-// refuse takes no calls from the daemon that is asked.
-type refuse struct{}
+// rejectCalls ignores calls from the called daemon.
+type rejectCalls struct{}
 
-// Handle drops a call.
-func (refuse) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+// Handle ignores a call.
+func (rejectCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-// drop closes a connection.
-func (c *Client) drop(conn *jsonrpc2.Conn) {
+// discard closes a connection, which is not reused.
+func (c *Client) discard(conn *jsonrpc2.Conn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.conn == conn {
@@ -157,7 +157,7 @@
 	_ = conn.Close()
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/io/relay/demand.go
+++ b/io/relay/demand.go
@@ -8,14 +8,15 @@
 	"headcourse/core/usage"
 )
 
-// asked is how much of a kind is asked in a zone, as it is sent.
-type asked struct {
+// demandEntry is the demand for a kind of request in a zone, as it is sent.
+type demandEntry struct {
 	Service string  `json:"service"`
 	Model   string  `json:"model,omitempty"`
 	Zone    string  `json:"zone"`
 	Rate    float64 `json:"rate"`
-	// Requests are in requests a second, Prompt, Answer and Squares in tokens a second,
-	// Goals in seconds for each.
+	// Requests is in requests per second, Prompt and Answer in tokens per second. Squares sums
+	// the squared prompt lengths, in tokens, per second. Goals sums the goals for the start of
+	// answers, in seconds, once per prompt token and per second.
 	Requests float64 `json:"requests,omitempty"`
 	Prompt   float64 `json:"prompt,omitempty"`
 	Answer   float64 `json:"answer,omitempty"`
@@ -23,77 +24,79 @@
 	Goals    float64 `json:"goals,omitempty"`
 }
 
-// encodeAsked returns what is asked as it is sent.
-func encodeAsked(all []demand.Asked) []asked {
-	var sent []asked
-	for _, one := range all {
-		sent = append(sent, asked{
-			Service:  one.Kind.Service,
-			Model:    one.Kind.Model,
-			Zone:     one.Zone,
-			Rate:     one.Rate,
-			Requests: one.Tokens.Requests,
-			Prompt:   one.Tokens.Prompt,
-			Answer:   one.Tokens.Answer,
-			Squares:  one.Tokens.Squares,
-			Goals:    one.Tokens.Goals,
+// encodeDemand converts demand to the form in which it is sent.
+func encodeDemand(entries []demand.Asked) []demandEntry {
+	var encoded []demandEntry
+	for _, entry := range entries {
+		encoded = append(encoded, demandEntry{
+			Service:  entry.Kind.Service,
+			Model:    entry.Kind.Model,
+			Zone:     entry.Zone,
+			Rate:     entry.Rate,
+			Requests: entry.Tokens.Requests,
+			Prompt:   entry.Tokens.Prompt,
+			Answer:   entry.Tokens.Answer,
+			Squares:  entry.Tokens.Squares,
+			Goals:    entry.Tokens.Goals,
 		})
 	}
-	return sent
+	return encoded
 }
 
-// decodeAsked returns what is asked as it was sent.
-func decodeAsked(sent []asked) []demand.Asked {
-	var all []demand.Asked
-	for _, one := range sent {
-		all = append(all, demand.Asked{
+// decodeDemand converts demand from the form in which it is sent.
+func decodeDemand(encoded []demandEntry) []demand.Asked {
+	var entries []demand.Asked
+	for _, entry := range encoded {
+		entries = append(entries, demand.Asked{
 			Kind: demand.Kind{
-				Service: one.Service,
-				Model:   one.Model,
+				Service: entry.Service,
+				Model:   entry.Model,
 			},
-			Zone: one.Zone,
-			Rate: one.Rate,
+			Zone: entry.Zone,
+			Rate: entry.Rate,
 			Tokens: usage.Rate{
-				Requests: one.Requests,
-				Prompt:   one.Prompt,
-				Answer:   one.Answer,
-				Squares:  one.Squares,
-				Goals:    one.Goals,
+				Requests: entry.Requests,
+				Prompt:   entry.Prompt,
+				Answer:   entry.Answer,
+				Squares:  entry.Squares,
+				Goals:    entry.Goals,
 			},
 		})
 	}
-	return all
+	return entries
 }
 
-// told takes what a daemon tells with a call, and returns what is asked of all. One that
-// tells nonsense is answered all the same.
-func (s *Server) told(call question) []asked {
-	if s.board == nil || call.From == "" {
+// recordDemand records the demand that a daemon reports with a call, and returns the total
+// demand of all daemons. Invalid demand is reported and not recorded, and the call is still
+// answered.
+func (s *Server) recordDemand(params callParams) []demandEntry {
+	if s.board == nil || params.From == "" {
 		return nil
 	}
-	all, err := s.board.Told(call.From, demand.Word{
-		Asked: decodeAsked(call.Asked),
-		Depth: call.Depth,
+	total, err := s.board.Told(params.From, demand.Word{
+		Asked: decodeDemand(params.Asked),
+		Depth: params.Depth,
 	})
 	if err != nil {
-		s.refuse(call.From, err)
+		s.reportRejected(params.From, err)
 		return nil
 	}
-	return encodeAsked(all)
+	return encodeDemand(total)
 }
 
-// retract forgets what a daemon told with a call that this one has no copy for: with the
-// store away from all relays, each daemon's requests counted at its relay and at a standby,
-// and the leader thought that half as much more was asked.
-func (s *Server) retract(call question, err error) {
-	if s.board != nil && call.From != "" && errors.Is(err, rowstore.ErrNoCopy) {
-		s.board.Retract(call.From)
+// retractDemand removes the demand that a daemon reported with a call that failed because this
+// one has no copy of the table. Without this, when no relay could reach the store, each
+// daemon's requests counted both at its relay and at a standby, and the leader overestimated
+// the demand by half.
+func (s *Server) retractDemand(params callParams, err error) {
+	if s.board != nil && params.From != "" && errors.Is(err, rowstore.ErrNoCopy) {
+		s.board.Retract(params.From)
 	}
 }
 
-// refuse tells of a word that makes no sense.
-func (s *Server) refuse(from string, err error) {
-	if s.refused != nil {
-		s.refused(from, err)
+// reportRejected reports a daemon whose demand is invalid.
+func (s *Server) reportRejected(from string, err error) {
+	if s.onRejected != nil {
+		s.onRejected(from, err)
 	}
 }
--- a/io/relay/pack.go
+++ b/io/relay/pack.go
@@ -12,52 +12,53 @@
 	"headcourse/core/rowstore"
 )
 
-// packFrom is the size from which a value is sent packed: a configuration of a
-// thousand routes has some hundred KB, and a relay with a slow link sends it to
-// dozens of daemons.
-const packFrom = 4 << 10
-
-// unpackLimit bounds a value that is unpacked; rows of the store are smaller.
-const unpackLimit = 64 << 20
-
-// packer packs values, each once for all who ask. The zero value works.
-type packer struct {
-	mutex sync.Mutex
-	known map[string]packed
+// minCompressBytes is the size from which a value is sent compressed: a configuration of a
+// thousand routes has some hundred KB, and a relay with a slow link sends it to dozens of
+// daemons.
+const minCompressBytes = 4 << 10
+
+// maxDecompressedBytes bounds a decompressed value; rows of the store are smaller.
+const maxDecompressedBytes = 64 << 20
+
+// valueCompressor compresses values and caches the result, so that each is compressed once for
+// all callers. The zero value is ready to use.
+type valueCompressor struct {
+	mutex  sync.Mutex
+	values map[string]compressedValue
 }
 
-// packed is a row's packed value.
-type packed struct {
-	at    rowstore.Revision
-	value []byte
+// compressedValue is the compressed value of a row at a revision.
+type compressedValue struct {
+	revision rowstore.Revision
+	value    []byte
 }
 
-// pack returns the packed value of a row, or nil where it is short.
-func (p *packer) pack(table, key string, at rowstore.Revision, value []byte) ([]byte, error) {
-	if len(value) < packFrom {
+// compress returns the compressed value of a row, or nil if the value is short.
+func (c *valueCompressor) compress(table, key string, revision rowstore.Revision, value []byte) ([]byte, error) {
+	if len(value) < minCompressBytes {
 		return nil, nil
 	}
 	name := table + "/" + key
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if found, ok := p.known[name]; ok && found.at == at {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if found, ok := c.values[name]; ok && found.revision == revision {
 		return found.value, nil
 	}
 	content, err := compress(value)
 	if err != nil {
 		return nil, err
 	}
-	if p.known == nil {
-		p.known = map[string]packed{}
+	if c.values == nil {
+		c.values = map[string]compressedValue{}
 	}
-	p.known[name] = packed{
-		at:    at,
-		value: content,
+	c.values[name] = compressedValue{
+		revision: revision,
+		value:    content,
 	}
 	return content, nil
 }
 
-// compress returns a value compressed.
+// compress returns a value compressed by gzip.
 func compress(value []byte) ([]byte, error) {
 	var out bytes.Buffer
 	writer, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -73,66 +74,67 @@
 	return out.Bytes(), nil
 }
 
-// packRowsFrom is the number of rows from which they are sent packed together: they are
-// much alike, and a thousand servers' entries shrink from 450 KB to a tenth. Dozens of
-// daemons read them from one relay at a restart of all, over a link of 200 Mbit/s.
-const packRowsFrom = 32
-
-// bundles keeps rows that were packed together, each once for all who ask. When all
-// daemons start, dozens ask a relay for the same table at the same moment, and packing it for
-// each of them would keep a small VM busy. The zero value works.
-type bundles struct {
-	mutex sync.Mutex
-	known map[string]tableBundles
+// minCompressRows is the number of rows from which they are compressed together. Rows are
+// similar, so the entries of a thousand servers shrink from 450 KB to a tenth. When all daemons
+// restart, dozens of them read these from one relay over a link of 200 Mbit/s.
+const minCompressRows = 32
+
+// rowCompressor compresses rows together and caches the result, so that it is computed once for
+// all callers. When all daemons start, dozens read the same table from a relay at the same
+// time, and compressing it for each of them would overload a small VM. The zero value is ready
+// to use.
+type rowCompressor struct {
+	mutex  sync.Mutex
+	tables map[string]compressedTable
 }
 
-// tableBundles are the bundles of a table at a revision, by the version since which the
-// rows changed.
-type tableBundles struct {
-	at    rowstore.Revision
-	since map[int64][]byte
+// compressedTable holds the compressed rows of a table at a revision, by the version since
+// which the rows changed.
+type compressedTable struct {
+	revision rowstore.Revision
+	bySince  map[int64][]byte
 }
 
-// whole stands for a table read whole, in place of a version since which it changed.
-const whole = -1
-
-// pack returns the answer with its rows packed where they are many.
-func (b *bundles) pack(table string, since int64, a answer) (answer, error) {
-	if len(a.Rows) < packRowsFrom {
-		return a, nil
-	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known := b.known[table]
-	at := rowstore.Revision{
-		Era:     a.Era,
-		Version: a.Version,
-	}
-	if known.at != at || known.since == nil {
-		known = tableBundles{
-			at:    at,
-			since: map[int64][]byte{},
+// wholeTable stands for a full read, in place of the version since which a table changed.
+const wholeTable = -1
+
+// compress returns the result with its rows compressed together if there are many.
+func (c *rowCompressor) compress(table string, since int64, result callResult) (callResult, error) {
+	if len(result.Rows) < minCompressRows {
+		return result, nil
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	cached := c.tables[table]
+	revision := rowstore.Revision{
+		Era:     result.Era,
+		Version: result.Version,
+	}
+	if cached.revision != revision || cached.bySince == nil {
+		cached = compressedTable{
+			revision: revision,
+			bySince:  map[int64][]byte{},
 		}
 	}
-	content, isKnown := known.since[since]
-	if !isKnown {
+	content, isCached := cached.bySince[since]
+	if !isCached {
 		var err error
-		if content, err = packRows(a.Rows); err != nil {
-			return answer{}, err
+		if content, err = compressRows(result.Rows); err != nil {
+			return callResult{}, err
 		}
-		known.since[since] = content
+		cached.bySince[since] = content
 	}
-	if b.known == nil {
-		b.known = map[string]tableBundles{}
+	if c.tables == nil {
+		c.tables = map[string]compressedTable{}
 	}
-	b.known[table] = known
-	a.Rows = nil
-	a.PackedRows = content
-	return a, nil
+	c.tables[table] = cached
+	result.Rows = nil
+	result.PackedRows = content
+	return result, nil
 }
 
-// packRows returns rows encoded and compressed.
-func packRows(rows []row) ([]byte, error) {
+// compressRows returns rows as compressed JSON.
+func compressRows(rows []row) ([]byte, error) {
 	encoded, err := json.Marshal(rows)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode rows")
@@ -140,12 +142,12 @@
 	return compress(encoded)
 }
 
-// rows returns the answer's rows, packed or not.
-func (a answer) rows() ([]row, error) {
-	if len(a.PackedRows) == 0 {
-		return a.Rows, nil
+// decodeRows returns the rows of a result, compressed or not.
+func (r callResult) decodeRows() ([]row, error) {
+	if len(r.PackedRows) == 0 {
+		return r.Rows, nil
 	}
-	encoded, err := unpack(a.PackedRows)
+	encoded, err := decompress(r.PackedRows)
 	if err != nil {
 		return nil, err
 	}
@@ -154,12 +156,12 @@
 	return rows, errors.Wrap(err, "decode rows")
 }
 
-// unpack returns a value that was packed.
-func unpack(value []byte) ([]byte, error) {
+// decompress returns the original of a compressed value.
+func decompress(value []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack value")
 	}
-	content, err := io.ReadAll(io.LimitReader(reader, unpackLimit))
+	content, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes))
 	return content, errors.Wrap(err, "unpack value")
 }
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -18,11 +18,12 @@
 	"headcourse/lab/proxy"
 )
 
-// wait is long enough for anything on one machine; nothing depends on it passing.
-const wait = 20 * time.Second
+// maxWait is long enough for any operation on one VM; no test depends on its passing.
+const maxWait = 20 * time.Second
 
-// serve serves a hub with some rows and returns a client of it.
-func serve(t *testing.T, rows ...rowstore.Row) (*rowstore.Hub, *relay.Server, *relay.Client) {
+// startServer starts a server for a hub with some rows, and returns the hub, the server and a
+// client of it.
+func startServer(t *testing.T, rows ...rowstore.Row) (*rowstore.Hub, *relay.Server, *relay.Client) {
 	t.Helper()
 	hub := &rowstore.Hub{}
 	hub.Take("t", rowstore.Result{
@@ -41,7 +42,7 @@
 	return hub, server, client
 }
 
-// row returns a row of the table.
+// row returns a row of the table "t".
 func row(key, value string, version int64) rowstore.Row {
 	return rowstore.Row{
 		Table:   "t",
@@ -51,15 +52,15 @@
 	}
 }
 
-// version returns a revision of era 0.
-func version(number int64) rowstore.Revision {
+// revision returns a revision of era 0.
+func revision(number int64) rowstore.Revision {
 	return rowstore.Revision{
 		Version: number,
 	}
 }
 
-func TestTableIsReadThroughAnotherDaemon(t *testing.T) {
-	_, _, client := serve(t, row("a", "1", 4), row("b", "2", 9))
+func TestTableIsReadThroughRelay(t *testing.T) {
+	_, _, client := startServer(t, row("a", "1", 4), row("b", "2", 9))
 	result, err := client.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, result, qt.DeepEquals, rowstore.Result{
@@ -70,34 +71,34 @@
 	})
 }
 
-func TestChangesAreFollowedThroughAnotherDaemon(t *testing.T) {
-	hub, _, client := serve(t, row("a", "1", 4))
+func TestFeedReturnsChangesThroughRelay(t *testing.T) {
+	hub, _, client := startServer(t, row("a", "1", 4))
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		gone := row("a", "", 11)
-		gone.Value = nil
-		gone.Deleted = true
+		deleted := row("a", "", 11)
+		deleted.Value = nil
+		deleted.Deleted = true
 		hub.Take("t", rowstore.Result{
-			Rows:    []rowstore.Row{gone},
+			Rows:    []rowstore.Row{deleted},
 			Version: 11,
 		}, false, time.Now())
 	}()
-	result, err := client.Feed(context.Background(), "t", version(10), wait)
+	result, err := client.Feed(context.Background(), "t", revision(10), maxWait)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, result.Rows, qt.HasLen, 1)
 	qt.Assert(t, result.Rows[0].Deleted, qt.IsTrue)
 }
 
-func TestForgottenHistoryAndMissingTablesAreTold(t *testing.T) {
-	_, _, client := serve(t)
-	_, err := client.Feed(context.Background(), "t", version(3), wait)
+func TestCompactedRevisionAndMissingCopyAreReported(t *testing.T) {
+	_, _, client := startServer(t)
+	_, err := client.Feed(context.Background(), "t", revision(3), maxWait)
 	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrCompacted)
 	_, err = client.Read(context.Background(), "nothing")
 	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrNoCopy)
 }
 
-func TestDaemonThatIsNotThereIsRefused(t *testing.T) {
-	_, server, client := serve(t)
+func TestCallToStoppedDaemonIsRefused(t *testing.T) {
+	_, server, client := startServer(t)
 	server.Close()
 	_, err := client.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNotNil)
@@ -105,8 +106,7 @@
 	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrRefused)
 }
 
-// countingProxy passes a client's bytes on to a server and counts what comes
-// back.
+// countingProxy forwards one connection to a server and counts the bytes that the server sends.
 func countingProxy(t *testing.T, to string) (address string, count *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,21 +114,21 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	count = &atomic.Int64{}
 	go func() {
-		near, acceptErr := listener.Accept()
+		client, acceptErr := listener.Accept()
 		if acceptErr != nil {
 			return
 		}
-		far, dialErr := net.Dial("tcp", to)
+		server, dialErr := net.Dial("tcp", to)
 		if dialErr != nil {
 			return
 		}
-		go copyCounting(far, near, &atomic.Int64{})
-		copyCounting(near, far, count)
+		go copyCounting(server, client, &atomic.Int64{})
+		copyCounting(client, server, count)
 	}()
 	return listener.Addr().String(), count
 }
 
-// copyCounting copies until the source ends.
+// copyCounting copies bytes until the source ends.
 func copyCounting(to, from net.Conn, count *atomic.Int64) {
 	buffer := make([]byte, 4096)
 	for {
@@ -144,11 +144,11 @@
 	}
 }
 
-// Found by a hunt (DRAIN, caudal-presion-grown, scale-1 with seed 664850359927):
-// a large configuration filled the relays' links.
-func TestLongValuesArePacked(t *testing.T) {
+// Guards against large configurations that fill the relays' links. Found by a fault-injection
+// run (DRAIN, caudal-presion-grown, scale-1 with seed 664850359927).
+func TestLongValuesAreCompressed(t *testing.T) {
 	value := strings.Repeat(`{"Name":"r-1","Host":"water.example","PathPrefix":"/a/"},`, 4000)
-	_, server, _ := serve(t, row("config", value, 9))
+	_, server, _ := startServer(t, row("config", value, 9))
 	address, count := countingProxy(t, server.Address())
 	client := relay.NewClient(address)
 	defer client.Close()
@@ -158,21 +158,21 @@
 	qt.Assert(t, count.Load() < int64(len(value)/4), qt.IsTrue, qt.Commentf("%d bytes", count.Load()))
 }
 
-// A connection between daemons may go silent for good and stay open: a call that gets
-// no answer in its time is the last one on it.
-func TestConnectionThatIsSilentForGoodIsLeft(t *testing.T) {
-	_, server, _ := serve(t, row("a", "1", 4))
-	between, err := proxy.Listen(server.Address())
+// A connection between daemons may stop responding and stay open: after a call that timed out,
+// it must not be reused.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	_, server, _ := startServer(t, row("a", "1", 4))
+	stallingProxy, err := proxy.Listen(server.Address())
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(between.Close)
-	client := relay.NewClient(between.Address())
+	t.Cleanup(stallingProxy.Close)
+	client := relay.NewClient(stallingProxy.Address())
 	t.Cleanup(client.Close)
 	_, err = client.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNil)
 
-	between.Strand()
-	const shortly = 50 * time.Millisecond
-	bounded, cancel := context.WithTimeout(context.Background(), shortly)
+	stallingProxy.Strand()
+	const readTimeout = 50 * time.Millisecond
+	bounded, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	_, err = client.Read(bounded, "t")
 	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
@@ -182,8 +182,8 @@
 	qt.Assert(t, result.Rows, qt.HasLen, 1)
 }
 
-// With a thousand servers a restart of all daemons sent 450 KB to each of them.
-func TestManyRowsArePackedTogether(t *testing.T) {
+// With a thousand servers, a restart of all daemons sent 450 KB to each of them.
+func TestManyRowsAreCompressedTogether(t *testing.T) {
 	const servers = 931
 	rows := make([]rowstore.Row, 0, servers)
 	size := 0
@@ -192,7 +192,7 @@
 		rows = append(rows, one)
 		size += len(one.Value)
 	}
-	_, server, _ := serve(t, rows...)
+	_, server, _ := startServer(t, rows...)
 	address, count := countingProxy(t, server.Address())
 	client := relay.NewClient(address)
 	defer client.Close()
@@ -202,14 +202,14 @@
 	qt.Assert(t, count.Load() < int64(size/3), qt.IsTrue, qt.Commentf("%d bytes for %d", count.Load(), size))
 }
 
-// Rows that are packed once for all must not be old ones for those who ask later.
-func TestPackedRowsFollowTheTable(t *testing.T) {
+// Guards against stale rows from the cache of compressed rows.
+func TestCompressedRowsFollowTableChanges(t *testing.T) {
 	const servers = 100
 	rows := make([]rowstore.Row, 0, servers)
 	for i := range servers {
 		rows = append(rows, row(fmt.Sprintf("i-%03d", i), "{}", 9))
 	}
-	hub, server, first := serve(t, rows...)
+	hub, server, first := startServer(t, rows...)
 	second := relay.NewClient(server.Address())
 	t.Cleanup(second.Close)
 	for _, client := range []*relay.Client{first, second} {
@@ -226,30 +226,30 @@
 	result, err := first.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, result.Rows, qt.DeepEquals, rows)
-	fed, err := second.Feed(context.Background(), "t", version(10), 0)
+	changes, err := second.Feed(context.Background(), "t", revision(10), 0)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, fed.Rows, qt.DeepEquals, []rowstore.Row{changed})
-	fed, err = second.Feed(context.Background(), "t", version(8), 0)
+	qt.Assert(t, changes.Rows, qt.DeepEquals, []rowstore.Row{changed})
+	changes, err = second.Feed(context.Background(), "t", revision(8), 0)
 	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrCompacted)
-	qt.Assert(t, fed.Rows, qt.HasLen, 0)
+	qt.Assert(t, changes.Rows, qt.HasLen, 0)
 }
 
-// serveBoard serves an empty copy with a board, and returns a client that tells it what
-// its own board holds. refused gets what either side refuses.
-func serveBoard(t *testing.T, self string, meter *demand.Meter) (client *relay.Client, told *demand.Board, refused chan string) {
+// startWithBoard starts a server of an empty table with a board, and returns a client that
+// reports the demand of its own board. The channel rejected receives what either side rejects.
+func startWithBoard(t *testing.T, self string, meter *demand.Meter) (client *relay.Client, board *demand.Board, rejected chan string) {
 	t.Helper()
 	hub := &rowstore.Hub{}
 	hub.Take("t", rowstore.Result{
 		Version: 10,
 	}, true, time.Now())
-	told = &demand.Board{}
-	refused = make(chan string, 8)
+	board = &demand.Board{}
+	rejected = make(chan string, 8)
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
 		Reader:  hub,
-		Board:   told,
+		Board:   board,
 		Refused: func(from string, err error) {
-			refused <- from + ": " + err.Error()
+			rejected <- from + ": " + err.Error()
 		},
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -262,39 +262,39 @@
 		Zone:  "quito-a",
 	}
 	t.Cleanup(client.Close)
-	return client, told, refused
+	return client, board, rejected
 }
 
-func TestWhatIsAskedTravelsWithFeeds(t *testing.T) {
+func TestFeedCarriesDemand(t *testing.T) {
 	kind := demand.Kind{
 		Service: "engines",
 		Model:   "large",
 	}
 	meter := &demand.Meter{}
 	meter.Note(kind, 400, usage.Rate{})
-	client, told, refused := serveBoard(t, "front-a", meter)
-	_, err := client.Feed(context.Background(), "t", version(10), 0)
+	client, board, rejected := startWithBoard(t, "front-a", meter)
+	_, err := client.Feed(context.Background(), "t", revision(10), 0)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, told.ByZone(kind)["quito-a"] > 0, qt.IsTrue)
+	qt.Assert(t, board.ByZone(kind)["quito-a"] > 0, qt.IsTrue)
 	qt.Assert(t, client.Board.ByZone(kind)["quito-a"] > 0, qt.IsTrue)
-	qt.Assert(t, refused, qt.HasLen, 0)
+	qt.Assert(t, rejected, qt.HasLen, 0)
 }
 
-// A daemon of another version, or one that is broken, may tell nonsense: it is refused by
-// name, and tables are followed all the same.
-func TestNonsenseOfWhatIsAskedIsRefusedByName(t *testing.T) {
+// A daemon that is broken or of another version may report invalid demand: it is rejected with
+// the daemon's name, and the feed still works.
+func TestInvalidDemandIsRejectedWithDaemonName(t *testing.T) {
 	meter := &demand.Meter{}
 	meter.Note(demand.Kind{
 		Model: "a model of no service",
 	}, 400, usage.Rate{})
-	client, told, refused := serveBoard(t, "front-a", meter)
-	_, err := client.Feed(context.Background(), "t", version(10), 0)
+	client, board, rejected := startWithBoard(t, "front-a", meter)
+	_, err := client.Feed(context.Background(), "t", revision(10), 0)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, <-refused, qt.Equals, `front-a: check demand: entry 0 of zone "quito-a" has no service`)
-	qt.Assert(t, told.ByZone(demand.Kind{}), qt.IsNil)
+	qt.Assert(t, <-rejected, qt.Equals, `front-a: check demand: entry 0 of zone "quito-a" has no service`)
+	qt.Assert(t, board.ByZone(demand.Kind{}), qt.IsNil)
 }
 
-func TestDaemonIsListedByAnother(t *testing.T) {
+func TestDaemonIsEnlistedThroughRelay(t *testing.T) {
 	listed := make(chan string, 1)
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
@@ -317,15 +317,16 @@
 	qt.Assert(t, client.Enlist(context.Background(), nil), qt.ErrorIs, rowstore.ErrRefused)
 }
 
-// Guards against values packed for a version that a restored store has given out again.
-func TestPackedValuesAreOfOneEra(t *testing.T) {
+// Guards against reuse of a compressed value for a version that a restored store has assigned
+// again.
+func TestCompressedValuesAreNotReusedAcrossEras(t *testing.T) {
 	former, next := strings.Repeat("former ", 1000), strings.Repeat("next ", 2000)
-	hub, _, client := serve(t, row("config", former, 9))
+	hub, _, client := startServer(t, row("config", former, 9))
 	many := make([]rowstore.Row, 0, 40)
 	for i := range cap(many) {
 		many = append(many, row(fmt.Sprintf("i-%02d", i), "former", 9))
 	}
-	for era, rows := range [][]rowstore.Row{many, {row("config", former, 9)}, {row("config", next, 9)}, asEach(many, "next")} {
+	for era, rows := range [][]rowstore.Row{many, {row("config", former, 9)}, {row("config", next, 9)}, withValue(many, "next")} {
 		hub.Take("t", rowstore.Result{
 			Rows:    rows,
 			Era:     int64(era),
@@ -338,12 +339,12 @@
 	}
 }
 
-// asEach returns rows with another value.
-func asEach(rows []rowstore.Row, value string) []rowstore.Row {
-	var others []rowstore.Row
+// withValue returns the rows with another value.
+func withValue(rows []rowstore.Row, value string) []rowstore.Row {
+	var changed []rowstore.Row
 	for _, one := range rows {
 		one.Value = []byte(value)
-		others = append(others, one)
+		changed = append(changed, one)
 	}
-	return others
+	return changed
 }
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -1,11 +1,11 @@
-// Package relay lets daemons follow the store's tables through one another, by
-// JSON-RPC over TCP: a few daemons follow the store, the others follow them.
+// Package relay lets daemons read and follow the store's tables through other daemons, by
+// JSON-RPC over TCP: a few daemons (relays) follow the store, and the others follow the relays.
 //
-// There are three calls. "read" returns a table whole; "feed" returns its changes
-// since a version as soon as there is one, or nothing after a wait. Both answer
-// from the daemon's copy and tell, by the store's clock, how old it is. A feed also
-// carries what is asked of the daemon that follows, and brings back what is asked of
-// all (core/demand). "enlist" lists a daemon in the store together with others.
+// There are three calls. "read" returns a whole table. "feed" returns its changes since a
+// version as soon as there are any, or nothing after a timeout. Both answer from the daemon's
+// copy and return its age by the store's clock. A feed also reports the demand of the calling
+// daemon and returns the total demand of all daemons (core/demand). "enlist" lists a daemon in
+// the store together with others.
 package relay
 
 import (
@@ -23,101 +23,101 @@
 	"headcourse/io/rpc"
 )
 
-// Names of the calls.
+// Method names of the calls.
 const (
 	callRead   = "read"
 	callFeed   = "feed"
 	callEnlist = "enlist"
 )
 
-// Codes of errors.
+// Codes of RPC errors.
 const (
 	codeCompacted = 1
 	codeRefused   = 2
 	codeNoCopy    = 3
 )
 
-// longestWait bounds how long a feed waits, whatever is asked.
-const longestWait = 30 * time.Second
+// maxFeedWait bounds how long a feed waits for changes, whatever the caller requests.
+const maxFeedWait = 30 * time.Second
 
-// question is what both calls ask.
-type question struct {
+// callParams are the parameters of all calls.
+type callParams struct {
 	Table string `json:"table"`
-	// Era and Since are the revision since which changes are asked for.
+	// Era and Since are the revision since which changes are requested.
 	Era   int64 `json:"era,omitempty"`
 	Since int64 `json:"since,omitempty"`
-	// WaitMS is a time in milliseconds.
+	// WaitMS is how long a feed may wait for changes, in milliseconds.
 	WaitMS int64 `json:"wait_ms,omitempty"`
-	// From is the daemon that asks, Asked what is asked of it and of those that follow
-	// through it; empty where it tells nothing now.
-	From  string  `json:"from,omitempty"`
-	Asked []asked `json:"asked,omitempty"`
-	// Depth is through how many daemons the requests in Asked were told.
+	// From is the calling daemon. Asked is the demand at it and at the daemons that follow
+	// tables through it. Both are empty if no report is due.
+	From  string        `json:"from,omitempty"`
+	Asked []demandEntry `json:"asked,omitempty"`
+	// Depth is the number of daemons through which the demand in Asked was reported.
 	Depth int `json:"depth,omitempty"`
-	// Entry is what the daemon that asks is to be listed as.
+	// Entry is the entry under which the calling daemon is to be listed.
 	Entry []byte `json:"entry,omitempty"`
 }
 
-// answer is what both calls answer.
-type answer struct {
+// callResult is the result of all calls.
+type callResult struct {
 	Rows    []row `json:"rows,omitempty"`
 	Era     int64 `json:"era,omitempty"`
 	Version int64 `json:"version"`
-	// NowUS is the store's clock, in microseconds, as of which the rows are true;
-	// LatestUS what it shows at the latest, 0: not known.
+	// NowUS is the time of the store's clock, in microseconds, at which the rows were current.
+	// LatestUS is an upper bound of the store's clock, in microseconds; 0 if unknown.
 	NowUS    int64 `json:"now_us"`
 	LatestUS int64 `json:"latest_us,omitempty"`
-	// PackedRows are all rows, encoded and compressed, in place of Rows.
+	// PackedRows are all rows as compressed JSON, in place of Rows.
 	PackedRows []byte `json:"packed_rows,omitempty"`
-	// Asked is what is asked of all daemons, for those that told.
-	Asked []asked `json:"asked,omitempty"`
+	// Asked is the total demand of all daemons, if the caller reported its own.
+	Asked []demandEntry `json:"asked,omitempty"`
 }
 
-// row is one row.
+// row is one row, as it is sent.
 type row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Packed is the value, compressed, in place of Value.
+	// Packed is the compressed value, in place of Value.
 	Packed  []byte `json:"packed,omitempty"`
 	Version int64  `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Server answers other daemons. Use Listen.
+// Server answers calls of other daemons. Use Listen.
 type Server struct {
 	*rpc.Listener
 	reader rowstore.Reader
 	board  *demand.Board
-	// refused is told of words of other daemons that make no sense.
-	refused func(from string, err error)
-	enlist  func(ctx context.Context, name string, entry []byte) error
-	packer  packer
-	bundles bundles
+	// onRejected, if set, is called if another daemon reports invalid demand.
+	onRejected      func(from string, err error)
+	enlist          func(ctx context.Context, name string, entry []byte) error
+	valueCompressor valueCompressor
+	rowCompressor   rowCompressor
 }
 
-// Options are what a Server needs.
+// Options configure a Server.
 type Options struct {
-	// Address is the IP:port to listen on, where port 0 picks a free one.
+	// Address is the IP:port to listen on; port 0 selects a free one.
 	Address string
-	// Reader is the copy to answer from.
+	// Reader is the copy of the tables to answer from.
 	Reader rowstore.Reader
-	// Board takes what is asked of other daemons; nil: it is not added up.
+	// Board receives the demand of other daemons; nil means that demand is not added up.
 	Board *demand.Board
-	// Refused, if set, is told of what another daemon told that makes no sense.
+	// Refused, if set, is called if another daemon reports invalid demand.
 	Refused func(from string, err error)
-	// Enlist lists another daemon in the store; nil: no daemon is.
+	// Enlist lists another daemon in the store; nil means that such calls are rejected.
 	Enlist func(ctx context.Context, name string, entry []byte) error
 }
 
-// Listen answers other daemons.
+// Listen starts a Server.
 func Listen(options Options) (*Server, error) {
 	server := &Server{
-		reader:  options.Reader,
-		board:   options.Board,
-		refused: options.Refused,
-		enlist:  options.Enlist,
+		reader:     options.Reader,
+		board:      options.Board,
+		onRejected: options.Refused,
+		enlist:     options.Enlist,
 	}
-	listener, err := rpc.Listen(options.Address, server.talk)
+	listener, err := rpc.Listen(options.Address, server.serveConn)
 	if err != nil {
 		return nil, err
 	}
@@ -125,8 +125,8 @@
 	return server, nil
 }
 
-// talk begins a conversation; its calls are answered side by side.
-func (s *Server) talk(raw net.Conn) *jsonrpc2.Conn {
+// serveConn serves the calls of one connection concurrently.
+func (s *Server) serveConn(raw net.Conn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle))
 	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(logline.Quiet{}))
@@ -140,8 +140,8 @@
 			Message: "params are missing",
 		}
 	}
-	var asked question
-	if err := json.Unmarshal(*request.Params, &asked); err != nil {
+	var params callParams
+	if err := json.Unmarshal(*request.Params, &params); err != nil {
 		return nil, &jsonrpc2.Error{
 			Code:    jsonrpc2.CodeInvalidParams,
 			Message: "params: " + err.Error(),
@@ -149,11 +149,11 @@
 	}
 	switch request.Method {
 	case callRead:
-		return s.read(ctx, asked)
+		return s.handleRead(ctx, params)
 	case callFeed:
-		return s.feed(ctx, asked)
+		return s.handleFeed(ctx, params)
 	case callEnlist:
-		return s.list(ctx, asked)
+		return s.handleEnlist(ctx, params)
 	default:
 		return nil, &jsonrpc2.Error{
 			Code:    jsonrpc2.CodeMethodNotFound,
@@ -162,47 +162,48 @@
 	}
 }
 
-// read answers with a whole table.
-func (s *Server) read(ctx context.Context, asked question) (any, error) {
-	result, err := s.reader.Read(ctx, asked.Table)
+// handleRead returns a whole table.
+func (s *Server) handleRead(ctx context.Context, params callParams) (any, error) {
+	result, err := s.reader.Read(ctx, params.Table)
 	if err != nil {
 		return nil, encodeError(err)
 	}
-	return s.encode(asked.Table, whole, result)
+	return s.encode(params.Table, wholeTable, result)
 }
 
-// feed answers with changes, and with what is asked of all if it was told something.
-func (s *Server) feed(ctx context.Context, asked question) (any, error) {
-	all := s.told(asked)
-	wait := min(time.Duration(asked.WaitMS)*time.Millisecond, longestWait)
-	result, err := s.reader.Feed(ctx, asked.Table, rowstore.Revision{
-		Era:     asked.Era,
-		Version: asked.Since,
+// handleFeed returns the changes of a table, and the total demand if the caller reported its
+// own.
+func (s *Server) handleFeed(ctx context.Context, params callParams) (any, error) {
+	total := s.recordDemand(params)
+	wait := min(time.Duration(params.WaitMS)*time.Millisecond, maxFeedWait)
+	result, err := s.reader.Feed(ctx, params.Table, rowstore.Revision{
+		Era:     params.Era,
+		Version: params.Since,
 	}, wait)
 	if err != nil {
-		s.retract(asked, err)
+		s.retractDemand(params, err)
 		return nil, encodeError(err)
 	}
-	encoded, err := s.encode(asked.Table, asked.Since, result)
-	encoded.Asked = all
+	encoded, err := s.encode(params.Table, params.Since, result)
+	encoded.Asked = total
 	return encoded, err
 }
 
-// list lists a daemon.
-func (s *Server) list(ctx context.Context, asked question) (any, error) {
-	if s.enlist == nil || asked.From == "" {
+// handleEnlist lists a daemon in the store.
+func (s *Server) handleEnlist(ctx context.Context, params callParams) (any, error) {
+	if s.enlist == nil || params.From == "" {
 		return nil, &jsonrpc2.Error{
 			Code:    jsonrpc2.CodeInvalidParams,
 			Message: "no daemon is listed here, or it has no name",
 		}
 	}
-	if err := s.enlist(ctx, asked.From, asked.Entry); err != nil {
+	if err := s.enlist(ctx, params.From, params.Entry); err != nil {
 		return nil, encodeError(err)
 	}
-	return answer{}, nil
+	return callResult{}, nil
 }
 
-// encodeError returns the error as it is sent.
+// encodeError converts an error to an RPC error.
 func encodeError(err error) error {
 	code := int64(codeRefused)
 	switch {
@@ -217,40 +218,40 @@
 	}
 }
 
-// encode returns a result as it is sent to those who ask for what changed since a
-// version, or for the whole.
-func (s *Server) encode(table string, since int64, result rowstore.Result) (answer, error) {
-	encoded := answer{
+// encode converts a result to the form in which it is sent to callers that request the changes
+// since a version, or the whole table.
+func (s *Server) encode(table string, since int64, result rowstore.Result) (callResult, error) {
+	encoded := callResult{
 		Era:      result.Era,
 		Version:  result.Version,
 		NowUS:    result.Now.Microseconds(),
 		LatestUS: result.Latest.Microseconds(),
 	}
 	for _, one := range result.Rows {
-		packed, err := s.packer.pack(table, one.Key, rowstore.Revision{
+		compressed, err := s.valueCompressor.compress(table, one.Key, rowstore.Revision{
 			Era:     result.Era,
 			Version: one.Version,
 		}, one.Value)
 		if err != nil {
-			return answer{}, err
+			return callResult{}, err
 		}
-		sent := row{
+		encodedRow := row{
 			Key:     one.Key,
 			Value:   one.Value,
-			Packed:  packed,
+			Packed:  compressed,
 			Version: one.Version,
 			Deleted: one.Deleted,
 		}
-		if packed != nil {
-			sent.Value = nil
+		if compressed != nil {
+			encodedRow.Value = nil
 		}
-		encoded.Rows = append(encoded.Rows, sent)
+		encoded.Rows = append(encoded.Rows, encodedRow)
 	}
-	return s.bundles.pack(table, since, encoded)
+	return s.rowCompressor.compress(table, since, encoded)
 }
 
-// decode returns a result as it was sent.
-func decode(table string, encoded answer) (rowstore.Result, error) {
+// decode converts a result from the form in which it is sent.
+func decode(table string, encoded callResult) (rowstore.Result, error) {
 	result := rowstore.Result{
 		Era:       encoded.Era,
 		Version:   encoded.Version,
@@ -258,14 +259,14 @@
 		Latest:    time.Duration(encoded.LatestUS) * time.Microsecond,
 		IsRelayed: true,
 	}
-	rows, err := encoded.rows()
+	rows, err := encoded.decodeRows()
 	if err != nil {
 		return rowstore.Result{}, err
 	}
 	for _, one := range rows {
 		value := one.Value
 		if one.Packed != nil {
-			if value, err = unpack(one.Packed); err != nil {
+			if value, err = decompress(one.Packed); err != nil {
 				return rowstore.Result{}, err
 			}
 		}
