--- a/io/http1/http1.go
+++ b/io/http1/http1.go
@@ -1,11 +1,11 @@
-// Package http1 exchanges one HTTP/1.1 request and answer with one peer, and
-// tells exactly how far a failed exchange got.
+// Package http1 sends one HTTP/1.1 request to one peer, reads the answer and reports how far a
+// failed exchange got.
 //
-// fasthttp's client by default tries again on its own. Here it never does: a
-// request is written once at most, and every failure says whether any of it
-// can have reached the peer. A kept connection may die just as a request is
-// written to it, and nobody can tell whether the peer saw it; so requests that
-// may not be repeated go over a fresh connection, where that cannot happen.
+// fasthttp's client retries by default. Here it never does: a request is written at most once,
+// and every failure says whether any part of it may have reached the peer. A pooled connection
+// may be closed by the peer just as a request is written to it, and then it is unknown whether
+// the peer read the request. Requests that must not be repeated therefore use a new connection,
+// where that cannot happen.
 package http1
 
 import (
@@ -17,18 +17,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Error is a failed exchange.
+// Error is the error of a failed exchange.
 type Error struct {
 	Peer string
-	// Sent tells that some of the request may have reached the peer.
+	// Sent is set if part of the request may have reached the peer.
 	Sent bool
-	// Refused tells that the peer's machine refused the connection, so that
-	// nothing listens there.
+	// Refused is set if the peer refused the connection, so that nothing listens on its port.
 	Refused bool
 	Cause   error
 }
 
-// Error returns the step, the peer and the cause.
+// Error returns the failed step, the peer and the cause.
 func (e *Error) Error() string {
 	step := "connect to "
 	if e.Sent {
@@ -42,32 +41,32 @@
 	return e.Cause
 }
 
-// Client keeps connections to many peers. The zero value works, with the
-// default times. It is safe for concurrent use.
+// Client pools connections to many peers. The zero value is ready to use, with default
+// timeouts. It is safe for concurrent use.
 type Client struct {
-	// ConnectTimeout bounds connecting; IdleTimeout bounds the silence of a
-	// peer within an exchange; KeepFor is how long an unused connection is kept.
+	// ConnectTimeout bounds connecting. IdleTimeout bounds each read and each write of an
+	// exchange. KeepFor is how long an unused connection is kept.
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration
 	KeepFor        time.Duration
 
-	mutex sync.Mutex
-	kept  map[string]*fasthttp.HostClient
-	fresh map[string]*fasthttp.HostClient
+	mutex    sync.Mutex
+	pooled   map[string]*fasthttp.HostClient
+	unpooled map[string]*fasthttp.HostClient
 }
 
-// Default times of a Client.
+// Defaults of a Client.
 const (
 	defaultConnectTimeout = time.Second
-	defaultIdleTimeout    = 30 * time.Second
-	// defaultKeepFor is short, so that a peer seldom closes a connection in the
-	// moment it is used again.
-	defaultKeepFor = 5 * time.Second
-	// maxConns bounds the connections to one peer.
-	maxConns = 4096
+	defaultIOTimeout      = 30 * time.Second
+	// defaultMaxIdleTime is short, so that a peer seldom closes a connection at the moment when
+	// it is reused.
+	defaultMaxIdleTime = 5 * time.Second
+	// maxConnsPerPeer bounds the connections to one peer.
+	maxConnsPerPeer = 4096
 )
 
-// dialError marks failures before anything was sent.
+// dialError marks failures that occurred before anything was sent.
 type dialError struct {
 	error
 }
@@ -77,59 +76,59 @@
 	return d.error
 }
 
-// Do sends a request and reads the answer: the whole of it, or, when stream is
-// true, its head, with the rest in answer.BodyStream. isFresh asks for a
-// connection that was never used before.
-func (c *Client) Do(address string, request *fasthttp.Request, answer *fasthttp.Response, isFresh, stream bool) error {
+// Do sends a request and reads the answer. If stream is set, it reads only the head, and the
+// rest is in answer.BodyStream. If useNewConn is set, it uses a connection that was never used
+// before.
+func (c *Client) Do(address string, request *fasthttp.Request, answer *fasthttp.Response, useNewConn, stream bool) error {
 	request.SetHost(address)
 	request.URI().SetScheme("http")
-	if isFresh {
+	if useNewConn {
 		request.SetConnectionClose()
 	}
 	answer.StreamBody = stream
-	err := c.host(address, isFresh).Do(request, answer)
+	err := c.hostClient(address, useNewConn).Do(request, answer)
 	if err == nil {
 		return nil
 	}
-	var dialing dialError
-	isDialing := errors.As(err, &dialing) || errors.Is(err, fasthttp.ErrNoFreeConns)
-	var operation *net.OpError
-	isRefused := isDialing && errors.As(err, &operation) && !operation.Timeout()
+	var dialErr dialError
+	isDialFailure := errors.As(err, &dialErr) || errors.Is(err, fasthttp.ErrNoFreeConns)
+	var opErr *net.OpError
+	isRefused := isDialFailure && errors.As(err, &opErr) && !opErr.Timeout()
 	return &Error{
 		Peer:    address,
-		Sent:    !isDialing,
+		Sent:    !isDialFailure,
 		Refused: isRefused,
 		Cause:   err,
 	}
 }
 
-// host returns the client of one peer. Fresh ones never keep connections,
-// since all their requests ask to close.
-func (c *Client) host(address string, isFresh bool) *fasthttp.HostClient {
+// hostClient returns the client of one peer. Unpooled clients never keep connections, since all
+// their requests ask to close them.
+func (c *Client) hostClient(address string, useNewConn bool) *fasthttp.HostClient {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.kept == nil {
-		c.kept = map[string]*fasthttp.HostClient{}
-		c.fresh = map[string]*fasthttp.HostClient{}
+	if c.pooled == nil {
+		c.pooled = map[string]*fasthttp.HostClient{}
+		c.unpooled = map[string]*fasthttp.HostClient{}
 	}
-	hosts := c.kept
-	if isFresh {
-		hosts = c.fresh
+	hosts := c.pooled
+	if useNewConn {
+		hosts = c.unpooled
 	}
-	host, ok := hosts[address]
+	client, ok := hosts[address]
 	if !ok {
-		host = c.newHost(address)
-		hosts[address] = host
+		client = c.newHostClient(address)
+		hosts[address] = client
 	}
-	return host
+	return client
 }
 
-// newHost returns a client of a peer that never repeats a request.
-func (c *Client) newHost(address string) *fasthttp.HostClient {
+// newHostClient returns a client of one peer that never retries a request.
+func (c *Client) newHostClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          address,
-		MaxConns:                      maxConns,
-		MaxIdleConnDuration:           orDefault(c.KeepFor, defaultKeepFor),
+		MaxConns:                      maxConnsPerPeer,
+		MaxIdleConnDuration:           orDefault(c.KeepFor, defaultMaxIdleTime),
 		MaxIdemponentCallAttempts:     1,
 		DisableHeaderNamesNormalizing: false,
 		DisablePathNormalizing:        true,
@@ -149,43 +148,43 @@
 			error: err,
 		}
 	}
-	return &idleConn{
-		Conn: conn,
-		idle: orDefault(c.IdleTimeout, defaultIdleTimeout),
+	return &timeoutConn{
+		Conn:    conn,
+		timeout: orDefault(c.IdleTimeout, defaultIOTimeout),
 	}, nil
 }
 
-// orDefault returns d, or fallback where d is not set.
-func orDefault(d, fallback time.Duration) time.Duration {
-	if d == 0 {
+// orDefault returns value, or fallback if value is 0.
+func orDefault(value, fallback time.Duration) time.Duration {
+	if value == 0 {
 		return fallback
 	}
-	return d
+	return value
 }
 
-// idleConn fails a read or a write during which the peer is silent too long.
-type idleConn struct {
+// timeoutConn is a connection on which each read and each write has a timeout.
+type timeoutConn struct {
 	net.Conn
-	idle time.Duration
+	timeout time.Duration
 }
 
-// Read reads within the idle time.
-func (i *idleConn) Read(target []byte) (int, error) {
-	if err := i.SetReadDeadline(time.Now().Add(i.idle)); err != nil {
+// Read reads with the timeout.
+func (t *timeoutConn) Read(target []byte) (int, error) {
+	if err := t.SetReadDeadline(time.Now().Add(t.timeout)); err != nil {
 		return 0, err
 	}
-	return i.Conn.Read(target)
+	return t.Conn.Read(target)
 }
 
-// Write writes within the idle time.
-func (i *idleConn) Write(source []byte) (int, error) {
-	if err := i.SetWriteDeadline(time.Now().Add(i.idle)); err != nil {
+// Write writes with the timeout.
+func (t *timeoutConn) Write(source []byte) (int, error) {
+	if err := t.SetWriteDeadline(time.Now().Add(t.timeout)); err != nil {
 		return 0, err
 	}
-	return i.Conn.Write(source)
+	return t.Conn.Write(source)
 }
 
-// Reply is a copy of a whole answer.
+// Reply is a copy of a complete answer.
 type Reply struct {
 	Status int
 	Body   []byte
@@ -201,8 +200,8 @@
 	return values
 }
 
-// JSON posts body, or gets where body is nil, and returns the status and a
-// copy of the whole answer.
+// JSON posts body as JSON, or sends a GET if body is nil, and returns the status and a copy of
+// the body.
 func (c *Client) JSON(address, path string, body []byte) (status int, answer []byte, err error) {
 	reply, err := c.Call(address, path, body)
 	if err != nil {
@@ -211,7 +210,7 @@
 	return reply.Status, reply.Body, nil
 }
 
-// Call posts body, or gets where body is nil, and returns the whole answer.
+// Call posts body as JSON, or sends a GET if body is nil, and returns the complete answer.
 func (c *Client) Call(address, path string, body []byte) (*Reply, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/io/http1/http1_test.go
+++ b/io/http1/http1_test.go
@@ -13,24 +13,23 @@
 	"headcourse/io/http1"
 )
 
-// peer is a backend server that counts the requests that it reads and treats
-// each connection as told.
+// peer is a server that counts its requests and connections.
 type peer struct {
 	listener net.Listener
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// listen starts a peer; serve answers one request of a connection and tells
+// startPeer starts a peer. The function serve answers one request of a connection, and returns
 // whether to keep the connection.
-func listen(t *testing.T, serve func(number int64, conn net.Conn) bool) *peer {
+func startPeer(t *testing.T, serve func(number int64, conn net.Conn) bool) *peer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() {
 		_ = listener.Close()
 	})
-	started := &peer{
+	p := &peer{
 		listener: listener,
 	}
 	go func() {
@@ -39,15 +38,15 @@
 			if err != nil {
 				return
 			}
-			started.conns.Add(1)
-			go started.talk(conn, serve)
+			p.conns.Add(1)
+			go p.serveConn(conn, serve)
 		}
 	}()
-	return started
+	return p
 }
 
-// talk serves one connection.
-func (p *peer) talk(conn net.Conn, serve func(number int64, conn net.Conn) bool) {
+// serveConn serves one connection.
+func (p *peer) serveConn(conn net.Conn, serve func(number int64, conn net.Conn) bool) {
 	defer func() {
 		_ = conn.Close()
 	}()
@@ -63,44 +62,44 @@
 	}
 }
 
-// answer writes an empty answer.
-func answer(conn net.Conn) {
+// writeEmptyAnswer writes a successful answer without a body.
+func writeEmptyAnswer(conn net.Conn) {
 	_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 }
 
 // send sends one request and returns the error.
-func send(client *http1.Client, address, method string, isFresh bool) error {
+func send(client *http1.Client, address, method string, useNewConn bool) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("/")
 	request.Header.SetMethod(method)
-	return client.Do(address, request, response, isFresh, false)
+	return client.Do(address, request, response, useNewConn, false)
 }
 
-// TestBrokenExchangeIsNeverRepeated: the library by itself tries GET, HEAD and
-// PUT up to five times when a connection closes without an answer.
-func TestBrokenExchangeIsNeverRepeated(t *testing.T) {
+// Guards against the default of the library, which sends GET, HEAD and PUT up to five times if
+// a connection closes without an answer.
+func TestBrokenExchangeIsNeverRetried(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE"} {
-		broken := listen(t, func(int64, net.Conn) bool {
+		closing := startPeer(t, func(int64, net.Conn) bool {
 			return false
 		})
 		client := &http1.Client{}
-		err := send(client, broken.listener.Addr().String(), method, false)
+		err := send(client, closing.listener.Addr().String(), method, false)
 		var failed *http1.Error
 		qt.Assert(t, errors.As(err, &failed), qt.IsTrue, qt.Commentf(method))
 		qt.Assert(t, failed.Sent, qt.IsTrue)
-		qt.Assert(t, broken.requests.Load(), qt.Equals, int64(1), qt.Commentf(method))
+		qt.Assert(t, closing.requests.Load(), qt.Equals, int64(1), qt.Commentf(method))
 	}
 }
 
-// TestKeptConnectionThatDiesIsUnknown: the request was written to a connection
-// that the peer was closing; nobody knows whether the peer read it.
-func TestKeptConnectionThatDiesIsUnknown(t *testing.T) {
-	dying := listen(t, func(number int64, conn net.Conn) bool {
+// The request is written to a pooled connection that the peer is closing, so it is unknown
+// whether the peer read it.
+func TestPooledConnectionThatClosesReportsPossiblySent(t *testing.T) {
+	dying := startPeer(t, func(number int64, conn net.Conn) bool {
 		if number == 1 {
-			answer(conn)
+			writeEmptyAnswer(conn)
 			return true
 		}
 		return false
@@ -115,25 +114,25 @@
 	qt.Assert(t, dying.requests.Load(), qt.Equals, int64(2))
 }
 
-// TestFreshRequestsNeverShareAConnection: what may not be repeated goes over a
-// connection that cannot have been closed before.
-func TestFreshRequestsNeverShareAConnection(t *testing.T) {
-	well := listen(t, func(_ int64, conn net.Conn) bool {
-		answer(conn)
+// A request that must not be repeated needs a connection that the peer cannot have closed
+// before.
+func TestRequestsOnNewConnectionsShareNone(t *testing.T) {
+	healthy := startPeer(t, func(_ int64, conn net.Conn) bool {
+		writeEmptyAnswer(conn)
 		return true
 	})
 	client := &http1.Client{}
-	address := well.listener.Addr().String()
+	address := healthy.listener.Addr().String()
 	for range 4 {
 		qt.Assert(t, send(client, address, "POST", true), qt.IsNil)
 	}
-	qt.Assert(t, well.conns.Load(), qt.Equals, int64(4))
+	qt.Assert(t, healthy.conns.Load(), qt.Equals, int64(4))
 }
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
-	gone := listen(t, nil)
-	address := gone.listener.Addr().String()
-	qt.Assert(t, gone.listener.Close(), qt.IsNil)
+func TestRefusedConnectionReportsNothingSent(t *testing.T) {
+	closed := startPeer(t, nil)
+	address := closed.listener.Addr().String()
+	qt.Assert(t, closed.listener.Close(), qt.IsNil)
 	err := send(&http1.Client{}, address, "POST", true)
 	var failed *http1.Error
 	qt.Assert(t, errors.As(err, &failed), qt.IsTrue)
