--- a/io/tcp/conns.go
+++ b/io/tcp/conns.go
@@ -7,13 +7,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Conns are the open connections of an HTTP server. The zero value is empty and
-// safe for concurrent use.
+// Conns is the set of open connections of an HTTP server. The zero value is empty and safe for
+// concurrent use.
 type Conns struct {
 	open sync.Map
 }
 
-// Note takes a change of a connection's state, as the HTTP library tells it.
+// Note records a state change of a connection, as reported by the HTTP library.
 func (c *Conns) Note(conn net.Conn, state fasthttp.ConnState) {
 	switch state {
 	case fasthttp.StateNew:
@@ -24,11 +24,11 @@
 	}
 }
 
-// CloseAll closes all connections that are open.
+// CloseAll closes all open connections.
 func (c *Conns) CloseAll() {
 	c.open.Range(func(conn, _ any) bool {
 		if open, ok := conn.(net.Conn); ok {
-			// One that has just been closed needs nothing more.
+			// A connection that was closed in the meantime needs no further handling.
 			_ = open.Close()
 		}
 		return true
--- a/io/tcp/tcp.go
+++ b/io/tcp/tcp.go
@@ -1,8 +1,7 @@
-// Package tcp looks into TCP connections without taking anything from them.
+// Package tcp inspects TCP connections without consuming bytes.
 //
-// HTTP libraries do not tell a handler that its client went away, nor that a
-// kept connection has been closed or holds bytes that nobody asked for. A look
-// with MSG_PEEK tells both.
+// HTTP libraries do not notify a handler when its client disconnects, and do not detect that an
+// idle connection has been closed or holds unexpected bytes. A read with MSG_PEEK detects both.
 package tcp
 
 import (
@@ -12,30 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look found.
+// State is the state of a connection.
 type State int
 
-// The states. Quiet: open, nothing to read. Readable: bytes wait. Closed: the
-// peer has closed or reset the connection.
+// States of a connection. Quiet: open with nothing to read. Readable: bytes can be read.
+// Closed: the peer has closed or reset the connection.
 const (
 	Quiet State = iota
 	Readable
 	Closed
 )
 
-// Look returns the state of a connection. Connections that are not sockets
-// count as quiet.
+// Look returns the state of a connection. Connections that are not sockets count as Quiet.
 func Look(conn net.Conn) State {
-	raw, ok := conn.(syscall.Conn)
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return Quiet
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return Closed
 	}
 	state := Quiet
-	err = control.Control(func(fd uintptr) {
+	err = rawConn.Control(func(fd uintptr) {
 		state = peek(int(fd))
 	})
 	if err != nil {
@@ -44,10 +42,10 @@
 	return state
 }
 
-// peek looks at one byte of a socket without waiting.
+// peek reads one byte of a socket without blocking or consuming it.
 func peek(fd int) State {
-	var one [1]byte
-	n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	var buffer [1]byte
+	n, _, err := unix.Recvfrom(fd, buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 		return Quiet
--- a/io/tcp/watcher.go
+++ b/io/tcp/watcher.go
@@ -7,37 +7,36 @@
 	"time"
 )
 
-// lookEvery is the time between two looks at all connections. Work for a
-// client that has gone should end within half a second.
-const lookEvery = 200 * time.Millisecond
+// pollInterval is the interval between checks of all connections. Work for a client that has
+// disconnected should end within half a second.
+const pollInterval = 200 * time.Millisecond
 
-// Watcher finds out that clients went away while their requests are under way.
-// The zero value works once Run is running.
+// Watcher detects clients that disconnect while their requests are in flight. The zero value is
+// ready to use once Run is running.
 type Watcher struct {
 	mutex   sync.Mutex
-	next    int
+	nextID  int
 	watched map[int]watchedConn
 }
 
-// watchedConn is one connection and what to do when it is closed.
+// watchedConn is a watched connection and the function to call when its peer closes it.
 type watchedConn struct {
-	conn   net.Conn
-	onGone func()
+	conn     net.Conn
+	onClosed func()
 }
 
-// Watch calls onGone once if the peer of conn closes it, until forget is
-// called.
-func (w *Watcher) Watch(conn net.Conn, onGone func()) (forget func()) {
+// Watch calls onClosed once if the peer closes conn, unless forget is called before.
+func (w *Watcher) Watch(conn net.Conn, onClosed func()) (forget func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.watched == nil {
 		w.watched = map[int]watchedConn{}
 	}
-	w.next++
-	id := w.next
+	w.nextID++
+	id := w.nextID
 	w.watched[id] = watchedConn{
-		conn:   conn,
-		onGone: onGone,
+		conn:     conn,
+		onClosed: onClosed,
 	}
 	return func() {
 		w.mutex.Lock()
@@ -46,30 +45,30 @@
 	}
 }
 
-// Run looks at all connections again and again until ctx ends.
+// Run checks all connections periodically until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			w.look()
+			w.poll()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look looks at all connections once.
-func (w *Watcher) look() {
+// poll checks all connections once.
+func (w *Watcher) poll() {
 	w.mutex.Lock()
-	current := make(map[int]watchedConn, len(w.watched))
-	for id, one := range w.watched {
-		current[id] = one
+	watched := make(map[int]watchedConn, len(w.watched))
+	for id, entry := range w.watched {
+		watched[id] = entry
 	}
 	w.mutex.Unlock()
-	for id, one := range current {
-		if Look(one.conn) != Closed {
+	for id, entry := range watched {
+		if Look(entry.conn) != Closed {
 			continue
 		}
 		w.mutex.Lock()
@@ -77,7 +76,7 @@
 		delete(w.watched, id)
 		w.mutex.Unlock()
 		if isWatched {
-			one.onGone()
+			entry.onClosed()
 		}
 	}
 }
