--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -1,9 +1,9 @@
-// Package logline writes JSON log lines to an output that may be slow or stuck,
-// without ever holding up whoever logs.
+// Package logline writes JSON log lines to an output that may be slow or blocked, without
+// blocking the callers that log.
 //
-// Lines wait in a bounded queue for one goroutine that writes them. When the
-// queue is full, lines are dropped and counted, and the next line that gets
-// through is preceded by one that tells how many were.
+// Lines wait in a bounded queue for a single writing goroutine. When the queue is full, lines
+// are dropped and counted, and the next line written is preceded by a line with the number of
+// dropped ones.
 package logline
 
 import (
@@ -18,28 +18,27 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// queueLines is how many lines may wait: some seconds of a daemon's lines, or
-// about a megabyte.
-const queueLines = 4096
+// maxQueuedLines is the capacity of the queue: some seconds of a daemon's lines, or about 1 MB.
+const maxQueuedLines = 4096
 
-// Writer is a bounded queue before an output. Use New.
+// Writer is a bounded queue in front of an output. Use New.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	told    int64
-	// closing tells run to write what is queued and end; done that it has. lines
-	// is never closed: others may log until the process ends.
+	out           io.Writer
+	lines         chan []byte
+	dropped       atomic.Int64
+	reportedDrops int64
+	// closing is closed to make run write the queued lines and return; done is closed when it
+	// has. lines is never closed, since other goroutines may log until the process ends.
 	closing chan struct{}
 	done    chan struct{}
 	once    sync.Once
 }
 
-// New returns a writer to out, which it writes to from a goroutine of its own.
+// New returns a Writer to out, which it writes to from its own goroutine.
 func New(out io.Writer) *Writer {
 	w := &Writer{
 		out:     out,
-		lines:   make(chan []byte, queueLines),
+		lines:   make(chan []byte, maxQueuedLines),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -47,7 +46,7 @@
 	return w
 }
 
-// Write queues one line, or drops it when the queue is full. It never waits.
+// Write queues one line, or drops it if the queue is full. It never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -57,18 +56,17 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as soon as the output takes them.
+// Sync does nothing: lines are written as soon as the output accepts them.
 func (w *Writer) Sync() error {
 	return nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Close writes what is queued, for at most timeout. Lines that come later are
-// dropped.
+// Close writes the queued lines, for at most timeout. Later lines are dropped.
 func (w *Writer) Close(timeout time.Duration) {
 	w.once.Do(func() {
 		close(w.closing)
@@ -85,51 +83,52 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.writeOne(line)
+			w.writeLine(line)
 		case <-w.closing:
-			w.writeRest()
+			w.drainQueue()
 			return
 		}
 	}
 }
 
-// writeRest writes the lines that are queued now.
-func (w *Writer) writeRest() {
+// drainQueue writes the lines that are queued now.
+func (w *Writer) drainQueue() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.writeOne(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// writeOne writes one line, after one that tells how many were dropped.
-func (w *Writer) writeOne(line []byte) {
-	if dropped := w.dropped.Load(); dropped > w.told {
-		line = append([]byte(fmt.Sprintf("{\"level\":\"warn\",\"msg\":\"log: lines dropped\",\"dropped\":%d}\n", dropped-w.told)), line...)
-		w.told = dropped
+// writeLine writes one line, preceded by a line with the number of dropped lines if that has
+// grown.
+func (w *Writer) writeLine(line []byte) {
+	if dropped := w.dropped.Load(); dropped > w.reportedDrops {
+		line = append([]byte(fmt.Sprintf("{\"level\":\"warn\",\"msg\":\"log: lines dropped\",\"dropped\":%d}\n", dropped-w.reportedDrops)), line...)
+		w.reportedDrops = dropped
 	}
 	if _, err := w.out.Write(line); err != nil {
-		// There is nowhere to tell it but the counter.
+		// A failure of the log output itself can only be counted.
 		w.dropped.Add(1)
 	}
 }
 
-// Logger returns a logger of JSON lines with snake_case fields.
+// Logger returns a logger that writes JSON lines of a level and above to out.
 func Logger(level string, out zapcore.WriteSyncer) (*zap.Logger, error) {
-	parsed, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, errors.Wrap(err, "read log level")
 	}
-	encoder := zap.NewProductionEncoderConfig()
-	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), out, parsed)), nil
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), out, minLevel)), nil
 }
 
-// Err returns an error as a field: its text alone, since the library's field
-// adds a stack for each.
+// Err returns a field with the message of an error. zap's own error field would add a stack
+// trace to each.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -13,92 +13,93 @@
 	"headcourse/io/logline"
 )
 
-// patience bounds what must come; nothing depends on its passing.
-const patience = 30 * time.Second
+// maxWait bounds waits for expected events; no test depends on its passing.
+const maxWait = 30 * time.Second
 
-// moreThanQueued is more lines than a writer keeps for a stuck output.
-const moreThanQueued = 10_000
+// linesBeyondQueue is more lines than a Writer queues for a blocked output.
+const linesBeyondQueue = 10_000
 
-// gate is an output that is stuck until it is opened.
-type gate struct {
-	opened chan struct{}
-	out    bytes.Buffer
+// blockedOutput is an output that blocks until unblocked is closed.
+type blockedOutput struct {
+	unblocked chan struct{}
+	out       bytes.Buffer
 }
 
-// Write waits for the gate and keeps the line.
-func (g *gate) Write(line []byte) (int, error) {
-	<-g.opened
+// Write blocks until unblocked is closed and then stores the line.
+func (g *blockedOutput) Write(line []byte) (int, error) {
+	<-g.unblocked
 	return g.out.Write(line)
 }
 
-// written is a line as it comes out.
-type written struct {
+// logEntry is a decoded log line.
+type logEntry struct {
 	Message string `json:"msg"`
 	Dropped int64  `json:"dropped"`
 	Error   string `json:"error"`
 }
 
-// decode returns the lines of an output.
-func decode(t *testing.T, out []byte) []written {
+// decode returns the decoded lines of an output.
+func decode(t *testing.T, out []byte) []logEntry {
 	t.Helper()
-	var lines []written
+	var lines []logEntry
 	for line := range bytes.Lines(out) {
-		var one written
+		var one logEntry
 		qt.Assert(t, json.Unmarshal(line, &one), qt.IsNil, qt.Commentf("%s", line))
 		lines = append(lines, one)
 	}
 	return lines
 }
 
-func TestStuckOutputHoldsNobodyUpAndDroppedLinesAreTold(t *testing.T) {
-	output := &gate{
-		opened: make(chan struct{}),
+func TestBlockedOutputDoesNotBlockLoggingAndDropsAreReported(t *testing.T) {
+	output := &blockedOutput{
+		unblocked: make(chan struct{}),
 	}
 	writer := logline.New(output)
 	log, err := logline.Logger("info", writer)
 	qt.Assert(t, err, qt.IsNil)
-	// A write that waited would hang here, as the gate opens only afterwards.
-	for range moreThanQueued {
+	// If a write blocked, the test would hang here, since the output is unblocked only
+	// afterwards.
+	for range linesBeyondQueue {
 		log.Info("line")
 	}
 	dropped := writer.Dropped()
 	qt.Assert(t, dropped > 0, qt.IsTrue)
-	close(output.opened)
-	writer.Close(patience)
+	close(output.unblocked)
+	writer.Close(maxWait)
 
-	var got, told int64
+	var written, reported int64
 	for _, line := range decode(t, output.out.Bytes()) {
 		if line.Message == "line" {
-			got++
+			written++
 			continue
 		}
 		qt.Check(t, line.Message, qt.Equals, "log: lines dropped")
-		told += line.Dropped
+		reported += line.Dropped
 	}
-	qt.Assert(t, told, qt.Equals, dropped)
-	qt.Assert(t, got+dropped, qt.Equals, int64(moreThanQueued))
+	qt.Assert(t, reported, qt.Equals, dropped)
+	qt.Assert(t, written+dropped, qt.Equals, int64(linesBeyondQueue))
 }
 
-func TestClosingDoesNotWaitForAStuckOutput(t *testing.T) {
-	output := &gate{
-		opened: make(chan struct{}),
+func TestCloseDoesNotWaitForBlockedOutput(t *testing.T) {
+	output := &blockedOutput{
+		unblocked: make(chan struct{}),
 	}
 	writer := logline.New(output)
 	_, err := writer.Write([]byte("{}\n"))
 	qt.Assert(t, err, qt.IsNil)
 	writer.Close(time.Millisecond)
-	// Only now may the output go on.
-	close(output.opened)
+	// The output is unblocked only after Close has returned.
+	close(output.unblocked)
 }
 
-// failing is an output that fails at its first line.
-type failing struct {
+// failingOnce is an output whose first write fails.
+type failingOnce struct {
 	hasFailed bool
 	out       bytes.Buffer
 }
 
-// Write fails once, and then keeps the line.
-func (f *failing) Write(line []byte) (int, error) {
+// Write fails once and then stores the lines.
+func (f *failingOnce) Write(line []byte) (int, error) {
 	if !f.hasFailed {
 		f.hasFailed = true
 		return 0, errors.New("no space left")
@@ -106,15 +107,15 @@
 	return f.out.Write(line)
 }
 
-func TestLinesThatTheOutputFailedAreTold(t *testing.T) {
-	output := &failing{}
+func TestLinesOfFailedWritesAreReportedAsDropped(t *testing.T) {
+	output := &failingOnce{}
 	writer := logline.New(output)
 	log, err := logline.Logger("info", writer)
 	qt.Assert(t, err, qt.IsNil)
 	log.Info("lost")
 	log.Info("kept")
-	writer.Close(patience)
-	qt.Assert(t, decode(t, output.out.Bytes()), qt.DeepEquals, []written{
+	writer.Close(maxWait)
+	qt.Assert(t, decode(t, output.out.Bytes()), qt.DeepEquals, []logEntry{
 		{
 			Message: "log: lines dropped",
 			Dropped: 1,
@@ -125,7 +126,7 @@
 	})
 }
 
-func TestErrorsAreWrittenAsTheirTextAlone(t *testing.T) {
+func TestErrorFieldHoldsOnlyTheMessage(t *testing.T) {
 	var out bytes.Buffer
 	writer := logline.New(&out)
 	log, err := logline.Logger("warn", writer)
@@ -133,9 +134,9 @@
 	log.Info("below the level")
 	log.Warn("failed", logline.Err(errors.Wrap(errors.New("cause"), "step")))
 	log.Warn("well", logline.Err(nil))
-	writer.Close(patience)
+	writer.Close(maxWait)
 	qt.Assert(t, bytes.Contains(out.Bytes(), []byte("errorVerbose")), qt.IsFalse)
-	qt.Assert(t, decode(t, out.Bytes()), qt.DeepEquals, []written{
+	qt.Assert(t, decode(t, out.Bytes()), qt.DeepEquals, []logEntry{
 		{
 			Message: "failed",
 			Error:   "step: cause",
@@ -147,14 +148,14 @@
 	qt.Assert(t, logline.Err(nil), qt.DeepEquals, zap.Skip())
 }
 
-func TestUnknownLevelIsRefused(t *testing.T) {
+func TestUnknownLevelIsAnError(t *testing.T) {
 	_, err := logline.Logger("loud", logline.New(&bytes.Buffer{}))
 	qt.Assert(t, err, qt.ErrorMatches, "read log level: .*loud.*")
 }
 
-// Found by reading: whoever logged while the daemon ended wrote to a closed
-// queue, which ended the process with a panic.
-func TestLogAfterCloseDoesNothing(t *testing.T) {
+// Guards against a panic that ended the process: a goroutine that logged during shutdown wrote
+// to a closed queue. Found in a code review.
+func TestWriteAfterCloseIsIgnored(t *testing.T) {
 	var out bytes.Buffer
 	lines := logline.New(&out)
 	_, err := lines.Write([]byte("first\n"))
--- a/io/logline/quiet.go
+++ b/io/logline/quiet.go
@@ -1,8 +1,8 @@
 package logline
 
-// Quiet drops what a library for HTTP or JSON-RPC says of broken connections:
-// each request's or call's own line tells it. The zero value works.
+// Quiet is a logger that discards the messages of an HTTP or JSON-RPC library about broken
+// connections, which are logged per request or call already. The zero value is ready to use.
 type Quiet struct{}
 
-// Printf drops a line.
+// Printf discards a message.
 func (Quiet) Printf(string, ...any) {}
--- a/io/logline/rarely.go
+++ b/io/logline/rarely.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Rarely lets one line in a while through for each subject, such as a table whose calls
-// fail. The zero value lets all through; set Every before use.
+// Rarely limits log lines to one per interval for each subject, such as a table whose calls
+// fail. The zero value suppresses none; set Every before use.
 type Rarely struct {
-	// Every is the time between two lines of one subject.
+	// Every is the minimum interval between two lines of one subject.
 	Every time.Duration
 
-	mutex    sync.Mutex
-	subjects map[string]subject
+	mutex  sync.Mutex
+	states map[string]throttleState
 }
 
-// subject is when a line was last let through, and how many were left out since.
-type subject struct {
-	at   time.Time
-	left int
+// throttleState is when the last line of a subject was allowed, and how many have been
+// suppressed since.
+type throttleState struct {
+	lastAllowedAt time.Time
+	suppressed    int
 }
 
-// Pass tells whether a line may be written, and how many were left out since the last
-// one.
-func (r *Rarely) Pass(name string) (mayWrite bool, leftOut int) {
+// Pass reports whether a line of a subject may be written, and how many were suppressed since
+// the last one.
+func (r *Rarely) Pass(subject string) (mayWrite bool, suppressed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.subjects[name]
-	if ok && time.Since(known.at) < r.Every {
-		known.left++
-		r.subjects[name] = known
+	state, ok := r.states[subject]
+	if ok && time.Since(state.lastAllowedAt) < r.Every {
+		state.suppressed++
+		r.states[subject] = state
 		return false, 0
 	}
-	if r.subjects == nil {
-		r.subjects = map[string]subject{}
+	if r.states == nil {
+		r.states = map[string]throttleState{}
 	}
-	r.subjects[name] = subject{
-		at: time.Now(),
+	r.states[subject] = throttleState{
+		lastAllowedAt: time.Now(),
 	}
-	return true, known.left
+	return true, state.suppressed
 }
 
-// End forgets a subject, so that its next line is let through at once, and tells how
-// many lines were left out since the last one.
-func (r *Rarely) End(name string) int {
+// End resets a subject, so that its next line is allowed at once, and returns how many lines
+// were suppressed since the last one.
+func (r *Rarely) End(subject string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	left := r.subjects[name].left
-	delete(r.subjects, name)
-	return left
+	suppressed := r.states[subject].suppressed
+	delete(r.states, subject)
+	return suppressed
 }
--- a/io/logline/rarely_test.go
+++ b/io/logline/rarely_test.go
@@ -10,30 +10,30 @@
 	"headcourse/io/logline"
 )
 
-// During an outage 295 daemons wrote 4,700 lines a second about calls that failed.
-func TestFailedCallsAreWrittenRarelyAndCounted(t *testing.T) {
+// During an outage 295 daemons wrote 4,700 lines per second about failed calls.
+func TestRepeatedLinesAreThrottledAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rarely := logline.Rarely{
+		throttle := logline.Rarely{
 			Every: 5 * time.Second,
 		}
 		const failures = 90
-		written, leftOut := 0, 0
+		written, suppressed := 0, 0
 		for range failures {
-			mayWrite, left := rarely.Pass("op")
+			mayWrite, newlySuppressed := throttle.Pass("op")
 			if mayWrite {
 				written++
-				leftOut += left
+				suppressed += newlySuppressed
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		qt.Assert(t, written, qt.Equals, 2)
-		qt.Assert(t, leftOut+rarely.End("op"), qt.Equals, failures-written)
+		qt.Assert(t, suppressed+throttle.End("op"), qt.Equals, failures-written)
 
-		// The next outage is told at once, and so is that of another table.
-		mayWrite, left := rarely.Pass("op")
+		// The next outage is logged at once, and so is one of another table.
+		mayWrite, newlySuppressed := throttle.Pass("op")
 		qt.Assert(t, mayWrite, qt.IsTrue)
-		qt.Assert(t, left, qt.Equals, 0)
-		mayWrite, _ = rarely.Pass("servers")
+		qt.Assert(t, newlySuppressed, qt.Equals, 0)
+		mayWrite, _ = throttle.Pass("servers")
 		qt.Assert(t, mayWrite, qt.IsTrue)
 	})
 }
