--- a/io/exposition/exposition.go
+++ b/io/exposition/exposition.go
@@ -1,10 +1,9 @@
-// Package exposition keeps the histograms of a registry of metrics alike, writes
-// all its metrics in the text format that Prometheus and its kin read, and serves
-// them over HTTP.
+// Package exposition records durations in uniform histograms, writes all metrics of a registry
+// in the Prometheus text format and serves them over HTTP.
 //
-// Names in the registry have the form "family.label": the family becomes the
-// metric's name, what follows the first dot the value of its label "kind".
-// Histograms are written as summaries with quantiles, a sum and a count.
+// Names in the registry have the form "family.label": the family becomes the metric's name, and
+// what follows the first dot becomes the value of its label "kind". Histograms are written as
+// summaries with quantiles, a sum and a count.
 package exposition
 
 import (
@@ -24,79 +23,79 @@
 	"headcourse/io/logline"
 )
 
-// prefix stands before every name.
-const prefix = "headcourse_"
+// namePrefix precedes every metric name.
+const namePrefix = "headcourse_"
 
-// quantiles are written of each histogram.
+// quantiles are the quantiles written of each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // Write writes all metrics of a registry, ordered by name.
 func Write(out io.Writer, registry metrics.Registry) error {
-	all := map[string]any{}
+	byName := map[string]any{}
 	registry.Each(func(name string, metric any) {
-		all[name] = metric
+		byName[name] = metric
 	})
-	typed := map[string]bool{}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
+	writtenTypes := map[string]bool{}
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		family, kind, _ := strings.Cut(name, ".")
-		if err := writeOne(out, prefix+family, kind, all[name], typed); err != nil {
+		if err := writeMetric(out, namePrefix+family, kind, byName[name], writtenTypes); err != nil {
 			return errors.Wrapf(err, "write metric %s", name)
 		}
 	}
 	return nil
 }
 
-// writeOne writes one metric, and its type before the first of a family.
-func writeOne(out io.Writer, family, kind string, metric any, typed map[string]bool) error {
-	switch known := metric.(type) {
+// writeMetric writes one metric, preceded by the type line if it is the first of its family.
+func writeMetric(out io.Writer, family, kind string, metric any, writtenTypes map[string]bool) error {
+	switch typed := metric.(type) {
 	case metrics.Counter:
-		return writeValue(out, family+"_total", "counter", kind, float64(known.Count()), typed)
+		return writeValue(out, family+"_total", "counter", kind, float64(typed.Count()), writtenTypes)
 	case metrics.Gauge:
-		return writeValue(out, family, "gauge", kind, float64(known.Value()), typed)
+		return writeValue(out, family, "gauge", kind, float64(typed.Value()), writtenTypes)
 	case metrics.GaugeFloat64:
-		return writeValue(out, family, "gauge", kind, known.Value(), typed)
+		return writeValue(out, family, "gauge", kind, typed.Value(), writtenTypes)
 	case metrics.Histogram:
-		return writeHistogram(out, family, kind, known.Snapshot(), typed)
+		return writeHistogram(out, family, kind, typed.Snapshot(), writtenTypes)
 	default:
 		return nil
 	}
 }
 
-// writeType writes the type line of a family once.
-func writeType(out io.Writer, family, kind string, typed map[string]bool) error {
-	if typed[family] {
+// writeType writes the type line of a family unless it has been written.
+func writeType(out io.Writer, family, metricType string, writtenTypes map[string]bool) error {
+	if writtenTypes[family] {
 		return nil
 	}
-	typed[family] = true
-	_, err := fmt.Fprintf(out, "# TYPE %s %s\n", family, kind)
+	writtenTypes[family] = true
+	_, err := fmt.Fprintf(out, "# TYPE %s %s\n", family, metricType)
 	return err
 }
 
 // writeValue writes a counter or a gauge.
-func writeValue(out io.Writer, family, metricType, kind string, value float64, typed map[string]bool) error {
-	if err := writeType(out, family, metricType, typed); err != nil {
+func writeValue(out io.Writer, family, metricType, kind string, value float64, writtenTypes map[string]bool) error {
+	if err := writeType(out, family, metricType, writtenTypes); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%s%s %s\n", family, labels(kind, ""), number(value))
+	_, err := fmt.Fprintf(out, "%s%s %s\n", family, formatLabels(kind, ""), formatNumber(value))
 	return err
 }
 
 // writeHistogram writes a histogram as a summary.
-func writeHistogram(out io.Writer, family, kind string, histogram metrics.Histogram, typed map[string]bool) error {
-	if err := writeType(out, family, "summary", typed); err != nil {
+func writeHistogram(out io.Writer, family, kind string, histogram metrics.Histogram, writtenTypes map[string]bool) error {
+	if err := writeType(out, family, "summary", writtenTypes); err != nil {
 		return err
 	}
 	for i, value := range histogram.Percentiles(quantiles) {
-		if _, err := fmt.Fprintf(out, "%s%s %s\n", family, labels(kind, number(quantiles[i])), number(value)); err != nil {
+		if _, err := fmt.Fprintf(out, "%s%s %s\n", family, formatLabels(kind, formatNumber(quantiles[i])), formatNumber(value)); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(out, "%s_sum%s %d\n%s_count%s %d\n", family, labels(kind, ""), histogram.Sum(), family, labels(kind, ""), histogram.Count())
+	_, err := fmt.Fprintf(out, "%s_sum%s %d\n%s_count%s %d\n", family, formatLabels(kind, ""), histogram.Sum(), family, formatLabels(kind, ""), histogram.Count())
 	return err
 }
 
-// labels returns a metric's labels, or nothing.
-func labels(kind, quantile string) string {
+// formatLabels returns the labels of a metric, or an empty string if it has none.
+func formatLabels(kind, quantile string) string {
 	var parts []string
 	if kind != "" {
 		parts = append(parts, "kind="+strconv.Quote(kind))
@@ -110,8 +109,8 @@
 	return "{" + strings.Join(parts, ",") + "}"
 }
 
-// number writes a number without needless digits.
-func number(value float64) string {
+// formatNumber returns the shortest decimal form of a number that preserves its value.
+func formatNumber(value float64) string {
 	return strconv.FormatFloat(value, 'g', -1, 64)
 }
 
@@ -121,11 +120,11 @@
 	listener net.Listener
 }
 
-// readTimeout bounds reading one question.
-const readTimeout = 5 * time.Second
+// requestReadTimeout bounds reading one request.
+const requestReadTimeout = 5 * time.Second
 
-// Listen serves a registry at IP:port. update is called before each answer, so
-// that gauges can be set.
+// Listen starts a Server of a registry on IP:port. It calls update before each answer, so that
+// gauges can be set.
 func Listen(address string, registry metrics.Registry, update func()) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -141,24 +140,24 @@
 					ctx.Error(writeErr.Error(), fasthttp.StatusInternalServerError)
 				}
 			},
-			ReadTimeout:           readTimeout,
+			ReadTimeout:           requestReadTimeout,
 			NoDefaultServerHeader: true,
 			Logger:                logline.Quiet{},
 		},
 	}
 	go func() {
-		// Serve ends with an error only when the listener was closed.
+		// Serve returns an error only when the listener has been closed.
 		_ = server.http.Serve(listener)
 	}()
 	return server, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the server listens on.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close ends the server.
+// Close closes the listener.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 }
--- a/io/exposition/exposition_test.go
+++ b/io/exposition/exposition_test.go
@@ -11,8 +11,8 @@
 	"headcourse/io/exposition"
 )
 
-// sample returns a registry with one metric of each kind.
-func sample() metrics.Registry {
+// sampleRegistry returns a registry with counters, a gauge and a histogram.
+func sampleRegistry() metrics.Registry {
 	registry := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("requests_refused.no_route", registry).Inc(3)
 	metrics.GetOrRegisterCounter("requests_refused.stale", registry).Inc(1)
@@ -24,7 +24,7 @@
 	return registry
 }
 
-const want = `# TYPE headcourse_config_version gauge
+const sampleText = `# TYPE headcourse_config_version gauge
 headcourse_config_version 7
 # TYPE headcourse_order_ms summary
 headcourse_order_ms{quantile="0.5"} 30
@@ -37,14 +37,14 @@
 headcourse_requests_refused_total{kind="stale"} 1
 `
 
-func TestMetricsAreWrittenInTheUsualFormat(t *testing.T) {
+func TestMetricsAreWrittenInPrometheusTextFormat(t *testing.T) {
 	var out bytes.Buffer
-	qt.Assert(t, exposition.Write(&out, sample()), qt.IsNil)
-	qt.Assert(t, out.String(), qt.Equals, want)
+	qt.Assert(t, exposition.Write(&out, sampleRegistry()), qt.IsNil)
+	qt.Assert(t, out.String(), qt.Equals, sampleText)
 }
 
-func TestMetricsAreServed(t *testing.T) {
-	registry := sample()
+func TestMetricsAreServedAfterUpdate(t *testing.T) {
+	registry := sampleRegistry()
 	server, err := exposition.Listen("127.0.0.1:0", registry, func() {
 		metrics.GetOrRegisterGauge("config_version", registry).Update(8)
 	})
--- a/io/exposition/observe.go
+++ b/io/exposition/observe.go
@@ -6,19 +6,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Figures of the sample behind each histogram, those that the library names as
-// usual: the quantiles weigh about the last five minutes.
+// Parameters of the sample behind each histogram, as the library recommends: the quantiles
+// cover about the last five minutes.
 const (
 	reservoirSize = 1028
 	decayAlpha    = 0.015
 )
 
-// Observe adds a time to the registry's histogram of a name, in milliseconds.
-func Observe(registry metrics.Registry, name string, took time.Duration) {
-	known, ok := registry.GetOrRegister(name, func() metrics.Histogram {
+// Observe records a duration, in milliseconds, in the registry's histogram of a name.
+func Observe(registry metrics.Registry, name string, duration time.Duration) {
+	histogram, ok := registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 	}).(metrics.Histogram)
 	if ok {
-		known.Update(took.Milliseconds())
+		histogram.Update(duration.Milliseconds())
 	}
 }
