--- a/io/relay/demand.go
+++ b/io/relay/demand.go
@@ -78,7 +78,7 @@
 		Depth: params.Depth,
 	})
 	if err != nil {
-		s.reportRejected(params.From, err)
+		s.reportInvalidDemand(params.From, err)
 		return nil
 	}
 	return encodeDemand(total)
@@ -94,9 +94,9 @@
 	}
 }
 
-// reportRejected reports a daemon whose demand is invalid.
-func (s *Server) reportRejected(from string, err error) {
-	if s.onRejected != nil {
-		s.onRejected(from, err)
+// reportInvalidDemand reports a daemon whose demand is invalid.
+func (s *Server) reportInvalidDemand(from string, err error) {
+	if s.onInvalidDemand != nil {
+		s.onInvalidDemand(from, err)
 	}
 }
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -88,8 +88,8 @@
 	*rpc.Listener
 	reader rowstore.Reader
 	board  *demand.Board
-	// onRejected, if set, is called if another daemon reports invalid demand.
-	onRejected      func(from string, err error)
+	// onInvalidDemand, if set, is called if another daemon reports invalid demand.
+	onInvalidDemand func(from string, err error)
 	enlist          func(ctx context.Context, name string, entry []byte) error
 	valueCompressor valueCompressor
 	rowCompressor   rowCompressor
@@ -112,10 +112,10 @@
 // Listen starts a Server.
 func Listen(options Options) (*Server, error) {
 	server := &Server{
-		reader:     options.Reader,
-		board:      options.Board,
-		onRejected: options.Refused,
-		enlist:     options.Enlist,
+		reader:          options.Reader,
+		board:           options.Board,
+		onInvalidDemand: options.Refused,
+		enlist:          options.Enlist,
 	}
 	listener, err := rpc.Listen(options.Address, server.serveConn)
 	if err != nil {
