--- a/io/gateway/stream.go
+++ b/io/gateway/stream.go
@@ -38,7 +38,7 @@
 	isComplete bool
 	// hasEventWithoutID is set if an event had no ID, after which the stream cannot be resumed.
 	hasEventWithoutID bool
-	// lastSentAt is when the request was sent; lastEventAt is when this server's last event
+	// sentAt is when the request was sent; lastEventAt is when this server's last event
 	// arrived.
 	sentAt      time.Time
 	lastEventAt time.Time
