--- /dev/null
+++ b/io/gateway/attempt.go
@@ -0,0 +1,336 @@
+package gateway
+
+import (
+	"io"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/valyala/fasthttp"
+
+	"headcourse/core/balancer"
+	"headcourse/core/config"
+	"headcourse/core/fleet"
+	"headcourse/core/request"
+	"headcourse/io/backend"
+	"headcourse/io/http1"
+)
+
+// maxStaleAnswers bounds the heads that are read from a connection in search of the request's
+// own answer. The others answer earlier requests.
+const maxStaleAnswers = 3
+
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	server fleet.Server
+	// reason is why the attempt failed; ReasonNone if answer is the server's answer.
+	reason request.Reason
+	// mayHaveRun is set if the server may have started to run the request.
+	mayHaveRun bool
+	// closedByPeer is set if the server closed or reset the connection before its answer was
+	// complete, as a crashing process does.
+	closedByPeer bool
+	answer       request.Answer
+	body         []byte
+	stream       *stream
+}
+
+// mayHaveArrived reports whether any part of the request may have reached the server.
+func (t attemptResult) mayHaveArrived() bool {
+	switch t.reason {
+	case request.ReasonConnect, request.ReasonPaused, request.ReasonLimited, request.ReasonEvacuated:
+		return t.mayHaveRun
+	default:
+		return true
+	}
+}
+
+// attempt sends the request to one server and reads its answer, or for a stream the events up
+// to the first one after lastEventID.
+func (j *job) attempt(lastEventID int64) attemptResult {
+	if !j.passesQuarantine() {
+		return attemptResult{
+			reason: request.ReasonCrashes,
+		}
+	}
+	// The agreement on a trial waits for the store, so the view may have become too old.
+	if j.config.NeedsKey(j.route) && !j.server.source.MayAcceptKeys() {
+		return attemptResult{
+			reason: request.ReasonStale,
+		}
+	}
+	timeLeft := j.timeLeft()
+	if timeLeft < minTimeLeft {
+		return attemptResult{
+			reason: request.ReasonDeadline,
+		}
+	}
+	selected, ok := j.selectServer()
+	if !ok {
+		return attemptResult{
+			reason: j.noServerReason(),
+		}
+	}
+	defer selected.reservation.Release()
+	server := selected.server
+	j.attempts++
+	j.lastSentAt = time.Now()
+	j.excluded[server.ID] = true
+	head := j.server.dialect.WriteHead(j.request, request.Attempt{
+		Server:       server.ID,
+		Organisation: j.organisation,
+		Left:         timeLeft,
+		Priority:     j.serverPriority(),
+		LastEvent:    lastEventID,
+	})
+	result := j.exchangeWith(selected, head)
+	result.server = server
+	if result.mayHaveRun || result.reason == request.ReasonNone {
+		j.possibleRuns++
+	}
+	if result.mayHaveArrived() {
+		j.possibleArrivals++
+	}
+	if result.stream != nil {
+		result.stream.done = selected.done
+	} else {
+		selected.done()
+		j.setExchange(nil)
+	}
+	j.reportOutcome(server, result)
+	j.recordAttempt(server, result.reason)
+	return result
+}
+
+// exchangeWith sends the request and reads the answer.
+func (j *job) exchangeWith(selected selection, head []byte) attemptResult {
+	server := selected.server
+	exchange, err := j.send(selected, head)
+	switch {
+	case errors.Is(err, errPaused):
+		return attemptResult{
+			reason: request.ReasonPaused,
+		}
+	case errors.Is(err, errLimited):
+		return attemptResult{
+			reason: request.ReasonLimited,
+		}
+	case errors.Is(err, errEvacuated):
+		return attemptResult{
+			reason: request.ReasonEvacuated,
+		}
+	case err != nil:
+		var failed *http1.Error
+		sent := errors.As(err, &failed) && failed.Sent
+		return attemptResult{
+			reason:     request.ReasonConnect,
+			mayHaveRun: sent,
+		}
+	}
+	j.setExchange(exchange)
+	watch := j.watchAnswerStart(server, exchange)
+	defer watch.stop()
+	if err = exchange.SetReadDeadline(time.Now().Add(j.timeLeft())); err != nil {
+		exchange.Abort()
+		return j.brokenResult(watch, err)
+	}
+	answer, hadStaleAnswer, err := j.readAnswerHead(server, exchange)
+	if err != nil {
+		exchange.Abort()
+		return j.brokenResult(watch, err)
+	}
+	isReusable := !answer.Close && !hadStaleAnswer
+	switch {
+	case answer.NotRun:
+		return j.handleRefusal(exchange, answer, isReusable)
+	case !isAuthentic(answer, j.request):
+		exchange.Abort()
+		return attemptResult{
+			reason:     request.ReasonBadAnswer,
+			mayHaveRun: true,
+		}
+	case j.isStream(answer):
+		return j.beginStream(server, exchange, answer, isReusable, watch)
+	default:
+		return j.readBody(exchange, answer, isReusable, watch)
+	}
+}
+
+// Errors of requests that were not written: the server is paused or leaving (errPaused), at its
+// rate limit (errLimited), or in an evacuated zone (errEvacuated).
+var (
+	errPaused    = errors.New("server is paused or leaving")
+	errLimited   = errors.New("server is at its rate limit")
+	errEvacuated = errors.New("server is in an evacuated zone")
+)
+
+// send writes the request to a server. It returns errPaused, errLimited or errEvacuated if the
+// server has become unavailable since its selection. On a busy VM or a slow connection that may
+// be hundreds of milliseconds later.
+func (j *job) send(selected selection, head []byte) (*backend.Exchange, error) {
+	server := selected.server
+	exchange, err := j.server.backends.Connect(server.ID, server.Address)
+	if err != nil {
+		return nil, err
+	}
+	if j.server.directives.Forbids(server.Start()) {
+		exchange.Release()
+		return nil, errPaused
+	}
+	if j.server.isEvacuated(j.server.source.View(), server) {
+		exchange.Release()
+		return nil, errEvacuated
+	}
+	if !j.useReservation(selected) {
+		exchange.Release()
+		return nil, errLimited
+	}
+	return exchange, exchange.Send(head, j.request.Body)
+}
+
+// readBody reads the body of an answer that is not a stream.
+func (j *job) readBody(exchange *backend.Exchange, answer request.Answer, isReusable bool, watch *watchdog) attemptResult {
+	body, err := exchange.ReadAll(maxAnswerBytes)
+	if err != nil {
+		exchange.Abort()
+		return j.brokenResult(watch, err)
+	}
+	exchange.Finish(isReusable, answer.KeepFor)
+	j.clearSuspicion(answer, exchange)
+	result := attemptResult{
+		answer: answer,
+		body:   body,
+	}
+	if answer.Status >= fasthttp.StatusInternalServerError {
+		result.reason = request.ReasonServerError
+		result.mayHaveRun = true
+	}
+	return result
+}
+
+// readAnswerHead reads the head of the request's own answer. It skips answers to earlier
+// requests on the same connection; after one, the connection is not reused.
+func (j *job) readAnswerHead(server fleet.Server, exchange *backend.Exchange) (answer request.Answer, hadStaleAnswer bool, err error) {
+	for range maxStaleAnswers {
+		var head fasthttp.ResponseHeader
+		if err = exchange.ReadHead(&head); err != nil {
+			return answer, hadStaleAnswer, err
+		}
+		answer = j.server.dialect.ReadAnswer(&head)
+		j.server.recordDirective(server, answer.Directive)
+		j.recordLimit(server, answer)
+		j.server.recordCold(server, answer.ColdFor)
+		if answer.ID == j.request.ID || answer.ID == "" {
+			return answer, hadStaleAnswer, nil
+		}
+		hadStaleAnswer = true
+		if _, err = exchange.ReadAll(maxAnswerBytes); err != nil {
+			return answer, hadStaleAnswer, err
+		}
+	}
+	return answer, hadStaleAnswer, errors.New("read answer: all answers on the connection belong to other requests")
+}
+
+// handleRefusal returns the result of an attempt that the server says it did not run.
+func (j *job) handleRefusal(exchange *backend.Exchange, answer request.Answer, isReusable bool) attemptResult {
+	if _, err := exchange.ReadAll(maxAnswerBytes); err != nil {
+		exchange.Abort()
+	} else {
+		exchange.Finish(isReusable, answer.KeepFor)
+	}
+	reason := request.ReasonRefused
+	if answer.Status == fasthttp.StatusMisdirectedRequest {
+		reason = request.ReasonOtherServer
+	}
+	return attemptResult{
+		reason: reason,
+	}
+}
+
+// isAuthentic reports whether an answer comes from the server itself and belongs to this
+// request. Answers other than 2xx are not checked.
+func isAuthentic(answer request.Answer, r *request.Request) bool {
+	if answer.Status >= fasthttp.StatusOK && answer.Status < fasthttp.StatusMultipleChoices {
+		return answer.Signed && answer.ID == r.ID && !answer.Encoded
+	}
+	return true
+}
+
+// isStream reports whether the answer is an event stream on a stream route.
+func (j *job) isStream(answer request.Answer) bool {
+	if j.route.Kind != config.Stream || answer.Status != fasthttp.StatusOK {
+		return false
+	}
+	for _, header := range answer.Headers {
+		if header.Name == fasthttp.HeaderContentType {
+			return strings.HasPrefix(header.Value, "text/event-stream")
+		}
+	}
+	return false
+}
+
+// brokenResult returns the result of an attempt that broke off or timed out.
+func (j *job) brokenResult(watch *watchdog, err error) attemptResult {
+	reason := request.ReasonBroken
+	switch {
+	case j.isClientGone.Load():
+		reason = request.ReasonClientGone
+	case j.isQuarantined.Load():
+		reason = request.ReasonCrashes
+	case watch.hasAborted():
+		reason = request.ReasonStalled
+	case j.timeLeft() < minTimeLeft:
+		reason = request.ReasonDeadline
+	}
+	return attemptResult{
+		reason:       reason,
+		mayHaveRun:   true,
+		closedByPeer: reason == request.ReasonBroken && isClosedByPeer(err),
+	}
+}
+
+// reportOutcome reports the server's success or failure to the tracker.
+func (j *job) reportOutcome(server fleet.Server, result attemptResult) {
+	tracker := &j.server.tracker
+	switch result.reason {
+	case request.ReasonNone:
+		tracker.Heard(server.ID)
+		if result.stream == nil {
+			took := time.Since(j.lastSentAt)
+			tracker.Succeeded(server.ID, took.Seconds())
+			tracker.Silence(j.requestClass(), balancer.First, took)
+		}
+	case request.ReasonConnect, request.ReasonOtherServer, request.ReasonRefused:
+		tracker.Failed(server.ID, false)
+	case request.ReasonStalled:
+		tracker.Rest(server.ID)
+	case request.ReasonServerError, request.ReasonBroken, request.ReasonBadAnswer:
+		tracker.Heard(server.ID)
+		tracker.Failed(server.ID, true)
+	}
+	if result.closedByPeer {
+		j.checkForCrash(server)
+	}
+}
+
+// beginStream reads a stream up to its first event.
+func (j *job) beginStream(server fleet.Server, exchange *backend.Exchange, answer request.Answer, isReusable bool, watch *watchdog) attemptResult {
+	started := &stream{
+		job:        j,
+		server:     server,
+		exchange:   exchange,
+		answer:     answer,
+		isReusable: isReusable,
+		sentAt:     watch.lastProgressAt,
+	}
+	for len(started.pending) == 0 && !started.isComplete {
+		if err := started.read(); err != nil && !errors.Is(err, io.EOF) {
+			exchange.Abort()
+			return j.brokenResult(watch, err)
+		}
+	}
+	return attemptResult{
+		answer: answer,
+		stream: started,
+	}
+}
--- /dev/null
+++ b/io/gateway/latestreams.go
@@ -0,0 +1,45 @@
+package gateway
+
+import (
+	"time"
+
+	"headcourse/core/config"
+)
+
+const (
+	// lateShare is the fraction of the engines' capacity that late requests may use in the
+	// lateLimitDuration after a start. That duration is longer than a backlog of clients takes
+	// to be served.
+	lateShare         = 0.3
+	lateLimitDuration = 4 * time.Second
+	// maxLateWait bounds the wait of one late stream for a slot, which is also at most
+	// 1/lateWaitDivisor of its remaining time. A client gives up a stream after two seconds of
+	// silence.
+	maxLateWait     = 450 * time.Millisecond
+	lateWaitDivisor = 4
+)
+
+// waitForLateSlot delays a stream that is already late while too many late streams are in
+// flight, so that capacity remains for requests that arrive next. It applies only after a
+// start, when all clients return at once: in a lasting overload late requests would wait for
+// each other until their clients give up.
+func (j *job) waitForLateSlot() {
+	j.releaseLateSlot = func() {}
+	isRecentStart := j.server.source.KnownFor() < lateLimitDuration
+	if !isRecentStart || j.route.Kind != config.Stream || j.isInTime(j.request.Arrived) {
+		return
+	}
+	kind := j.service + "/" + j.request.Model
+	maxWait := min(maxLateWait, j.timeLeft()/lateWaitDivisor)
+	j.releaseLateSlot = j.server.lateStreams.Enter(kind, j.lateLimit(), maxWait)
+}
+
+// lateLimit returns how many late requests of the model this daemon may have in flight: its
+// share of the capacity for late requests.
+func (j *job) lateLimit() int {
+	capacity := 0
+	for _, server := range j.server.availableServers(j.service, j.request.Model) {
+		capacity += server.Capacity
+	}
+	return max(1, int(lateShare*float64(capacity)/float64(max(1, j.server.source.Daemons()))))
+}
--- /dev/null
+++ b/io/gateway/priority.go
@@ -0,0 +1,54 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"headcourse/core/config"
+	"headcourse/core/request"
+	"headcourse/core/urgency"
+)
+
+// decideYielding decides at random whether the request yields to others of its class, at the
+// rate that the overload calls for.
+func (j *job) decideYielding() {
+	j.yields = rand.Float64() < j.server.overload.Part(j.requestClass())
+	if j.yields {
+		j.server.count(countYielding, request.ReasonOverload)
+	}
+}
+
+// serverPriority returns the request's priority at a server, or noPriority if the operator set
+// none.
+func (j *job) serverPriority() int {
+	if j.priority < 0 {
+		return noPriority
+	}
+	return urgency.Level(j.priority, j.isLate())
+}
+
+// isLate reports whether the request is ordered after others of its priority.
+func (j *job) isLate() bool {
+	if j.eventCount > 0 {
+		// The stream is being resumed, so only the gap since its last event counts.
+		return j.route.PauseGoal > 0 && time.Since(j.lastEventAt) > j.route.PauseGoal
+	}
+	return j.yields || !j.isInTime(time.Now())
+}
+
+// isInTime reports whether an answer that starts at startedAt meets the route's goal.
+func (j *job) isInTime(startedAt time.Time) bool {
+	return urgency.InTime(j.firstAttemptAt, startedAt, j.route.Goal)
+}
+
+// recordTimeliness records for overload detection whether the request's answer, which starts
+// now, is in time. Requests that yield or that were late on arrival are not counted. It is
+// called once: at the first event, or at the end if there was none and the goal has passed. A
+// request that failed quickly was neither in time nor late.
+func (j *job) recordTimeliness() {
+	wasLate := !j.isInTime(j.request.Arrived)
+	if j.yields || wasLate || j.route.Kind != config.Stream {
+		return
+	}
+	j.server.overload.Note(j.requestClass(), j.isInTime(time.Now()))
+}
--- /dev/null
+++ b/io/gateway/requestlog.go
@@ -0,0 +1,111 @@
+package gateway
+
+import (
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+	"go.uber.org/zap"
+
+	"headcourse/core/fleet"
+	"headcourse/core/request"
+)
+
+// recordAttempt adds an attempt to the trail in the request's log line.
+func (j *job) recordAttempt(server fleet.Server, reason request.Reason) {
+	entry := server.ID
+	if server.Membership.Group != "" {
+		entry += "/" + server.Membership.Group
+	}
+	if reason != request.ReasonNone {
+		entry += ":" + string(reason)
+	}
+	j.attemptTrail = append(j.attemptTrail, entry)
+	if reason == request.ReasonBroken {
+		j.breakTimes = append(j.breakTimes, time.Since(j.lastSentAt))
+	}
+}
+
+// milliseconds returns durations in whole milliseconds.
+func milliseconds(times []time.Duration) []int64 {
+	var rounded []int64
+	for _, one := range times {
+		rounded = append(rounded, one.Milliseconds())
+	}
+	return rounded
+}
+
+// finish records the request's metrics, writes its log line and releases its resources. Only
+// the first call has an effect.
+func (j *job) finish(status int, reason request.Reason) {
+	if j.isFinished.Swap(true) {
+		return
+	}
+	if j.stopClientWatch != nil {
+		j.stopClientWatch()
+	}
+	j.server.inFlightByContent.remove(j)
+	if j.attempts > 0 && j.eventCount == 0 && !j.isInTime(time.Now()) {
+		j.recordTimeliness()
+	}
+	j.server.inFlight.Add(-1)
+	took := time.Since(j.request.Arrived)
+	isSuccess := reason == request.ReasonNone && status < fasthttp.StatusInternalServerError
+	if isSuccess {
+		j.server.count(countSucceeded, "whole")
+		j.server.observe(timeCompleteAnswer, took)
+		if j.eventCount > 0 {
+			j.server.observe(timeFirstEvent, j.timeToFirstEvent)
+			j.server.observe(timeLongestEventGap, j.longestEventGap)
+		}
+	}
+	mayWrite, suppressed := true, 0
+	if isSuccess {
+		mayWrite, suppressed = j.server.successThrottle.allow()
+	}
+	if mayWrite {
+		j.writeLogLine(status, reason, took, suppressed)
+	}
+}
+
+// writeLogLine writes the request's log line.
+func (j *job) writeLogLine(status int, reason request.Reason, took time.Duration, suppressed int) {
+	fields := []zap.Field{
+		zap.String("request_id", j.request.ID),
+		zap.Int("status", status),
+		zap.String("reason", string(reason)),
+		zap.Int64("took_ms", took.Milliseconds()),
+		zap.String("sent_to", strings.Join(j.attemptTrail, " ")),
+		zap.Int("runs", j.possibleRuns),
+		zap.Int64("view_age_ms", j.server.source.Age().Milliseconds()),
+	}
+	fields = append(fields, zap.Int64("servers_version", j.server.source.View().Fleet.Version))
+	if j.config != nil {
+		fields = append(fields, zap.Int64("config_version", j.config.Version))
+	}
+	if j.route != nil {
+		fields = append(fields, zap.String("route", j.route.Name), zap.String("organisation", j.organisation))
+	}
+	if j.isRetryBudgetSpent {
+		fields = append(fields, zap.Bool("retry_budget_spent", true))
+	}
+	if j.yields {
+		fields = append(fields, zap.Bool("yields", true))
+	}
+	if j.eventCount > 0 {
+		fields = append(fields,
+			zap.Int("events", j.eventCount),
+			zap.Int64("first_event_ms", j.timeToFirstEvent.Milliseconds()),
+			zap.Int64("longest_pause_ms", j.longestEventGap.Milliseconds()))
+	}
+	if len(j.breakTimes) > 0 || reason == request.ReasonCrashes {
+		fields = append(fields, zap.Stringer("content", j.digest()))
+	}
+	if len(j.breakTimes) > 0 {
+		fields = append(fields, zap.Int64s("broke_after_ms", milliseconds(j.breakTimes)))
+	}
+	if suppressed > 0 {
+		fields = append(fields, zap.Int("successes_not_logged", suppressed))
+	}
+	j.server.log.Info("clients: request ended", fields...)
+}
--- /dev/null
+++ b/io/gateway/selection.go
@@ -0,0 +1,112 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"slices"
+
+	"headcourse/core/balancer"
+	"headcourse/core/demand"
+	"headcourse/core/fleet"
+	"headcourse/core/ratelimit"
+	"headcourse/core/request"
+	"headcourse/core/usage"
+)
+
+// hasUntriedServer reports whether an available server has not been tried for this request yet.
+func (j *job) hasUntriedServer() bool {
+	for _, server := range j.server.availableServers(j.service, j.request.Model) {
+		if !j.excluded[server.ID] {
+			return true
+		}
+	}
+	return false
+}
+
+// selection is the server selected for one attempt.
+type selection struct {
+	server fleet.Server
+	// done must be called at the end of the exchange.
+	done func()
+	// reservation reserves one request of the rate limit, if the server has one.
+	reservation *ratelimit.Reservation
+}
+
+// selectServer selects the server for the next attempt and reserves a request of its rate
+// limit.
+func (j *job) selectServer() (selection, bool) {
+	kind := j.recordDemand()
+	preference := j.server.source.Preference(kind)
+	for {
+		available := j.server.availableServers(j.service, j.request.Model)
+		candidates := preference.WithTiers(j.candidates(available), rand.Float64())
+		chosen, done, ok := j.server.tracker.Pick(candidates, j.excluded, j.request.Cost())
+		if !ok {
+			return selection{}, false
+		}
+		index := slices.IndexFunc(available, func(server fleet.Server) bool {
+			return server.ID == chosen.ID
+		})
+		server := available[index]
+		reservation, isReserved := j.server.limits.Reserve(server.Start(), j.server.limitPlace(server))
+		if isReserved {
+			return selection{
+				server:      server,
+				done:        done,
+				reservation: reservation,
+			}, true
+		}
+		// A concurrent request used the last reservation, so this server is no longer
+		// available.
+		done()
+	}
+}
+
+// noServerReason returns why no server can be selected.
+func (j *job) noServerReason() request.Reason {
+	if reason := j.server.soonestUnavailability(j.service, j.request.Model).reason; reason != request.ReasonNone {
+		return reason
+	}
+	return request.ReasonNoServer
+}
+
+// recordDemand returns the request's kind and, at the first attempt only, adds the request to
+// the measured demand.
+func (j *job) recordDemand() demand.Kind {
+	kind := demand.Kind{
+		Service: j.service,
+		Model:   j.request.Model,
+	}
+	if j.attempts == 0 {
+		j.server.meter.Note(kind, j.request.Cost(), j.tokenDemand())
+	}
+	return kind
+}
+
+// tokenDemand returns the load that the request puts on a model engine. The length of its
+// answer is estimated by the mean answer length of its model.
+func (j *job) tokenDemand() usage.Rate {
+	service := j.config.Service(j.service)
+	if service == nil || service.Engine == nil {
+		return usage.Rate{}
+	}
+	return usage.Of(usage.Size{
+		Prompt: float64(j.request.PromptTokens),
+		Answer: j.server.sizes.Of(j.request.Model, service.Engine.Usual).Answer,
+	}, j.route.Goal)
+}
+
+// candidates returns the available servers in the form that the balancer takes.
+func (j *job) candidates(serving []fleet.Server) []balancer.Candidate {
+	candidates := make([]balancer.Candidate, len(serving))
+	for i, server := range serving {
+		candidates[i] = balancer.Candidate{
+			ID:         server.ID,
+			Capacity:   server.Capacity,
+			Zone:       server.Zone,
+			Domain:     server.Domain,
+			IsTroubled: j.server.source.IsTroubled(server),
+			IsLimited:  j.server.limits.Has(server.Start()),
+		}
+	}
+	return candidates
+}
--- /dev/null
+++ b/io/logline/discard.go
@@ -0,0 +1,8 @@
+package logline
+
+// Quiet is a logger that discards the messages of an HTTP or JSON-RPC library about broken
+// connections, which are logged per request or call already. The zero value is ready to use.
+type Quiet struct{}
+
+// Printf discards a message.
+func (Quiet) Printf(string, ...any) {}
