--- a/entry/coldstarts.go
+++ b/entry/coldstarts.go
@@ -6,53 +6,54 @@
 	"headcourse/core/ratelimit"
 )
 
-// A server that is cold bears few requests, from all daemons together: a limit that no answer
-// names, but its entry and the configuration do.
+// A cold server accepts a reduced rate of requests from all daemons together. No answer names
+// this limit; it follows from the server's entry and the configuration.
 
-// coldLimit returns what a cold server of a service may get; ok is false where none is told.
-func (d *Daemon) coldLimit(known *config.Config, service string) (limit ratelimit.Limit, ok bool) {
-	if known == nil {
+// coldLimit returns the request limit of a cold server of a service. ok is false if the
+// configuration defines none.
+func (d *Daemon) coldLimit(current *config.Config, service string) (limit ratelimit.Limit, ok bool) {
+	if current == nil {
 		return ratelimit.Limit{}, false
 	}
-	described := known.Service(service)
-	if described == nil || described.Cold.PerSecond <= 0 {
+	found := current.Service(service)
+	if found == nil || found.Cold.PerSecond <= 0 {
 		return ratelimit.Limit{}, false
 	}
-	return ratelimit.Cold(described.Cold.PerSecond, d.settings.ColdExcess, d.settings.ColdSlack), true
+	return ratelimit.Cold(found.Cold.PerSecond, d.settings.ColdExcess, d.settings.ColdSlack), true
 }
 
-// limitCold limits a server that its entry says is cold.
-func (d *Daemon) limitCold(known *config.Config, server fleet.Server) {
+// applyColdLimit limits a server whose entry says that it is cold.
+func (d *Daemon) applyColdLimit(current *config.Config, server fleet.Server) {
 	if server.ColdFor <= 0 {
 		return
 	}
-	if limit, ok := d.coldLimit(known, server.Service); ok {
-		d.limits.LimitCold(server.Start(), limit, server.ColdFor)
+	if limit, ok := d.coldLimit(current, server.Service); ok {
+		d.serverLimits.LimitCold(server.Start(), limit, server.ColdFor)
 	}
 }
 
-// limitAllCold limits the servers that were cold when their entries were read, which may have
-// been before the configuration told what they bear.
-func (d *Daemon) limitAllCold(known *config.Config) {
+// applyColdLimits limits all servers whose entries say that they are cold. Entries may be read
+// before the configuration that defines the limit.
+func (d *Daemon) applyColdLimits(current *config.Config) {
 	for _, server := range d.view.Load().Fleet.Servers() {
-		d.limitCold(known, server)
+		d.applyColdLimit(current, server)
 	}
 }
 
-// assumeCold limits the servers of a zone as if they had just started.
-func (d *Daemon) assumeCold(zone string) {
+// assumeZoneCold limits the servers of a zone as if they had just started.
+func (d *Daemon) assumeZoneCold(zone string) {
 	view := d.view.Load()
 	for _, server := range view.Fleet.Servers() {
 		if server.Zone != zone {
 			continue
 		}
 		if limit, ok := d.coldLimit(view.Config, server.Service); ok {
-			d.limits.LimitCold(server.Start(), limit, view.Config.Service(server.Service).Cold.Start)
+			d.serverLimits.LimitCold(server.Start(), limit, view.Config.Service(server.Service).Cold.Start)
 		}
 	}
 }
 
-// ServerCold takes from an answer that a server is cold.
+// ServerCold applies the cold limit to a server whose answer says that it is cold.
 func (d *Daemon) ServerCold(server fleet.Server) {
-	d.limitCold(d.view.Load().Config, server)
+	d.applyColdLimit(d.view.Load().Config, server)
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -15,35 +15,33 @@
 	"headcourse/io/logline"
 )
 
-// Figures of control.
 const (
-	// stepEvery is the time between two steps without news.
-	stepEvery = 100 * time.Millisecond
-	// startTime is how long the start of the whole system lasts at most, during
-	// which loads are not counted. Clients come 10 s after the VMs; this daemon may
-	// be sent its first request later than others.
-	startTime = 8 * time.Second
-	// ordersAtOnce bounds the orders under way: a server answers in some
-	// milliseconds, so thousands are given in a second; those to a zone that is
-	// dark take 0.6 s each.
-	ordersAtOnce = 256
-	// newsQueue bounds news that wait for the control goroutine.
-	newsQueue = 256
-	// leaseWait is how long one call waits for a change of the lease, which its
-	// holder rewrites more often.
-	leaseWait = 2 * time.Second
+	// stepInterval is the time between two steps of the controller if no event arrives.
+	stepInterval = 100 * time.Millisecond
+	// maxFirstStartDuration bounds the first start of the whole system, during which model
+	// loads are not rate limited. Clients arrive 10 s after the VMs start, and this daemon may
+	// get its first request later than others.
+	maxFirstStartDuration = 8 * time.Second
+	// maxOrdersInFlight bounds concurrent orders. A server answers within milliseconds, so this
+	// allows thousands of orders a second; an order to an unreachable zone takes 0.6 s.
+	maxOrdersInFlight = 256
+	// eventQueueCapacity bounds the events that wait for the control goroutine.
+	eventQueueCapacity = 256
+	// leaseWatchTimeout is how long one call waits for a change of the lease. The holder renews
+	// the lease more often.
+	leaseWatchTimeout = 2 * time.Second
 )
 
-// newElector returns this daemon's part in the choice of the leader.
+// newElector returns this daemon's candidate in the leader election.
 func (d *Daemon) newElector() *leader.Elector {
 	return &leader.Elector{
 		Store: d.store,
 		Name:  d.settings.Name,
-		Start: d.start,
-		Clock: d.awake,
-		Rank:  d.rank,
+		Start: d.startID,
+		Clock: d.bootClock,
+		Rank:  d.candidateRank,
 		IsAway: func() bool {
-			return d.outage.Load().IsUnderWay()
+			return d.storeOutage.Load().IsUnderWay()
 		},
 		Changed: func(isLeader bool, lease rowstore.Revision, reason string) {
 			d.log.Info("control: lease changed",
@@ -55,115 +53,115 @@
 	}
 }
 
-// leaseFollower follows the lease.
+// leaseFollower watches the lease.
 func (d *Daemon) leaseFollower(elector *leader.Elector) *rowstore.Follower {
-	see := func(isWhole bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
+	observe := func(isSnapshot bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
 		return func(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
-			if err := elector.See(rows, at.Era, isWhole); err != nil {
-				d.log.Error("control: lease not taken notice of", logline.Err(err))
+			if err := elector.See(rows, at.Era, isSnapshot); err != nil {
+				d.log.Error("control: lease row not decoded", logline.Err(err))
 			}
 		}
 	}
 	return &rowstore.Follower{
-		Store:      d.chain,
+		Store:      d.tableReader,
 		Table:      leader.Table,
-		Wait:       leaseWait,
-		Whole:      see(true),
-		Changed:    see(false),
-		Hub:        &d.hub,
+		Wait:       leaseWatchTimeout,
+		Whole:      observe(true),
+		Changed:    observe(false),
+		Hub:        &d.tableCache,
 		Failed:     d.recordStoreError(leader.Table),
-		Recovered:  d.recordRecovered(leader.Table),
-		EraChanged: d.recordEra(leader.Table),
-		Dropped:    d.recordDropped(leader.Table),
-		Clock:      &d.clock,
+		Recovered:  d.recordStoreRecovery(leader.Table),
+		EraChanged: d.recordEraChange(leader.Table),
+		Dropped:    d.recordDroppedAnswer(leader.Table),
+		Clock:      &d.storeClock,
 	}
 }
 
-// term is one term of leading: one goroutine owns the controller; orders,
-// probes and followers hand it what they learn as functions.
+// term is one term as leader. A single goroutine owns the controller; orders, probes and
+// followers pass their results to it as functions.
 type term struct {
 	daemon     *Daemon
 	lease      *leader.Lease
 	controller assembly.Controller
-	news       chan func()
-	// turns holds a token for each order under way.
-	turns chan struct{}
-	// mustLoad tells that the records in the store may be others than known.
-	mustLoad bool
-	// triedToLoad is when they were last asked for.
-	triedToLoad time.Time
-	// pending are changes of records that wait for the one being committed.
-	pending      assembly.Plan
-	isCommitting bool
+	events     chan func()
+	// orderSlots holds a token for each order in flight.
+	orderSlots chan struct{}
+	// mustReadRecords is set if the records in the store may differ from the controller's.
+	mustReadRecords bool
+	// lastReadAttempt is when the records were last requested.
+	lastReadAttempt time.Time
+	// pendingChanges are changes of records that wait until the current commit ends.
+	pendingChanges assembly.Plan
+	isCommitting   bool
 }
 
 // lead forms and repairs groups until ctx ends.
 func (d *Daemon) lead(ctx context.Context, lease *leader.Lease) {
 	t := &term{
-		daemon:   d,
-		lease:    lease,
-		news:     make(chan func(), newsQueue),
-		turns:    make(chan struct{}, ordersAtOnce),
-		mustLoad: true,
-	}
-	d.isLeading.Store(true)
-	defer d.isLeading.Store(false)
-	d.reported.subscribe(func(group string, reported stall) {
-		t.tell(ctx, func() {
-			t.controller.Suspect(group, reported.Epoch, reported.Silent)
+		daemon:          d,
+		lease:           lease,
+		events:          make(chan func(), eventQueueCapacity),
+		orderSlots:      make(chan struct{}, maxOrdersInFlight),
+		mustReadRecords: true,
+	}
+	d.isLeader.Store(true)
+	defer d.isLeader.Store(false)
+	d.reportedStalls.subscribe(func(group string, reported stall) {
+		t.enqueue(ctx, func() {
+			t.controller.Suspect(group, reported.Epoch, reported.UnresponsiveMember)
 		})
 	})
-	defer d.reported.subscribe(nil)
-	ticker := time.NewTicker(stepEvery)
+	defer d.reportedStalls.subscribe(nil)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		t.step(ctx)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-d.changed:
-		case news := <-t.news:
-			news()
+		case <-d.viewChanged:
+		case event := <-t.events:
+			event()
 		}
-		t.drain()
+		t.drainEvents()
 	}
 }
 
-// drain takes all news that wait.
-func (t *term) drain() {
+// drainEvents handles all pending events.
+func (t *term) drainEvents() {
 	for {
 		select {
-		case news := <-t.news:
-			news()
+		case event := <-t.events:
+			event()
 		default:
 			return
 		}
 	}
 }
 
-// tell hands news to the control goroutine.
-func (t *term) tell(ctx context.Context, news func()) {
+// enqueue passes an event to the control goroutine.
+func (t *term) enqueue(ctx context.Context, event func()) {
 	select {
-	case t.news <- news:
+	case t.events <- event:
 	case <-ctx.Done():
 	}
 }
 
-// step decides once and does what was decided. Nothing is ordered unless the
-// lease holds and the records are known, nor while entries may be those of an older copy
-// of the store: a server that seems to be free may be a member of a group that serves.
+// step runs the controller once and carries out its decisions. It does nothing unless the lease
+// is held and the records are known, nor while server entries may come from an older copy of
+// the store: a server that looks free in it may be a member of a serving group.
 func (t *term) step(ctx context.Context) {
-	if !t.lease.Holds() || !t.daemon.serversRead.Load() || !t.lease.HasSettled(t.daemon.rewriteTime()) {
+	if !t.lease.Holds() || !t.daemon.serversLoaded.Load() || !t.lease.HasSettled(t.daemon.rewriteWindow()) {
 		return
 	}
-	if t.mustLoad && (t.isCommitting || !t.load(ctx)) {
+	if t.mustReadRecords && (t.isCommitting || !t.readRecords(ctx)) {
 		return
 	}
-	world := t.world()
+	input := t.controllerInput()
 	if t.daemon.serversEra.Load() != t.lease.Era() {
 		return
 	}
-	plan := t.controller.Step(world)
+	plan := t.controller.Step(input)
 	for _, note := range plan.Notes {
 		t.daemon.log.Info("groups: "+note.What, zap.String("group", note.Group), zap.Int64("epoch", note.Epoch), zap.String("model", note.Model), zap.String("reason", note.Reason))
 	}
@@ -171,14 +169,14 @@
 		go t.probe(ctx, server)
 	}
 	for _, order := range plan.Orders {
-		go t.give(ctx, order)
+		go t.sendOrder(ctx, order)
 	}
-	t.pending.AddChanges(plan)
+	t.pendingChanges.AddChanges(plan)
 	t.commitPending(ctx)
 }
 
-// world returns what the controller decides by.
-func (t *term) world() assembly.World {
+// controllerInput returns the state that the controller decides on.
+func (t *term) controllerInput() assembly.World {
 	d := t.daemon
 	view := d.view.Load()
 	return assembly.World{
@@ -186,51 +184,51 @@
 		Fleet:      view.Fleet,
 		Evacuated:  view.Evacuated,
 		Era:        t.lease.Era(),
-		IsSteady:   d.outage.Load().IsSteady(),
-		IsStart:    d.settings.IsFirstStart && !d.gateway.HadRequests() && time.Since(d.began) < startTime,
+		IsSteady:   d.storeOutage.Load().IsSteady(),
+		IsStart:    d.settings.IsFirstStart && !d.gateway.HadRequests() && time.Since(d.startedAt) < maxFirstStartDuration,
 		IsIdle:     d.isIdle(),
 		StallTime:  d.settings.StallTime,
 		LoadWindow: d.settings.LoadWindow,
 		LoadExcess: d.settings.LoadExcess,
-		Asked:      d.asked,
+		Asked:      d.demandFor,
 	}
 }
 
-// asked returns what callers of all daemons ask of a model, and whether that is known.
-func (d *Daemon) asked(service, model string) (usage.Rate, bool) {
-	return d.board.Tokens(demand.Kind{
+// demandFor returns the demand for a model at all daemons, and whether it is known.
+func (d *Daemon) demandFor(service, model string) (usage.Rate, bool) {
+	return d.demandTotals.Tokens(demand.Kind{
 		Service: service,
 		Model:   model,
 	})
 }
 
-// probe asks a server for a sign of life.
+// probe checks whether a server responds and passes the result to the controller.
 func (t *term) probe(ctx context.Context, server fleet.Server) {
-	found := t.daemon.workers.Probe(server)
-	t.tell(ctx, func() {
-		t.controller.Probed(server.ID, found)
+	result := t.daemon.engines.Probe(server)
+	t.enqueue(ctx, func() {
+		t.controller.Probed(server.ID, result)
 	})
-	if found.Sign != assembly.Alive || found.IsSlow() {
-		t.daemon.log.Info("groups: server probed", zap.String("server", server.ID), zap.String("sign", found.Sign.String()), zap.Float64("pace", found.Pace))
+	if result.Sign != assembly.Alive || result.IsSlow() {
+		t.daemon.log.Info("groups: server probed", zap.String("server", server.ID), zap.String("sign", result.Sign.String()), zap.Float64("pace", result.Pace))
 	}
 }
 
-// give gives one order, when it is its turn.
-func (t *term) give(ctx context.Context, order assembly.Order) {
+// sendOrder sends one order as soon as a slot is free.
+func (t *term) sendOrder(ctx context.Context, order assembly.Order) {
 	select {
-	case t.turns <- struct{}{}:
+	case t.orderSlots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
 	defer func() {
-		<-t.turns
+		<-t.orderSlots
 	}()
 	if !t.lease.Holds() {
 		return
 	}
-	began := time.Now()
-	result, err := t.daemon.workers.Order(order)
-	t.daemon.observe("order_ms", time.Since(began))
+	sentAt := time.Now()
+	result, err := t.daemon.engines.Order(order)
+	t.daemon.observeDuration("order_ms", time.Since(sentAt))
 	t.daemon.log.Info("groups: order given",
 		zap.String("order", order.Kind.String()),
 		zap.String("server", order.Server.ID),
@@ -240,7 +238,7 @@
 		zap.String("reason", order.Reason),
 		zap.String("result", result.String()),
 		logline.Err(err))
-	t.tell(ctx, func() {
+	t.enqueue(ctx, func() {
 		t.controller.Ordered(order, result)
 	})
 }
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -13,49 +13,49 @@
 	"headcourse/io/logline"
 )
 
-// Ends of servers under requests are reported to all daemons by rows of reportTable, one for each
-// digest and start. These are written without conditions and mean the same whoever writes
-// them and how often, so nothing is lost where daemons write together or an answer is lost.
-// A trial of such a request is a row for its digest, written only where the trial before is
-// as this daemon knows it: so one daemon begins it. The table is followed in any case: while
-// no server ends, all this costs no call.
+// Crashes of servers during a request are reported to all daemons by rows of reportTable, one
+// for each digest of a request and start of a server. These rows are written without conditions
+// and are idempotent, so concurrent writers and lost answers lose nothing. A trial of a
+// suspected request is a row for its digest. It is written only if the row of the previous
+// trial has the version that this daemon knows, so only one daemon starts a trial. The table is
+// watched in any case: as long as no server crashes, this costs no further calls.
 
-// tryTime bounds agreeing on a trial, for which a client waits.
-const tryTime = 300 * time.Millisecond
+// trialTimeout bounds the claim of a trial, during which a client waits.
+const trialTimeout = 300 * time.Millisecond
 
-// Beginnings of keys of reportTable; names of groups have no slash.
+// Prefixes of keys of reportTable. Group names contain no slash.
 const (
-	endPrefix   = "end/"
+	crashPrefix = "end/"
 	trialPrefix = "trial/"
 )
 
-// endReport is the value of an end's row, trialReport that of a trial's. By is the daemon, for
-// whoever looks.
-type endReport struct {
-	By    string `json:"by"`
-	Trial int    `json:"trial,omitempty"`
+// crashReport is the value of a crash row, trialReport that of a trial row. ReportedBy and
+// StartedBy name the daemon, for diagnosis only.
+type crashReport struct {
+	ReportedBy string `json:"by"`
+	Trial      int    `json:"trial,omitempty"`
 }
 
 type trialReport struct {
-	By     string `json:"by"`
-	Number int    `json:"number"`
+	StartedBy string `json:"by"`
+	Number    int    `json:"number"`
 }
 
-// endKey returns the key of an end's row.
-func endKey(digest quarantine.Digest, start string) string {
-	return endPrefix + digest.String() + "/" + start
+// crashKey returns the key of a crash row.
+func crashKey(digest quarantine.Digest, start string) string {
+	return crashPrefix + digest.String() + "/" + start
 }
 
-// trialKey returns the key of the row of a request's trials.
+// trialKey returns the key of the trial row of a request.
 func trialKey(digest quarantine.Digest) string {
 	return trialPrefix + digest.String()
 }
 
-// parseEnd reads the key of an end's row.
-func parseEnd(key string) (quarantine.End, error) {
-	digest, start, ok := strings.Cut(strings.TrimPrefix(key, endPrefix), "/")
+// parseCrashKey decodes the key of a crash row.
+func parseCrashKey(key string) (quarantine.End, error) {
+	digest, start, ok := strings.Cut(strings.TrimPrefix(key, crashPrefix), "/")
 	if !ok || start == "" {
-		return quarantine.End{}, errors.Errorf("%.200q names no end of a server", key)
+		return quarantine.End{}, errors.Errorf("decode key %.200q: it names no start of a server", key)
 	}
 	parsed, err := quarantine.ParseDigest(digest)
 	return quarantine.End{
@@ -64,47 +64,48 @@
 	}, err
 }
 
-// Ended reports to all daemons that a server ended under a request. It never waits.
+// Ended reports to all daemons that a server crashed during a request. It does not block.
 func (d *Daemon) Ended(end quarantine.End) {
-	encoded, err := json.Marshal(endReport{
-		By:    d.settings.Name,
-		Trial: end.Trial,
+	encoded, err := json.Marshal(crashReport{
+		ReportedBy: d.settings.Name,
+		Trial:      end.Trial,
 	})
 	if err != nil {
-		d.log.Error("requests: end of a server not reported", logline.Err(err))
+		d.log.Error("requests: server crash not reported", logline.Err(err))
 		return
 	}
-	d.queueReport(report{
-		key:   endKey(end.Digest, end.Start),
+	d.enqueueReport(report{
+		key:   crashKey(end.Digest, end.Start),
 		value: encoded,
 	})
 }
 
-// Cleared has what the store tells of a request removed. It never waits.
+// Cleared removes a request's crash and trial rows from the store. It does not block.
 func (d *Daemon) Cleared(cleared quarantine.Cleared) {
 	for _, start := range cleared.Starts {
-		d.queueReport(report{
-			key: endKey(cleared.Digest, start),
+		d.enqueueReport(report{
+			key: crashKey(cleared.Digest, start),
 		})
 	}
 	if cleared.HasTrial {
-		d.queueReport(report{
+		d.enqueueReport(report{
 			key: trialKey(cleared.Digest),
 		})
 	}
 }
 
-// MayTry begins a trial, unless another daemon has begun it or the store does not answer.
+// MayTry claims a trial. It returns false if another daemon has claimed it or the store does
+// not answer.
 func (d *Daemon) MayTry(trial quarantine.Trial) bool {
 	encoded, err := json.Marshal(trialReport{
-		By:     d.settings.Name,
-		Number: trial.Number,
+		StartedBy: d.settings.Name,
+		Number:    trial.Number,
 	})
 	if err != nil {
-		d.log.Error("requests: trial not begun", logline.Err(err))
+		d.log.Error("requests: trial not started", logline.Err(err))
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tryTime)
+	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
 	row := rowstore.Row{
 		Table: reportTable,
@@ -115,7 +116,7 @@
 	if trial.After.Version == 0 {
 		era = d.reportsEra.Load()
 	}
-	at, err := d.store.Commit(ctx, rowstore.Transaction{
+	revision, err := d.store.Commit(ctx, rowstore.Transaction{
 		Era: era,
 		Conditions: []rowstore.Condition{
 			{
@@ -129,8 +130,8 @@
 	var conflict *rowstore.Conflict
 	switch {
 	case err == nil:
-		if !d.ledger.Tried(trial, at) {
-			// It was answered whole meanwhile: there is nothing left to try.
+		if !d.crashLedger.Tried(trial, revision) {
+			// The request was answered completely in the meantime, so no trial is needed.
 			d.Cleared(quarantine.Cleared{
 				Digest:   trial.Digest,
 				HasTrial: true,
@@ -138,7 +139,7 @@
 		}
 		return true
 	case errors.As(err, &conflict):
-		d.takeReports(conflict.Rows, rowstore.Revision{
+		d.applyReports(conflict.Rows, rowstore.Revision{
 			Era: era,
 		}, time.Time{})
 	default:
@@ -147,24 +148,24 @@
 	return false
 }
 
-// takeEnd takes the row of an end.
-func (d *Daemon) takeEnd(row rowstore.Row) {
-	end, err := parseEnd(row.Key)
+// applyCrash applies a crash row.
+func (d *Daemon) applyCrash(row rowstore.Row) {
+	end, err := parseCrashKey(row.Key)
 	if err != nil {
-		d.recordBadRow(reportTable, row, err)
+		d.recordRejectedRow(reportTable, row, err)
 		return
 	}
 	if row.Deleted {
-		d.ledger.Removed(end)
+		d.crashLedger.Removed(end)
 		return
 	}
-	var reported endReport
+	var reported crashReport
 	if err = json.Unmarshal(row.Value, &reported); err != nil {
-		d.recordBadRow(reportTable, row, errors.Wrap(err, "decode end"))
+		d.recordRejectedRow(reportTable, row, errors.Wrap(err, "decode crash report"))
 		return
 	}
 	end.Trial = reported.Trial
-	if !d.ledger.Told(end) {
+	if !d.crashLedger.Told(end) {
 		d.Cleared(quarantine.Cleared{
 			Digest: end.Digest,
 			Starts: []string{end.Start},
@@ -172,30 +173,30 @@
 	}
 }
 
-// takeTrial takes the row of a request's trials, in an era.
-func (d *Daemon) takeTrial(row rowstore.Row, era int64) {
+// applyTrial applies a trial row that was read in an era of the store.
+func (d *Daemon) applyTrial(row rowstore.Row, era int64) {
 	digest, err := quarantine.ParseDigest(strings.TrimPrefix(row.Key, trialPrefix))
 	if err != nil {
-		d.recordBadRow(reportTable, row, err)
+		d.recordRejectedRow(reportTable, row, err)
 		return
 	}
 	if row.Deleted {
-		d.ledger.RemovedTrial(digest)
+		d.crashLedger.RemovedTrial(digest)
 		return
 	}
 	var reported trialReport
 	if err = json.Unmarshal(row.Value, &reported); err != nil {
-		d.recordBadRow(reportTable, row, errors.Wrap(err, "decode trial"))
+		d.recordRejectedRow(reportTable, row, errors.Wrap(err, "decode trial report"))
 		return
 	}
-	isTaken := d.ledger.Tried(quarantine.Trial{
+	isAccepted := d.crashLedger.Tried(quarantine.Trial{
 		Digest: digest,
 		Number: reported.Number,
 	}, rowstore.Revision{
 		Era:     era,
 		Version: row.Version,
 	})
-	if !isTaken {
+	if !isAccepted {
 		d.Cleared(quarantine.Cleared{
 			Digest:   digest,
 			HasTrial: true,
@@ -203,37 +204,38 @@
 	}
 }
 
-// keepEnds forgets what was reported and is not among the rows of the whole table.
-func (d *Daemon) keepEnds(rows []rowstore.Row) {
-	var ends []quarantine.End
+// retainCrashes forgets all crashes and trials that a snapshot of the table does not contain.
+func (d *Daemon) retainCrashes(rows []rowstore.Row) {
+	var crashes []quarantine.End
 	var trials []quarantine.Digest
 	for _, row := range rows {
-		if end, err := parseEnd(row.Key); isEnd(row) && err == nil {
-			ends = append(ends, end)
+		if end, err := parseCrashKey(row.Key); isCrashRow(row) && err == nil {
+			crashes = append(crashes, end)
 		}
-		if digest, err := quarantine.ParseDigest(strings.TrimPrefix(row.Key, trialPrefix)); isTrial(row) && err == nil {
+		if digest, err := quarantine.ParseDigest(strings.TrimPrefix(row.Key, trialPrefix)); isTrialRow(row) && err == nil {
 			trials = append(trials, digest)
 		}
 	}
-	d.ledger.Keep(ends, trials)
+	d.crashLedger.Keep(crashes, trials)
 }
 
-// isEnd tells whether a row of reportTable is of an end, isTrial whether it is of a trial.
-func isEnd(row rowstore.Row) bool {
-	return strings.HasPrefix(row.Key, endPrefix)
+// isCrashRow returns whether a row of reportTable reports a crash, isTrialRow whether it
+// reports a trial.
+func isCrashRow(row rowstore.Row) bool {
+	return strings.HasPrefix(row.Key, crashPrefix)
 }
 
-func isTrial(row rowstore.Row) bool {
+func isTrialRow(row rowstore.Row) bool {
 	return strings.HasPrefix(row.Key, trialPrefix)
 }
 
-// sweepEnds forgets ends that were long ago. The leader removes their rows.
-func (d *Daemon) sweepEnds() {
-	old := d.ledger.Sweep()
-	if !d.isLeading.Load() {
+// expireCrashes forgets old crashes. The leader also removes their rows.
+func (d *Daemon) expireCrashes() {
+	expired := d.crashLedger.Sweep()
+	if !d.isLeader.Load() {
 		return
 	}
-	for _, cleared := range old {
+	for _, cleared := range expired {
 		d.Cleared(cleared)
 	}
 }
--- a/entry/crashing_test.go
+++ b/entry/crashing_test.go
@@ -12,12 +12,12 @@
 	"headcourse/platform/wire"
 )
 
-// endsAllowed is how many servers may end under a request before it is not sent any more.
-const endsAllowed = 3
+// maxCrashes is how many servers may crash during a request before daemons stop sending it.
+const maxCrashes = 3
 
-// crashing returns what sends a request of one kind that crashes each server which
-// begins to run it, and the path of that request.
-func crashing(kind string) (path string, ask func(client *standin.Client) standin.Answer) {
+// crashingRequest returns the path of a request that crashes each server which starts to run
+// it, and a function that sends it.
+func crashingRequest(kind string) (path string, send func(client *standin.Client) standin.Answer) {
 	switch kind {
 	case "repeatable":
 		path = standin.PathSafe + standin.NameCrashing
@@ -40,49 +40,49 @@
 	}
 }
 
-// streamSmall asks for a stream that any engine survives.
+// streamSmall requests a stream that does not crash engines.
 func streamSmall(client *standin.Client) standin.Answer {
 	return client.Stream(context.Background(), standin.ModelSmall, 3)
 }
 
-// A request crashed each server that began to run it, and came again under new ids, to
-// any daemon, as clients repeat what failed. 26 servers ended under one such request
-// within 17 s, 21 under another, and most requests of their model failed meanwhile: every
-// end took the requests beside it along. Nothing that daemons kept outlived one id, so each
-// repeat was a new request to them: no id had reached more than three servers, and lines of
-// repeats have the same content (TestLinesOfRepeatsTellThatTheirContentIsTheSame).
-func TestRequestThatCrashesServersIsNotSentForEver(t *testing.T) {
+// Guards against a request that crashes one server after another. Clients repeat a failed
+// request under new IDs and at any daemon. Limits that were kept for each ID did not see the
+// repeats as the same request: no ID reached more than three servers, but 26 servers crashed
+// under one such request within 17 s and 21 under another. Each crash also failed the other
+// requests at its server, so most requests for the model failed meanwhile.
+func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, kind := range []string{"repeatable", "not repeatable", "stream"} {
 		t.Run(kind, func(t *testing.T) {
 			s := newSite(t, 3)
-			path, ask := crashing(kind)
-			for turn := 0; s.platform.Crashes(path) < endsAllowed; turn++ {
-				ask(s.client(turn%len(s.daemons), standin.KeyOne))
+			path, send := crashingRequest(kind)
+			for turn := 0; s.standin.Crashes(path) < maxCrashes; turn++ {
+				send(s.client(turn%len(s.daemons), standin.KeyOne))
 			}
 			isNotSent := func(answer standin.Answer) bool {
-				return answer.Status == http.StatusServiceUnavailable && answer.Reason == "crashes_servers" && s.platform.Runs(answer.ID) == 0
+				return answer.Status == http.StatusServiceUnavailable && answer.Reason == "crashes_servers" && s.standin.Runs(answer.ID) == 0
 			}
 			for i := range s.daemons {
 				s.await(func() standin.Answer {
-					return ask(s.client(i, standin.KeyOne))
+					return send(s.client(i, standin.KeyOne))
 				}, isNotSent)
 			}
-			// All daemons know, also one that starts now.
+			// All daemons know, including one that starts now.
 			s.daemons = append(s.daemons, s.startDaemon("front-d"))
-			ended := s.platform.Crashes(path)
+			ended := s.standin.Crashes(path)
 			for i := range s.daemons {
 				for range 4 {
-					// One that starts may refuse for want of a view at first, but sends nothing.
+					// A starting daemon may reject requests until it has a view, but sends
+					// nothing.
 					s.await(func() standin.Answer {
-						return ask(s.client(i, standin.KeyOne))
+						return send(s.client(i, standin.KeyOne))
 					}, isNotSent)
 				}
 			}
-			qt.Assert(t, s.platform.Crashes(path), qt.Equals, ended)
-			// Others are served as soon as servers are back, and none is held meanwhile.
+			qt.Assert(t, s.standin.Crashes(path), qt.Equals, ended)
+			// Other requests are served as soon as servers are back, and none is quarantined.
 			isNotHeld := func(answer standin.Answer) bool {
 				qt.Assert(t, answer.Reason, qt.Not(qt.Equals), "crashes_servers")
-				return isWhole(answer)
+				return isSuccess(answer)
 			}
 			for i := range s.daemons {
 				for _, other := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
@@ -95,18 +95,19 @@
 	}
 }
 
-// A request was refused for two seconds although it had just been answered: another of its
-// content was, between the decision to try it and the other daemons' agreement.
-func TestTrialOfARequestThatWasAnsweredMeanwhileIsSent(t *testing.T) {
+// Guards against a trial row that blocks a request which was just answered. Another request
+// with the same content was answered between the decision to try this one and the claim of the
+// trial, and the request was rejected for two seconds.
+func TestTrialRowIsRemovedWhenRequestIsAnsweredMeanwhile(t *testing.T) {
 	s := newSite(t, 1)
 	s.await(func() standin.Answer {
 		return get(s.client(0, standin.KeyOne))
-	}, isWhole)
+	}, isSuccess)
 	trial := quarantine.Trial{
 		Digest: quarantine.DigestOf(standin.PathSafe+"gate", "cuenca", nil),
 		Number: 1,
 	}
 	qt.Assert(t, s.daemons[0].MayTry(trial), qt.IsTrue)
-	// Its row goes again, so that no other daemon waits for its end.
+	// The row of the trial is removed, so that no other daemon waits for its end.
 	s.awaitTrue(func() bool { return s.daemons[0].MayTry(trial) })
 }
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -15,318 +15,321 @@
 	"headcourse/io/relay"
 )
 
-// Figures of the list of daemons.
 const (
-	// fewestDaemons is assumed until the list is read: a daemon that knows no
-	// others spends little.
-	fewestDaemons = 16
-	// listWait is how long one call waits for changes of the list.
-	listWait = 5 * time.Second
-	// listSettle lets changes of the list come together: hundreds of daemons that start
-	// together write a row each, and each would look at the list once for each of them.
-	listSettle = 250 * time.Millisecond
-	// listPatience is how long a starting daemon waits for the list before it reads
-	// the other tables. Without the list it knows no relay, and a store that does not give
-	// the list gives nothing else: each daemon would read and follow all tables itself.
-	listPatience = 6 * time.Second
-	// sharePart is the part of the share of requests that is used: daemons and
-	// servers do not count in the same windows.
-	sharePart = 0.92
+	// initialDaemonCount is assumed until the daemon list is read. It keeps the retry budget of
+	// a daemon that knows no others small.
+	initialDaemonCount = 16
+	// listWatchTimeout is how long one call waits for changes of the list.
+	listWatchTimeout = 5 * time.Second
+	// listCoalesceDelay collects changes of the list. Hundreds of daemons that start at the
+	// same time write a row each, and without the delay each daemon would process the list once
+	// for each row.
+	listCoalesceDelay = 250 * time.Millisecond
+	// maxListWait is how long a starting daemon waits for the list before it reads the other
+	// tables. Without the list it knows no relay. A store that does not return the list returns
+	// nothing else, so each daemon would try to read and watch all tables itself.
+	maxListWait = 6 * time.Second
+	// retryShareFactor scales down the allowed ratio of retries to requests, since daemons and
+	// servers count requests in different time windows.
+	retryShareFactor = 0.92
 )
 
-// setBudgets gives this daemon its part of the retries, and returns the burst of
-// it.
-func (d *Daemon) setBudgets(daemons int) float64 {
+// setRetryBudgets sets this daemon's part of the system's retry budget and returns its burst.
+func (d *Daemon) setRetryBudgets(daemons int) float64 {
 	burst := retry.BurstPart(d.settings.RetryBurst, daemons)
-	d.budgets.SetFigures(sharePart*d.settings.RetryShare, burst, d.settings.RetryWindow)
+	d.retryBudgets.SetFigures(retryShareFactor*d.settings.RetryShare, burst, d.settings.RetryWindow)
 	return burst
 }
 
-// self returns this daemon as it stands in the list.
-func (d *Daemon) self() neighbours.Daemon {
+// selfEntry returns this daemon's entry in the list.
+func (d *Daemon) selfEntry() neighbours.Daemon {
 	return neighbours.Daemon{
 		Name:     d.settings.Name,
 		Zone:     d.settings.Zone,
 		Strength: d.settings.Strength,
-		Address:  d.relays.Address(),
+		Address:  d.relayServer.Address(),
 	}
 }
 
-// roster is the list of the daemons as one daemon knows it.
-type roster struct {
-	mutex   sync.Mutex
-	known   map[string]neighbours.Daemon
-	list    neighbours.List
-	clients map[string]*relay.Client
-	// fallbacks are clients of the same daemons that tell them nothing.
-	fallbacks map[string]*relay.Client
-	// published is the row of the relays as the list has it; nil: it has none.
-	published []byte
-	// isLost tells that a restored list lacks this daemon.
-	isLost bool
-	// relays are the names of those that this daemon asks, in order, for the log.
-	relays []string
+// daemonDirectory is the list of all daemons as this daemon knows it.
+type daemonDirectory struct {
+	mutex        sync.Mutex
+	byName       map[string]neighbours.Daemon
+	list         neighbours.List
+	relayClients map[string]*relay.Client
+	// fallbackClients are clients of the same daemons that do not send them this daemon's
+	// demand.
+	fallbackClients map[string]*relay.Client
+	// publishedRelays is the value of the relays' row in the list, or nil without such a row.
+	publishedRelays []byte
+	// isSelfMissing is set if a restored list lacks this daemon.
+	isSelfMissing bool
+	// relayNames are the relays that this daemon uses, in order, for the log.
+	relayNames []string
 }
 
-// prepare makes the maps of clients. The mutex is held.
-func (r *roster) prepare() {
-	if r.clients == nil {
-		r.clients = map[string]*relay.Client{}
-		r.fallbacks = map[string]*relay.Client{}
+// initClients creates the maps of clients. The caller holds the mutex.
+func (d *daemonDirectory) initClients() {
+	if d.relayClients == nil {
+		d.relayClients = map[string]*relay.Client{}
+		d.fallbackClients = map[string]*relay.Client{}
 	}
 }
 
-// listFollower follows the list of the daemons. Rows of VMs that are gone stay,
-// so the count is never too small and the parts of the retries never add up to
-// too much.
+// listFollower watches the daemon list. Rows of VMs that no longer exist stay in it, so the
+// count is never too low and the daemons' retry budgets together never exceed the limit.
 func (d *Daemon) listFollower() *rowstore.Follower {
 	return &rowstore.Follower{
 		Store: d.listReader(),
 		Table: neighbours.Table,
-		Wait:  listWait,
+		Wait:  listWatchTimeout,
 		Settle: func() time.Duration {
-			return listSettle
+			return listCoalesceDelay
 		},
 		Whole: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
-			d.takeList(rows, true)
+			d.applyList(rows, true)
 		},
-		// Daemons that a restored list lacks list themselves again. Until then they count:
-		// what all share must not add up to more.
+		// Daemons that a restored list lacks register again. Until then they still count, so
+		// that the shares of all daemons do not add up to more than the limit.
 		Restored: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
-			d.takeList(rows, false)
-			d.updateIsLost(rows)
+			d.applyList(rows, false)
+			d.updateSelfMissing(rows)
 		},
-		Rewrite: d.relistTime,
+		Rewrite: d.reregistrationWindow,
 		Changed: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 			if len(rows) > 0 {
-				d.takeList(rows, false)
+				d.applyList(rows, false)
 			}
 		},
-		Hub:        &d.hub,
+		Hub:        &d.tableCache,
 		Failed:     d.recordListError,
-		Recovered:  d.recordRecovered(neighbours.Table),
-		EraChanged: d.recordEra(neighbours.Table),
-		Dropped:    d.recordDropped(neighbours.Table),
-		Clock:      &d.clock,
+		Recovered:  d.recordStoreRecovery(neighbours.Table),
+		EraChanged: d.recordEraChange(neighbours.Table),
+		Dropped:    d.recordDroppedAnswer(neighbours.Table),
+		Clock:      &d.storeClock,
 	}
 }
 
-// updateIsLost records whether a restored list lacks this daemon.
-func (d *Daemon) updateIsLost(rows []rowstore.Row) {
-	isThere := slices.ContainsFunc(rows, func(row rowstore.Row) bool {
+// updateSelfMissing records whether a restored list lacks this daemon.
+func (d *Daemon) updateSelfMissing(rows []rowstore.Row) {
+	isPresent := slices.ContainsFunc(rows, func(row rowstore.Row) bool {
 		return row.Key == d.settings.Name
 	})
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	d.roster.isLost = !isThere
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	d.directory.isSelfMissing = !isPresent
 }
 
-// relistTime returns how long after a restore of the store the list may lack daemons.
-func (d *Daemon) relistTime() time.Duration {
-	return 2 * listLater
+// reregistrationWindow returns how long after a restore of the store daemons may be missing
+// from the list.
+func (d *Daemon) reregistrationWindow() time.Duration {
+	return 2 * registerCheckInterval
 }
 
-// recordListError records a failed call for the list. Until it was read, nothing else is.
+// recordListError records a failed call for the list. No other table is read before the list
+// is.
 func (d *Daemon) recordListError(err error) {
-	if d.awaitsList(neighbours.Table) {
-		d.recordOutage(neighbours.Table)(err)
+	if d.isInitialListRead(neighbours.Table) {
+		d.recordOutageStart(neighbours.Table)(err)
 		return
 	}
 	d.recordStoreError(neighbours.Table)(err)
 }
 
-// takeList takes rows of the list and chooses the relays anew.
-func (d *Daemon) takeList(rows []rowstore.Row, isWhole bool) {
-	r := &d.roster
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if isWhole || r.known == nil {
-		r.known = map[string]neighbours.Daemon{}
-		r.published = nil
+// applyList applies rows of the list and selects the relays again.
+func (d *Daemon) applyList(rows []rowstore.Row, isSnapshot bool) {
+	directory := &d.directory
+	directory.mutex.Lock()
+	defer directory.mutex.Unlock()
+	if isSnapshot || directory.byName == nil {
+		directory.byName = map[string]neighbours.Daemon{}
+		directory.publishedRelays = nil
 	}
 	for _, row := range rows {
 		if row.Key == neighbours.RelaysKey {
-			r.published = row.Value
+			directory.publishedRelays = row.Value
 			continue
 		}
 		if row.Deleted {
-			delete(r.known, row.Key)
+			delete(directory.byName, row.Key)
 			continue
 		}
 		daemon, err := neighbours.Decode(row.Key, row.Value)
 		if err != nil {
-			// It names no daemon, whatever it named before.
-			delete(r.known, row.Key)
-			d.recordBadRow(neighbours.Table, row, err)
+			// An invalid row also invalidates the entry that it replaces.
+			delete(directory.byName, row.Key)
+			d.recordRejectedRow(neighbours.Table, row, err)
 			continue
 		}
-		r.known[row.Key] = daemon
+		directory.byName[row.Key] = daemon
 		if row.Key == d.settings.Name {
-			r.isLost = false
+			directory.isSelfMissing = false
 		}
 	}
 	d.chooseRelays()
-	if isWhole {
-		d.listRead.set()
+	if isSnapshot {
+		d.listLoaded.set()
 	}
 }
 
-// afterList runs a task when the list of the daemons has been read, or could not be
-// for a while: then the other tables come from relays, not from the store.
-func (d *Daemon) afterList(task func(context.Context)) func(context.Context) {
+// afterListLoaded delays a task until the daemon list is read, or for at most maxListWait. With
+// the list, the other tables are read from relays instead of the store.
+func (d *Daemon) afterListLoaded(task func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		select {
-		case <-d.listRead.isSet:
+		case <-d.listLoaded.done:
 		case <-ctx.Done():
-		case <-time.After(listPatience):
+		case <-time.After(maxListWait):
 		}
 		task(ctx)
 	}
 }
 
-// awaitsList tells whether a table is the list of the daemons, which was not read yet.
-func (d *Daemon) awaitsList(table string) bool {
-	return table == neighbours.Table && !d.listRead.has()
+// isInitialListRead returns whether a table is the daemon list and has not been read yet.
+func (d *Daemon) isInitialListRead(table string) bool {
+	return table == neighbours.Table && !d.listLoaded.isSet()
 }
 
-// chooseRelays applies the list that is known. The roster's mutex is held.
+// chooseRelays selects relays by the current list. The caller holds the directory's mutex.
 func (d *Daemon) chooseRelays() {
-	r := &d.roster
-	daemons := make([]neighbours.Daemon, 0, len(r.known))
-	for _, daemon := range r.known {
+	directory := &d.directory
+	daemons := make([]neighbours.Daemon, 0, len(directory.byName))
+	for _, daemon := range directory.byName {
 		daemons = append(daemons, daemon)
 	}
-	r.list = neighbours.NewList(daemons)
-	r.prepare()
-	relays := d.asRelays(r.list.For(d.settings.Name, d.settings.Zone))
-	d.chain.SetPeers(rowstore.Peers{
+	directory.list = neighbours.NewList(daemons)
+	directory.initClients()
+	relays := d.relayReaders(directory.list.For(d.settings.Name, d.settings.Zone))
+	d.tableReader.SetPeers(rowstore.Peers{
 		Relays:    relays,
-		Standbys:  d.asRelays(r.list.StandbysFor(d.settings.Name, d.settings.Zone)),
-		Fallbacks: d.asFallbacks(r.list.FallbacksFor(d.settings.Name)),
+		Standbys:  d.relayReaders(directory.list.StandbysFor(d.settings.Name, d.settings.Zone)),
+		Fallbacks: d.fallbackReaders(directory.list.FallbacksFor(d.settings.Name)),
 	})
-	d.updatePlace(r.list)
-	burst := d.setBudgets(max(1, r.list.Len()))
+	d.updatePosition(directory.list)
+	burst := d.setRetryBudgets(max(1, directory.list.Len()))
 	d.logRelays(relays, burst)
 }
 
-// asRelays returns daemons as those that this one asks. The roster's mutex is held.
-func (d *Daemon) asRelays(daemons []neighbours.Daemon) []rowstore.Relay {
-	return toRelays(daemons, d.roster.clients, d.newRelayClient)
+// relayReaders returns readers for daemons that this daemon reads tables from. The caller holds
+// the directory's mutex.
+func (d *Daemon) relayReaders(daemons []neighbours.Daemon) []rowstore.Relay {
+	return buildRelays(daemons, d.directory.relayClients, d.newRelayClient)
 }
 
-// asFallbacks returns daemons as those that this one asks where the store fails it. They
-// tell it what they are asked, so it does not tell them. The roster's mutex is held.
-func (d *Daemon) asFallbacks(daemons []neighbours.Daemon) []rowstore.Relay {
-	return toRelays(daemons, d.roster.fallbacks, newFallbackClient)
+// fallbackReaders returns readers for daemons that this daemon reads tables from if the store
+// fails. These daemons report their demand to this one, so it does not report its own to them.
+// The caller holds the directory's mutex.
+func (d *Daemon) fallbackReaders(daemons []neighbours.Daemon) []rowstore.Relay {
+	return buildRelays(daemons, d.directory.fallbackClients, newFallbackClient)
 }
 
-// toRelays returns daemons as relays, by clients that are kept.
-func toRelays(daemons []neighbours.Daemon, clients map[string]*relay.Client, newClient func(name, address string) *relay.Client) []rowstore.Relay {
+// buildRelays returns daemons as relays and reuses existing clients.
+func buildRelays(daemons []neighbours.Daemon, clients map[string]*relay.Client, newClient func(name, address string) *relay.Client) []rowstore.Relay {
 	var relays []rowstore.Relay
-	for _, one := range daemons {
-		if clients[one.Address] == nil {
-			clients[one.Address] = newClient(one.Name, one.Address)
+	for _, daemon := range daemons {
+		if clients[daemon.Address] == nil {
+			clients[daemon.Address] = newClient(daemon.Name, daemon.Address)
 		}
 		relays = append(relays, rowstore.Relay{
-			Name:   one.Name,
-			Reader: clients[one.Address],
+			Name:   daemon.Name,
+			Reader: clients[daemon.Address],
 		})
 	}
 	return relays
 }
 
-// logRelays writes a line where this daemon's relays are others than before. Daemons
-// that come and go far from it change nothing for it.
+// logRelays logs this daemon's relays if they have changed. Changes elsewhere in the list do
+// not affect it.
 func (d *Daemon) logRelays(relays []rowstore.Relay, burst float64) {
-	r := &d.roster
+	directory := &d.directory
 	names := make([]string, len(relays))
-	for i, one := range relays {
-		names[i] = one.Name
+	for i, relay := range relays {
+		names[i] = relay.Name
 	}
-	if r.relays != nil && slices.Equal(names, r.relays) {
+	if directory.relayNames != nil && slices.Equal(names, directory.relayNames) {
 		return
 	}
-	r.relays = names
+	directory.relayNames = names
 	d.log.Info("daemons: relays chosen",
-		zap.Int("daemons", r.list.Len()),
-		zap.Bool("is_relay", r.list.IsRelay(d.settings.Name)),
-		zap.Strings("relays", names[:min(listersAsked, len(names))]),
+		zap.Int("daemons", directory.list.Len()),
+		zap.Bool("is_relay", directory.list.IsRelay(d.settings.Name)),
+		zap.Strings("relays", names[:min(maxRegistrars, len(names))]),
 		zap.String("retry_burst", strconv.FormatFloat(burst, 'f', 1, 64)))
 }
 
-// newRelayClient returns a client of another daemon.
+// newRelayClient returns a client of another daemon that also sends it this daemon's demand.
 func (d *Daemon) newRelayClient(name, address string) *relay.Client {
 	client := relay.NewClient(address)
 	client.Self = d.settings.Name
 	client.Peer = name
-	client.Board = &d.board
-	client.Refused = d.refuseDemand
+	client.Board = &d.demandTotals
+	client.Refused = d.logRejectedDemand
 	return client
 }
 
-// newFallbackClient returns a client of another daemon that tells it nothing.
+// newFallbackClient returns a client of another daemon that does not send it any demand.
 func newFallbackClient(_, address string) *relay.Client {
 	return relay.NewClient(address)
 }
 
-// unlistedRank is the least rank of a daemon that is not listed yet: those that are go
-// first.
-const unlistedRank = 20
+// minUnregisteredRank is the lowest rank of a daemon that is not in the list yet. Registered
+// daemons take precedence.
+const minUnregisteredRank = 20
 
-// notYetRank keeps daemons from trying for the lease before the list is whole, startSettle
-// after the last of them came to it: the leader is to be on one of the largest VMs, since a
-// small one cannot keep up with a thousand servers.
+// deferredRank keeps daemons from trying to acquire the lease until the list is complete, which
+// is assumed firstStartSettleTime after the last daemon registers. The leader should run on one
+// of the largest VMs, since a small one cannot keep up with a thousand servers.
 const (
-	notYetRank  = 1000
-	startSettle = 500 * time.Millisecond
+	deferredRank         = 1000
+	firstStartSettleTime = 500 * time.Millisecond
 )
 
-// rank returns this daemon's place in the list.
-func (d *Daemon) rank() int {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	list := d.roster.list
-	if d.settings.IsFirstStart && time.Since(d.began) < startSpread+startSettle {
-		return notYetRank
+// candidateRank returns this daemon's rank in the leader election.
+func (d *Daemon) candidateRank() int {
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	list := d.directory.list
+	if d.settings.IsFirstStart && time.Since(d.startedAt) < firstStartJitter+firstStartSettleTime {
+		return deferredRank
 	}
-	if !list.Has(d.self()) {
-		return max(unlistedRank, list.Len())
+	if !list.Has(d.selfEntry()) {
+		return max(minUnregisteredRank, list.Len())
 	}
 	return list.Rank(d.settings.Name)
 }
 
-// isFirstRelay tells whether this daemon follows the store for all relays.
+// isFirstRelay returns whether this daemon watches the store on behalf of all relays.
 func (d *Daemon) isFirstRelay() bool {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	list := d.roster.list
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	list := d.directory.list
 	return list.IsRelay(d.settings.Name) && len(list.For(d.settings.Name, d.settings.Zone)) == 0
 }
 
-// sharing returns how many daemons would ask the store like this one.
-func (d *Daemon) sharing() int {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	return d.roster.list.Sharing(d.settings.Name)
+// storeReaderCount returns how many daemons would read the store in the same way as this one.
+func (d *Daemon) storeReaderCount() int {
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	return d.directory.list.Sharing(d.settings.Name)
 }
 
-// isRelay tells whether this daemon follows the store for others.
+// isRelay returns whether other daemons read tables from this one.
 func (d *Daemon) isRelay() bool {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	return d.roster.list.IsRelay(d.settings.Name)
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	return d.directory.list.IsRelay(d.settings.Name)
 }
 
-// Daemons returns how many daemons there are, as far as known.
+// Daemons returns the known number of daemons, at least 1.
 func (d *Daemon) Daemons() int {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	return max(1, d.roster.list.Len())
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	return max(1, d.directory.list.Len())
 }
 
-// isListed tells whether the list has this daemon as it is.
-func (d *Daemon) isListed() bool {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	return !d.roster.isLost && d.roster.list.Has(d.self())
+// isRegistered returns whether the list contains this daemon's current entry.
+func (d *Daemon) isRegistered() bool {
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	return !d.directory.isSelfMissing && d.directory.list.Has(d.selfEntry())
 }
--- a/entry/directives_test.go
+++ b/entry/directives_test.go
@@ -10,27 +10,27 @@
 	"headcourse/lab/standin"
 )
 
-// The stand-in checks for each daemon and server that no more than what was under way comes
-// in a pause; here that a daemon serves on by the others, and by the server when its pause is
-// over.
-func TestDaemonsLeaveServersAloneThatAskForPauses(t *testing.T) {
+// Guards against requests to a server that asked for a pause. The stand-in checks for each
+// daemon and server that only requests in flight arrive during a pause. This test checks that
+// daemons use the other servers meanwhile, and the server itself after its pause.
+func TestServerGetsNoNewRequestsDuringRequestedPause(t *testing.T) {
 	const pause = 1500 * time.Millisecond
 	s := newSite(t, 2)
-	plain := s.platform.Servers(standin.ServicePlain)
-	head := s.platform.Heads(standin.ModelSmall)[0]
+	plain := s.standin.Servers(standin.ServicePlain)
+	head := s.standin.Heads(standin.ModelSmall)[0]
 	plain[0].AskForPauses(pause)
 	head.AskForPauses(pause)
 	for began := time.Now(); time.Since(began) < 2*pause; {
 		for i := range s.daemons {
 			client := s.client(i, standin.KeyOne)
-			qt.Assert(t, isWhole(get(client)), qt.IsTrue)
-			qt.Assert(t, isWhole(post(client)), qt.IsTrue)
-			qt.Assert(t, isWhole(streamSmall(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(get(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(post(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(streamSmall(client)), qt.IsTrue)
 		}
 	}
-	// Where all want none, requests are refused at once, until the pauses are over.
-	for _, one := range plain {
-		one.AskForPauses(2 * pause)
+	// If all servers ask for a pause, requests are rejected at once until the pauses end.
+	for _, server := range plain {
+		server.AskForPauses(2 * pause)
 	}
 	s.await(func() standin.Answer {
 		return get(s.client(0, standin.KeyOne))
@@ -40,33 +40,35 @@
 		qt.Assert(t, answer.Status, qt.Equals, http.StatusServiceUnavailable)
 		qt.Assert(t, answer.Retry, qt.Not(qt.Equals), "")
 	}
-	qt.Assert(t, s.platform.DirectiveCounts().Pauses > 0, qt.IsTrue)
-	for _, one := range append(plain, head) {
-		one.AskForPauses(0)
+	qt.Assert(t, s.standin.DirectiveCounts().Pauses > 0, qt.IsTrue)
+	for _, server := range append(plain, head) {
+		server.AskForPauses(0)
 	}
 	for i := range s.daemons {
-		for _, ask := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
+		for _, send := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
 			s.await(func() standin.Answer {
-				return ask(s.client(i, standin.KeyOne))
-			}, isWhole)
+				return send(s.client(i, standin.KeyOne))
+			}, isSuccess)
 		}
 	}
 }
 
-// A plain server and the head of a group say in their answers alone that they leave.
-func TestDaemonsLeaveServersAloneThatSayThatTheyLeave(t *testing.T) {
+// Guards against requests to a plain server and the head of a group that announce only by a
+// header of their answers that they are draining.
+func TestServerDrainingByAnswerHeaderGetsNoNewRequests(t *testing.T) {
 	s := newSite(t, 2)
-	s.platform.Servers(standin.ServicePlain)[0].LeaveByAnswersAlone()
-	s.platform.Heads(standin.ModelSmall)[0].LeaveByAnswersAlone()
-	// As long as both servers live, and longer than daemons may still send them requests.
+	s.standin.Servers(standin.ServicePlain)[0].LeaveByAnswersAlone()
+	s.standin.Heads(standin.ModelSmall)[0].LeaveByAnswersAlone()
+	// Both servers live for longer than this, and daemons must stop sending them requests
+	// earlier.
 	const length = 4 * time.Second
 	for began := time.Now(); time.Since(began) < length; {
 		for i := range s.daemons {
 			client := s.client(i, standin.KeyOne)
-			qt.Assert(t, isWhole(get(client)), qt.IsTrue)
-			qt.Assert(t, isWhole(post(client)), qt.IsTrue)
-			qt.Assert(t, isWhole(streamSmall(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(get(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(post(client)), qt.IsTrue)
+			qt.Assert(t, isSuccess(streamSmall(client)), qt.IsTrue)
 		}
 	}
-	qt.Assert(t, s.platform.DirectiveCounts().Leaves >= len(s.daemons), qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().Leaves >= len(s.daemons), qt.IsTrue)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,14 +1,14 @@
-// Package entry runs one daemon of headcourse on an entry VM: it joins the
-// decisions of core/ with clients, backend servers and the platform's store.
+// Package entry runs one headcourse daemon on an entry VM. It connects the decisions of core/
+// with clients, backend servers and the platform's store.
 //
-// All daemons are alike. Each follows the tables of the configuration and of
-// the servers, serves clients by them, and takes part in the choice of the one
-// that forms groups. Data flows one way:
+// All daemons are equal. Each watches the tables of the configuration and of the servers,
+// serves clients according to them, and takes part in the election of the leader, which forms
+// groups. Data flows in one direction:
 //
 //	store → followers → view → clients' requests
 //	                       ↘ group control (leader only) → orders to servers
 //
-// A daemon keeps nothing: after a restart everything is read again.
+// A daemon stores no state locally: it reads everything again after a restart.
 package entry
 
 import (
@@ -39,246 +39,250 @@
 	"headcourse/platform"
 )
 
-// Figures of a daemon.
 const (
-	// waitPart is the part of the bound for new configurations that one call to
-	// the store waits for one; copyPart is the greatest age of a copy that
-	// another daemon is given, as a part of the same. Where all is well, the copy of
-	// the first relay is a wait old, and that of a relay which asks it two waits. A
-	// daemon whose relay is cut off from the store learns so within copyPart and
-	// 0.2 s, and asks another: well within the bound.
-	waitPart = 0.25
-	copyPart = 0.6
-	// serverWait is the same for servers. A connection to the store that has gone
-	// silent is found out 0.7 s after it: before a server that says it leaves must get
-	// nothing new.
-	serverWait = 1500 * time.Millisecond
-	// startPatience is how long a daemon waits for the others to have read a table when
-	// the whole system starts for the first time, seconds before the first client, so that
-	// hundreds do not all read it from the store. It stays below what a follower allows for
-	// reading a table.
-	startPatience = time.Second
-	// serverSettle lets changes of servers come together: groups form by many
-	// small steps. Relays wait longer, since their calls are priced, but for one
-	// that leads: each step of a group's forming waits for it.
-	serverSettle = 40 * time.Millisecond
-	relaySettle  = 120 * time.Millisecond
-	// idleSettle is the same for relays while no client has come yet, and thousands of servers
-	// form groups; the leader then waits as long as relays do else.
-	idleSettle = 400 * time.Millisecond
+	// configWatchFraction is how long one call to the store waits for a new configuration, as a
+	// fraction of the time within which configurations must apply. maxCopyAgeFraction is the
+	// maximum age of a copy passed to another daemon, as a fraction of the same time. In normal
+	// operation the copy of the first relay is at most one such wait old, and the copy of a
+	// relay that reads from it two. A daemon whose relay loses the store notices after
+	// maxCopyAgeFraction plus 0.2 s and switches to another relay, well within the bound.
+	configWatchFraction = 0.25
+	maxCopyAgeFraction  = 0.6
+	// serverWatchTimeout is how long one call waits for changes of servers. A broken connection
+	// to the store is detected 0.7 s after this timeout, before the deadline by which a
+	// draining server must get no new requests.
+	serverWatchTimeout = 1500 * time.Millisecond
+	// firstStartRelayWait is how long a daemon waits for relays to read a table at the first
+	// start of the whole system, so that hundreds of daemons do not all read it from the store.
+	// The first client arrives seconds later. It is below the timeout of a follower for reading
+	// a table.
+	firstStartRelayWait = time.Second
+	// serverCoalesceDelay collects changes of servers, since groups form in many small steps.
+	// Relays wait longer, since their calls cost more. A leading relay does not, since each
+	// step of forming a group waits for the change before it.
+	serverCoalesceDelay = 40 * time.Millisecond
+	relayCoalesceDelay  = 120 * time.Millisecond
+	// idleCoalesceDelay is the delay of relays before the first client arrives, while thousands
+	// of servers form groups. The leader then waits for relayCoalesceDelay.
+	idleCoalesceDelay = 400 * time.Millisecond
 )
 
-// Daemon is one running daemon. Use Start.
+// Daemon is a running daemon. Create it with Start.
 type Daemon struct {
 	settings settings.Settings
 	log      *zap.Logger
 	registry metrics.Registry
-	// start is the id of this start of the daemon, began when it was.
-	start string
-	began time.Time
-	store *platform.Store
-	// rows writes rows of daemons together.
-	rows    *rowstore.Batcher
-	workers *platform.Workers
-	gateway *gateway.Server
-	ready   *readiness
-	budgets retry.Budgets
-	// sleep measures suspensions; awake is the clock that counts them.
-	sleep kernel.Sleep
-	awake boottime.Clock
-	// clock dates the store's answers; fresh is how young the configuration is.
-	clock rowstore.Freshness
-	fresh rowstore.Freshness
-	// chain reads tables from other daemons or the store; hub is this daemon's
-	// own copy of them, which relays gives to others.
-	chain  *rowstore.Chain
-	hub    rowstore.Hub
-	relays *relay.Server
-	// errorLines bounds the lines about failed calls.
-	errorLines logline.Rarely
-	// roster is the list of all daemons, by which relays are chosen; place is where this
-	// one stands in it.
-	roster roster
-	place  atomic.Pointer[place]
-	// meter measures what callers ask of this daemon, board adds up what they ask of all.
-	meter demand.Meter
-	board demand.Board
-	// exposed serves the metrics; nil where they are not served.
-	exposed *exposition.Server
+	// startID identifies this start of the daemon, startedAt is its time.
+	startID   string
+	startedAt time.Time
+	store     *platform.Store
+	// rowWriter batches writes of daemon rows.
+	rowWriter    *rowstore.Batcher
+	engines      *platform.Workers
+	gateway      *gateway.Server
+	readiness    *readiness
+	retryBudgets retry.Budgets
+	// suspension measures how long the VM was suspended; bootClock includes that time.
+	suspension kernel.Sleep
+	bootClock  boottime.Clock
+	// storeClock dates the store's answers; configFreshness tracks the age of the
+	// configuration.
+	storeClock      rowstore.Freshness
+	configFreshness rowstore.Freshness
+	// tableReader reads tables from other daemons or the store. tableCache is this daemon's
+	// copy of them, which relayServer passes to other daemons.
+	tableReader *rowstore.Chain
+	tableCache  rowstore.Hub
+	relayServer *relay.Server
+	// errorLogLimiter limits the rate of log lines about failed calls.
+	errorLogLimiter logline.Rarely
+	// directory is the list of all daemons, from which relays are selected. position is this
+	// daemon's position in it.
+	directory daemonDirectory
+	position  atomic.Pointer[daemonPosition]
+	// demandMeter measures the demand at this daemon, demandTotals sums the demand at all
+	// daemons.
+	demandMeter  demand.Meter
+	demandTotals demand.Board
+	// metricsServer is nil if metrics are not served.
+	metricsServer *exposition.Server
 
-	// mutex orders changes of the view; readers take the view without it.
-	mutex sync.Mutex
-	view  atomic.Pointer[gateway.View]
-	// serversRead and reportsRead tell that the servers' table and the daemons' reports were
-	// read once.
-	serversRead atomic.Bool
-	reportsRead atomic.Bool
-	// serversEra and reportsEra are the eras of the store in which these were read last, storeEra
-	// the newest in which any table was read anew.
+	// viewMutex serialises updates of the view. Readers load the view without it.
+	viewMutex sync.Mutex
+	view      atomic.Pointer[gateway.View]
+	// serversLoaded and reportsLoaded are set after the first read of the servers' table and of
+	// the daemons' reports.
+	serversLoaded atomic.Bool
+	reportsLoaded atomic.Bool
+	// serversEra and reportsEra are the eras of the store in which these tables were last read,
+	// storeEra is the newest era in which any table was read.
 	serversEra atomic.Int64
 	reportsEra atomic.Int64
 	storeEra   atomic.Int64
-	// configRow is the row of the configuration in force, configEra the era in which its table
-	// was read last.
+	// configRow is the row of the current configuration, configEra the era in which its table
+	// was last read.
 	configRow atomic.Pointer[rowstore.Row]
 	configEra atomic.Int64
-	// outage is the last time that the servers' table could not be followed.
-	outage atomic.Pointer[fleet.Outage]
-	// stalls are heads at which requests stand still, to be looked into; reported are
-	// those that daemons have reported.
-	stalls   chan fleet.Server
-	reported reportedStalls
-	// ledger knows under which requests servers ended; reports are to be written for all daemons.
-	ledger  quarantine.Ledger
-	reports chan report
-	// recent are reports that the store has taken lately.
-	recent recentReports
-	// limits are what servers take a second from all daemons together, notices what daemons
-	// tell each other of them.
-	limits  ratelimit.Book
-	notices ratelimit.Notices
-	// limitLines bounds the lines about these.
-	limitLines logline.Rarely
-	// changed tells the leader that the view is another.
-	changed chan struct{}
-	// viewRead is set when configuration and servers were read for the first time.
-	viewRead mark
-	// listRead is set when the list of the daemons was read, known when
-	// configuration and servers were, unreadable when one of these could not be.
-	listRead   mark
-	known      mark
-	unreadable mark
-	// wasReady is what isReady returned last, for the log.
+	// storeOutage is the last period in which the configuration or the servers could not be
+	// watched.
+	storeOutage atomic.Pointer[fleet.Outage]
+	// stalledHeads are group heads with stalled requests that wait for a check. reportedStalls
+	// are the stalls that daemons have reported.
+	stalledHeads   chan fleet.Server
+	reportedStalls reportedStalls
+	// crashLedger records during which requests servers crashed. pendingReports wait to be
+	// written for all daemons.
+	crashLedger    quarantine.Ledger
+	pendingReports chan report
+	// recentReports are reports that the store has committed recently.
+	recentReports recentReports
+	// serverLimits are the request rates that servers accept from all daemons together.
+	// limitNotices tracks the reports that daemons exchange about them.
+	serverLimits ratelimit.Book
+	limitNotices ratelimit.Notices
+	// limitLogLimiter limits the rate of log lines about limits.
+	limitLogLimiter logline.Rarely
+	// viewChanged signals a changed view to the leader.
+	viewChanged chan struct{}
+	// viewLoaded is set after the first read of the configuration and the servers.
+	viewLoaded onceEvent
+	// listLoaded is set after the first read of the daemon list, initialised when the daemon is
+	// ready for the first time, and readFailed when the configuration or the servers, or the
+	// list or reports before their first read, could not be read.
+	listLoaded  onceEvent
+	initialised onceEvent
+	readFailed  onceEvent
+	// wasReady is the last result of isReady, for the log.
 	wasReady atomic.Bool
-	// hasTraffic tells that a client of any daemon has sent a request since the first start.
+	// hasTraffic is set once any daemon has received a client's request since the first start.
 	hasTraffic atomic.Bool
-	// isLeading tells that this daemon forms groups.
-	isLeading atomic.Bool
+	// isLeader is set while this daemon holds the lease and forms groups.
+	isLeader atomic.Bool
 
-	stop  context.CancelFunc
-	tasks conc.WaitGroup
+	cancel context.CancelFunc
+	tasks  conc.WaitGroup
 }
 
-// part returns a part of a time.
-func part(whole time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(whole))
+// fraction returns a duration scaled by a factor.
+func fraction(total time.Duration, factor float64) time.Duration {
+	return time.Duration(factor * float64(total))
 }
 
-// Start starts a daemon. Settings have been checked.
-func Start(known settings.Settings, log *zap.Logger) (*Daemon, error) {
-	d := newDaemon(known, log)
+// Start starts a daemon with settings that have been checked.
+func Start(nodeSettings settings.Settings, log *zap.Logger) (*Daemon, error) {
+	d := newDaemon(nodeSettings, log)
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
 	d.run()
 	d.serveMetrics()
-	log.Info("daemon: started", zap.String("name", known.Name), zap.String("zone", known.Zone), zap.String("start", d.start))
+	log.Info("daemon: started", zap.String("name", nodeSettings.Name), zap.String("zone", nodeSettings.Zone), zap.String("start", d.startID))
 	return d, nil
 }
 
-// newDaemon returns a daemon that neither listens nor runs yet.
-func newDaemon(known settings.Settings, log *zap.Logger) *Daemon {
+// newDaemon returns a daemon that does not listen or run yet.
+func newDaemon(nodeSettings settings.Settings, log *zap.Logger) *Daemon {
 	d := &Daemon{
-		settings:   known,
-		log:        log,
-		registry:   metrics.NewRegistry(),
-		start:      uuid.NewString(),
-		began:      time.Now(),
-		workers:    platform.NewWorkers(),
-		stalls:     make(chan fleet.Server, stallQueue),
-		reports:    make(chan report, reportQueue),
-		changed:    make(chan struct{}, 1),
-		viewRead:   newMark(),
-		listRead:   newMark(),
-		known:      newMark(),
-		unreadable: newMark(),
+		settings:       nodeSettings,
+		log:            log,
+		registry:       metrics.NewRegistry(),
+		startID:        uuid.NewString(),
+		startedAt:      time.Now(),
+		engines:        platform.NewWorkers(),
+		stalledHeads:   make(chan fleet.Server, stallQueueCapacity),
+		pendingReports: make(chan report, reportQueueCapacity),
+		viewChanged:    make(chan struct{}, 1),
+		viewLoaded:     newOnceEvent(),
+		listLoaded:     newOnceEvent(),
+		initialised:    newOnceEvent(),
+		readFailed:     newOnceEvent(),
 	}
-	d.awake.Suspended = d.sleep.Suspended
-	d.clock.Clock = d.awake
-	d.limits.Clock = d.awake
-	d.fresh.Clock = d.awake
-	d.errorLines.Every = errorLinesEvery
-	d.limitLines.Every = limitLineEvery
-	store := platform.NewStore(known.Store)
-	store.Called = func(call string, took time.Duration) {
-		metrics.GetOrRegisterCounter("store_calls."+call, d.registry).Inc(1)
-		d.observe("store_call_ms."+call, took)
+	d.bootClock.Suspended = d.suspension.Suspended
+	d.storeClock.Clock = d.bootClock
+	d.serverLimits.Clock = d.bootClock
+	d.configFreshness.Clock = d.bootClock
+	d.errorLogLimiter.Every = errorLogInterval
+	d.limitLogLimiter.Every = limitLogInterval
+	store := platform.NewStore(nodeSettings.Store)
+	store.Called = func(operation string, took time.Duration) {
+		metrics.GetOrRegisterCounter("store_calls."+operation, d.registry).Inc(1)
+		d.observeDuration("store_call_ms."+operation, took)
 	}
-	store.EraRefused = d.recordEraRefused
+	store.EraRefused = d.recordRejectedEra
 	d.store = store
-	d.rows = rowstore.NewBatcher(store, commitRows)
-	limits := map[string]time.Duration{
-		platform.ConfigTable: part(known.ApplyWithin, copyPart),
+	d.rowWriter = rowstore.NewBatcher(store, maxCommitRows)
+	maxCopyAge := map[string]time.Duration{
+		platform.ConfigTable: fraction(nodeSettings.ApplyWithin, maxCopyAgeFraction),
 	}
-	d.chain = rowstore.NewChain(store, &d.clock, limits)
-	d.chain.IsDirect = func(table string) bool {
-		return table == platform.ServerTable && d.isLeading.Load()
+	d.tableReader = rowstore.NewChain(store, &d.storeClock, maxCopyAge)
+	d.tableReader.IsDirect = func(table string) bool {
+		return table == platform.ServerTable && d.isLeader.Load()
 	}
-	d.chain.IsUrgent = d.awaitsList
-	d.chain.Sharing = d.sharing
-	if known.IsFirstStart {
-		d.chain.Patience = startPatience
+	d.tableReader.IsUrgent = d.isInitialListRead
+	d.tableReader.Sharing = d.storeReaderCount
+	if nodeSettings.IsFirstStart {
+		d.tableReader.Patience = firstStartRelayWait
 	}
-	d.hub.ContactLimit = limits[platform.ConfigTable]
-	d.hub.Clock = &d.clock
-	d.hub.IsSecondHand = d.chain.IsSecondHand
-	d.board.Meter = &d.meter
-	d.board.Zone = known.Zone
-	d.place.Store(&place{})
+	d.tableCache.ContactLimit = maxCopyAge[platform.ConfigTable]
+	d.tableCache.Clock = &d.storeClock
+	d.tableCache.IsSecondHand = d.tableReader.IsSecondHand
+	d.demandTotals.Meter = &d.demandMeter
+	d.demandTotals.Zone = nodeSettings.Zone
+	d.position.Store(&daemonPosition{})
 	d.view.Store(&gateway.View{})
-	d.outage.Store(&fleet.Outage{})
-	d.setBudgets(fewestDaemons)
+	d.storeOutage.Store(&fleet.Outage{})
+	d.setRetryBudgets(initialDaemonCount)
 	return d
 }
 
-// listen opens the addresses for clients, the balancer and other daemons.
+// listen opens the listeners for clients, the load balancer and other daemons.
 func (d *Daemon) listen() error {
 	var err error
 	d.gateway, err = gateway.Listen(gateway.Options{
 		Address:  d.settings.Clients,
 		Source:   d,
 		Dialect:  platform.Dialect{},
-		Meter:    &d.meter,
-		Budgets:  &d.budgets,
-		Ledger:   &d.ledger,
-		Limits:   &d.limits,
+		Meter:    &d.demandMeter,
+		Budgets:  &d.retryBudgets,
+		Ledger:   &d.crashLedger,
+		Limits:   &d.serverLimits,
 		Registry: d.registry,
 		Log:      d.log,
-		Clock:    d.awake,
+		Clock:    d.bootClock,
 	})
 	if err != nil {
 		return err
 	}
-	d.ready, err = listenReady(d.settings.Readiness, d.isReady)
+	d.readiness, err = listenReadiness(d.settings.Readiness, d.isReady)
 	if err != nil {
 		return errors.Wrap(err, "start daemon")
 	}
-	d.relays, err = relay.Listen(relay.Options{
+	d.relayServer, err = relay.Listen(relay.Options{
 		Address: d.settings.Relay,
-		Reader:  &d.hub,
-		Board:   &d.board,
-		Refused: d.refuseDemand,
-		Enlist:  d.enlist,
+		Reader:  &d.tableCache,
+		Board:   &d.demandTotals,
+		Refused: d.logRejectedDemand,
+		Enlist:  d.registerDaemon,
 	})
 	return errors.Wrap(err, "start daemon")
 }
 
-// run starts everything that goes on until the daemon stops.
+// run starts the background tasks, which end when the daemon stops.
 func (d *Daemon) run() {
 	ctx, stop := context.WithCancel(context.Background())
-	d.stop = stop
+	d.cancel = stop
 	elector := d.newElector()
 	for _, task := range []func(context.Context){
-		d.inTurn(d.listFollower().Run),
-		d.afterList(d.listSelf),
-		d.afterList(d.configFollower().Run),
-		d.afterList(d.serverFollower().Run),
-		d.afterList(d.reportFollower().Run),
-		d.afterList(d.leaseFollower(elector).Run),
-		d.runStallReports,
-		d.runReports,
+		d.withFirstStartJitter(d.listFollower().Run),
+		d.afterListLoaded(d.maintainRegistration),
+		d.afterListLoaded(d.configFollower().Run),
+		d.afterListLoaded(d.serverFollower().Run),
+		d.afterListLoaded(d.reportFollower().Run),
+		d.afterListLoaded(d.leaseFollower(elector).Run),
+		d.runStallChecks,
+		d.runReportWriter,
 		func(ctx context.Context) { elector.Run(ctx, d.lead) },
-		d.logFigures,
+		d.logCounters,
 	} {
 		d.tasks.Go(func() { task(ctx) })
 	}
@@ -289,21 +293,21 @@
 	return d.gateway.Address()
 }
 
-// ReadinessAddress returns the IP:port that the balancer asks.
+// ReadinessAddress returns the IP:port of the load balancer's readiness probe.
 func (d *Daemon) ReadinessAddress() string {
-	return d.ready.address
+	return d.readiness.address
 }
 
-// StoreAnswers returns how many answers about tables came from the store itself, and how
-// many from other daemons.
+// StoreAnswers returns how many table reads the store answered directly, and how many other
+// daemons relayed.
 func (d *Daemon) StoreAnswers() (direct, relayed int64) {
-	return d.chain.Counts()
+	return d.tableReader.Counts()
 }
 
-// Reload takes new settings that can change while the daemon runs.
-func (d *Daemon) Reload(known settings.Settings) {
-	d.log.Info("daemon: settings read again", zap.String("name", known.Name))
-	if known.Clients != d.settings.Clients || known.Store != d.settings.Store {
-		d.log.Warn("daemon: changed addresses hold after the next start")
+// Reload applies new settings. Changed addresses take effect only after a restart.
+func (d *Daemon) Reload(nodeSettings settings.Settings) {
+	d.log.Info("daemon: settings reloaded", zap.String("name", nodeSettings.Name))
+	if nodeSettings.Clients != d.settings.Clients || nodeSettings.Store != d.settings.Store {
+		d.log.Warn("daemon: changed addresses take effect after a restart")
 	}
 }
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -13,17 +13,17 @@
 	"headcourse/platform"
 )
 
-// Operators evacuate a zone by a row beside the configuration's, so daemons follow both in one
-// table: the evacuation reaches them all through the same relays, as soon.
+// An operator evacuates a zone by a row in the table of the configuration. Daemons watch both
+// together, so an evacuation reaches them through the same relays and equally fast.
 
-// gaugeEvacuated counts the zones that are evacuated.
-const gaugeEvacuated = "zones_evacuated"
+// evacuatedZonesGauge is the number of evacuated zones.
+const evacuatedZonesGauge = "zones_evacuated"
 
-// takeEvacuations takes the rows of evacuations. Where isWhole, zones without a row are not
-// evacuated any more.
-func (d *Daemon) takeEvacuations(rows []rowstore.Row, isWhole bool) {
-	known := d.view.Load().Evacuated
-	next := known
+// applyEvacuations applies evacuation rows. If isSnapshot is set, zones without a row are no
+// longer evacuated.
+func (d *Daemon) applyEvacuations(rows []rowstore.Row, isSnapshot bool) {
+	former := d.view.Load().Evacuated
+	next := former
 	present := map[string]bool{}
 	for _, row := range rows {
 		zone, isEvacuation := platform.EvacuatedZone(row.Key)
@@ -34,94 +34,94 @@
 		default:
 			present[zone] = true
 			next = next.With(zone, evacuation.Evacuation{
-				LeaveAt: d.leaveAt(),
+				LeaveAt: d.evacuationDeadline(),
 				Version: row.Version,
 			})
 		}
 	}
-	if isWhole {
-		for _, zone := range known.Names() {
+	if isSnapshot {
+		for _, zone := range former.Names() {
 			if !present[zone] {
 				next = next.Without(zone)
 			}
 		}
 	}
-	if known.IsEmpty() && next.IsEmpty() {
+	if former.IsEmpty() && next.IsEmpty() {
 		return
 	}
-	d.takeBackZones(known, next)
-	d.change(func(view *gateway.View) {
+	d.prepareReopenedZones(former, next)
+	d.updateView(func(view *gateway.View) {
 		view.Evacuated = next
 	})
-	d.logEvacuations(known, next)
+	d.logEvacuations(former, next)
 }
 
-// leaveAt returns from when on a zone gets no request that was not evacuated when the
-// configuration's table was last known.
-func (d *Daemon) leaveAt() time.Time {
+// evacuationDeadline returns the time from which a newly evacuated zone gets no requests. It
+// counts from the last time the configuration's table was known to be current.
+func (d *Daemon) evacuationDeadline() time.Time {
 	bound := evacuation.Bound{
 		Within: d.settings.EvacuateWithin,
 		Draw:   rand.Float64(),
 	}
-	age, isKnown := d.fresh.Age()
+	age, isKnown := d.configFreshness.Age()
 	if !isKnown {
 		return bound.LeaveAt(time.Time{})
 	}
-	return bound.LeaveAt(d.awake.Now().Add(-age))
+	return bound.LeaveAt(d.bootClock.Now().Add(-age))
 }
 
-// takeBackZones prepares for zones that are not evacuated any more: their servers may have
-// turned cold meanwhile, and their entries may tell so a moment later.
-func (d *Daemon) takeBackZones(known, next evacuation.Zones) {
-	for _, zone := range known.Names() {
+// prepareReopenedZones assumes that servers of zones that are no longer evacuated are cold.
+// They may have become cold in the meantime, and their entries may only show it a moment later.
+func (d *Daemon) prepareReopenedZones(former, next evacuation.Zones) {
+	for _, zone := range former.Names() {
 		if !next.Has(zone) {
-			d.assumeCold(zone)
+			d.assumeZoneCold(zone)
 		}
 	}
 }
 
-// logEvacuations writes a line for each zone that is evacuated or taken back.
-func (d *Daemon) logEvacuations(known, next evacuation.Zones) {
-	metrics.GetOrRegisterGauge(gaugeEvacuated, d.registry).Update(int64(len(next.Names())))
+// logEvacuations logs each zone that is newly evacuated or reopened.
+func (d *Daemon) logEvacuations(former, next evacuation.Zones) {
+	metrics.GetOrRegisterGauge(evacuatedZonesGauge, d.registry).Update(int64(len(next.Names())))
 	for _, zone := range next.Names() {
-		if known.Has(zone) {
+		if former.Has(zone) {
 			continue
 		}
-		one, _ := next.Of(zone)
+		zoneEvacuation, _ := next.Of(zone)
 		d.log.Info("zones: evacuated",
 			zap.String("zone", zone),
-			zap.Int64("row_version", one.Version),
-			zap.Int64("left_in_ms", max(0, d.awake.Until(one.LeaveAt).Milliseconds())),
+			zap.Int64("row_version", zoneEvacuation.Version),
+			zap.Int64("left_in_ms", max(0, d.bootClock.Until(zoneEvacuation.LeaveAt).Milliseconds())),
 			zap.Int64("config_age_ms", d.Age().Milliseconds()))
 	}
-	for _, zone := range known.Names() {
+	for _, zone := range former.Names() {
 		if !next.Has(zone) {
-			one, _ := known.Of(zone)
-			d.log.Info("zones: taken back", zap.String("zone", zone), zap.Int64("row_version", one.Version))
+			zoneEvacuation, _ := former.Of(zone)
+			d.log.Info("zones: taken back", zap.String("zone", zone), zap.Int64("row_version", zoneEvacuation.Version))
 		}
 	}
 }
 
-// keepEvacuations returns a table of a restored store with the evacuations that it lacks: they
-// hold until operators have had the time to write them again.
-func (d *Daemon) keepEvacuations(read rowstore.Result) rowstore.Result {
-	if read.Era <= d.configEra.Load() {
-		return read
+// mergeEvacuations adds the known evacuations to a table of a restored store that lacks them.
+// They apply until operators have had time to write them again.
+func (d *Daemon) mergeEvacuations(table rowstore.Result) rowstore.Result {
+	if table.Era <= d.configEra.Load() {
+		return table
 	}
-	isThere := map[string]bool{}
-	for _, row := range read.Rows {
-		isThere[row.Key] = true
+	isPresent := map[string]bool{}
+	for _, row := range table.Rows {
+		isPresent[row.Key] = true
 	}
 	for _, row := range d.evacuationRows() {
-		if !isThere[row.Key] {
-			row.Version = read.Version
-			read.Rows = append(read.Rows, row)
+		if !isPresent[row.Key] {
+			row.Version = table.Version
+			table.Rows = append(table.Rows, row)
 		}
 	}
-	return read
+	return table
 }
 
-// evacuationRows returns the rows of the evacuations that are known.
+// evacuationRows returns the rows of the known evacuations.
 func (d *Daemon) evacuationRows() []rowstore.Row {
 	var rows []rowstore.Row
 	for _, zone := range d.view.Load().Evacuated.Names() {
--- a/entry/figures.go
+++ b/entry/figures.go
@@ -11,12 +11,12 @@
 	"headcourse/io/logline"
 )
 
-// figuresEvery is the time between two lines with all counters.
-const figuresEvery = 10 * time.Second
+// countersLogInterval is the time between two log lines with all counters.
+const countersLogInterval = 10 * time.Second
 
-// logFigures writes all counters from time to time, until ctx ends.
-func (d *Daemon) logFigures(ctx context.Context) {
-	ticker := time.NewTicker(figuresEvery)
+// logCounters logs all counters periodically until ctx ends.
+func (d *Daemon) logCounters(ctx context.Context) {
+	ticker := time.NewTicker(countersLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -34,8 +34,8 @@
 	}
 }
 
-// serveMetrics serves the metrics where the settings say. A daemon that cannot
-// serve them still serves its clients.
+// serveMetrics serves metrics if the settings give an address. A daemon that cannot serve them
+// still serves clients.
 func (d *Daemon) serveMetrics() {
 	if d.settings.Metrics == "" {
 		return
@@ -45,35 +45,35 @@
 		d.log.Warn("daemon: metrics are not served", logline.Err(err))
 		return
 	}
-	d.exposed = server
+	d.metricsServer = server
 }
 
-// updateGauges sets the gauges of what is known and how old it is.
+// updateGauges sets the gauges before the metrics are read.
 func (d *Daemon) updateGauges() {
 	set := func(name string, value int64) {
 		metrics.GetOrRegisterGauge(name, d.registry).Update(value)
 	}
 	view := d.view.Load()
-	set("config_version", versionOf(view.Config))
+	set("config_version", configVersion(view.Config))
 	set("config_age_ms", d.Age().Milliseconds())
 	set("servers_version", view.Fleet.Version)
-	set("store_era", d.clock.Era())
+	set("store_era", d.storeClock.Era())
 	set("servers_known", int64(len(view.Fleet.Servers())))
-	set("suspended_ms", d.sleep.Suspended().Milliseconds())
+	set("suspended_ms", d.suspension.Suspended().Milliseconds())
 	set("requests_open", d.gateway.Open())
 	direct, relayed := d.StoreAnswers()
 	set("store_answers.direct", direct)
 	set("store_answers.relayed", relayed)
-	suspected, held := d.ledger.Counts()
+	suspected, held := d.crashLedger.Counts()
 	set("quarantine_suspected", int64(suspected))
 	set("quarantine_held", int64(held))
-	set("servers_limited", int64(d.notices.Len()))
+	set("servers_limited", int64(d.limitNotices.Len()))
 	opened, reused := d.gateway.Connections()
 	set("backend_connections.opened", opened)
 	set("backend_connections.reused", reused)
 }
 
-// observe adds a time to a histogram, in milliseconds.
-func (d *Daemon) observe(name string, took time.Duration) {
+// observeDuration adds a duration to a histogram, in milliseconds.
+func (d *Daemon) observeDuration(name string, took time.Duration) {
 	exposition.Observe(d.registry, name, took)
 }
--- a/entry/followers.go
+++ b/entry/followers.go
@@ -14,77 +14,78 @@
 	"headcourse/platform"
 )
 
-// configFollower follows the operator's configuration.
+// configFollower watches the operator's configuration.
 func (d *Daemon) configFollower() *rowstore.Follower {
-	take := func(isWhole bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
+	apply := func(isSnapshot bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
 		return func(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
 			for _, row := range rows {
 				if platform.IsConfig(row.Key) && !row.Deleted {
-					d.takeConfig(row)
+					d.applyConfig(row)
 				}
 			}
-			// Before the view is confirmed: its age tells since when a zone may be evacuated.
-			d.takeEvacuations(rows, isWhole)
+			// This precedes the confirmation of the view: the evacuation deadline counts from
+			// the view's previous age.
+			d.applyEvacuations(rows, isSnapshot)
 			d.configEra.Store(at.Era)
-			d.fresh.Confirm(asOf)
-			d.updateKnown()
+			d.configFreshness.Confirm(asOf)
+			d.updateInitialised()
 		}
 	}
 	return &rowstore.Follower{
-		Store:   d.chain,
-		Hub:     &d.hub,
+		Store:   d.tableReader,
+		Hub:     &d.tableCache,
 		Table:   platform.ConfigTable,
-		Wait:    part(d.settings.ApplyWithin, waitPart),
-		Whole:   take(true),
-		Changed: take(false),
-		Merge: func(read rowstore.Result) rowstore.Result {
-			return d.keepEvacuations(d.keepNewestConfig(read))
+		Wait:    fraction(d.settings.ApplyWithin, configWatchFraction),
+		Whole:   apply(true),
+		Changed: apply(false),
+		Merge: func(table rowstore.Result) rowstore.Result {
+			return d.mergeEvacuations(d.mergeNewestConfig(table))
 		},
-		Rewrite:    d.rewriteTime,
-		Failed:     d.recordOutage(platform.ConfigTable),
-		Recovered:  d.recordReturn(platform.ConfigTable),
-		EraChanged: d.recordEra(platform.ConfigTable),
-		Dropped:    d.recordDropped(platform.ConfigTable),
-		Clock:      &d.clock,
+		Rewrite:    d.rewriteWindow,
+		Failed:     d.recordOutageStart(platform.ConfigTable),
+		Recovered:  d.recordOutageEnd(platform.ConfigTable),
+		EraChanged: d.recordEraChange(platform.ConfigTable),
+		Dropped:    d.recordDroppedAnswer(platform.ConfigTable),
+		Clock:      &d.storeClock,
 	}
 }
 
-// takeConfig puts a configuration in force unless a newer one is. One that
-// cannot be read leaves the last good one in force.
-func (d *Daemon) takeConfig(row rowstore.Row) {
-	read, err := platform.DecodeConfig(row.Value)
+// applyConfig replaces the current configuration by a newer one. An invalid configuration
+// leaves the last valid one in force.
+func (d *Daemon) applyConfig(row rowstore.Row) {
+	next, err := platform.DecodeConfig(row.Value)
 	if err != nil {
-		d.log.Error("configuration: not taken, the last good one stays in force", zap.Int64("row_version", row.Version), logline.Err(err))
+		d.log.Error("configuration: not taken, the last valid one stays in force", zap.Int64("row_version", row.Version), logline.Err(err))
 		return
 	}
 	former := d.view.Load().Config
-	if former != nil && read.Version <= former.Version {
+	if former != nil && next.Version <= former.Version {
 		return
 	}
 	d.configRow.Store(&row)
-	d.change(func(view *gateway.View) {
-		view.Config = read
+	d.updateView(func(view *gateway.View) {
+		view.Config = next
 	})
 	if former == nil {
-		d.limitAllCold(read)
+		d.applyColdLimits(next)
 	}
 	d.log.Info("configuration: taken",
-		zap.Int64("config_version", read.Version),
-		zap.Int64("former_version", versionOf(former)),
-		zap.Int("routes", len(read.Routes)),
-		zap.Int("keys_withdrawn", countWithdrawn(former, read)))
+		zap.Int64("config_version", next.Version),
+		zap.Int64("former_version", configVersion(former)),
+		zap.Int("routes", len(next.Routes)),
+		zap.Int("keys_withdrawn", countRevokedKeys(former, next)))
 }
 
-// versionOf returns a configuration's version; 0: none.
-func versionOf(known *config.Config) int64 {
-	if known == nil {
+// configVersion returns a configuration's version, or 0 without one.
+func configVersion(current *config.Config) int64 {
+	if current == nil {
 		return 0
 	}
-	return known.Version
+	return current.Version
 }
 
-// countWithdrawn returns how many keys of the former configuration are gone.
-func countWithdrawn(former, next *config.Config) int {
+// countRevokedKeys returns how many keys of the former configuration are no longer valid.
+func countRevokedKeys(former, next *config.Config) int {
 	if former == nil {
 		return 0
 	}
@@ -99,82 +100,83 @@
 	return count
 }
 
-// serverFollower follows the servers' entries.
+// serverFollower watches the servers' entries.
 func (d *Daemon) serverFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:      d.chain,
-		Hub:        &d.hub,
+		Store:      d.tableReader,
+		Hub:        &d.tableCache,
 		Table:      platform.ServerTable,
-		Wait:       serverWait,
-		Settle:     d.serverSettle,
-		Whole:      d.takeServers,
-		Restored:   d.takeRestoredServers,
-		Rewrite:    d.rewriteTime,
-		Changed:    d.takeServerChanges,
-		Failed:     d.recordOutage(platform.ServerTable),
-		Recovered:  d.recordReturn(platform.ServerTable),
-		EraChanged: d.recordEra(platform.ServerTable),
-		Dropped:    d.recordDropped(platform.ServerTable),
-		Clock:      &d.clock,
+		Wait:       serverWatchTimeout,
+		Settle:     d.coalesceDelay,
+		Whole:      d.applyServerSnapshot,
+		Restored:   d.applyRestoredServers,
+		Rewrite:    d.rewriteWindow,
+		Changed:    d.applyServerChanges,
+		Failed:     d.recordOutageStart(platform.ServerTable),
+		Recovered:  d.recordOutageEnd(platform.ServerTable),
+		EraChanged: d.recordEraChange(platform.ServerTable),
+		Dropped:    d.recordDroppedAnswer(platform.ServerTable),
+		Clock:      &d.storeClock,
 	}
 }
 
-// serverSettle returns how long changes of servers may come together.
-func (d *Daemon) serverSettle() time.Duration {
+// coalesceDelay returns how long changes of servers are collected before they are applied.
+func (d *Daemon) coalesceDelay() time.Duration {
 	isIdle := d.isIdle()
 	switch {
-	case d.isLeading.Load() && isIdle:
-		return relaySettle
-	case d.isLeading.Load() || !d.isRelay():
-		return serverSettle
+	case d.isLeader.Load() && isIdle:
+		return relayCoalesceDelay
+	case d.isLeader.Load() || !d.isRelay():
+		return serverCoalesceDelay
 	case isIdle:
-		return idleSettle
+		return idleCoalesceDelay
 	default:
-		return relaySettle
+		return relayCoalesceDelay
 	}
 }
 
-// takeServers replaces the view of the servers.
-func (d *Daemon) takeServers(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
+// applyServerSnapshot replaces the view of the servers.
+func (d *Daemon) applyServerSnapshot(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
 	d.replaceServers(rows, at, false)
 }
 
-// takeRestoredServers does so from a restored table: what is known to be later stays until
-// the servers have written again.
-func (d *Daemon) takeRestoredServers(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
+// applyRestoredServers replaces the view of the servers by a restored table. Newer known
+// entries stay until the servers have written them again.
+func (d *Daemon) applyRestoredServers(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
 	d.replaceServers(rows, at, true)
 }
 
-// replaceServers replaces the view of the servers by rows.
+// replaceServers replaces the view of the servers by the decoded rows.
 func (d *Daemon) replaceServers(rows []rowstore.Row, at rowstore.Revision, isRestored bool) {
 	servers := make([]fleet.Server, 0, len(rows))
-	var void []string
+	var invalidIDs []string
 	for _, row := range rows {
 		if server, ok := d.decodeServer(row); ok {
 			servers = append(servers, server)
 		} else {
-			void = append(void, row.Key)
+			invalidIDs = append(invalidIDs, row.Key)
 		}
 	}
 	former := d.view.Load().Fleet
 	if isRestored {
 		servers = former.Reconciled(servers)
 	}
-	// Before the view: a leader of a former era must not act on this one.
+	// The era is stored before the view, so that a leader of a former era does not act on this
+	// view.
 	d.serversEra.Store(at.Era)
-	known := d.view.Load().Config
+	current := d.view.Load().Config
 	for _, server := range servers {
-		d.recordStart(former, server)
-		before, wasKnown := former.Server(server.ID)
-		if !wasKnown || before.Born != server.Born || before.ColdFor != server.ColdFor {
-			d.limitCold(known, server)
+		d.recordRestart(former, server)
+		before, wasPresent := former.Server(server.ID)
+		if !wasPresent || before.Born != server.Born || before.ColdFor != server.ColdFor {
+			d.applyColdLimit(current, server)
 		}
 	}
-	d.change(func(view *gateway.View) {
-		view.Fleet = view.Fleet.WithAll(at.Version, servers, d.outage.Load().LostUntil(d.grace()), void...)
+	d.updateView(func(view *gateway.View) {
+		view.Fleet = view.Fleet.WithAll(at.Version, servers, d.storeOutage.Load().LostUntil(d.removalGrace()), invalidIDs...)
 	})
-	d.serversRead.Store(true)
-	d.updateKnown()
+	d.serversLoaded.Store(true)
+	d.updateInitialised()
 	d.log.Info("servers: read",
 		zap.Int("servers", len(servers)),
 		zap.Int64("era", at.Era),
@@ -182,8 +184,8 @@
 		zap.Bool("is_restored", isRestored))
 }
 
-// takeServerChanges takes changed entries.
-func (d *Daemon) takeServerChanges(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
+// applyServerChanges applies changed entries.
+func (d *Daemon) applyServerChanges(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
 	if len(rows) == 0 {
 		return
 	}
@@ -205,28 +207,28 @@
 		})
 	}
 	former := d.view.Load().Fleet
-	known := d.view.Load().Config
+	current := d.view.Load().Config
 	for _, change := range changes {
-		d.recordStart(former, change.Server)
-		d.limitCold(known, change.Server)
+		d.recordRestart(former, change.Server)
+		d.applyColdLimit(current, change.Server)
 	}
-	d.change(func(view *gateway.View) {
-		view.Fleet = view.Fleet.WithChanges(at.Version, changes, d.outage.Load().LostUntil(d.grace()))
+	d.updateView(func(view *gateway.View) {
+		view.Fleet = view.Fleet.WithChanges(at.Version, changes, d.storeOutage.Load().LostUntil(d.removalGrace()))
 	})
-	if d.isFirstHand() {
-		d.logChanges(former, changes)
+	if d.readsStoreDirectly() {
+		d.logServerChanges(former, changes)
 	}
 }
 
-// recordStart records a server that started again under its ID: its paces, failures and
-// silences were those of its former start.
-func (d *Daemon) recordStart(former fleet.View, server fleet.Server) {
+// recordRestart records that a server started again under its ID. Its recorded paces, failures
+// and timeouts belong to the former start.
+func (d *Daemon) recordRestart(former fleet.View, server fleet.Server) {
 	before, wasKnown := former.Known(server.ID)
 	if !wasKnown || before.Born == server.Born {
 		return
 	}
 	d.gateway.Restarted(before, server)
-	if d.isFirstHand() {
+	if d.readsStoreDirectly() {
 		d.log.Info("servers: started again",
 			zap.String("server", server.ID),
 			zap.Int64("born", server.Born),
@@ -235,55 +237,55 @@
 	}
 }
 
-// grace returns how long servers whose entry goes may be sent requests.
-func (d *Daemon) grace() fleet.Grace {
+// removalGrace returns how long servers whose entry is removed may still get requests.
+func (d *Daemon) removalGrace() fleet.Grace {
 	return fleet.Grace{
 		DrainWithin: d.settings.DrainWithin,
 		Heartbeat:   d.settings.HeartbeatInterval,
 	}
 }
 
-// rewriteTime returns how long after a restore of the store rows may still be those of the
+// rewriteWindow returns how long after a restore of the store its rows may still come from the
 // older copy.
-func (d *Daemon) rewriteTime() time.Duration {
-	return d.grace().Rewritten()
+func (d *Daemon) rewriteWindow() time.Duration {
+	return d.removalGrace().Rewritten()
 }
 
-// decodeServer decodes an entry; one that cannot be read names no server.
+// decodeServer decodes an entry. An invalid entry names no server.
 func (d *Daemon) decodeServer(row rowstore.Row) (fleet.Server, bool) {
 	server, err := platform.DecodeServer(row.Key, row.Value)
 	if err != nil {
-		d.recordBadRow(platform.ServerTable, row, err)
+		d.recordRejectedRow(platform.ServerTable, row, err)
 		return fleet.Server{}, false
 	}
 	return server, true
 }
 
-// isFirstHand tells whether this daemon follows the store itself: the leader, and the
-// first relay. What all daemons see is written there only. A request's line has the version of
-// the servers' table that its daemon went by.
-func (d *Daemon) isFirstHand() bool {
-	return d.isLeading.Load() || d.isFirstRelay()
+// readsStoreDirectly returns whether this daemon watches the store itself, as the leader and
+// the first relay do. Only these log changes that all daemons see. The log line of a request
+// has the version of the servers' table that its daemon used.
+func (d *Daemon) readsStoreDirectly() bool {
+	return d.isLeader.Load() || d.isFirstRelay()
 }
 
-// logChanges writes a line for each server that came, went, or changed in a way
-// that decides about requests.
-func (d *Daemon) logChanges(former fleet.View, changes []fleet.Change) {
+// logServerChanges logs each server that was added, removed, or changed in a way that affects
+// routing.
+func (d *Daemon) logServerChanges(former fleet.View, changes []fleet.Change) {
 	for _, change := range changes {
-		before, wasThere := former.Server(change.ID)
-		m := change.Server.Membership
+		before, wasPresent := former.Server(change.ID)
+		membership := change.Server.Membership
 		switch {
-		case change.Gone && wasThere:
+		case change.Gone && wasPresent:
 			d.log.Info("servers: gone", zap.String("server", change.ID), zap.String("group", before.Membership.Group), zap.Bool("was_leaving", before.Draining))
 		case change.Gone:
-		case !wasThere:
-			d.log.Info("servers: up", zap.String("server", change.ID), zap.String("service", change.Server.Service), zap.String("address", change.Server.Address))
+		case !wasPresent:
+			d.log.Info("servers: added", zap.String("server", change.ID), zap.String("service", change.Server.Service), zap.String("address", change.Server.Address))
 		case change.Server.Draining && !before.Draining:
-			d.log.Info("servers: leaving", zap.String("server", change.ID), zap.String("group", m.Group))
+			d.log.Info("servers: draining", zap.String("server", change.ID), zap.String("group", membership.Group))
 		case !slices.Equal(change.Server.Staged, before.Staged):
 			d.log.Info("servers: weights staged", zap.String("server", change.ID), zap.Strings("staged", change.Server.Staged), zap.Strings("loaded", change.Server.Models))
-		case m.Rank == 0 && m != before.Membership:
-			d.log.Info("servers: head changed", zap.String("server", change.ID), zap.String("group", m.Group), zap.Int64("epoch", m.Epoch), zap.String("state", m.State.String()))
+		case membership.Rank == 0 && membership != before.Membership:
+			d.log.Info("servers: head changed", zap.String("server", change.ID), zap.String("group", membership.Group), zap.Int64("epoch", membership.Epoch), zap.String("state", membership.State.String()))
 		}
 	}
 }
--- a/entry/idle.go
+++ b/entry/idle.go
@@ -2,31 +2,31 @@
 
 import "headcourse/core/config"
 
-// Until the first client of a system that has just been started comes, nobody waits for
-// anything: loads are quick, and changes may come together for longer.
+// Before the first client of a newly started system sends a request, nobody waits for a result.
+// Model loads are not limited then, and changes are collected for longer.
 
-// isIdle tells whether no client of any daemon has sent a request since the whole system was
-// started, as far as this daemon knows.
+// isIdle returns whether, as far as this daemon knows, no client has sent a request to any
+// daemon since the first start of the whole system.
 func (d *Daemon) isIdle() bool {
-	known := d.view.Load().Config
-	if !d.settings.IsFirstStart || d.hasTraffic.Load() || known == nil {
+	current := d.view.Load().Config
+	if !d.settings.IsFirstStart || d.hasTraffic.Load() || current == nil {
 		return false
 	}
-	if d.gateway.HadRequests() || d.isAsked(known) {
+	if d.gateway.HadRequests() || d.hasDemand(current) {
 		d.hasTraffic.Store(true)
 		return false
 	}
 	return true
 }
 
-// isAsked tells whether callers of any daemon ask for a model.
-func (d *Daemon) isAsked(known *config.Config) bool {
-	for _, service := range known.Services {
+// hasDemand returns whether any daemon reports requests for a model.
+func (d *Daemon) hasDemand(current *config.Config) bool {
+	for _, service := range current.Services {
 		if service.Engine == nil {
 			continue
 		}
 		for _, model := range service.Engine.Models {
-			if asked, isKnown := d.asked(service.Name, model.Name); isKnown && asked.Requests > 0 {
+			if demanded, isKnown := d.demandFor(service.Name, model.Name); isKnown && demanded.Requests > 0 {
 				return true
 			}
 		}
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -13,103 +13,105 @@
 	"headcourse/io/logline"
 )
 
-// A server names its limit to the daemons that send it requests; these report it to all others by a row
-// of reportTable for its start, written without a condition, and remove it when the limit is over.
-// A daemon that reads it sends no request just to learn of a limit, and one that has no part of
-// it learns by the row's end only that it may use the server again. While no server names a
-// limit, all this costs no call.
+// A server names its limit to the daemons that send it requests. They report it to all other
+// daemons by a row of reportTable for the server's start, written without a condition, and
+// remove the row when the limit ends. Other daemons need not send a request to learn of the
+// limit. A daemon without a share of the limit learns only from the removal of the row that it
+// may use the server again. As long as no server names a limit, this costs no calls.
 
-// limitLineEvery bounds the lines about what others report: all servers of a service may be in need.
-const limitLineEvery = 200 * time.Millisecond
+// limitLogInterval limits the rate of log lines about reported limits, since all servers of a
+// service may name limits at once.
+const limitLogInterval = 200 * time.Millisecond
 
-// limitPrefix is the beginning of keys of such rows; names of groups have no slash.
+// limitPrefix is the prefix of the keys of limit rows. Group names contain no slash.
 const limitPrefix = "limit/"
 
-// isLimit tells whether a row of reportTable is of a limit.
-func isLimit(row rowstore.Row) bool {
+// isLimitRow returns whether a row of reportTable reports a limit.
+func isLimitRow(row rowstore.Row) bool {
 	return strings.HasPrefix(row.Key, limitPrefix)
 }
 
-// limitStart returns the start of a server that a limit's row is of.
-func limitStart(row rowstore.Row) string {
+// serverStartOf returns the server start that a limit row belongs to.
+func serverStartOf(row rowstore.Row) string {
 	return strings.TrimPrefix(row.Key, limitPrefix)
 }
 
-// LimitObserved reports a limit to other daemons, if they do not know it. It never waits.
-func (d *Daemon) LimitObserved(server fleet.Server, said ratelimit.Limit) {
+// LimitObserved reports a limit to the other daemons unless they know it. It does not block.
+func (d *Daemon) LimitObserved(server fleet.Server, limit ratelimit.Limit) {
 	start := server.Start()
-	if !said.IsNamed {
-		time.AfterFunc(rand.N(reportSpread), func() { d.reportLimitEnd(start, endTries) })
+	if !limit.IsNamed {
+		time.AfterFunc(rand.N(reportJitter), func() { d.reportLimitEnd(start, limitEndAttempts) })
 		return
 	}
-	if !d.notices.Wants(start, said) {
+	if !d.limitNotices.Wants(start, limit) {
 		return
 	}
-	// Daemons observe a limit together; the first one's report saves the others theirs.
-	time.AfterFunc(rand.N(reportSpread), func() {
-		if d.notices.Speak(start, said) {
-			d.reportLimit(start, said)
+	// Daemons observe a limit at the same time. The jitter lets the first report reach the
+	// others before they write theirs.
+	time.AfterFunc(rand.N(reportJitter), func() {
+		if d.limitNotices.Speak(start, limit) {
+			d.reportLimit(start, limit)
 		}
 	})
 }
 
-// Figures of reporting that a limit is over: another daemon's report of it may come to the store
-// after that, so it is looked at again.
+// Another daemon's report of a limit may reach the store after the report that the limit has
+// ended, so the end is checked several times.
 const (
-	endTries = 5
-	endAgain = 2 * time.Second
+	limitEndAttempts      = 5
+	limitEndRetryInterval = 2 * time.Second
 )
 
-// reportLimitEnd reports that a limit is over, as long as the store has its row, and this daemon
-// knows no new one.
-func (d *Daemon) reportLimitEnd(start string, tries int) {
-	if named, _ := d.limits.Known(start); tries == 0 || named.IsNamed {
+// reportLimitEnd reports that a limit has ended as long as the store has a row for it and this
+// daemon knows no new limit.
+func (d *Daemon) reportLimitEnd(start string, attempts int) {
+	if known, _ := d.serverLimits.Known(start); attempts == 0 || known.IsNamed {
 		return
 	}
-	if d.notices.Speak(start, ratelimit.Limit{}) {
+	if d.limitNotices.Speak(start, ratelimit.Limit{}) {
 		d.reportLimit(start, ratelimit.Limit{})
 	}
-	time.AfterFunc(endAgain, func() { d.reportLimitEnd(start, tries-1) })
+	time.AfterFunc(limitEndRetryInterval, func() { d.reportLimitEnd(start, attempts-1) })
 }
 
-// reportLimit has a limit's row written, or removed where the limit is over.
+// reportLimit enqueues a limit row to be written, or to be removed if the limit has ended.
 func (d *Daemon) reportLimit(start string, limit ratelimit.Limit) {
-	one := report{
+	update := report{
 		key: limitPrefix + start,
 	}
 	if limit.IsNamed {
 		encoded, err := limit.Encode(d.settings.Name)
 		if err != nil {
-			d.log.Error("servers: limit not reported", logline.Err(err))
+			d.log.Error("servers: limit not encoded", logline.Err(err))
 			return
 		}
-		one.value = encoded
+		update.value = encoded
 	}
-	d.queueReport(one)
+	d.enqueueReport(update)
 }
 
-// takeLimit takes the row of a limit.
-func (d *Daemon) takeLimit(row rowstore.Row) {
-	start := limitStart(row)
+// applyLimit applies a limit row.
+func (d *Daemon) applyLimit(row rowstore.Row) {
+	start := serverStartOf(row)
 	if row.Deleted {
-		d.endLimit(start, row.Version)
+		d.removeLimit(start, row.Version)
 		return
 	}
 	limit, err := ratelimit.Decode(row.Value)
 	if err != nil {
-		d.recordBadRow(reportTable, row, err)
+		d.recordRejectedRow(reportTable, row, err)
 		return
 	}
-	if d.notices.Take(start, limit) {
+	if d.limitNotices.Take(start, limit) {
 		d.logReportedLimit(start, limit, row.Version)
 	}
-	d.limits.Reported(start, limit)
+	d.serverLimits.Reported(start, limit)
 }
 
-// logReportedLimit writes a line about what others reported of a limit.
+// logReportedLimit logs a limit that another daemon reported.
 func (d *Daemon) logReportedLimit(start string, limit ratelimit.Limit, version int64) {
-	mayWrite, leftOut := d.limitLines.Pass(reportTable)
-	if !mayWrite {
+	mayLog, suppressed := d.limitLogLimiter.Pass(reportTable)
+	if !mayLog {
 		return
 	}
 	d.log.Info("servers: limit reported by another daemon",
@@ -117,42 +119,43 @@
 		zap.Bool("is_named", limit.IsNamed),
 		zap.Float64("per_second", limit.PerSecond),
 		zap.Int64("row_version", version),
-		zap.Int("lines_left_out", leftOut))
+		zap.Int("lines_left_out", suppressed))
 }
 
-// endLimit notes that the row of a limit is gone.
-func (d *Daemon) endLimit(start string, version int64) {
-	if d.notices.Remove(start) {
+// removeLimit records that a limit row was removed.
+func (d *Daemon) removeLimit(start string, version int64) {
+	if d.limitNotices.Remove(start) {
 		d.logReportedLimit(start, ratelimit.Limit{}, version)
 	}
-	d.limits.Reported(start, ratelimit.Limit{})
+	d.serverLimits.Reported(start, ratelimit.Limit{})
 }
 
-// keepLimits notes that limits are over that are not among the rows of the whole table.
-func (d *Daemon) keepLimits(rows []rowstore.Row, version int64) {
+// retainLimits ends all limits that a snapshot of the table does not contain.
+func (d *Daemon) retainLimits(rows []rowstore.Row, version int64) {
 	starts := map[string]bool{}
 	for _, row := range rows {
-		if isLimit(row) {
-			starts[limitStart(row)] = true
+		if isLimitRow(row) {
+			starts[serverStartOf(row)] = true
 		}
 	}
-	for _, start := range d.notices.Others(starts) {
-		d.endLimit(start, version)
+	for _, start := range d.limitNotices.Others(starts) {
+		d.removeLimit(start, version)
 	}
 }
 
-// sweepLimits removes, where this daemon leads, the rows of limits of servers that are gone.
-func (d *Daemon) sweepLimits() {
-	d.notices.Sweep()
-	if !d.isLeading.Load() {
+// removeStaleLimits removes the limit rows of servers that no longer exist. Only the leader
+// does this.
+func (d *Daemon) removeStaleLimits() {
+	d.limitNotices.Sweep()
+	if !d.isLeader.Load() {
 		return
 	}
-	known := map[string]bool{}
+	present := map[string]bool{}
 	for _, server := range d.view.Load().Fleet.Servers() {
-		known[server.Start()] = true
+		present[server.Start()] = true
 	}
-	for _, start := range d.notices.Old() {
-		if !known[start] {
+	for _, start := range d.limitNotices.Old() {
+		if !present[start] {
 			d.reportLimit(start, ratelimit.Limit{})
 		}
 	}
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -12,92 +12,91 @@
 	"headcourse/lab/standin"
 )
 
-// Servers that named a limit of requests a second, for all daemons together, went on to get as
-// many as before: up to 21 in four seconds from nine daemons, where 15 were allowed, from three
-// seconds after their first word on. No client noticed.
-//
-// Daemons did not read the limit: lines of sends to such servers came from all of them, each
-// with the limit in its answers. Nor would it do that each keeps to it, or to an even part: what
-// one daemon sends at least, a whole request, is beyond the limit as soon as hundreds send it.
-// Few daemons have a part now (TestSumOverAllDaemonsStaysWithinALimit has the sum for thousands),
-// and all tell each other which servers have a limit.
+// Guards against daemons that together exceed the limit which a server names. Such servers got
+// up to 21 requests in four seconds from nine daemons where 15 were allowed, starting three
+// seconds after they first named the limit, since daemons did not read it. A limit or an equal
+// share for each daemon is not enough: each daemon sends at least one whole request, so
+// hundreds of daemons exceed the limit. Only a few daemons have a share of a limit, and daemons
+// report to each other which servers have one. The sum for thousands of daemons is tested in
+// core/ratelimit.
 //
 // The stand-in checks the sum over all daemons by the users' formula.
-func TestServersThatNameALimitGetNoMoreFromAllDaemonsTogether(t *testing.T) {
+func TestAllDaemonsTogetherStayWithinServerLimit(t *testing.T) {
 	const (
 		daemons = 5
 		limit   = 1.7
-		// length is longer than the time after which requests count, and a window.
+		// length exceeds the time after which requests count, plus one window.
 		length = 8 * time.Second
-		// between is the time between two requests of one daemon's clients: each daemon
-		// alone stays below the limit of a server.
-		between = 250 * time.Millisecond
+		// pause is the time between two requests of one daemon's clients. Each daemon alone
+		// stays below the limit of a server.
+		pause = 250 * time.Millisecond
 	)
 	s := newSite(t, daemons)
-	s.platform.Servers(standin.ServicePlain)[0].NameLimit(limit)
-	s.platform.Heads(standin.ModelSmall)[0].NameLimit(limit)
+	s.standin.Servers(standin.ServicePlain)[0].NameLimit(limit)
+	s.standin.Heads(standin.ModelSmall)[0].NameLimit(limit)
 	var clients conc.WaitGroup
 	for i := range s.daemons {
 		clients.Go(func() {
 			client := s.client(i, standin.KeyOne)
-			for began := time.Now(); time.Since(began) < length; time.Sleep(between) {
-				qt.Check(t, isWhole(get(client)), qt.IsTrue)
-				qt.Check(t, isWhole(post(client)), qt.IsTrue)
-				qt.Check(t, isWhole(streamSmall(client)), qt.IsTrue)
+			for began := time.Now(); time.Since(began) < length; time.Sleep(pause) {
+				qt.Check(t, isSuccess(get(client)), qt.IsTrue)
+				qt.Check(t, isSuccess(post(client)), qt.IsTrue)
+				qt.Check(t, isSuccess(streamSmall(client)), qt.IsTrue)
 			}
 		})
 	}
 	clients.Wait()
-	qt.Assert(t, s.platform.DirectiveCounts().Limits > 0, qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().Limits > 0, qt.IsTrue)
 }
 
-// hasReason returns a check for why the daemon refused.
-func hasReason(reason string) func(standin.Answer) bool {
+// refusedWith returns a check for the reason of a rejection.
+func refusedWith(reason string) func(standin.Answer) bool {
 	return func(answer standin.Answer) bool {
 		return answer.Reason == reason
 	}
 }
 
-// limitRows counts the limits that the store tells of.
+// limitRows counts the limit rows in the store.
 func (s *site) limitRows() int {
-	return s.platform.Store.Count("told", "limit/")
+	return s.standin.Store.Count("told", "limit/")
 }
 
-// One daemon hears of a limit by its own requests; the others, which sent none, keep to it, and
-// use the server again when the daemon has heard that the limit is over.
-func TestDaemonsTellEachOtherOfLimits(t *testing.T) {
+// Guards against daemons that ignore a limit which only another daemon has observed. The others
+// send the servers nothing and must apply the reported limit.
+func TestLimitIsSharedWithOtherDaemons(t *testing.T) {
 	s := newSite(t, 5)
-	plain := s.platform.Servers(standin.ServicePlain)
-	for _, one := range plain {
-		one.NameLimit(0)
+	plain := s.standin.Servers(standin.ServicePlain)
+	for _, server := range plain {
+		server.NameLimit(0)
 	}
 	s.await(func() standin.Answer {
 		return get(s.client(0, standin.KeyOne))
-	}, hasReason("servers_limited"))
+	}, refusedWith("servers_limited"))
 	s.awaitTrue(func() bool { return s.limitRows() == len(plain) })
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
 			return get(s.client(i, standin.KeyOne))
-		}, hasReason("servers_limited"))
+		}, refusedWith("servers_limited"))
 	}
-	// A server that takes nothing is asked only now and then, by few daemons.
-	counts := s.platform.DirectiveCounts()
+	// A server that accepts nothing gets only occasional requests, from few daemons.
+	counts := s.standin.DirectiveCounts()
 	qt.Assert(t, counts.Limits < len(s.daemons)*len(plain), qt.IsTrue, qt.Commentf("%+v", counts))
 }
 
-// Servers name limits that soon are over. All daemons, those without a part too, use them again.
-func TestLimitsThatAreOverLeaveNothingBehind(t *testing.T) {
+// Guards against servers that stay unused after their limit ends. All daemons must use them
+// again, including daemons without a share of the limit.
+func TestEndedLimitIsRemovedEverywhere(t *testing.T) {
 	s := newSite(t, 5)
-	plain := s.platform.Servers(standin.ServicePlain)
-	for _, one := range plain {
-		one.NameLimit(0.5)
+	plain := s.standin.Servers(standin.ServicePlain)
+	for _, server := range plain {
+		server.NameLimit(0.5)
 	}
 	s.awaitTrue(func() bool {
 		get(s.client(0, standin.KeyOne))
 		return s.limitRows() == len(plain)
 	})
-	for _, one := range plain {
-		one.EndLimit()
+	for _, server := range plain {
+		server.EndLimit()
 	}
 	s.awaitTrue(func() bool {
 		for i := range s.daemons {
@@ -108,21 +107,21 @@
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
 			return get(s.client(i, standin.KeyOne))
-		}, isWhole)
+		}, isSuccess)
 		for range 20 {
-			qt.Assert(t, isWhole(get(s.client(i, standin.KeyOne))), qt.IsTrue)
+			qt.Assert(t, isSuccess(get(s.client(i, standin.KeyOne))), qt.IsTrue)
 		}
 	}
 }
 
-// A daemon that starts knows by the store which servers have a limit, before it has sent any a
-// request, and the rows of servers that are gone are removed.
-func TestDaemonThatStartsKnowsLimits(t *testing.T) {
+// Guards against a starting daemon that exceeds limits before it has observed them. It must
+// read them from the store.
+func TestStartingDaemonAppliesStoredLimits(t *testing.T) {
 	s := newSite(t, 2)
-	for _, one := range s.platform.Servers(standin.ServicePlain) {
+	for _, server := range s.standin.Servers(standin.ServicePlain) {
 		encoded, err := ratelimit.Named(0).Encode("front-z")
 		qt.Assert(t, err, qt.IsNil)
-		s.platform.Store.Write("told", fmt.Sprintf("limit/%s", one.Start()), encoded)
+		s.standin.Store.Write("told", fmt.Sprintf("limit/%s", server.Start()), encoded)
 	}
 	s.daemons = append(s.daemons, s.startDaemon("front-c"))
 	answer := s.await(func() standin.Answer {
@@ -131,12 +130,12 @@
 	qt.Assert(t, answer.Reason, qt.Equals, "servers_limited")
 }
 
-// A daemon writes that a server has a limit just as another one has heard that it is over. The row
-// is removed again, though only one daemon is asked for anything.
-func TestWordThatComesAfterTheEndOfALimitIsRemoved(t *testing.T) {
+// Guards against a limit row that is written just after another daemon has reported the end of
+// the limit. The row must be removed even if only one daemon gets requests.
+func TestLateLimitReportIsRemoved(t *testing.T) {
 	const limit = 20
 	s := newSite(t, 3)
-	server := s.platform.Servers(standin.ServicePlain)[0]
+	server := s.standin.Servers(standin.ServicePlain)[0]
 	server.NameLimit(limit)
 	s.awaitTrue(func() bool {
 		get(s.client(0, standin.KeyOne))
@@ -149,7 +148,7 @@
 	})
 	encoded, err := ratelimit.Named(limit).Encode("front-z")
 	qt.Assert(t, err, qt.IsNil)
-	s.platform.Store.Write("told", "limit/"+server.Start(), encoded)
+	s.standin.Store.Write("told", "limit/"+server.Start(), encoded)
 	s.awaitTrue(func() bool {
 		get(s.client(0, standin.KeyOne))
 		return s.limitRows() == 0
--- a/entry/lines_test.go
+++ b/entry/lines_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// 295 daemons wrote a million lines in 22 s, one each for every change of every server.
-func TestChangesOfServersAreWrittenWhereTheyAreReadOnly(t *testing.T) {
+// Guards against excessive logging: 295 daemons wrote a million lines in 22 s when each of them
+// logged every change of every server.
+func TestServerChangesAreLoggedOnlyByDaemonsReadingTheStore(t *testing.T) {
 	s := newSite(t, 5)
 	const followers = 2
 	byDaemon := map[string]bool{}
@@ -16,6 +17,7 @@
 			byDaemon[entry.ContextMap()["daemon"].(string)] = true
 		}
 	}
-	// The first relay and the leader, of which there may have been another at the start.
+	// These are the first relay and the leader. The leader may have changed once during the
+	// start.
 	qt.Assert(t, len(byDaemon) >= 1 && len(byDaemon) <= followers+1, qt.IsTrue, qt.Commentf("%v", byDaemon))
 }
--- a/entry/listing.go
+++ b/entry/listing.go
@@ -11,42 +11,42 @@
 	"headcourse/io/relay"
 )
 
-// Figures of listing.
 const (
-	// listAgain is the time between two tries to list itself, listLater that between two
-	// looks at the list after one which the store has taken: it comes back through relays.
-	listAgain = time.Second
-	listLater = 5 * time.Second
+	// registerRetryInterval is the time between two attempts to register, registerCheckInterval
+	// the time between two checks of the list after the store has accepted one: the new row
+	// comes back through relays.
+	registerRetryInterval = time.Second
+	registerCheckInterval = 5 * time.Second
 )
 
-// startSpread is the time over which daemons come to the list when the whole system
-// starts for the first time. Those that come later find others listed, follow the tables
-// through these and are listed by them; nobody is to be served for seconds yet.
-const startSpread = 800 * time.Millisecond
+// firstStartJitter spreads the registration of daemons at the first start of the whole system.
+// Later daemons find others in the list, read tables through them and are registered by them.
+// No client has to be served for several seconds yet.
+const firstStartJitter = 800 * time.Millisecond
 
-// inTurn runs a task, at the first start of the whole system after a while.
-func (d *Daemon) inTurn(task func(context.Context)) func(context.Context) {
+// withFirstStartJitter delays a task randomly at the first start of the whole system.
+func (d *Daemon) withFirstStartJitter(task func(context.Context)) func(context.Context) {
 	if !d.settings.IsFirstStart {
 		return task
 	}
 	return func(ctx context.Context) {
 		select {
-		case <-time.After(rand.N(startSpread)):
+		case <-time.After(rand.N(firstStartJitter)):
 			task(ctx)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// listSelf writes this daemon into the list whenever it is not there: at its start, or when
-// the store was restored from a copy that lacks it.
-func (d *Daemon) listSelf(ctx context.Context) {
+// maintainRegistration registers this daemon whenever the list lacks it: at its start, and
+// after the store was restored from a copy without it.
+func (d *Daemon) maintainRegistration(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := listLater
-		if !d.isListed() && !d.writeSelf(ctx) {
-			pause = listAgain
+		pause := registerCheckInterval
+		if !d.isRegistered() && !d.register(ctx) {
+			pause = registerRetryInterval
 		}
-		if d.isLeading.Load() {
+		if d.isLeader.Load() {
 			d.publishRelays(ctx)
 		}
 		select {
@@ -56,46 +56,48 @@
 	}
 }
 
-// writeSelf has this daemon listed, and tells whether the store has taken it.
-func (d *Daemon) writeSelf(ctx context.Context) bool {
-	encoded, err := d.self().Encode()
+// register writes this daemon's entry to the list and returns whether the store has accepted
+// it.
+func (d *Daemon) register(ctx context.Context) bool {
+	encoded, err := d.selfEntry().Encode()
 	if err != nil {
-		d.log.Error("daemons: self not listed", logline.Err(err))
+		d.log.Error("daemons: own entry not encoded", logline.Err(err))
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportCallTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	for _, lister := range d.listers() {
-		if lister.Enlist(ctx, encoded) == nil {
+	for _, registrar := range d.registrars() {
+		if registrar.Enlist(ctx, encoded) == nil {
 			return true
 		}
 	}
-	if err = d.enlist(ctx, d.settings.Name, encoded); err != nil {
+	if err = d.registerDaemon(ctx, d.settings.Name, encoded); err != nil {
 		d.recordStoreError(neighbours.Table)(err)
 	}
 	return err == nil
 }
 
-// listersAsked is how many daemons are asked to list this one before it asks the store.
-const listersAsked = 2
+// maxRegistrars is how many daemons are tried as registrars before this daemon writes to the
+// store.
+const maxRegistrars = 2
 
-// listers returns the daemons that list this one together with others.
-func (d *Daemon) listers() []*relay.Client {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	var listers []*relay.Client
-	for _, one := range d.roster.list.For(d.settings.Name, d.settings.Zone) {
-		listers = append(listers, d.roster.clients[one.Address])
+// registrars returns clients of daemons that batch this daemon's registration with others.
+func (d *Daemon) registrars() []*relay.Client {
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	var clients []*relay.Client
+	for _, daemon := range d.directory.list.For(d.settings.Name, d.settings.Zone) {
+		clients = append(clients, d.directory.relayClients[daemon.Address])
 	}
-	return listers[:min(listersAsked, len(listers))]
+	return clients[:min(maxRegistrars, len(clients))]
 }
 
-// enlist writes the row of a daemon, together with others.
-func (d *Daemon) enlist(ctx context.Context, name string, entry []byte) error {
+// registerDaemon writes the entry of a daemon, batched with others.
+func (d *Daemon) registerDaemon(ctx context.Context, name string, entry []byte) error {
 	if _, err := neighbours.Decode(name, entry); err != nil {
 		return err
 	}
-	return d.rows.Write(ctx, rowstore.Row{
+	return d.rowWriter.Write(ctx, rowstore.Row{
 		Table: neighbours.Table,
 		Key:   name,
 		Value: entry,
--- a/entry/listreader.go
+++ b/entry/listreader.go
@@ -12,44 +12,43 @@
 	"headcourse/io/logline"
 )
 
-// Figures of reading the list.
 const (
-	// sampleRows is how many rows of the list a daemon that starts reads first.
+	// sampleRows is how many rows of the list a starting daemon reads first.
 	sampleRows = 128
-	// sampledRelays is how many daemons of the sample are asked.
-	sampledRelays = 4
+	// maxSeedRelays is how many daemons of the sample are used as relays.
+	maxSeedRelays = 4
 )
 
-// listReader reads and follows the list of the daemons.
+// listReader reads and watches the daemon list.
 func (d *Daemon) listReader() rowstore.Reader {
 	return rowstore.Seeded{
-		Chain: d.chain,
+		Chain: d.tableReader,
 		From:  d.store,
 		Rows:  sampleRows,
 		Seeds: d.seedRelays,
 	}
 }
 
-// seedRelays returns the daemons to ask for the list by a sample of it; none where others will
-// ask this one.
+// seedRelays returns the daemons to read the list from, selected from a sample of it. It
+// returns none if this daemon is itself one that others read the list from.
 func (d *Daemon) seedRelays(sample []rowstore.Row) []rowstore.Relay {
-	seeds := d.seeds(sample)
-	isSeed := slices.ContainsFunc(seeds, func(one neighbours.Daemon) bool {
-		return one.Name == d.settings.Name
+	seeds := d.seedDaemons(sample)
+	isSeed := slices.ContainsFunc(seeds, func(daemon neighbours.Daemon) bool {
+		return daemon.Name == d.settings.Name
 	})
 	if isSeed {
 		return nil
 	}
 	nearest := neighbours.Nearest(seeds, d.settings.Name, d.settings.Zone)
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	d.roster.prepare()
-	return d.asRelays(nearest[:min(sampledRelays, len(nearest))])
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	d.directory.initClients()
+	return d.relayReaders(nearest[:min(maxSeedRelays, len(nearest))])
 }
 
-// seeds returns the daemons that have the list: the relays where they are published, else those
-// of the sample.
-func (d *Daemon) seeds(sample []rowstore.Row) []neighbours.Daemon {
+// seedDaemons returns the daemons that have the whole list: the published relays, or else the
+// daemons of the sample.
+func (d *Daemon) seedDaemons(sample []rowstore.Row) []neighbours.Daemon {
 	var seeds []neighbours.Daemon
 	for _, row := range sample {
 		if row.Key == neighbours.RelaysKey {
@@ -57,7 +56,7 @@
 			if err == nil && len(relays) > 0 {
 				return relays
 			}
-			d.recordBadRow(neighbours.Table, row, err)
+			d.recordRejectedRow(neighbours.Table, row, err)
 			continue
 		}
 		if daemon, err := neighbours.Decode(row.Key, row.Value); err == nil {
@@ -67,16 +66,16 @@
 	return seeds
 }
 
-// publishRelays writes the relays into the list for daemons that start, where it has others and
-// is too long to be read whole by the sample. Only the leader does.
+// publishRelays writes the relays into the list for starting daemons if they have changed and
+// the list is too long for the sample to cover it. Only the leader does this.
 func (d *Daemon) publishRelays(ctx context.Context) {
 	encoded, isDue := d.relaysToPublish()
 	if !isDue {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportCallTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	err := d.rows.Write(ctx, rowstore.Row{
+	err := d.rowWriter.Write(ctx, rowstore.Row{
 		Table: neighbours.Table,
 		Key:   neighbours.RelaysKey,
 		Value: encoded,
@@ -88,17 +87,17 @@
 	d.log.Info("daemons: relays published", zap.Int("bytes", len(encoded)))
 }
 
-// relaysToPublish returns the row's value, and whether it is to be written.
+// relaysToPublish returns the value of the relays' row, and whether it must be written.
 func (d *Daemon) relaysToPublish() (encoded []byte, isDue bool) {
-	d.roster.mutex.Lock()
-	defer d.roster.mutex.Unlock()
-	if d.roster.list.Len() < sampleRows {
+	d.directory.mutex.Lock()
+	defer d.directory.mutex.Unlock()
+	if d.directory.list.Len() < sampleRows {
 		return nil, false
 	}
-	encoded, err := neighbours.EncodeRelays(d.roster.list.Relays())
+	encoded, err := neighbours.EncodeRelays(d.directory.list.Relays())
 	if err != nil {
-		d.log.Error("daemons: relays not published", logline.Err(err))
+		d.log.Error("daemons: relays not encoded", logline.Err(err))
 		return nil, false
 	}
-	return encoded, !bytes.Equal(encoded, d.roster.published)
+	return encoded, !bytes.Equal(encoded, d.directory.publishedRelays)
 }
--- a/entry/mark.go
+++ b/entry/mark.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// mark is something that happens once and can be waited for. Use newMark.
-type mark struct {
+// onceEvent is an event that happens once and can be waited for. Create it with newOnceEvent.
+type onceEvent struct {
 	once *sync.Once
-	// isSet is closed when it has happened; at is when that was, written before.
-	isSet chan struct{}
-	at    *time.Time
+	// done is closed when the event happens. setAt is the time of the event and is written
+	// before.
+	done  chan struct{}
+	setAt *time.Time
 }
 
-// newMark returns a mark that is not set.
-func newMark() mark {
-	return mark{
+// newOnceEvent returns an event that is not set.
+func newOnceEvent() onceEvent {
+	return onceEvent{
 		once:  &sync.Once{},
-		isSet: make(chan struct{}),
-		at:    &time.Time{},
+		done:  make(chan struct{}),
+		setAt: &time.Time{},
 	}
 }
 
-// set notes that it has happened, if that is not noted yet.
-func (m mark) set() {
-	m.once.Do(func() {
-		*m.at = time.Now()
-		close(m.isSet)
+// set records the event. Later calls have no effect.
+func (e onceEvent) set() {
+	e.once.Do(func() {
+		*e.setAt = time.Now()
+		close(e.done)
 	})
 }
 
-// has tells whether it has happened.
-func (m mark) has() bool {
+// isSet returns whether the event has happened.
+func (e onceEvent) isSet() bool {
 	select {
-	case <-m.isSet:
+	case <-e.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// since returns how long ago it happened; 0 before.
-func (m mark) since() time.Duration {
-	if !m.has() {
+// since returns the time since the event, or 0 before it.
+func (e onceEvent) since() time.Duration {
+	if !e.isSet() {
 		return 0
 	}
-	return time.Since(*m.at)
+	return time.Since(*e.setAt)
 }
--- a/entry/outages.go
+++ b/entry/outages.go
@@ -11,37 +11,38 @@
 	"headcourse/io/logline"
 )
 
-// errorLinesEvery is the time between two lines about failed calls for one table: while the
-// store is away five followers of a daemon fail three times a second each. The counters have
-// them all.
-const errorLinesEvery = 5 * time.Second
+// errorLogInterval is the time between two log lines about failed calls for one table. During
+// an outage of the store, each of the five followers of a daemon fails three times a second.
+// The counters include every failure.
+const errorLogInterval = 5 * time.Second
 
-// recordStoreError records a failed call of the store, or of the relays that stand for it.
+// recordStoreError records a failed call to the store, or to the relays that stand in for it.
 func (d *Daemon) recordStoreError(table string) func(error) {
 	return func(err error) {
 		metrics.GetOrRegisterCounter("store_failed."+table, d.registry).Inc(1)
-		mayWrite, leftOut := d.errorLines.Pass(table)
-		if !mayWrite {
+		mayLog, suppressed := d.errorLogLimiter.Pass(table)
+		if !mayLog {
 			return
 		}
-		d.log.Warn("store: call failed", zap.String("table", table), logline.Err(err), zap.Int("lines_left_out", leftOut))
+		d.log.Warn("store: call failed", zap.String("table", table), logline.Err(err), zap.Int("lines_left_out", suppressed))
 	}
 }
 
-// recordRecovered records that the store answers again.
-func (d *Daemon) recordRecovered(table string) func(time.Duration) {
-	return func(away time.Duration) {
-		leftOut := d.errorLines.End(table)
-		d.log.Info("store: answers again", zap.String("table", table), zap.Int64("away_ms", away.Milliseconds()), zap.Int("lines_left_out", leftOut))
+// recordStoreRecovery records that the store answers again.
+func (d *Daemon) recordStoreRecovery(table string) func(time.Duration) {
+	return func(downtime time.Duration) {
+		suppressed := d.errorLogLimiter.End(table)
+		d.log.Info("store: answers again", zap.String("table", table), zap.Int64("away_ms", downtime.Milliseconds()), zap.Int("lines_left_out", suppressed))
 	}
 }
 
-// recordDropped records an answer about a table that was not taken.
-func (d *Daemon) recordDropped(table string) func(rowstore.Result, rowstore.Revision) {
+// recordDroppedAnswer records an answer about a table that was dropped as older than the known
+// one.
+func (d *Daemon) recordDroppedAnswer(table string) func(rowstore.Result, rowstore.Revision) {
 	return func(answer rowstore.Result, known rowstore.Revision) {
 		metrics.GetOrRegisterCounter("store_answers_dropped."+table, d.registry).Inc(1)
-		mayWrite, leftOut := d.errorLines.Pass("dropped answers of " + table)
-		if !mayWrite {
+		mayLog, suppressed := d.errorLogLimiter.Pass("dropped answers of " + table)
+		if !mayLog {
 			return
 		}
 		d.log.Warn("store: answer not taken, it is older than what is known",
@@ -52,26 +53,26 @@
 			zap.Int64("known_version", known.Version),
 			zap.Int64("store_clock_ms", answer.Now.Milliseconds()),
 			zap.Bool("is_relayed", answer.IsRelayed),
-			zap.Int("lines_left_out", leftOut))
+			zap.Int("lines_left_out", suppressed))
 	}
 }
 
-// recordEraRefused records an answer whose era cannot be read, or is a former one.
-func (d *Daemon) recordEraRefused(err error) {
+// recordRejectedEra records an answer whose era is invalid or older than the known one.
+func (d *Daemon) recordRejectedEra(err error) {
 	metrics.GetOrRegisterCounter("store_eras_refused", d.registry).Inc(1)
-	mayWrite, leftOut := d.errorLines.Pass("eras")
-	if !mayWrite {
+	mayLog, suppressed := d.errorLogLimiter.Pass("eras")
+	if !mayLog {
 		return
 	}
-	d.log.Warn("store: answer not taken for its era", logline.Err(err), zap.Int("lines_left_out", leftOut))
+	d.log.Warn("store: answer not taken for its era", logline.Err(err), zap.Int("lines_left_out", suppressed))
 }
 
-// recordOutage records that a table that is always followed cannot be.
-func (d *Daemon) recordOutage(table string) func(error) {
+// recordOutageStart records that the configuration or the servers cannot be watched.
+func (d *Daemon) recordOutageStart(table string) func(error) {
 	return func(err error) {
-		d.unreadable.set()
-		if !d.outage.Load().IsUnderWay() {
-			d.outage.Store(&fleet.Outage{
+		d.readFailed.set()
+		if !d.storeOutage.Load().IsUnderWay() {
+			d.storeOutage.Store(&fleet.Outage{
 				Began: time.Now(),
 			})
 		}
@@ -79,32 +80,32 @@
 	}
 }
 
-// recordReturn records that such a table can be followed again. It is called before
-// what was read is taken.
-func (d *Daemon) recordReturn(table string) func(time.Duration) {
-	return func(away time.Duration) {
+// recordOutageEnd records that such a table can be watched again. It is called before the new
+// rows are applied.
+func (d *Daemon) recordOutageEnd(table string) func(time.Duration) {
+	return func(downtime time.Duration) {
 		now := time.Now()
-		d.outage.Store(&fleet.Outage{
-			Began: now.Add(-away),
+		d.storeOutage.Store(&fleet.Outage{
+			Began: now.Add(-downtime),
 			Ended: now,
 		})
-		d.recordRecovered(table)(away)
+		d.recordStoreRecovery(table)(downtime)
 	}
 }
 
-// recordBadRow records a row that was not taken: anybody may write to the platform's tables, as
-// often as they like, so the lines are bounded and the counter has them all.
-func (d *Daemon) recordBadRow(table string, row rowstore.Row, err error) {
+// recordRejectedRow records a row that was rejected. Anybody may write to the platform's tables
+// at any rate, so the log lines are rate limited; the counter includes every row.
+func (d *Daemon) recordRejectedRow(table string, row rowstore.Row, err error) {
 	metrics.GetOrRegisterCounter("rows_not_taken."+table, d.registry).Inc(1)
-	mayWrite, leftOut := d.errorLines.Pass("rows of " + table)
-	if !mayWrite {
+	mayLog, suppressed := d.errorLogLimiter.Pass("rows of " + table)
+	if !mayLog {
 		return
 	}
-	const longest = 80
+	const maxKeyBytes = 80
 	d.log.Warn("store: row not taken",
 		zap.String("table", table),
-		zap.String("key", row.Key[:min(len(row.Key), longest)]),
+		zap.String("key", row.Key[:min(len(row.Key), maxKeyBytes)]),
 		zap.Int64("row_version", row.Version),
 		logline.Err(err),
-		zap.Int("lines_left_out", leftOut))
+		zap.Int("lines_left_out", suppressed))
 }
--- a/entry/preference.go
+++ b/entry/preference.go
@@ -14,78 +14,78 @@
 	"headcourse/io/logline"
 )
 
-// place is where this daemon stands among the others, worked out once a list.
-type place struct {
-	daemon subset.Daemon
-	// daemons counts the daemons by zone, by which requests are divided until it is
-	// known what is asked.
-	daemons map[string]float64
-	list    neighbours.List
-	limits  limitPlaces
+// daemonPosition is this daemon's position among the others, computed once for each list.
+type daemonPosition struct {
+	subset subset.Daemon
+	// daemonsByZone counts the daemons of each zone. Requests are distributed by these counts
+	// until the demand is known.
+	daemonsByZone  map[string]float64
+	list           neighbours.List
+	limitPositions limitPositions
 }
 
-// limitPlaces are the daemon's places in the orders of servers that name limits, worked out
-// once a list.
-type limitPlaces struct {
+// limitPositions caches the daemon's position in the order in which daemons share the limit of
+// each server.
+type limitPositions struct {
 	mutex   sync.Mutex
 	byStart map[string]ratelimit.Place
 }
 
-// updatePlace works out this daemon's place in a list.
-func (d *Daemon) updatePlace(list neighbours.List) {
-	rank, of := list.InZone(d.settings.Name, d.settings.Zone)
-	next := &place{
-		daemon: subset.Daemon{
+// updatePosition computes this daemon's position in a list.
+func (d *Daemon) updatePosition(list neighbours.List) {
+	rank, count := list.InZone(d.settings.Name, d.settings.Zone)
+	next := &daemonPosition{
+		subset: subset.Daemon{
 			Rank: rank,
-			Of:   of,
+			Of:   count,
 		},
-		daemons: map[string]float64{},
-		list:    list,
+		daemonsByZone: map[string]float64{},
+		list:          list,
 	}
 	for _, zone := range list.Zones() {
-		_, there := list.InZone("", zone)
-		next.daemons[zone] = float64(there)
+		_, daemons := list.InZone("", zone)
+		next.daemonsByZone[zone] = float64(daemons)
 	}
-	d.place.Store(next)
+	d.position.Store(next)
 }
 
-// Preference returns what a request of a kind goes by when a server is chosen.
+// Preference returns the inputs to server selection for a kind of request.
 func (d *Daemon) Preference(kind demand.Kind) balancer.Preference {
-	known := d.place.Load()
-	asked := d.board.ByZone(kind)
-	if len(asked) == 0 {
-		asked = known.daemons
+	current := d.position.Load()
+	demandByZone := d.demandTotals.ByZone(kind)
+	if len(demandByZone) == 0 {
+		demandByZone = current.daemonsByZone
 	}
 	return balancer.Preference{
 		Zone:   d.settings.Zone,
-		Daemon: known.daemon,
-		Asked:  asked,
+		Daemon: current.subset,
+		Asked:  demandByZone,
 	}
 }
 
-// LimitPlace returns this daemon's place among those that may share the limit of a server.
+// LimitPlace returns this daemon's position among those that may share the limit of a server.
 func (d *Daemon) LimitPlace(server fleet.Server) ratelimit.Place {
-	known := d.place.Load()
-	known.limits.mutex.Lock()
-	defer known.limits.mutex.Unlock()
+	current := d.position.Load()
+	current.limitPositions.mutex.Lock()
+	defer current.limitPositions.mutex.Unlock()
 	start := server.Start()
-	if place, ok := known.limits.byStart[start]; ok {
+	if place, ok := current.limitPositions.byStart[start]; ok {
 		return place
 	}
-	rank, near := known.list.OrderFor(start, server.Zone, d.settings.Name)
+	rank, nearCount := current.list.OrderFor(start, server.Zone, d.settings.Name)
 	place := ratelimit.Place{
 		Rank: rank,
-		Near: near,
-		Of:   known.list.Len(),
+		Near: nearCount,
+		Of:   current.list.Len(),
 	}
-	if known.limits.byStart == nil {
-		known.limits.byStart = map[string]ratelimit.Place{}
+	if current.limitPositions.byStart == nil {
+		current.limitPositions.byStart = map[string]ratelimit.Place{}
 	}
-	known.limits.byStart[start] = place
+	current.limitPositions.byStart[start] = place
 	return place
 }
 
-// refuseDemand notes that another daemon told nonsense of what is asked of it.
-func (d *Daemon) refuseDemand(peer string, err error) {
+// logRejectedDemand logs that another daemon reported invalid demand.
+func (d *Daemon) logRejectedDemand(peer string, err error) {
 	d.log.Warn("daemons: what is asked of another was not taken", zap.String("peer", peer), logline.Err(err))
 }
--- a/entry/ready.go
+++ b/entry/ready.go
@@ -11,19 +11,20 @@
 	"headcourse/io/logline"
 )
 
-// readiness answers the balancer.
+// readiness answers the load balancer's readiness probes.
 type readiness struct {
-	http      *fasthttp.Server
-	address   string
-	isReady   func() bool
-	isLeaving atomic.Bool
+	http       *fasthttp.Server
+	address    string
+	isReady    func() bool
+	isDraining atomic.Bool
 }
 
-// readyTimeout bounds one question of the balancer.
-const readyTimeout = 5 * time.Second
+// readinessTimeout bounds reading one probe.
+const readinessTimeout = 5 * time.Second
 
-// listenReady answers the balancer at IP:port: 200 while isReady, else 503.
-func listenReady(address string, isReady func() bool) (*readiness, error) {
+// listenReadiness answers readiness probes at IP:port with 200 while isReady returns true,
+// otherwise with 503.
+func listenReadiness(address string, isReady func() bool) (*readiness, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for readiness on %s", address)
@@ -33,32 +34,32 @@
 		isReady: isReady,
 	}
 	r.http = &fasthttp.Server{
-		Handler:               r.answer,
-		ReadTimeout:           readyTimeout,
+		Handler:               r.handle,
+		ReadTimeout:           readinessTimeout,
 		NoDefaultServerHeader: true,
 		Logger:                logline.Quiet{},
 	}
 	go func() {
-		// Serve ends with an error only when the listener was closed.
+		// Serve returns an error only after the listener was closed.
 		_ = r.http.Serve(listener)
 	}()
 	return r, nil
 }
 
-// answer answers one question.
-func (r *readiness) answer(ctx *fasthttp.RequestCtx) {
-	if r.isLeaving.Load() || !r.isReady() {
+// handle answers one probe.
+func (r *readiness) handle(ctx *fasthttp.RequestCtx) {
+	if r.isDraining.Load() || !r.isReady() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// leave answers from now on that the daemon is not ready.
-func (r *readiness) leave() {
-	r.isLeaving.Store(true)
+// startDraining reports the daemon as not ready from now on.
+func (r *readiness) startDraining() {
+	r.isDraining.Store(true)
 }
 
-// close ends the server.
+// close stops the server.
 func (r *readiness) close() {
-	// The process ends next; nobody is told more by a failure.
+	// The process exits next, so an error would have no effect.
 	_ = r.http.Shutdown()
 }
--- a/entry/records.go
+++ b/entry/records.go
@@ -15,59 +15,60 @@
 	"headcourse/platform"
 )
 
-// Times of reading the records of all groups.
 const (
-	// readTime bounds one try.
-	readTime = time.Second
-	// readAgain is the time between two tries: the store may turn the leader away alone.
-	readAgain = 400 * time.Millisecond
+	// readTimeout bounds one attempt to read the records of all groups.
+	readTimeout = time.Second
+	// readRetryInterval is the time between two attempts. The store may reject only the
+	// leader's calls.
+	readRetryInterval = 400 * time.Millisecond
 )
 
-// commitRows is how many rows one change may write or remove beside the lease,
-// which takes two entries: its condition and its rewrite.
-const commitRows = platform.MaxEntries - 2
+// maxCommitRows is how many rows one change may write or remove. The lease takes two more
+// entries of the transaction: its condition and its renewal.
+const maxCommitRows = platform.MaxEntries - 2
 
-// commitPending starts to commit what waits, one change at a time and no more than
-// a transaction holds. Orders and probes go on meanwhile: the store may be slow.
+// commitPending starts to commit pending changes, one commit at a time and at most as many rows
+// as a transaction holds. Orders and probes continue in the meantime, since the store may be
+// slow.
 func (t *term) commitPending(ctx context.Context) {
-	if t.isCommitting || !t.pending.HasChanges() {
+	if t.isCommitting || !t.pendingChanges.HasChanges() {
 		return
 	}
-	plan, rest := t.pending.Cut(commitRows)
-	t.pending = rest
+	plan, rest := t.pendingChanges.Cut(maxCommitRows)
+	t.pendingChanges = rest
 	t.isCommitting = true
 	go func() {
-		at, err := t.commit(ctx, plan)
-		t.tell(ctx, func() {
+		revision, err := t.commit(ctx, plan)
+		t.enqueue(ctx, func() {
 			t.isCommitting = false
-			t.committed(plan, at, err)
+			t.finishCommit(plan, revision, err)
 		})
 	}()
 }
 
-// committed takes what became of a change.
-func (t *term) committed(plan assembly.Plan, at rowstore.Revision, err error) {
+// finishCommit handles the result of a commit.
+func (t *term) finishCommit(plan assembly.Plan, revision rowstore.Revision, err error) {
 	if err != nil {
-		t.mustLoad = true
-		t.pending = assembly.Plan{}
-		t.daemon.log.Warn("groups: change not confirmed, records are read again", logline.Err(err))
+		t.mustReadRecords = true
+		t.pendingChanges = assembly.Plan{}
+		t.daemon.log.Warn("groups: commit not confirmed, records are read again", logline.Err(err))
 		return
 	}
-	t.controller.Created(plan.Create, at.Version)
+	t.controller.Created(plan.Create, revision.Version)
 	t.controller.Removed(plan.Remove)
 	for _, record := range plan.Create {
-		epoch := record.WithVersion(at.Version).Epoch
+		epoch := record.WithVersion(revision.Version).Epoch
 		t.daemon.log.Info("groups: created", zap.String("group", record.Name), zap.Int64("epoch", epoch), zap.String("model", record.Model), zap.Strings("members", record.Members))
 	}
 }
 
-// load reads the records of all groups.
-func (t *term) load(ctx context.Context) bool {
-	if time.Since(t.triedToLoad) < readAgain {
+// readRecords reads the records of all groups.
+func (t *term) readRecords(ctx context.Context) bool {
+	if time.Since(t.lastReadAttempt) < readRetryInterval {
 		return false
 	}
-	t.triedToLoad = time.Now()
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+	t.lastReadAttempt = time.Now()
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	result, err := t.daemon.store.Read(ctx, assembly.Table)
 	if err != nil {
@@ -78,25 +79,25 @@
 	for _, row := range result.Rows {
 		record, decodeErr := assembly.DecodeRecord(row.Value, row.Version)
 		if decodeErr != nil {
-			t.daemon.recordBadRow(assembly.Table, row, decodeErr)
+			t.daemon.recordRejectedRow(assembly.Table, row, decodeErr)
 			continue
 		}
 		records = append(records, record)
 	}
-	if !t.loadRecent(ctx) {
+	if !t.readRecentModels(ctx) {
 		return false
 	}
 	if result.Era != t.lease.Era() {
 		return false
 	}
 	t.controller.Load(records)
-	t.mustLoad = false
+	t.mustReadRecords = false
 	t.daemon.log.Info("groups: records read", zap.Int("groups", len(records)), zap.Int64("table_version", result.Version))
 	return true
 }
 
-// loadRecent reads which models servers loaded last.
-func (t *term) loadRecent(ctx context.Context) bool {
+// readRecentModels reads which models servers loaded most recently.
+func (t *term) readRecentModels(ctx context.Context) bool {
 	result, err := t.daemon.store.Read(ctx, assembly.RecentTable)
 	if err != nil {
 		t.daemon.recordStoreError(assembly.RecentTable)(err)
@@ -106,18 +107,18 @@
 	for _, row := range result.Rows {
 		recent, decodeErr := assembly.DecodeRecent(row.Value)
 		if decodeErr != nil {
-			t.daemon.recordBadRow(assembly.RecentTable, row, decodeErr)
+			t.daemon.recordRejectedRow(assembly.RecentTable, row, decodeErr)
 			continue
 		}
 		maps.Copy(models, recent.Models)
 	}
-	t.daemon.change(func(view *gateway.View) {
+	t.daemon.updateView(func(view *gateway.View) {
 		view.Fleet = view.Fleet.WithRecent(models)
 	})
 	return true
 }
 
-// commit writes and removes records, and returns the revision of those written.
+// commit writes and removes records, and returns the revision of the commit.
 func (t *term) commit(ctx context.Context, plan assembly.Plan) (rowstore.Revision, error) {
 	var writes, removes []rowstore.Row
 	for _, record := range plan.Create {
@@ -131,7 +132,7 @@
 			Value: value,
 		})
 	}
-	for _, recent := range lastOfEach(plan.Recent) {
+	for _, recent := range lastPerDomain(plan.Recent) {
 		value, err := recent.Encode()
 		if err != nil {
 			return rowstore.Revision{}, err
@@ -148,10 +149,10 @@
 			Key:   name,
 		})
 	}
-	reported := slices.Concat(plan.Cleared, plan.Remove)
-	slices.Sort(reported)
-	// A group may be cleared and removed while the store is slow.
-	for _, name := range slices.Compact(reported) {
+	reportKeys := slices.Concat(plan.Cleared, plan.Remove)
+	slices.Sort(reportKeys)
+	// A group may be both cleared and removed while the store is slow.
+	for _, name := range slices.Compact(reportKeys) {
 		removes = append(removes, rowstore.Row{
 			Table: reportTable,
 			Key:   name,
@@ -160,11 +161,11 @@
 	return t.lease.Commit(ctx, writes, removes)
 }
 
-// lastOfEach returns the last of each domain's.
-func lastOfEach(all []assembly.Recent) []assembly.Recent {
+// lastPerDomain returns the last entry of each domain.
+func lastPerDomain(models []assembly.Recent) []assembly.Recent {
 	var last []assembly.Recent
 	seen := map[string]bool{}
-	for _, recent := range slices.Backward(all) {
+	for _, recent := range slices.Backward(models) {
 		if !seen[recent.Domain] {
 			seen[recent.Domain] = true
 			last = append(last, recent)
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -11,91 +11,90 @@
 	"headcourse/platform"
 )
 
-// Figures of reports.
 const (
-	// reportQueue bounds reports that wait to be written; it holds all requests that end
-	// with a server of the largest size.
-	reportQueue = 1024
-	// reportBatchTime is how long the first waits for others: all requests at a server end at
-	// one moment.
-	reportBatchTime = 30 * time.Millisecond
-	// reportRetryPause is the time between two tries: within the time in which a daemon counts
-	// as in touch, 3 s and more, others must know.
-	reportRetryPause = 500 * time.Millisecond
-	// sweepEvery is the time between two sweeps of old reports.
-	sweepEvery = time.Minute
+	// reportQueueCapacity bounds the reports that wait to be written. It holds all requests
+	// that fail at once when a server of the largest size crashes.
+	reportQueueCapacity = 1024
+	// reportBatchDelay is how long the first report waits for others. All requests in flight at
+	// a crashed server fail at the same moment.
+	reportBatchDelay = 30 * time.Millisecond
+	// reportRetryInterval is the time between two attempts. Other daemons must get a report
+	// within the time in which a daemon counts as in contact, which is 3 s or more.
+	reportRetryInterval = 500 * time.Millisecond
+	// sweepInterval is the time between two removals of old reports.
+	sweepInterval = time.Minute
 )
 
-// report is a row of reportTable to be written without a condition; one without a value is to be
-// removed.
+// report is a row of reportTable to be written without a condition, or to be removed if it has
+// no value.
 type report struct {
 	key   string
 	value []byte
 }
 
-// queueReport has a report written soon.
-func (d *Daemon) queueReport(one report) {
+// enqueueReport enqueues a report to be written. It drops the report if the queue is full.
+func (d *Daemon) enqueueReport(queued report) {
 	select {
-	case d.reports <- one:
+	case d.pendingReports <- queued:
 	default:
 		metrics.GetOrRegisterCounter("reports_dropped", d.registry).Inc(1)
 	}
 }
 
-// runReports writes reports until ctx ends.
-func (d *Daemon) runReports(ctx context.Context) {
-	waiting := map[string]report{}
-	take := func(one report) {
-		waiting[one.key] = one
+// runReportWriter writes reports until ctx ends.
+func (d *Daemon) runReportWriter(ctx context.Context) {
+	pending := map[string]report{}
+	add := func(queued report) {
+		pending[queued.key] = queued
 	}
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-sweep.C:
-			d.sweepEnds()
-			d.sweepLimits()
+			d.expireCrashes()
+			d.removeStaleLimits()
 			continue
-		case one := <-d.reports:
-			take(one)
+		case queued := <-d.pendingReports:
+			add(queued)
 		}
-		for pause := reportBatchTime; len(waiting) > 0 && ctx.Err() == nil; pause = reportRetryPause {
-			d.collectReports(ctx, pause, take)
-			d.writeReports(ctx, waiting)
+		for pause := reportBatchDelay; len(pending) > 0 && ctx.Err() == nil; pause = reportRetryInterval {
+			d.collectReports(ctx, pause, add)
+			d.writeReports(ctx, pending)
 		}
 	}
 }
 
-// collectReports takes further reports for a while, no more than the queue holds.
-func (d *Daemon) collectReports(ctx context.Context, pause time.Duration, take func(report)) {
-	end := time.After(pause)
-	for range reportQueue {
+// collectReports collects further reports for a delay, at most as many as the queue holds.
+func (d *Daemon) collectReports(ctx context.Context, delay time.Duration, add func(report)) {
+	timeout := time.After(delay)
+	for range reportQueueCapacity {
 		select {
 		case <-ctx.Done():
 			return
-		case <-end:
+		case <-timeout:
 			return
-		case one := <-d.reports:
-			take(one)
+		case queued := <-d.pendingReports:
+			add(queued)
 		}
 	}
 }
 
-// writeReports writes reports, as many as a transaction holds at once, and takes those away
-// that the store has.
-func (d *Daemon) writeReports(ctx context.Context, waiting map[string]report) {
-	for len(waiting) > 0 {
+// writeReports writes reports in transactions of at most platform.MaxEntries rows, and removes
+// those that the store has committed from pending.
+func (d *Daemon) writeReports(ctx context.Context, pending map[string]report) {
+	for len(pending) > 0 {
 		var transaction rowstore.Transaction
 		var keys []string
-		for key, one := range waiting {
+		for key, pendingReport := range pending {
 			row := rowstore.Row{
 				Table: reportTable,
 				Key:   key,
-				Value: one.value,
+				Value: pendingReport.value,
 			}
-			if one.value == nil {
+			if pendingReport.value == nil {
 				transaction.Removes = append(transaction.Removes, row)
 			} else {
 				transaction.Writes = append(transaction.Writes, row)
@@ -108,15 +107,15 @@
 			return
 		}
 		for _, key := range keys {
-			d.recent.add(waiting[key])
-			delete(waiting, key)
+			d.recentReports.add(pending[key])
+			delete(pending, key)
 		}
 	}
 }
 
-// commitReports makes one transaction and tells whether the store has taken it.
+// commitReports commits one transaction and returns whether the store has accepted it.
 func (d *Daemon) commitReports(ctx context.Context, transaction rowstore.Transaction) bool {
-	ctx, cancel := context.WithTimeout(ctx, reportCallTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err := d.store.Commit(ctx, transaction)
 	if err != nil {
--- a/entry/restore_test.go
+++ b/entry/restore_test.go
@@ -18,14 +18,15 @@
 	"headcourse/platform/wire"
 )
 
-// awayFor is how long the store is away before it is restored.
-const awayFor = 300 * time.Millisecond
+// restoreOutage is how long the store is unavailable before it is restored.
+const restoreOutage = 300 * time.Millisecond
 
-// writeRows has daemons' rows written that no operator or server writes again.
+// writeRows writes rows that no operator, server or daemon rewrites, to raise the store's
+// version.
 func (s *site) writeRows() {
 	s.t.Helper()
 	const rows = 300
-	store := platform.NewStore(s.platform.Store.Address())
+	store := platform.NewStore(s.standin.Store.Address())
 	for i := range rows {
 		_, err := store.Commit(context.Background(), rowstore.Transaction{
 			Writes: []rowstore.Row{
@@ -40,79 +41,82 @@
 	}
 }
 
-// restore takes the store away for a moment and restores it from a copy.
-func (s *site) restore(snapshot standin.Snapshot, how standin.Restoring) {
-	s.platform.Store.SetFault(standin.Refusing)
-	time.Sleep(awayFor)
-	s.platform.Store.Restore(snapshot, how)
-	s.platform.Store.SetFault(standin.Well)
+// restore makes the store unavailable for a moment and restores it from a copy.
+func (s *site) restore(snapshot standin.Snapshot, options standin.Restoring) {
+	s.standin.Store.SetFault(standin.Refusing)
+	time.Sleep(restoreOutage)
+	s.standin.Store.Restore(snapshot, options)
+	s.standin.Store.SetFault(standin.Well)
 }
 
-// changeKey replaces the key of an organisation, and waits until all daemons take it.
-func (s *site) changeKey(key string) {
+// replaceKey replaces the key of an organisation, and waits until all daemons accept the new
+// one.
+func (s *site) replaceKey(key string) {
 	s.t.Helper()
-	s.platform.ChangeConfig(func(config *wire.Config) {
+	s.standin.ChangeConfig(func(config *wire.Config) {
 		config.Tenants[0].APIKeys = []string{key}
 	})
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
 			return get(s.client(i, key))
-		}, isWhole)
+		}, isSuccess)
 	}
 }
 
-// getsNothing checks that requests are served by others than a server.
-func (s *site) getsNothing(server *standin.Server, client *standin.Client) {
+// assertUnused checks that a server gets no requests.
+func (s *site) assertUnused(server *standin.Server, client *standin.Client) {
 	s.t.Helper()
 	for range 40 {
 		answer := get(client)
-		qt.Assert(s.t, answer, qt.Satisfies, isWhole)
+		qt.Assert(s.t, answer, qt.Satisfies, isSuccess)
 		qt.Assert(s.t, strings.Contains(answer.Seal, server.ID()), qt.IsFalse)
 	}
 }
 
-// Guards against a configuration that is not taken since the restored store's versions are lower.
-func TestConfigurationIsInForceAfterTheStoreIsRestored(t *testing.T) {
+// Guards against a new configuration that is ignored because versions of the restored store are
+// lower.
+func TestNewConfigurationAppliesAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	snapshot := s.platform.Store.Snapshot()
+	snapshot := s.standin.Store.Snapshot()
 	s.writeRows()
-	s.changeKey("former-key")
+	s.replaceKey("former-key")
 	s.restore(snapshot, standin.Restoring{})
-	s.changeKey("new-key")
+	s.replaceKey("new-key")
 }
 
-// Guards against requests to a leaving server whose entry is not taken for its lower version.
-func TestLeavingServerGetsNothingNewAfterTheStoreIsRestored(t *testing.T) {
+// Guards against requests to a draining server whose entry is ignored for its lower version.
+func TestServerDrainingAfterStoreRestoreGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1)
-	snapshot := s.platform.Store.Snapshot()
+	snapshot := s.standin.Store.Snapshot()
 	s.writeRows()
 	client := s.client(0, standin.KeyOne)
-	leaving := s.platform.Servers(standin.ServicePlain)[0]
-	qt.Assert(t, s.platform.StartLike(leaving), qt.IsNil)
-	added := s.platform.Servers(standin.ServicePlain)[3]
+	draining := s.standin.Servers(standin.ServicePlain)[0]
+	qt.Assert(t, s.standin.StartLike(draining), qt.IsNil)
+	added := s.standin.Servers(standin.ServicePlain)[3]
 	s.await(func() standin.Answer {
 		return get(client)
 	}, func(answer standin.Answer) bool {
 		return strings.Contains(answer.Seal, added.ID())
 	})
 	s.restore(snapshot, standin.Restoring{})
-	leaving.DrainByEntry()
+	draining.DrainByEntry()
 	s.awaitTrue(func() bool {
-		known, _ := s.daemons[0].View().Fleet.Server(leaving.ID())
-		return known.Draining
+		server, _ := s.daemons[0].View().Fleet.Server(draining.ID())
+		return server.Draining
 	})
-	s.getsNothing(leaving, client)
+	s.assertUnused(draining, client)
 }
 
-// Guards against a withdrawn key that works again by the configuration of a restored store, at
-// daemons that know better, and at one that starts before the operator has written again.
-func TestWithdrawnKeyStaysDeadOverARestore(t *testing.T) {
+// Guards against a revoked key that becomes valid again by the configuration of a restored
+// store: at daemons that have the newer configuration, and at one that starts before the
+// operator writes it again.
+func TestRevokedKeyStaysRejectedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	snapshot := s.platform.Store.Snapshot()
-	s.changeKey("new-key")
+	snapshot := s.standin.Store.Snapshot()
+	s.replaceKey("new-key")
 	s.restore(snapshot, standin.Restoring{
 		RewriteWithin: time.Hour,
 	})
@@ -120,29 +124,30 @@
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
 			return get(s.client(i, "new-key"))
-		}, isWhole)
+		}, isSuccess)
 		qt.Assert(t, get(s.client(i, standin.KeyOne)).Status, qt.Equals, http.StatusUnauthorized)
 	}
 }
 
-// withHeartbeat returns an edit of settings by which servers have so long to write again.
+// withHeartbeat returns an edit of settings that sets the time within which servers write their
+// entries again.
 func withHeartbeat(interval time.Duration) func(*settings.Settings) {
-	return func(known *settings.Settings) {
-		known.HeartbeatInterval = interval
+	return func(nodeSettings *settings.Settings) {
+		nodeSettings.HeartbeatInterval = interval
 	}
 }
 
-// Guards against requests to a server that leaves, whose entry of before is back in a restored
-// store until the server has written again.
-func TestServerThatLeftBeforeARestoreGetsNothingNew(t *testing.T) {
+// Guards against requests to a draining server whose former entry is in force again in a
+// restored store until the server writes it.
+func TestServerDrainingBeforeStoreRestoreGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	s := newSiteWith(t, 1, withHeartbeat(time.Hour))
-	snapshot := s.platform.Store.Snapshot()
-	leaving := s.platform.Servers(standin.ServicePlain)[0]
-	leaving.DrainByEntry()
+	snapshot := s.standin.Store.Snapshot()
+	draining := s.standin.Servers(standin.ServicePlain)[0]
+	draining.DrainByEntry()
 	s.awaitTrue(func() bool {
-		known, _ := s.daemons[0].View().Fleet.Server(leaving.ID())
-		return known.Draining
+		server, _ := s.daemons[0].View().Fleet.Server(draining.ID())
+		return server.Draining
 	})
 	s.restore(snapshot, standin.Restoring{
 		RewriteWithin: time.Hour,
@@ -150,84 +155,84 @@
 	s.awaitTrue(func() bool {
 		return len(s.lines(`"is_restored":true`)) > 0
 	})
-	s.getsNothing(leaving, s.client(0, standin.KeyOne))
+	s.assertUnused(draining, s.client(0, standin.KeyOne))
 }
 
-// Guards against a leader that takes members of groups that serve for free servers, by entries of
-// a restored store that servers have not written again yet.
-func TestNobodyOrdersServersBeforeTheyHaveWrittenAgain(t *testing.T) {
+// Guards against a leader that treats members of serving groups as free servers because a
+// restored store has old entries which servers have not written again yet.
+func TestNoOrdersBeforeServersRewriteEntriesAfterRestore(t *testing.T) {
 	t.Parallel()
 	const heartbeat, rewrite = 2 * time.Second, 5 * time.Second
 	s := newSiteWith(t, 3, withHeartbeat(heartbeat))
-	heads := len(s.platform.Heads(standin.ModelLarge))
-	s.restore(s.first, standin.Restoring{
+	heads := len(s.standin.Heads(standin.ModelLarge))
+	s.restore(s.initialStore, standin.Restoring{
 		RewriteWithin: rewrite,
 	})
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
 	})
-	qt.Assert(t, len(s.platform.Heads(standin.ModelLarge)), qt.Equals, heads)
+	qt.Assert(t, len(s.standin.Heads(standin.ModelLarge)), qt.Equals, heads)
 }
 
-// Guards against groups that serve being ended since a restored store has no record of them, and
-// against a fleet that is not looked after any more.
-func TestGroupsServeOnWhenARestoreHasLostTheirRecords(t *testing.T) {
+// Guards against ending serving groups because a restored store has no record of them, and
+// against groups that are not repaired afterwards.
+func TestGroupsKeepServingWhenRestoreLosesTheirRecords(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3)
-	heads := len(s.platform.Heads(standin.ModelLarge))
-	s.restore(s.first, standin.Restoring{
+	heads := len(s.standin.Heads(standin.ModelLarge))
+	s.restore(s.initialStore, standin.Restoring{
 		RewriteWithin: 500 * time.Millisecond,
 	})
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
 	})
-	qt.Assert(t, len(s.platform.Heads(standin.ModelLarge)), qt.Equals, heads)
+	qt.Assert(t, len(s.standin.Heads(standin.ModelLarge)), qt.Equals, heads)
 	s.awaitGroups()
 
-	s.platform.Members(s.platform.Heads(standin.ModelLarge)[0])[1].Kill()
+	s.standin.Members(s.standin.Heads(standin.ModelLarge)[0])[1].Kill()
 	s.awaitTrue(func() bool {
-		return len(s.platform.Heads(standin.ModelLarge)) < heads
+		return len(s.standin.Heads(standin.ModelLarge)) < heads
 	})
 	s.awaitTrue(func() bool {
-		return len(s.platform.Heads(standin.ModelLarge)) == heads
+		return len(s.standin.Heads(standin.ModelLarge)) == heads
 	})
 }
 
-// Guards against a leader whose lease of the former era still holds, and which ends groups by the
+// Guards against a leader with a lease of the former era that ends groups because of the
 // entries of a restored store.
-func TestLeaderOfAFormerEraDecidesNothing(t *testing.T) {
+func TestLeaderOfFormerEraMakesNoDecisions(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3)
-	// Every group is open in the entries of now and unknown in those of the copy.
+	// Every group is open in the current entries and unknown in those of the copy.
 	s.awaitGroups()
-	heads := len(s.platform.Heads(standin.ModelLarge)) + len(s.platform.Heads(standin.ModelSmall))
+	heads := len(s.standin.Heads(standin.ModelLarge)) + len(s.standin.Heads(standin.ModelSmall))
 	const decision = "groups: group ends"
 	decided := len(s.lines(decision))
-	// The leader reads the restored entries at once, and learns by its next renewal only that
+	// The leader reads the restored entries at once, but learns only at its next renewal that
 	// its lease is lost.
-	s.platform.Store.SilenceTable(leader.Table)
-	s.platform.Store.Restore(s.first, standin.Restoring{
+	s.standin.Store.SilenceTable(leader.Table)
+	s.standin.Store.Restore(s.initialStore, standin.Restoring{
 		RewriteWithin: 2 * leader.Term,
 	})
 	restored := time.Now()
 	s.awaitTrue(func() bool {
-		now := len(s.platform.Heads(standin.ModelLarge)) + len(s.platform.Heads(standin.ModelSmall))
+		now := len(s.standin.Heads(standin.ModelLarge)) + len(s.standin.Heads(standin.ModelSmall))
 		qt.Assert(t, now, qt.Equals, heads)
 		qt.Assert(t, s.lines(decision), qt.HasLen, decided)
 		return time.Since(restored) > leader.Term
 	})
-	s.platform.Store.SilenceTable("")
+	s.standin.Store.SilenceTable("")
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
 	})
 	s.awaitGroups()
 }
 
-// Guards against rows of daemons that nobody writes again after a restore.
-func TestDaemonsWriteAgainWhatARestoreHasLost(t *testing.T) {
+// Guards against rows of daemons that are not written again after a restore.
+func TestDaemonsRewriteRowsLostInRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3)
-	limited := s.platform.Servers(standin.ServicePlain)[0]
+	limited := s.standin.Servers(standin.ServicePlain)[0]
 	limited.NameLimit(1)
 	s.awaitTrue(func() bool {
 		get(s.client(0, standin.KeyOne))
@@ -235,12 +240,12 @@
 	})
 	const noDaemons = `"daemons":0`
 	unknown := len(s.lines(noDaemons))
-	s.restore(s.first, standin.Restoring{})
+	s.restore(s.initialStore, standin.Restoring{})
 	s.awaitTrue(func() bool {
 		return s.limitRows() > 0
 	})
 	s.awaitTrue(func() bool {
-		return s.platform.Store.Count("daemons", "") == len(s.daemons)
+		return s.standin.Store.Count("daemons", "") == len(s.daemons)
 	})
 	qt.Assert(t, s.lines(noDaemons), qt.HasLen, unknown)
 }
--- a/entry/restores.go
+++ b/entry/restores.go
@@ -11,16 +11,17 @@
 	"headcourse/platform"
 )
 
-// The store may be restored from an older copy. What this daemon knew before is newer than
-// that: it stays until operators, servers and daemons have had the time to write again what
-// the copy lacks, and only then the tables count as they stand.
+// The store may be restored from an older copy. What this daemon knew before the restore is
+// newer. It stays in force until operators, servers and daemons have had time to write again
+// what the copy lacks. Only then do the tables apply as they are.
 
-// recentFor is how long reports that the store has taken are kept: longer than a copy is old.
-const recentFor = time.Minute
+// recentReportTTL is how long committed reports are kept. It exceeds the age of a restored
+// copy.
+const recentReportTTL = time.Minute
 
-// recordEra records that a table was read in another era. With the first one, reports are
-// written again that the store may have lost.
-func (d *Daemon) recordEra(table string) func(former, next rowstore.Revision) {
+// recordEraChange records that a table was read in another era. The first table of a new era
+// also causes reports that the store may have lost to be written again.
+func (d *Daemon) recordEraChange(table string) func(former, next rowstore.Revision) {
 	return func(former, next rowstore.Revision) {
 		d.log.Info("store: table read in a new era",
 			zap.String("table", table),
@@ -32,99 +33,100 @@
 			return
 		}
 		metrics.GetOrRegisterCounter("store_restores", d.registry).Inc(1)
-		for _, one := range d.recent.all() {
-			d.queueReport(one)
+		for _, recent := range d.recentReports.all() {
+			d.enqueueReport(recent)
 		}
 	}
 }
 
-// keepNewestConfig returns a table of the configuration with the one in force, where that is
-// newer: the operator has not written it again yet, and daemons that start know no better.
-func (d *Daemon) keepNewestConfig(read rowstore.Result) rowstore.Result {
-	kept := d.configRow.Load()
-	if kept == nil || d.hasConfigFrom(read.Rows) {
-		return read
+// mergeNewestConfig replaces an older configuration in a table by the one in force: after a
+// restore the operator has not written the newer one again yet, and starting daemons know no
+// other.
+func (d *Daemon) mergeNewestConfig(table rowstore.Result) rowstore.Result {
+	current := d.configRow.Load()
+	if current == nil || d.hasCurrentConfig(table.Rows) {
+		return table
 	}
-	row := *kept
-	row.Version = read.Version
+	row := *current
+	row.Version = table.Version
 	rows := []rowstore.Row{row}
-	for _, one := range read.Rows {
-		if !platform.IsConfig(one.Key) {
-			rows = append(rows, one)
+	for _, readRow := range table.Rows {
+		if !platform.IsConfig(readRow.Key) {
+			rows = append(rows, readRow)
 		}
 	}
-	read.Rows = rows
-	return read
+	table.Rows = rows
+	return table
 }
 
-// hasConfigFrom tells whether rows have a configuration that is not older than the one in
-// force.
-func (d *Daemon) hasConfigFrom(rows []rowstore.Row) bool {
+// hasCurrentConfig returns whether rows contain a configuration that is at least as new as the
+// one in force.
+func (d *Daemon) hasCurrentConfig(rows []rowstore.Row) bool {
 	for _, row := range rows {
 		if !platform.IsConfig(row.Key) {
 			continue
 		}
-		read, err := platform.DecodeConfig(row.Value)
-		return err == nil && read.Version >= versionOf(d.view.Load().Config)
+		decoded, err := platform.DecodeConfig(row.Value)
+		return err == nil && decoded.Version >= configVersion(d.view.Load().Config)
 	}
 	return false
 }
 
-// recentReports are reports that the store has taken lately, to be written again where a restore
-// has lost them. The zero value is empty.
+// recentReports are reports that the store has committed recently. They are written again if a
+// restore loses them. The zero value is empty.
 type recentReports struct {
 	mutex   sync.Mutex
 	reports map[string]recentReport
 }
 
-// recentReport is a report, and when the store took it.
+// recentReport is a report and the time of its commit.
 type recentReport struct {
-	report report
-	at     time.Time
+	report      report
+	committedAt time.Time
 }
 
-// add records a report that the store has taken.
-func (r *recentReports) add(one report) {
+// add records a report that the store has committed.
+func (r *recentReports) add(committed report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.reports == nil {
 		r.reports = map[string]recentReport{}
 	}
-	r.forgetOld()
-	if len(r.reports) < reportQueue {
-		r.reports[one.key] = recentReport{
-			report: one,
-			at:     time.Now(),
+	r.expire()
+	if len(r.reports) < reportQueueCapacity {
+		r.reports[committed.key] = recentReport{
+			report:      committed,
+			committedAt: time.Now(),
 		}
 	}
 }
 
-// observe forgets a report whose row was written by another since.
+// observe forgets a report whose row has since been changed by another daemon.
 func (r *recentReports) observe(row rowstore.Row) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, isThere := r.reports[row.Key]
-	if isThere && (row.Deleted != (known.report.value == nil) || string(row.Value) != string(known.report.value)) {
+	known, isKnown := r.reports[row.Key]
+	if isKnown && (row.Deleted != (known.report.value == nil) || string(row.Value) != string(known.report.value)) {
 		delete(r.reports, row.Key)
 	}
 }
 
-// all returns the reports that were written lately.
+// all returns the reports that have not expired.
 func (r *recentReports) all() []report {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.forgetOld()
+	r.expire()
 	var all []report
-	for _, one := range r.reports {
-		all = append(all, one.report)
+	for _, recent := range r.reports {
+		all = append(all, recent.report)
 	}
 	return all
 }
 
-// forgetOld forgets reports that were written long ago. The mutex is held.
-func (r *recentReports) forgetOld() {
-	for key, one := range r.reports {
-		if time.Since(one.at) > recentFor {
+// expire removes reports that are older than recentReportTTL. The caller holds the mutex.
+func (r *recentReports) expire() {
+	for key, recent := range r.reports {
+		if time.Since(recent.committedAt) > recentReportTTL {
 			delete(r.reports, key)
 		}
 	}
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -13,21 +13,22 @@
 	"headcourse/core/rowstore"
 )
 
-// reportTable has what daemons report to all others of backend servers: at which groups requests
-// stand still or are slow, keyed by the group, and which servers ended under a request
-// (crashes.go), and which take no more than some requests a second (limits.go).
+// reportTable holds the reports about backend servers that daemons share: groups at which
+// requests stall or are slow, keyed by group; servers that crashed during a request
+// (crashes.go); and servers that limit their requests per second (limits.go).
 const reportTable = "told"
 
-// reportWait is how long one call waits for such reports: a call that is under way when
-// the store falls silent is waited for as long, whether the store is back or not.
-const reportWait = 2500 * time.Millisecond
+// reportWatchTimeout is how long one call waits for such reports. A call in flight when the
+// store stops answering blocks for as long, even if the store recovers earlier.
+const reportWatchTimeout = 2500 * time.Millisecond
 
-// stall is a row of reportTable: a group at which requests stand still or are slow.
+// stall is a row of reportTable for a group at which requests stall or are slow.
 type stall struct {
-	Epoch int64  `json:"epoch"`
-	By    string `json:"by"`
-	// Silent is the member that did not answer; empty where one is slow.
-	Silent string `json:"silent,omitempty"`
+	Epoch      int64  `json:"epoch"`
+	ReportedBy string `json:"by"`
+	// UnresponsiveMember is the member that did not answer. It is empty if a member is only
+	// slow.
+	UnresponsiveMember string `json:"silent,omitempty"`
 }
 
 // reportedStalls are the stalls that daemons have reported. The zero value is empty.
@@ -37,13 +38,13 @@
 	onStall func(group string, reported stall)
 }
 
-// subscribe has onStall called for each stall, those that are known first; nil ends
-// it.
-func (t *reportedStalls) subscribe(onStall func(group string, reported stall)) {
-	t.mutex.Lock()
-	t.onStall = onStall
-	known := maps.Clone(t.stalls)
-	t.mutex.Unlock()
+// subscribe calls onStall for each stall, starting with the known ones. A nil onStall ends the
+// subscription.
+func (s *reportedStalls) subscribe(onStall func(group string, reported stall)) {
+	s.mutex.Lock()
+	s.onStall = onStall
+	known := maps.Clone(s.stalls)
+	s.mutex.Unlock()
 	if onStall == nil {
 		return
 	}
@@ -52,138 +53,139 @@
 	}
 }
 
-// take takes a row.
-func (t *reportedStalls) take(group string, reported stall) {
-	t.mutex.Lock()
-	if t.stalls == nil {
-		t.stalls = map[string]stall{}
+// add records a group's stall.
+func (s *reportedStalls) add(group string, reported stall) {
+	s.mutex.Lock()
+	if s.stalls == nil {
+		s.stalls = map[string]stall{}
 	}
-	t.stalls[group] = reported
-	onStall := t.onStall
-	t.mutex.Unlock()
+	s.stalls[group] = reported
+	onStall := s.onStall
+	s.mutex.Unlock()
 	if onStall != nil {
 		onStall(group, reported)
 	}
 }
 
-// keep forgets all stalls but those of some rows.
-func (t *reportedStalls) keep(rows []rowstore.Row) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	maps.DeleteFunc(t.stalls, func(group string, _ stall) bool {
+// retain forgets all stalls whose group is not the key of one of the rows.
+func (s *reportedStalls) retain(rows []rowstore.Row) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	maps.DeleteFunc(s.stalls, func(group string, _ stall) bool {
 		return !slices.ContainsFunc(rows, func(row rowstore.Row) bool {
 			return row.Key == group
 		})
 	})
 }
 
-// forget notes that a row is gone.
-func (t *reportedStalls) forget(group string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	delete(t.stalls, group)
+// remove forgets the stall of a group.
+func (s *reportedStalls) remove(group string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.stalls, group)
 }
 
-// has tells whether a group's stall has been reported.
-func (t *reportedStalls) has(m fleet.Membership) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.stalls[m.Group].Epoch == m.Epoch
+// contains returns whether a stall of a group's current epoch has been reported.
+func (s *reportedStalls) contains(membership fleet.Membership) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.stalls[membership.Group].Epoch == membership.Epoch
 }
 
-// isStill tells whether a member of the group is reported not to answer.
-func (t *reportedStalls) isStill(m fleet.Membership) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	reported, ok := t.stalls[m.Group]
-	return ok && reported.Epoch == m.Epoch && reported.Silent != ""
+// isUnresponsive returns whether a member of the group is reported as unresponsive.
+func (s *reportedStalls) isUnresponsive(membership fleet.Membership) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	reported, ok := s.stalls[membership.Group]
+	return ok && reported.Epoch == membership.Epoch && reported.UnresponsiveMember != ""
 }
 
-// IsTroubled tells whether requests are known, by any daemon's report, to stand still
-// or to be slow at a server's group.
+// IsTroubled returns whether any daemon has reported that requests stall or are slow at a
+// server's group.
 func (d *Daemon) IsTroubled(server fleet.Server) bool {
-	return server.Membership.State != fleet.NoGroup && d.reported.has(server.Membership)
+	return server.Membership.State != fleet.NoGroup && d.reportedStalls.contains(server.Membership)
 }
 
-// IsStill tells whether requests are known, by any daemon's report, to stand still at a
-// server's group, since a member of it does not answer.
+// IsStill returns whether any daemon has reported that requests stall at a server's group
+// because a member does not answer.
 func (d *Daemon) IsStill(server fleet.Server) bool {
-	return server.Membership.State != fleet.NoGroup && d.reported.isStill(server.Membership)
+	return server.Membership.State != fleet.NoGroup && d.reportedStalls.isUnresponsive(server.Membership)
 }
 
-// reportFollower follows what daemons report of servers.
+// reportFollower watches the reports of all daemons about servers.
 func (d *Daemon) reportFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:      d.chain,
+		Store:      d.tableReader,
 		Table:      reportTable,
-		Wait:       reportWait,
-		Whole:      d.takeAllReports,
-		Restored:   d.takeRestoredReports,
-		Rewrite:    d.rewriteTime,
-		Changed:    d.takeReports,
-		Hub:        &d.hub,
+		Wait:       reportWatchTimeout,
+		Whole:      d.applyReportSnapshot,
+		Restored:   d.applyRestoredReports,
+		Rewrite:    d.rewriteWindow,
+		Changed:    d.applyReports,
+		Hub:        &d.tableCache,
 		Failed:     d.recordReportError,
-		Recovered:  d.recordRecovered(reportTable),
-		EraChanged: d.recordEra(reportTable),
-		Dropped:    d.recordDropped(reportTable),
-		Clock:      &d.clock,
+		Recovered:  d.recordStoreRecovery(reportTable),
+		EraChanged: d.recordEraChange(reportTable),
+		Dropped:    d.recordDroppedAnswer(reportTable),
+		Clock:      &d.storeClock,
 	}
 }
 
-// recordReportError records a failed call for the table. Until it was read, requests cannot be
-// served: one of them may be held.
+// recordReportError records a failed call for the table. Before its first read no request can
+// be served, since any request may be quarantined.
 func (d *Daemon) recordReportError(err error) {
-	if !d.reportsRead.Load() {
-		d.unreadable.set()
+	if !d.reportsLoaded.Load() {
+		d.readFailed.set()
 	}
 	d.recordStoreError(reportTable)(err)
 }
 
-// takeAllReports takes the whole table: what is not in it does not hold any more.
-func (d *Daemon) takeAllReports(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
-	d.reported.keep(rows)
-	d.keepEnds(rows)
-	d.keepLimits(rows, at.Version)
-	d.takeRestoredReports(rows, at, asOf)
+// applyReportSnapshot applies the whole table. Reports that it does not contain no longer
+// apply.
+func (d *Daemon) applyReportSnapshot(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
+	d.reportedStalls.retain(rows)
+	d.retainCrashes(rows)
+	d.retainLimits(rows, at.Version)
+	d.applyRestoredReports(rows, at, asOf)
 }
 
-// takeRestoredReports does so from a restored table, which may lack what daemons are about to
-// write again.
-func (d *Daemon) takeRestoredReports(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
+// applyRestoredReports applies a restored table. It may lack reports that daemons are about to
+// write again, so known reports are kept.
+func (d *Daemon) applyRestoredReports(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
 	d.reportsEra.Store(at.Era)
-	d.takeReports(rows, at, asOf)
-	d.reportsRead.Store(true)
-	d.updateKnown()
+	d.applyReports(rows, at, asOf)
+	d.reportsLoaded.Store(true)
+	d.updateInitialised()
 }
 
-// takeReports takes rows of reportTable.
-func (d *Daemon) takeReports(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
+// applyReports applies rows of reportTable.
+func (d *Daemon) applyReports(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
 	for _, row := range rows {
-		d.recent.observe(row)
+		d.recentReports.observe(row)
 		switch {
-		case isEnd(row):
-			d.takeEnd(row)
-		case isTrial(row):
-			d.takeTrial(row, at.Era)
-		case isLimit(row):
-			d.takeLimit(row)
+		case isCrashRow(row):
+			d.applyCrash(row)
+		case isTrialRow(row):
+			d.applyTrial(row, at.Era)
+		case isLimitRow(row):
+			d.applyLimit(row)
 		default:
-			d.takeStall(row)
+			d.applyStall(row)
 		}
 	}
 }
 
-// takeStall takes the row of a stall.
-func (d *Daemon) takeStall(row rowstore.Row) {
+// applyStall applies the row of a stall.
+func (d *Daemon) applyStall(row rowstore.Row) {
 	if row.Deleted {
-		d.reported.forget(row.Key)
+		d.reportedStalls.remove(row.Key)
 		return
 	}
 	var reported stall
 	if err := json.Unmarshal(row.Value, &reported); err != nil {
-		d.reported.forget(row.Key)
-		d.recordBadRow(reportTable, row, errors.Wrap(err, "decode stall"))
+		d.reportedStalls.remove(row.Key)
+		d.recordRejectedRow(reportTable, row, errors.Wrap(err, "decode stall"))
 		return
 	}
-	d.reported.take(row.Key, reported)
+	d.reportedStalls.add(row.Key, reported)
 }
--- a/entry/stalls_test.go
+++ b/entry/stalls_test.go
@@ -15,19 +15,20 @@
 	"headcourse/platform"
 )
 
-// A daemon that was away while the store forgot its history reads the stalls anew;
-// those that ended meanwhile stayed, so that it used their groups last for ever.
-func TestStallsThatEndedWhileTheStoreWasAwayAreForgotten(t *testing.T) {
+// Guards against stalls that stay known after they ended during an outage. A daemon that read
+// the table again, because the store had compacted its history, kept the ended stalls and used
+// their groups only as a last resort from then on.
+func TestStallsRemovedDuringStoreOutageAreForgotten(t *testing.T) {
 	const table, group = "told", "g-gone"
 	s := newSite(t, 1)
-	troubled := fleet.Server{
+	stalled := fleet.Server{
 		Membership: fleet.Membership{
 			Group: group,
 			Epoch: 7,
 			State: fleet.Open,
 		},
 	}
-	store := platform.NewStore(s.platform.Store.Address())
+	store := platform.NewStore(s.standin.Store.Address())
 	_, err := store.Commit(context.Background(), rowstore.Transaction{
 		Writes: []rowstore.Row{
 			{
@@ -39,29 +40,29 @@
 	})
 	qt.Assert(t, err, qt.IsNil)
 	s.awaitTrue(func() bool {
-		return s.daemons[0].IsTroubled(troubled)
+		return s.daemons[0].IsTroubled(stalled)
 	})
 
-	s.platform.Store.SetFault(standin.Refusing)
+	s.standin.Store.SetFault(standin.Refusing)
 	s.awaitTrue(func() bool {
 		return slices.ContainsFunc(s.lines("store: call failed"), func(line string) bool {
 			return strings.Contains(line, `"table":"told"`)
 		})
 	})
-	s.platform.Store.Remove(table, group)
-	s.platform.Store.Forget()
-	s.platform.Store.SetFault(standin.Well)
+	s.standin.Store.Remove(table, group)
+	s.standin.Store.Forget()
+	s.standin.Store.SetFault(standin.Well)
 	s.awaitTrue(func() bool {
-		return !s.daemons[0].IsTroubled(troubled)
+		return !s.daemons[0].IsTroubled(stalled)
 	})
 }
 
-// A daemon that waited, without a bound, to read what daemons tell of servers was never ready
-// where the store answered about all other tables.
-func TestDaemonIsReadyWithoutWhatOthersTellIfItCannotBeRead(t *testing.T) {
+// Guards against a daemon that never becomes ready. It waited without a bound for the reports
+// about servers while the store answered only for other tables.
+func TestDaemonBecomesReadyWhenReportsCannotBeRead(t *testing.T) {
 	s := newSite(t, 1)
 	s.daemons[0].Kill()
-	s.platform.Store.SilenceTable("told")
+	s.standin.Store.SilenceTable("told")
 	s.daemons[0] = s.startDaemon("front-b")
 	s.awaitTrue(func() bool {
 		answer, err := http.Get("http://" + s.daemons[0].ReadinessAddress())
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -9,49 +9,47 @@
 	"headcourse/io/logline"
 )
 
-// Times of stopping.
 const (
-	// noticeTime is how long a stopping daemon still takes requests: the
-	// balancer asks once a second and believes the second refusal.
-	noticeTime = 2600 * time.Millisecond
-	// stopMargin is kept away from the end of the time to stop.
+	// drainNoticeTime is how long a stopping daemon still accepts requests. The load balancer
+	// probes once a second and stops sending requests after the second failed probe.
+	drainNoticeTime = 2600 * time.Millisecond
+	// stopMargin is reserved at the end of the time to stop.
 	stopMargin = 700 * time.Millisecond
 )
 
-// Stop ends the daemon: it tells the balancer, takes requests until the
-// balancer has noticed, and lets those under way end.
+// Stop stops the daemon gracefully: it reports itself as not ready, accepts requests until the
+// load balancer has noticed, and waits for requests in flight.
 func (d *Daemon) Stop() error {
-	began := time.Now()
+	startedAt := time.Now()
 	d.log.Info("daemon: stopping", zap.Int64("requests_open", d.gateway.Open()))
-	d.ready.leave()
+	d.readiness.startDraining()
 	d.gateway.Leave()
-	time.Sleep(min(noticeTime, d.settings.StopTime/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(d.settings.StopTime-stopMargin))
+	time.Sleep(min(drainNoticeTime, d.settings.StopTime/2))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(d.settings.StopTime-stopMargin))
 	defer cancel()
 	err := d.gateway.Close(ctx)
-	d.stop()
+	d.cancel()
 	d.tasks.Wait()
-	d.ready.close()
-	d.relays.Close()
+	d.readiness.close()
+	d.relayServer.Close()
 	d.closeMetrics()
-	d.log.Info("daemon: stopped", zap.Int64("took_ms", time.Since(began).Milliseconds()), logline.Err(err))
+	d.log.Info("daemon: stopped", zap.Int64("took_ms", time.Since(startedAt).Milliseconds()), logline.Err(err))
 	return err
 }
 
-// closeMetrics ends serving metrics, where they are served.
+// closeMetrics stops the metrics server, if any.
 func (d *Daemon) closeMetrics() {
-	if d.exposed != nil {
-		d.exposed.Close()
+	if d.metricsServer != nil {
+		d.metricsServer.Close()
 	}
 }
 
-// Kill ends the daemon at once, as a crash would: connections are closed, and
-// nothing is given up.
+// Kill stops the daemon at once, as a crash would: it closes connections without draining them.
 func (d *Daemon) Kill() {
 	d.gateway.Kill()
-	d.ready.close()
-	d.relays.Close()
+	d.readiness.close()
+	d.relayServer.Close()
 	d.closeMetrics()
-	d.stop()
+	d.cancel()
 	d.tasks.Wait()
 }
--- a/entry/symptoms.go
+++ b/entry/symptoms.go
@@ -15,141 +15,142 @@
 	"headcourse/io/logline"
 )
 
-// Figures of telling.
 const (
-	// stallQueue bounds stalls that wait to be reported.
-	stallQueue = 64
-	// stallLookPause is the time between two looks into one group.
-	stallLookPause = 700 * time.Millisecond
-	// reportSpread is the time over which daemons spread their reports: the first
-	// one takes about 15 ms to reach the others.
-	reportSpread = 80 * time.Millisecond
-	// reportCallTime bounds one call.
-	reportCallTime = time.Second
+	// stallQueueCapacity bounds the stalls that wait to be checked.
+	stallQueueCapacity = 64
+	// stallCheckInterval is the minimum time between two checks of one group.
+	stallCheckInterval = 700 * time.Millisecond
+	// reportJitter spreads the reports of different daemons: the first one takes about 15 ms to
+	// reach the others.
+	reportJitter = 80 * time.Millisecond
+	// reportTimeout bounds one call that writes reports.
+	reportTimeout = time.Second
 )
 
-// Stalled notes a group at which requests stand still. It never waits.
+// Stalled enqueues a check of a group at which requests stall. It does not block.
 func (d *Daemon) Stalled(server fleet.Server) {
 	if server.Membership.State == fleet.NoGroup {
 		return
 	}
 	select {
-	case d.stalls <- server:
+	case d.stalledHeads <- server:
 	default:
 	}
 }
 
-// runStallReports looks into stalls until ctx ends. Most are only a busy group; so
-// the group's members are asked for a sign of life first, and the store is told
-// only if one of them does not answer or is slow.
-func (d *Daemon) runStallReports(ctx context.Context) {
-	looked := map[string]time.Time{}
+// runStallChecks checks stalled groups until ctx ends. Most of them are only busy, so the
+// members are probed first. A stall is written to the store only if one of them does not answer
+// or is slow.
+func (d *Daemon) runStallChecks(ctx context.Context) {
+	lastChecked := map[string]time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case server := <-d.stalls:
+		case server := <-d.stalledHeads:
 			group := server.Membership.Group
-			if time.Since(looked[group]) < stallLookPause {
+			if time.Since(lastChecked[group]) < stallCheckInterval {
 				continue
 			}
-			looked[group] = time.Now()
-			go d.lookInto(ctx, server)
+			lastChecked[group] = time.Now()
+			go d.checkGroup(ctx, server)
 		}
 	}
 }
 
-// lookInto asks the members of a server's group for a sign of life and their pace,
-// and tells the store if one of them does not answer twice, or is slow.
-func (d *Daemon) lookInto(ctx context.Context, head fleet.Server) {
-	symptoms := make(chan symptom)
+// checkGroup probes the members of a server's group and reports a stall if one of them does not
+// answer twice or is slow.
+func (d *Daemon) checkGroup(ctx context.Context, head fleet.Server) {
+	faults := make(chan memberFault)
 	members := d.view.Load().Fleet.Members(head.Membership)
 	for _, member := range members {
 		go func() {
-			symptoms <- d.examine(member)
+			faults <- d.probeMember(member)
 		}()
 	}
-	var worst symptom
+	var worstFault memberFault
 	for range members {
-		worst = worst.orWorse(<-symptoms)
+		worstFault = worstFault.worse(<-faults)
 	}
-	if !worst.isAny() {
+	if !worstFault.isFault() {
 		return
 	}
-	// Daemons notice together; the first one's report saves the others theirs.
-	time.Sleep(rand.N(reportSpread))
-	if d.reported.has(head.Membership) || d.hasEnded(head) || d.outage.Load().IsUnderWay() {
-		// While the store is away nothing can be reported: the look after its return is.
+	// Daemons notice a stall at the same time. The jitter lets the first report reach the
+	// others before they write theirs.
+	time.Sleep(rand.N(reportJitter))
+	if d.reportedStalls.contains(head.Membership) || d.hasGroupEnded(head) || d.storeOutage.Load().IsUnderWay() {
+		// During an outage of the store nothing can be reported. A check after the outage
+		// reports the stall.
 		return
 	}
-	d.reportStall(ctx, head, worst)
+	d.writeStall(ctx, head, worstFault)
 }
 
-// hasEnded tells whether the group of a head has ended while its members were asked.
-func (d *Daemon) hasEnded(head fleet.Server) bool {
+// hasGroupEnded returns whether the group of a head ended while its members were probed.
+func (d *Daemon) hasGroupEnded(head fleet.Server) bool {
 	known, ok := d.view.Load().Fleet.Known(head.ID)
 	return !ok || !known.Membership.In(head.Membership.Group, head.Membership.Epoch)
 }
 
-// symptom is what is wrong with a member of a group; the zero value: nothing.
-type symptom struct {
-	server string
-	found  assembly.Found
+// memberFault is a failed or slow probe of a group's member. The zero value means no fault.
+type memberFault struct {
+	serverID string
+	probe    assembly.Found
 }
 
-// isAny tells whether anything is wrong.
-func (s symptom) isAny() bool {
-	return s.server != ""
+// isFault returns whether there is a fault.
+func (f memberFault) isFault() bool {
+	return f.serverID != ""
 }
 
-// isSilence tells whether the member did not answer.
-func (s symptom) isSilence() bool {
-	return s.isAny() && s.found.Sign != assembly.Alive
+// isUnresponsive returns whether the member did not answer.
+func (f memberFault) isUnresponsive() bool {
+	return f.isFault() && f.probe.Sign != assembly.Alive
 }
 
-// orWorse returns the worse of two symptoms: silence before slowness.
-func (s symptom) orWorse(other symptom) symptom {
-	if !s.isAny() || other.isSilence() {
+// worse returns the worse of two faults. An unresponsive member is worse than a slow one.
+func (f memberFault) worse(other memberFault) memberFault {
+	if !f.isFault() || other.isUnresponsive() {
 		return other
 	}
-	return s
+	return f
 }
 
-// examine returns what is wrong with a server, as far as two probes tell: a packet
-// may get lost.
-func (d *Daemon) examine(server fleet.Server) symptom {
-	const tries = 2
-	var found assembly.Found
-	for range tries {
-		found = d.workers.Probe(server)
-		if found.Sign == assembly.Alive {
+// probeMember probes a server and returns its fault, if any. It probes a second time if the
+// first probe fails, since a packet may be lost.
+func (d *Daemon) probeMember(server fleet.Server) memberFault {
+	const attempts = 2
+	var result assembly.Found
+	for range attempts {
+		result = d.engines.Probe(server)
+		if result.Sign == assembly.Alive {
 			break
 		}
 	}
-	if found.Sign == assembly.Alive && !found.IsSlow() {
-		return symptom{}
+	if result.Sign == assembly.Alive && !result.IsSlow() {
+		return memberFault{}
 	}
-	return symptom{
-		server: server.ID,
-		found:  found,
+	return memberFault{
+		serverID: server.ID,
+		probe:    result,
 	}
 }
 
-// reportStall writes one stall, unless another daemon has.
-func (d *Daemon) reportStall(ctx context.Context, head fleet.Server, why symptom) {
+// writeStall writes a stall to the store, unless another daemon has.
+func (d *Daemon) writeStall(ctx context.Context, head fleet.Server, fault memberFault) {
 	reported := stall{
-		Epoch: head.Membership.Epoch,
-		By:    d.settings.Name,
+		Epoch:      head.Membership.Epoch,
+		ReportedBy: d.settings.Name,
 	}
-	if why.isSilence() {
-		reported.Silent = why.server
+	if fault.isUnresponsive() {
+		reported.UnresponsiveMember = fault.serverID
 	}
 	encoded, err := json.Marshal(reported)
 	if err != nil {
-		d.log.Error("groups: stall not reported", logline.Err(err))
+		d.log.Error("groups: stall not encoded", logline.Err(err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportCallTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err = d.store.Commit(ctx, rowstore.Transaction{
 		Era: d.reportsEra.Load(),
@@ -175,8 +176,8 @@
 		zap.String("group", head.Membership.Group),
 		zap.Int64("epoch", head.Membership.Epoch),
 		zap.String("head", head.ID),
-		zap.String("member", why.server),
-		zap.String("sign", why.found.Sign.String()),
-		zap.Float64("pace", why.found.Pace),
+		zap.String("member", fault.serverID),
+		zap.String("sign", fault.probe.Sign.String()),
+		zap.Float64("pace", fault.probe.Pace),
 		logline.Err(err))
 }
