--- a/entry/view.go
+++ b/entry/view.go
@@ -9,32 +9,32 @@
 	"headcourse/io/gateway"
 )
 
-// View returns what the daemon knows now.
+// View returns the current view.
 func (d *Daemon) View() gateway.View {
 	return *d.view.Load()
 }
 
-// Age returns how old the view of the configuration may be.
+// Age returns the maximum age of the view of the configuration.
 func (d *Daemon) Age() time.Duration {
-	age, _ := d.fresh.Age()
+	age, _ := d.configFreshness.Age()
 	return age
 }
 
-// MayAcceptKeys tells whether keys of the view may be accepted, also where the daemon
-// was frozen or cut off.
+// MayAcceptKeys returns whether keys of the view may be accepted. It is also correct after the
+// daemon was suspended or cut off from the store.
 func (d *Daemon) MayAcceptKeys() bool {
-	age, isKnown := d.fresh.Age()
+	age, isKnown := d.configFreshness.Age()
 	return isKnown && d.revocation().MayAccept(age)
 }
 
-// IsCurrent tells whether the view shows all that has been in force for longer than
-// the bound, so that what it does not hold may be denied.
+// IsCurrent returns whether the view contains everything that has been in force for longer than
+// the bound, so that unknown keys and routes may be rejected.
 func (d *Daemon) IsCurrent() bool {
-	age, isKnown := d.fresh.Age()
+	age, isKnown := d.configFreshness.Age()
 	return isKnown && d.revocation().IsCurrent(age)
 }
 
-// revocation returns how old the view may be.
+// revocation returns the policy for the maximum age of the view.
 func (d *Daemon) revocation() revocation.Policy {
 	return revocation.Policy{
 		IsStrict: d.settings.IsRevocationStrict,
@@ -42,10 +42,10 @@
 	}
 }
 
-// isReady tells whether clients should be sent here: configuration, servers and what
-// daemons report of them were read, and the view is current. A daemon that is cut off serves
-// on those that have a connection to it, where keys may still be accepted, but others serve
-// new ones better; where the store is away for all of them, the balancer uses all of them.
+// isReady returns whether the load balancer should send clients here: the configuration, the
+// servers and the reports about them are loaded, and the view is current. A daemon that is cut
+// off from the store keeps serving its existing connections while keys may be accepted, but
+// others serve new ones better. If all daemons are cut off, the load balancer uses all of them.
 func (d *Daemon) isReady() bool {
 	isReady := d.hasView() && d.hasReports() && d.IsCurrent()
 	if d.wasReady.Swap(isReady) != isReady {
@@ -54,57 +54,59 @@
 	return isReady
 }
 
-// hasView tells whether configuration and servers were read.
+// hasView returns whether the configuration and the servers are loaded.
 func (d *Daemon) hasView() bool {
-	return d.view.Load().Config != nil && d.serversRead.Load()
+	return d.view.Load().Config != nil && d.serversLoaded.Load()
 }
 
-// reportPatience is how long a daemon that has its view waits for what daemons report of servers:
-// a store that answers about all but this table must not keep it from serving. It counts as
-// in touch 3 s after its start, and mostly has read it by then.
-const reportPatience = 1500 * time.Millisecond
+// maxReportWait is how long a daemon with a loaded view waits for the reports about servers, so
+// that a store which fails only for this table does not keep the daemon from serving. A daemon
+// counts as in contact 3 s after its start, and has usually read the reports by then.
+const maxReportWait = 1500 * time.Millisecond
 
-// hasReports tells whether what daemons report of servers was read, or was waited for in vain.
+// hasReports returns whether the reports about servers are loaded, or the wait for them is
+// over.
 func (d *Daemon) hasReports() bool {
-	return d.reportsRead.Load() || d.viewRead.since() > reportPatience
+	return d.reportsLoaded.Load() || d.viewLoaded.since() > maxReportWait
 }
 
-// Known is closed when configuration and servers were read for the first time.
+// Known is closed when the daemon is ready for the first time.
 func (d *Daemon) Known() <-chan struct{} {
-	return d.known.isSet
+	return d.initialised.done
 }
 
-// Unreadable is closed when configuration or servers could not be read.
+// Unreadable is closed when the configuration, the servers, or a table needed before them could
+// not be read.
 func (d *Daemon) Unreadable() <-chan struct{} {
-	return d.unreadable.isSet
+	return d.readFailed.done
 }
 
-// KnownFor returns how long ago that was; 0 before.
+// KnownFor returns the time since Known was closed, or 0 before.
 func (d *Daemon) KnownFor() time.Duration {
-	return d.known.since()
+	return d.initialised.since()
 }
 
-// updateKnown sets known if it is time. Where the configuration was read last, keys are
-// fresh soon after: the follower confirms what it has just read.
-func (d *Daemon) updateKnown() {
-	if d.hasView() && !d.viewRead.has() {
-		d.viewRead.set()
-		time.AfterFunc(reportPatience+time.Millisecond, d.updateKnown)
+// updateInitialised sets initialised once the daemon is ready. If the configuration is read
+// last, its keys are current soon after, since the follower confirms what it has just read.
+func (d *Daemon) updateInitialised() {
+	if d.hasView() && !d.viewLoaded.isSet() {
+		d.viewLoaded.set()
+		time.AfterFunc(maxReportWait+time.Millisecond, d.updateInitialised)
 	}
 	if d.isReady() {
-		d.known.set()
+		d.initialised.set()
 	}
 }
 
-// change replaces the view by what edit makes of it.
-func (d *Daemon) change(edit func(view *gateway.View)) {
-	d.mutex.Lock()
+// updateView replaces the view by an edited copy.
+func (d *Daemon) updateView(edit func(view *gateway.View)) {
+	d.viewMutex.Lock()
 	next := *d.view.Load()
 	edit(&next)
 	d.view.Store(&next)
-	d.mutex.Unlock()
+	d.viewMutex.Unlock()
 	select {
-	case d.changed <- struct{}{}:
+	case d.viewChanged <- struct{}{}:
 	default:
 	}
 }
