--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -276,9 +276,10 @@
 // daemons take precedence.
 const minUnregisteredRank = 20
 
-// deferredRank keeps daemons from trying to acquire the lease until the list is complete, which
-// is assumed firstStartSettleTime after the last daemon registers. The leader should run on one
-// of the largest VMs, since a small one cannot keep up with a thousand servers.
+// deferredRank keeps daemons from trying to acquire the lease before the list is complete. At the
+// first start, the list counts as complete firstStartSettleTime after the end of
+// firstStartJitter. The leader should run on one of the largest VMs, since a small one cannot
+// keep up with a thousand servers.
 const (
 	deferredRank         = 1000
 	firstStartSettleTime = 500 * time.Millisecond
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -269,8 +269,8 @@
 
 // run starts the background tasks, which end when the daemon stops.
 func (d *Daemon) run() {
-	ctx, stop := context.WithCancel(context.Background())
-	d.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	d.cancel = cancel
 	elector := d.newElector()
 	for _, task := range []func(context.Context){
 		d.withFirstStartJitter(d.listFollower().Run),
@@ -304,7 +304,8 @@
 	return d.tableReader.Counts()
 }
 
-// Reload applies new settings. Changed addresses take effect only after a restart.
+// Reload logs that the settings were read again. Settings do not change while the daemon runs,
+// so it warns of changed addresses.
 func (d *Daemon) Reload(nodeSettings settings.Settings) {
 	d.log.Info("daemon: settings reloaded", zap.String("name", nodeSettings.Name))
 	if nodeSettings.Clients != d.settings.Clients || nodeSettings.Store != d.settings.Store {
--- a/entry/followers.go
+++ b/entry/followers.go
@@ -167,8 +167,8 @@
 	current := d.view.Load().Config
 	for _, server := range servers {
 		d.recordRestart(former, server)
-		before, wasPresent := former.Server(server.ID)
-		if !wasPresent || before.Born != server.Born || before.ColdFor != server.ColdFor {
+		previous, wasPresent := former.Server(server.ID)
+		if !wasPresent || previous.Born != server.Born || previous.ColdFor != server.ColdFor {
 			d.applyColdLimit(current, server)
 		}
 	}
@@ -223,17 +223,17 @@
 // recordRestart records that a server started again under its ID. Its recorded paces, failures
 // and timeouts belong to the former start.
 func (d *Daemon) recordRestart(former fleet.View, server fleet.Server) {
-	before, wasKnown := former.Known(server.ID)
-	if !wasKnown || before.Born == server.Born {
+	previous, wasKnown := former.Known(server.ID)
+	if !wasKnown || previous.Born == server.Born {
 		return
 	}
-	d.gateway.Restarted(before, server)
+	d.gateway.Restarted(previous, server)
 	if d.readsStoreDirectly() {
 		d.log.Info("servers: started again",
 			zap.String("server", server.ID),
 			zap.Int64("born", server.Born),
-			zap.Int64("former_born", before.Born),
-			zap.String("former_group", before.Membership.Group))
+			zap.Int64("former_born", previous.Born),
+			zap.String("former_group", previous.Membership.Group))
 	}
 }
 
@@ -272,19 +272,19 @@
 // routing.
 func (d *Daemon) logServerChanges(former fleet.View, changes []fleet.Change) {
 	for _, change := range changes {
-		before, wasPresent := former.Server(change.ID)
+		previous, wasPresent := former.Server(change.ID)
 		membership := change.Server.Membership
 		switch {
 		case change.Gone && wasPresent:
-			d.log.Info("servers: gone", zap.String("server", change.ID), zap.String("group", before.Membership.Group), zap.Bool("was_leaving", before.Draining))
+			d.log.Info("servers: gone", zap.String("server", change.ID), zap.String("group", previous.Membership.Group), zap.Bool("was_leaving", previous.Draining))
 		case change.Gone:
 		case !wasPresent:
 			d.log.Info("servers: added", zap.String("server", change.ID), zap.String("service", change.Server.Service), zap.String("address", change.Server.Address))
-		case change.Server.Draining && !before.Draining:
+		case change.Server.Draining && !previous.Draining:
 			d.log.Info("servers: draining", zap.String("server", change.ID), zap.String("group", membership.Group))
-		case !slices.Equal(change.Server.Staged, before.Staged):
+		case !slices.Equal(change.Server.Staged, previous.Staged):
 			d.log.Info("servers: weights staged", zap.String("server", change.ID), zap.Strings("staged", change.Server.Staged), zap.Strings("loaded", change.Server.Models))
-		case membership.Rank == 0 && membership != before.Membership:
+		case membership.Rank == 0 && membership != previous.Membership:
 			d.log.Info("servers: head changed", zap.String("server", change.ID), zap.String("group", membership.Group), zap.Int64("epoch", membership.Epoch), zap.String("state", membership.State.String()))
 		}
 	}
--- a/entry/listreader.go
+++ b/entry/listreader.go
@@ -73,7 +73,7 @@
 	if !isDue {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := d.rowWriter.Write(ctx, rowstore.Row{
 		Table: neighbours.Table,
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -64,7 +64,7 @@
 		d.log.Error("daemons: own entry not encoded", logline.Err(err))
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	for _, registrar := range d.registrars() {
 		if registrar.Enlist(ctx, encoded) == nil {
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -115,7 +115,7 @@
 
 // commitReports commits one transaction and returns whether the store has accepted it.
 func (d *Daemon) commitReports(ctx context.Context, transaction rowstore.Transaction) bool {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err := d.store.Commit(ctx, transaction)
 	if err != nil {
--- a/entry/stallchecks.go
+++ b/entry/stallchecks.go
@@ -23,8 +23,8 @@
 	// reportJitter spreads the reports of different daemons: the first one takes about 15 ms to
 	// reach the others.
 	reportJitter = 80 * time.Millisecond
-	// reportTimeout bounds one call that writes reports.
-	reportTimeout = time.Second
+	// writeTimeout bounds one call that writes reports or the daemon list.
+	writeTimeout = time.Second
 )
 
 // Stalled enqueues a check of a group at which requests stall. It does not block.
@@ -150,7 +150,7 @@
 		d.log.Error("groups: stall not encoded", logline.Err(err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err = d.store.Commit(ctx, rowstore.Transaction{
 		Era: d.reportsEra.Load(),
