--- a/entry/crashes_test.go
+++ b/entry/crashes_test.go
@@ -49,7 +49,8 @@
 // request under new IDs and at any daemon. Limits that were kept for each ID did not see the
 // repeats as the same request: no ID reached more than three servers, but 26 servers crashed
 // under one such request within 17 s and 21 under another. Each crash also failed the other
-// requests at its server, so most requests for the model failed meanwhile.
+// requests at its server, so most requests for the model failed meanwhile. That log lines of
+// repeats show the same content is tested in io/gateway.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, kind := range []string{"repeatable", "not repeatable", "stream"} {
 		t.Run(kind, func(t *testing.T) {
