--- a/core/assembly/adopt.go
+++ b/core/assembly/adopt.go
@@ -8,27 +8,27 @@
 // adopt plans records for groups of former eras that serve whole and have none: the store was
 // restored from a copy that lacks them. They go on under the epoch that their members know.
 // Groups that were not open yet leave, and form anew.
-func (c *Controller) adopt(world World, plan *Plan) {
-	for _, head := range world.Fleet.Servers() {
-		if !c.mayAdopt(head, world) {
+func (c *Controller) adopt(input World, plan *Plan) {
+	for _, head := range input.Fleet.Servers() {
+		if !c.mayAdopt(head, input) {
 			continue
 		}
-		members, isWhole := wholeGroup(head, world)
-		if !isWhole {
+		members, isComplete := completeMembers(head, input)
+		if !isComplete {
 			continue
 		}
 		record := Record{
 			Name:    head.Membership.Group,
-			Era:     world.Era,
+			Era:     input.Era,
 			Epoch:   head.Membership.Epoch,
 			Service: head.Service,
 			Model:   head.Models[0],
-			Members: idsOf(members),
+			Members: serverIDs(members),
 		}
-		if c.creating == nil {
-			c.creating = map[string]Record{}
+		if c.pendingRecords == nil {
+			c.pendingRecords = map[string]Record{}
 		}
-		c.creating[record.Name] = record
+		c.pendingRecords[record.Name] = record
 		plan.Create = append(plan.Create, record)
 		plan.Notes = append(plan.Notes, Note{
 			Group:  record.Name,
@@ -42,30 +42,30 @@
 
 // mayAdopt tells whether a server is the head of an open group of a former era that has no
 // record, and none is being written.
-func (c *Controller) mayAdopt(head fleet.Server, world World) bool {
+func (c *Controller) mayAdopt(head fleet.Server, input World) bool {
 	m := head.Membership
 	_, hasRecord := c.groups[m.Group]
 	isOpenHead := m.State == fleet.Open && m.Rank == 0 && len(head.Models) > 0
-	isFormer := rowstore.EraOf(m.Epoch) < world.Era
-	return isOpenHead && isFormer && isEngineOf(world.Config, head) && !hasRecord && !c.isAdopting(m)
+	isFormer := rowstore.EraOf(m.Epoch) < input.Era
+	return isOpenHead && isFormer && isConfiguredEngine(input.Config, head) && !hasRecord && !c.isAdopting(m)
 }
 
 // isAdopting tells whether the record of a membership's group is being written.
 func (c *Controller) isAdopting(m fleet.Membership) bool {
-	record, ok := c.creating[m.Group]
+	record, ok := c.pendingRecords[m.Group]
 	return ok && record.Epoch == m.Epoch
 }
 
-// wholeGroup returns the members of a head's group in their order, and whether each of as
+// completeMembers returns the members of a head's group in their order, and whether each of as
 // many as the model takes says that it is in it.
-func wholeGroup(head fleet.Server, world World) ([]fleet.Server, bool) {
-	model, isKnown := world.Config.Service(head.Service).Engine.Model(head.Models[0])
+func completeMembers(head fleet.Server, input World) ([]fleet.Server, bool) {
+	model, isKnown := input.Config.Service(head.Service).Engine.Model(head.Models[0])
 	if !isKnown {
 		return nil, false
 	}
 	members := make([]fleet.Server, model.Size)
 	count := 0
-	for _, server := range world.Fleet.Members(head.Membership) {
+	for _, server := range input.Fleet.Members(head.Membership) {
 		m := server.Membership
 		isMember := m.Rank >= 0 && m.Rank < len(members) && (m.Rank == 0 || m.State == fleet.Ready)
 		if !isMember || members[m.Rank].ID != "" {
--- a/core/assembly/assembly_test.go
+++ b/core/assembly/assembly_test.go
@@ -14,33 +14,33 @@
 }
 
 // promptly is the fate of an order where nothing goes wrong.
-func promptly(assembly.Order) fate {
-	return fate{}
+func deliverPromptly(assembly.Order) delivery {
+	return delivery{}
 }
 
 // settle runs a fleet for a time.
-func settle(s *simFleet, c *assembly.Controller, isStart bool, d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		s.run(c, isStart, promptly)
+func runFor(s *simFleet, c *assembly.Controller, isStart bool, duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		s.step(c, isStart, deliverPromptly)
 		s.tick()
 	}
 }
 
-// serversOfDomain is the usual size of a domain.
-const serversOfDomain = 8
+// serversPerDomain is the usual size of a domain.
+const serversPerDomain = 8
 
 // started returns a fleet whose groups have formed.
-func started(domains int) (*simFleet, *assembly.Controller) {
-	s := newSim(domains)
+func newStartedFleet(domains int) (*simFleet, *assembly.Controller) {
+	s := newSimFleet(domains)
 	c := &assembly.Controller{}
-	settle(s, c, true, 14*time.Second)
-	settle(s, c, false, 16*time.Second)
+	runFor(s, c, true, 14*time.Second)
+	runFor(s, c, false, 16*time.Second)
 	return s, c
 }
 
-// headOf returns the head of some open group of a model.
-func headOf(s *simFleet, model string) *simServer {
-	for _, record := range s.stored() {
+// openHeadOf returns the head of some open group of a model.
+func openHeadOf(s *simFleet, model string) *simServer {
+	for _, record := range s.storedRecords() {
 		if head := s.servers[record.Members[0]]; record.Model == model && head.state == fleet.Open {
 			return head
 		}
@@ -51,5 +51,5 @@
 // kill ends a server without a word.
 func (s *simFleet) kill(id string) {
 	s.servers[id].isDead = true
-	s.servers[id].goneAt = time.Now()
+	s.servers[id].diedAt = time.Now()
 }
--- a/core/assembly/check_test.go
+++ b/core/assembly/check_test.go
@@ -10,58 +10,58 @@
 	"headcourse/core/assembly"
 )
 
-func TestLostMemberIsReplacedFromTheSpares(t *testing.T) {
+func TestDeadMemberIsReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		s.kill(head.members[2])
 		c.Suspect(head.group, head.epoch, "")
 
-		settle(s, c, false, 3*time.Second)
+		runFor(s, c, false, 3*time.Second)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
-func TestNewLeaderGoesOnWithoutJoiningAnew(t *testing.T) {
+func TestNewLeaderKeepsGroupsWithoutRejoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(6)
-		joined, left := s.orders["join"], s.orders["leave"]
+		s, _ := newStartedFleet(6)
+		joined, left := s.orderCounts["join"], s.orderCounts["leave"]
 		next := &assembly.Controller{}
-		next.Load(s.stored())
+		next.Load(s.storedRecords())
 
-		settle(s, next, false, 5*time.Second)
+		runFor(s, next, false, 5*time.Second)
 
-		qt.Assert(t, s.orders["join"], qt.Equals, joined)
-		qt.Assert(t, s.orders["leave"], qt.Equals, left)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		qt.Assert(t, s.orderCounts["join"], qt.Equals, joined)
+		qt.Assert(t, s.orderCounts["leave"], qt.Equals, left)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
-func TestLeavingMemberEndsItsGroupGentlyAndIsReplaced(t *testing.T) {
+func TestDrainingMemberEndsGroupGracefullyAndIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "small")
-		s.servers[head.members[1]].drains = true
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "small")
+		s.servers[head.members[1]].isDraining = true
 
-		settle(s, c, false, 4*time.Second)
+		runFor(s, c, false, 4*time.Second)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.orders["close"] > 0, qt.IsTrue)
-		qt.Assert(t, s.serving("small"), qt.Equals, 6)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.orderCounts["close"] > 0, qt.IsTrue)
+		qt.Assert(t, s.countServing("small"), qt.Equals, 6)
 	})
 }
 
-func TestDeadServerIsNotUsedWhileItsEntryStands(t *testing.T) {
+func TestDeadServerIsNotUsedBeforeItsEntryExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		dead := head.members[1]
 		s.kill(dead)
 		c.Suspect(head.group, head.epoch, "")
-		settle(s, c, false, 2*time.Second)
-		for _, record := range s.stored() {
+		runFor(s, c, false, 2*time.Second)
+		for _, record := range s.storedRecords() {
 			for _, id := range record.Members {
 				qt.Assert(t, id, qt.Not(qt.Equals), dead)
 			}
@@ -72,27 +72,27 @@
 // Found on scale-1 of a site of 925 servers: 111 of them were cut off from the store alone
 // and still answered. The leader asked each of them eight times a second, could not keep
 // up with the answers, took members that worked for dead, and ended 20 groups.
-func TestMembersWithoutAnEntryThatAnswerAreAskedRarely(t *testing.T) {
+func TestAnsweringMembersWithoutEntryAreProbedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
+		s, c := newWarmFleet(6)
 		cut := 0
-		for _, record := range s.stored() {
+		for _, record := range s.storedRecords() {
 			if len(record.Members) > 1 {
 				member := s.servers[record.Members[1]]
-				member.isCut = true
-				member.cutAt = time.Now()
+				member.isCutOff = true
+				member.cutOffAt = time.Now()
 				cut++
 			}
 		}
-		settle(s, c, false, 5*time.Second)
-		serving := s.serving("large") + s.serving("small")
-		before := s.probes
+		runFor(s, c, false, 5*time.Second)
+		serving := s.countServing("large") + s.countServing("small")
+		before := s.probeCount
 		const seconds = 4
-		settle(s, c, false, seconds*time.Second)
-		asked := s.probes - before
+		runFor(s, c, false, seconds*time.Second)
+		asked := s.probeCount - before
 		// Twice a second each, beside a look at each head.
 		qt.Assert(t, asked <= seconds*(2*cut+serving+2), qt.IsTrue, qt.Commentf("%d probes for %d members", asked, cut))
-		qt.Assert(t, s.serving("large")+s.serving("small"), qt.Equals, serving)
+		qt.Assert(t, s.countServing("large")+s.countServing("small"), qt.Equals, serving)
 		qt.Assert(t, serving, qt.Equals, 12)
 	})
 }
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// askAgain is when an order that has shown no effect is given again: an
+// orderRetryInterval is when an order that has shown no effect is given again: an
 // order takes some milliseconds, its effect on the entry some more.
-const askAgain = 700 * time.Millisecond
+const orderRetryInterval = 700 * time.Millisecond
 
 // Controller decides for all groups. The zero value has none.
 type Controller struct {
 	groups map[string]*group
 	// creating are records being written; their servers are not free.
-	creating map[string]Record
-	signs    map[string]sign
+	pendingRecords map[string]Record
+	probeStates    map[string]probeState
 	// staged are the stage orders given, by server, and when.
-	staged map[string]stageOrder
-	loads  []time.Time
+	stageOrders map[string]stageOrder
+	loadStarts  []time.Time
 	// closed are ended groups whose head is known to be out of them: their
 	// members may join others without leaving first.
-	closed map[membershipKey]closedHead
+	closedGroups map[groupKey]closedGroup
 	// orphans is when a server was last told to leave a group without record.
-	orphans map[string]time.Time
+	orphanLeaveAt map[string]time.Time
 	// counted is how many servers each service had when last looked at.
-	counted map[string]count
-	number  int
+	serverCounts    map[string]serverCount
+	lastGroupNumber int
 	// demands are the estimates of what callers ask for.
 	demands map[modelKey]demand
 	// wanted is how many groups each model was last wanted to have, for the log.
-	wanted map[modelKey]int
+	reportedTargets map[modelKey]int
 	// conversions are those under way, by domain.
 	conversions map[string]conversion
 	// began is when it was first asked what to do.
-	began time.Time
+	firstStepAt time.Time
 	// late is until when servers are left alone that did not join in time.
-	late map[string]time.Time
+	excludedUntil map[string]time.Time
 	// starts has, by server, when the start that was seen last was born.
-	starts map[string]int64
+	incarnations map[string]int64
 }
 
-// membershipKey names a group of one epoch.
-type membershipKey struct {
+// groupKey names a group of one epoch.
+type groupKey struct {
 	group string
 	epoch int64
 }
 
-// closedHead is the head of an ended group. wasSeenOut tells that its entry has shown too
+// closedGroup is the head of an ended group. wasHeadObservedOut tells that its entry has shown too
 // that it is out.
-type closedHead struct {
-	id         string
-	wasSeenOut bool
+type closedGroup struct {
+	headID             string
+	wasHeadObservedOut bool
 }
 
 // stageOrder is a stage order under way.
 type stageOrder struct {
-	model string
-	until time.Time
+	model     string
+	expiresAt time.Time
 	// isForGroup tells that a group waits for the load: the server is left alone by
 	// other models.
 	isForGroup bool
 }
 
 // count is how many servers there are, and since when.
-type count struct {
+type serverCount struct {
 	servers int
 	since   time.Time
 }
@@ -72,18 +72,18 @@
 // Load replaces the groups by the records in the store. What is known of
 // servers is kept; what was ordered is found out from them again.
 func (c *Controller) Load(records []Record) {
-	known := map[string]*group{}
+	groups := map[string]*group{}
 	for _, record := range records {
-		former, ok := c.groups[record.Name]
-		if ok && former.record.Epoch == record.Epoch {
-			former.isRemoving = false
-			known[record.Name] = former
+		previous, ok := c.groups[record.Name]
+		if ok && previous.record.Epoch == record.Epoch {
+			previous.isRemoving = false
+			groups[record.Name] = previous
 			continue
 		}
-		known[record.Name] = newGroup(record)
+		groups[record.Name] = newGroup(record)
 	}
-	c.groups = known
-	c.creating = map[string]Record{}
+	c.groups = groups
+	c.pendingRecords = map[string]Record{}
 }
 
 // sortedNames returns the names of groups in their order.
@@ -97,23 +97,23 @@
 		c.groups = map[string]*group{}
 	}
 	for _, record := range records {
-		delete(c.creating, record.Name)
+		delete(c.pendingRecords, record.Name)
 		c.groups[record.Name] = newGroup(record.WithVersion(version))
 	}
 }
 
 // Removed notes that records were removed.
 func (c *Controller) Removed(names []string) {
-	if c.closed == nil {
-		c.closed = map[membershipKey]closedHead{}
+	if c.closedGroups == nil {
+		c.closedGroups = map[groupKey]closedGroup{}
 	}
 	for _, name := range names {
 		if g, ok := c.groups[name]; ok && g.isHeadOut {
-			c.closed[membershipKey{
+			c.closedGroups[groupKey{
 				group: name,
 				epoch: g.record.Epoch,
-			}] = closedHead{
-				id: g.record.Members[0],
+			}] = closedGroup{
+				headID: g.record.Members[0],
 			}
 		}
 		delete(c.groups, name)
@@ -124,8 +124,8 @@
 func (c *Controller) Ordered(order Order, result Result) {
 	if order.Kind == Stage {
 		if result == Unfit || result == NotKnown || result == OtherServer {
-			c.staged[order.Server.ID] = stageOrder{
-				until: time.Now().Add(stageAgain),
+			c.stageOrders[order.Server.ID] = stageOrder{
+				expiresAt: time.Now().Add(stageRetryInterval),
 			}
 		}
 		return
@@ -135,35 +135,35 @@
 		return
 	}
 	if order.Kind == Leave && result == Taken && order.Server.ID == g.record.Members[0] {
-		g.hasHeadLeft = true
+		g.hasHeadTakenLeave = true
 	}
-	if order.Kind == Join && (result == Fenced || result == OtherServer) && g.ending == "" {
+	if order.Kind == Join && (result == Fenced || result == OtherServer) && g.endReason == "" {
 		g.end("member refused to join: "+result.String(), false)
 	}
 }
 
 // Step returns what to do now.
-func (c *Controller) Step(world World) Plan {
+func (c *Controller) Step(input World) Plan {
 	var plan Plan
-	if world.Config == nil {
+	if input.Config == nil {
 		return plan
 	}
-	if c.began.IsZero() {
-		c.began = time.Now()
+	if c.firstStepAt.IsZero() {
+		c.firstStepAt = time.Now()
 	}
-	c.noteStarts(world, &plan)
-	c.noteHeadsBack(world.Fleet)
+	c.detectRestarts(input, &plan)
+	c.reopenClosedGroups(input.Fleet)
 	for _, name := range sortedNames(c.groups) {
 		g := c.groups[name]
-		if g.ending == "" {
-			c.check(g, world, &plan)
+		if g.endReason == "" {
+			c.advanceGroup(g, input, &plan)
 		}
-		if g.ending != "" {
-			c.finish(g, world, &plan)
+		if g.endReason != "" {
+			c.finishEnding(g, input, &plan)
 		}
 	}
-	c.adopt(world, &plan)
-	c.endOrphans(world, &plan)
-	c.form(world, &plan)
+	c.adopt(input, &plan)
+	c.removeOrphans(input, &plan)
+	c.formGroups(input, &plan)
 	return plan
 }
--- a/core/assembly/convert_test.go
+++ b/core/assembly/convert_test.go
@@ -13,31 +13,31 @@
 )
 
 // lose ends the free servers of domains.
-func (s *simFleet) lose(domains ...string) {
+func (s *simFleet) killFreeServers(domains ...string) {
 	for _, domain := range domains {
-		for _, one := range s.servers {
-			if one.domain == domain && one.state == fleet.NoGroup {
-				s.kill(one.id)
+		for _, server := range s.servers {
+			if server.domain == domain && server.state == fleet.NoGroup {
+				s.kill(server.id)
 			}
 		}
 	}
 }
 
-// settleBusy runs a fleet for a time while callers ask as much as keeps the groups of each
+// runBusyFor runs a fleet for a time while callers ask as much as keeps the groups of each
 // model that served at first busy for two thirds of their rate, whatever is lost.
-func settleBusy(s *simFleet, c *assembly.Controller, d time.Duration) {
+func runBusyFor(s *simFleet, c *assembly.Controller, duration time.Duration) {
 	const held = 17
 	for _, model := range []string{"large", "small"} {
-		if _, isAsked := s.asked[model]; !isAsked {
-			s.hold(model, held)
+		if _, isAsked := s.demand[model]; !isAsked {
+			s.setDemandPerGroup(model, held)
 		}
 	}
-	settle(s, c, false, d)
+	runFor(s, c, false, duration)
 }
 
-// loseMember ends a member of a model's group in a domain and tells of it.
-func (s *simFleet) loseMember(c *assembly.Controller, domain, model string) {
-	for _, record := range s.stored() {
+// killMemberIn ends a member of a model's group in a domain and tells of it.
+func (s *simFleet) killMemberIn(c *assembly.Controller, domain, model string) {
+	for _, record := range s.storedRecords() {
 		head := s.servers[record.Members[0]]
 		if record.Model == model && head.domain == domain && head.state == fleet.Open {
 			lost := record.Members[len(record.Members)-1]
@@ -50,93 +50,93 @@
 
 // Found on the days of a new customer: with no spare left, groups of four waited for
 // loads of 16 s, while the servers of groups of two kept their weights.
-func TestGroupOfAnotherModelYieldsToOneThatLacksMore(t *testing.T) {
+func TestGroupIsConvertedForModelWithGreaterShortage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		s.lose("d0", "d1")
-		settleBusy(s, c, 5*time.Second)
-		s.loseMember(c, "d0", "large")
-		s.loseMember(c, "d1", "large")
-		settleBusy(s, c, 8*time.Second)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		s, c := newWarmFleet(6)
+		s.killFreeServers("d0", "d1")
+		runBusyFor(s, c, 5*time.Second)
+		s.killMemberIn(c, "d0", "large")
+		s.killMemberIn(c, "d1", "large")
+		runBusyFor(s, c, 8*time.Second)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 		// Two of six were lost; one group of small each came back as one of large.
-		qt.Assert(t, s.serving("large") >= 5, qt.IsTrue, qt.Commentf("%d", s.serving("large")))
-		qt.Assert(t, s.serving("small") >= 4, qt.IsTrue, qt.Commentf("%d", s.serving("small")))
+		qt.Assert(t, s.countServing("large") >= 5, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
+		qt.Assert(t, s.countServing("small") >= 4, qt.IsTrue, qt.Commentf("%d", s.countServing("small")))
 	})
 }
 
-func TestNoGroupYieldsWhileAnotherCanBeFormed(t *testing.T) {
+func TestNoConversionWhileSparesCanFormGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
+		s, c := newWarmFleet(6)
 		for _, domain := range []string{"d0", "d1", "d2"} {
-			s.loseMember(c, domain, "large")
+			s.killMemberIn(c, domain, "large")
 		}
 		for range 100 {
-			s.run(c, false, promptly)
+			s.step(c, false, deliverPromptly)
 			s.tick()
-			qt.Assert(t, s.serving("small"), qt.Equals, 6)
+			qt.Assert(t, s.countServing("small"), qt.Equals, 6)
 		}
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
 // Models do not take groups from each other in turn.
-func TestConversionsComeToRest(t *testing.T) {
+func TestConversionsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		s.lose("d0", "d1", "d2", "d3", "d4", "d5")
-		settleBusy(s, c, 5*time.Second)
+		s, c := newWarmFleet(6)
+		s.killFreeServers("d0", "d1", "d2", "d3", "d4", "d5")
+		runBusyFor(s, c, 5*time.Second)
 		for _, domain := range []string{"d0", "d1", "d2", "d3"} {
-			s.loseMember(c, domain, "large")
+			s.killMemberIn(c, domain, "large")
 		}
-		settleBusy(s, c, 20*time.Second)
-		closed := s.orders["close"]
-		settleBusy(s, c, 60*time.Second)
-		qt.Assert(t, s.orders["close"], qt.Equals, closed)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		runBusyFor(s, c, 20*time.Second)
+		closed := s.orderCounts["close"]
+		runBusyFor(s, c, 60*time.Second)
+		qt.Assert(t, s.orderCounts["close"], qt.Equals, closed)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
 // A slow group serves late; it does not count as one of its model's, and its other
 // members are used where that forms a whole one.
-func TestSlowGroupDoesNotCount(t *testing.T) {
+func TestSlowGroupDoesNotCountAsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(2)
-		head := headOf(s, "large")
-		s.lose(head.domain)
-		settleBusy(s, c, 5*time.Second)
-		s.servers[head.members[1]].pace = 12
+		s, c := newWarmFleet(2)
+		head := openHeadOf(s, "large")
+		s.killFreeServers(head.domain)
+		runBusyFor(s, c, 5*time.Second)
+		s.servers[head.members[1]].slowdown = 12
 		c.Suspect(head.group, head.epoch, "")
-		settleBusy(s, c, 8*time.Second)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		for _, record := range s.stored() {
+		runBusyFor(s, c, 8*time.Second)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		for _, record := range s.storedRecords() {
 			for _, id := range record.Members {
-				qt.Assert(t, record.Model == "large" && s.servers[id].pace > 1, qt.IsFalse)
+				qt.Assert(t, record.Model == "large" && s.servers[id].slowdown > 1, qt.IsFalse)
 			}
 		}
-		qt.Assert(t, s.serving("large"), qt.Equals, 2)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 2)
 	})
 }
 
 // Found on a day on which the store was away for eight seconds: a server that had died
 // meanwhile still had its entry and was made a member, which cost 3.3 s.
-func TestServerThatDoesNotAnswerIsNoMember(t *testing.T) {
+func TestUnresponsiveServerIsNotMadeMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		head := headOf(s, "large")
+		s, c := newWarmFleet(6)
+		head := openHeadOf(s, "large")
 		lost := head.members[2]
-		for _, one := range s.servers {
+		for _, server := range s.servers {
 			// The spare of the model died just now; its entry stands.
-			if one.domain == head.domain && one.state == fleet.NoGroup && one.loaded == "large" {
-				s.kill(one.id)
+			if server.domain == head.domain && server.state == fleet.NoGroup && server.loaded == "large" {
+				s.kill(server.id)
 			}
 		}
 		s.kill(lost)
 		c.Suspect(head.group, head.epoch, lost)
 		for range 80 {
-			s.run(c, false, promptly)
+			s.step(c, false, deliverPromptly)
 			s.tick()
-			for _, record := range s.stored() {
+			for _, record := range s.storedRecords() {
 				if record.Epoch <= head.epoch {
 					continue
 				}
@@ -145,25 +145,25 @@
 				}
 			}
 		}
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
 // Found on the same day: the head had broken before the new leader saw it open, and its
 // group was kept for four seconds.
-func TestBrokenHeadEndsItsGroupUnderANewLeader(t *testing.T) {
+func TestBrokenHeadEndsGroupUnderNewLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := equipped(6)
-		head := headOf(s, "large")
+		s, _ := newWarmFleet(6)
+		head := openHeadOf(s, "large")
 		s.kill(head.members[1])
-		for end := time.Now().Add(simStall + time.Second); time.Now().Before(end); {
+		for end := time.Now().Add(simStallTimeout + time.Second); time.Now().Before(end); {
 			s.tick()
 		}
 		qt.Assert(t, head.state, qt.Equals, fleet.Broken)
-		next := s.restart()
-		settle(s, next, false, 2500*time.Millisecond)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		next := s.restartDaemons()
+		runFor(s, next, false, 2500*time.Millisecond)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
@@ -171,30 +171,30 @@
 // lost, and from then on 21 of 28 served while the smaller one had all that it needed. One
 // group of so many is 0.037 of what a model needs, less than what a conversion had to gain;
 // and they went one at a time.
-func TestManyGroupsAreConvertedSoonWhereThereAreManyDomains(t *testing.T) {
+func TestConversionsRunInParallelAcrossManyDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains = 32
-		s, c := equipped(domains)
+		s, c := newWarmFleet(domains)
 		var all []string
 		for i := range domains {
 			all = append(all, fmt.Sprintf("d%d", i))
 		}
-		s.lose(all...)
+		s.killFreeServers(all...)
 		// Where no spare is left a lost member of the larger model takes its group away.
-		settleBusy(s, c, 3*time.Second)
-		before := s.serving("large")
+		runBusyFor(s, c, 3*time.Second)
+		before := s.countServing("large")
 		for _, domain := range all[:8] {
-			s.loseMember(c, domain, "large")
+			s.killMemberIn(c, domain, "large")
 		}
-		settleBusy(s, c, 6*time.Second)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		runBusyFor(s, c, 6*time.Second)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 		// Eight of 32 are lost, and one comes back for two of the smaller model, which is
 		// asked as much: 26 and 28, or 27 and 26, is the best for the one that is worse off.
 		qt.Assert(t, before, qt.Equals, domains)
-		worse := min(s.serving("large"), s.serving("small"))
+		worse := min(s.countServing("large"), s.countServing("small"))
 		qt.Assert(t, worse >= before-6, qt.IsTrue, qt.Commentf("%d of %d", worse, before))
-		closed := s.orders["close"]
-		settleBusy(s, c, 20*time.Second)
-		qt.Assert(t, s.orders["close"]-closed <= 4, qt.IsTrue, qt.Commentf("%d", s.orders["close"]-closed))
+		closed := s.orderCounts["close"]
+		runBusyFor(s, c, 20*time.Second)
+		qt.Assert(t, s.orderCounts["close"]-closed <= 4, qt.IsTrue, qt.Commentf("%d", s.orderCounts["close"]-closed))
 	})
 }
--- a/core/assembly/decode_fuzz_test.go
+++ b/core/assembly/decode_fuzz_test.go
@@ -32,10 +32,10 @@
 		if record.Epoch <= 0 {
 			t.Fatalf("%q is taken for a group of epoch %d", value, record.Epoch)
 		}
-		s := newSim(1)
+		s := newSimFleet(1)
 		c := &assembly.Controller{}
 		c.Load([]assembly.Record{record})
-		s.run(c, false, promptly)
+		s.step(c, false, deliverPromptly)
 	})
 }
 
@@ -48,6 +48,6 @@
 		if err != nil {
 			return
 		}
-		newSim(1).look().WithRecent(recent.Models)
+		newSimFleet(1).observe().WithRecent(recent.Models)
 	})
 }
--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -10,16 +10,16 @@
 
 // Figures of demand.
 const (
-	// riseTime and fallTime are the time constants with which an estimate follows a
+	// riseTimeConstant and fallTimeConstant are the time constants with which an estimate follows a
 	// rising and a falling demand: late growth costs callers, and groups that were
 	// given up soon after a burst would be missed by the next.
-	riseTime = 1500 * time.Millisecond
-	fallTime = 10 * time.Second
-	// leastWork is the part of the servers that must be needed for the mix of the
+	riseTimeConstant = 1500 * time.Millisecond
+	fallTimeConstant = 10 * time.Second
+	// minMeasurableFraction is the part of the servers that must be needed for the mix of the
 	// requests to say how servers are to be divided; below it chance decides.
-	leastWork = 0.35
-	// leastNeed is what a model needs that nobody asks for.
-	leastNeed = 0.5
+	minMeasurableFraction = 0.35
+	// minNeededGroups is what a model needs that nobody asks for.
+	minNeededGroups = 0.5
 )
 
 // modelKey names a model of a service.
@@ -32,69 +32,69 @@
 type demand struct {
 	groups config.Groups
 	// requests is how many callers ask a second.
-	requests float64
-	at       time.Time
+	requestsPerSecond float64
+	updatedAt         time.Time
 }
 
 // estimate follows the demand for the models of a service. Soon after an outage the
 // callers of all of it come at once: that tells nothing of what is asked for later.
-func (c *Controller) estimate(service *config.Service, world World) {
-	if !world.IsSteady || world.IsStart || world.Asked == nil {
+func (c *Controller) updateDemands(service *config.Service, input World) {
+	if !input.IsSteady || input.IsStart || input.Asked == nil {
 		return
 	}
 	if c.demands == nil {
 		c.demands = map[modelKey]demand{}
 	}
 	for _, model := range service.Engine.Models {
-		asked, isKnown := world.Asked(service.Name, model.Name)
+		rate, isKnown := input.Asked(service.Name, model.Name)
 		if !isKnown {
 			continue
 		}
-		groups, isTold := service.Engine.Groups(model, asked)
-		if !isTold {
+		groups, isKnownCapacity := service.Engine.Groups(model, rate)
+		if !isKnownCapacity {
 			continue
 		}
 		key := modelKey{
 			service: service.Name,
 			model:   model.Name,
 		}
-		c.demands[key] = c.demands[key].following(demand{
-			groups:   groups,
-			requests: asked.Requests,
+		c.demands[key] = c.demands[key].smoothed(demand{
+			groups:            groups,
+			requestsPerSecond: rate.Requests,
 		})
 	}
 }
 
 // demandsOf returns the estimates for the models of a service, by model.
 func (c *Controller) demandsOf(service *config.Service) map[string]demand {
-	known := map[string]demand{}
+	demands := map[string]demand{}
 	for key, estimate := range c.demands {
 		if key.service == service.Name {
-			known[key.model] = estimate
+			demands[key.model] = estimate
 		}
 	}
-	return known
+	return demands
 }
 
-// noteWants tells of models that are to have another number of groups than before.
-func (c *Controller) noteWants(at *layout, plan *Plan) {
-	if c.wanted == nil {
-		c.wanted = map[modelKey]int{}
+// reportTargets tells of models that are to have another number of groups than before.
+func (c *Controller) reportTargets(state *serviceState, plan *Plan) {
+	if c.reportedTargets == nil {
+		c.reportedTargets = map[modelKey]int{}
 	}
-	for _, model := range at.service.Engine.Models {
+	for _, model := range state.service.Engine.Models {
 		key := modelKey{
-			service: at.service.Name,
+			service: state.service.Name,
 			model:   model.Name,
 		}
-		want := at.want(model)
-		if c.wanted[key] == want {
+		want := state.targetGroups(model)
+		if c.reportedTargets[key] == want {
 			continue
 		}
-		c.wanted[key] = want
+		c.reportedTargets[key] = want
 		plan.Notes = append(plan.Notes, Note{
 			Model:  model.Name,
 			What:   "number of groups changed",
-			Reason: fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, at.live[model.Name], at.planned(model), at.need(model), at.least(model)),
+			Reason: fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
 		})
 	}
 }
@@ -102,23 +102,23 @@
 // following returns the estimate after it has followed an observation since it was
 // last made. The first one counts as it is: what is asked is a mean over seconds already,
 // and a new leader begins with it.
-func (d demand) following(observed demand) demand {
+func (d demand) smoothed(observed demand) demand {
 	now := time.Now()
-	if d.at.IsZero() {
-		observed.at = now
+	if d.updatedAt.IsZero() {
+		observed.updatedAt = now
 		return observed
 	}
-	constant := fallTime
+	constant := fallTimeConstant
 	if observed.groups.InTime > d.groups.InTime {
-		constant = riseTime
+		constant = riseTimeConstant
 	}
-	part := 1 - math.Exp(-now.Sub(d.at).Seconds()/constant.Seconds())
+	weight := 1 - math.Exp(-now.Sub(d.updatedAt).Seconds()/constant.Seconds())
 	return demand{
 		groups: config.Groups{
-			Least:  d.groups.Least + part*(observed.groups.Least-d.groups.Least),
-			InTime: d.groups.InTime + part*(observed.groups.InTime-d.groups.InTime),
+			Least:  d.groups.Least + weight*(observed.groups.Least-d.groups.Least),
+			InTime: d.groups.InTime + weight*(observed.groups.InTime-d.groups.InTime),
 		},
-		requests: d.requests + part*(observed.requests-d.requests),
-		at:       now,
+		requestsPerSecond: d.requestsPerSecond + weight*(observed.requestsPerSecond-d.requestsPerSecond),
+		updatedAt:         now,
 	}
 }
--- a/core/assembly/demand_test.go
+++ b/core/assembly/demand_test.go
@@ -12,86 +12,86 @@
 
 // With requests of the smaller model at 1.6 times its share, its six groups were full
 // for 14 s while twelve servers were free.
-func TestCrowdedModelGetsGroupsOfFreeServers(t *testing.T) {
+func TestOverloadedModelGetsGroupsFromFreeServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		s.hold("large", 6)
-		s.hold("small", 26)
-		settle(s, c, false, 6*time.Second)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
-		qt.Assert(t, s.serving("small") >= 9, qt.IsTrue, qt.Commentf("%d", s.serving("small")))
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		s, c := newWarmFleet(6)
+		s.setDemandPerGroup("large", 6)
+		s.setDemandPerGroup("small", 26)
+		runFor(s, c, false, 6*time.Second)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
+		qt.Assert(t, s.countServing("small") >= 9, qt.IsTrue, qt.Commentf("%d", s.countServing("small")))
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
-func TestModelThatIsAskedForLittleYieldsToACrowdedOne(t *testing.T) {
+func TestOverloadedModelTakesServersFromIdleModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
+		s, c := newWarmFleet(6)
 		for range 30 {
-			s.hold("small", 0)
-			s.hold("large", 26)
-			settle(s, c, false, time.Second)
+			s.setDemandPerGroup("small", 0)
+			s.setDemandPerGroup("large", 26)
+			runFor(s, c, false, time.Second)
 		}
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large") > 7, qt.IsTrue, qt.Commentf("%d", s.serving("large")))
-		qt.Assert(t, s.serving("small") >= 1, qt.IsTrue)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large") > 7, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
+		qt.Assert(t, s.countServing("small") >= 1, qt.IsTrue)
 	})
 }
 
 // With shares of 0.3 and 0.7 but work of 0.6 and 0.4, groups of the smaller model that
 // nobody needed were formed again and again of spares that the larger one lacked later:
 // scale-1 of a deployment of our own earned 0.67, and 0.73 and 0.77 since.
-func TestServersAreDividedByTheMixThatIsAskedFor(t *testing.T) {
+func TestAllocationFollowsMeasuredDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		settleAsked(s, c, 20*time.Second, 4, 0.8)
-		s.loseMember(c, "d0", "small")
-		settleAsked(s, c, 10*time.Second, 4, 0.8)
+		s, c := newWarmFleet(6)
+		runWithDemandFor(s, c, 20*time.Second, 4, 0.8)
+		s.killMemberIn(c, "d0", "small")
+		runWithDemandFor(s, c, 10*time.Second, 4, 0.8)
 		// Four groups' work of the larger model keeps its six; the smaller one does not
 		// get back what nobody asks for.
-		qt.Assert(t, s.serving("large") >= 6, qt.IsTrue, qt.Commentf("%d", s.serving("large")))
-		qt.Assert(t, s.serving("small"), qt.Equals, 5)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
+		qt.Assert(t, s.countServing("small"), qt.Equals, 5)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
-// settleAsked runs a fleet for a time while so many groups' work is asked of each model,
+// runWithDemandFor runs a fleet for a time while so many groups' work is asked of each model,
 // and shared by its groups.
-func settleAsked(s *simFleet, c *assembly.Controller, d time.Duration, large, small float64) {
+func runWithDemandFor(s *simFleet, c *assembly.Controller, duration time.Duration, large, small float64) {
 	const capacity = 26
-	s.ask("large", capacity*large)
-	s.ask("small", capacity*small)
-	settle(s, c, false, d)
+	s.setDemand("large", capacity*large)
+	s.setDemand("small", capacity*small)
+	runFor(s, c, false, duration)
 }
 
-func TestQuietFleetKeepsItsGroupsAndSpares(t *testing.T) {
+func TestIdleFleetKeepsGroupsAndSpares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
+		s, c := newWarmFleet(6)
 		// Work in proportion to the shares.
-		s.hold("large", 9)
-		s.hold("small", 9)
-		settle(s, c, false, 30*time.Second)
-		s.hold("large", 0)
-		s.hold("small", 0)
-		settle(s, c, false, 60*time.Second)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
-		qt.Assert(t, s.serving("small"), qt.Equals, 6)
-		qt.Assert(t, s.orders["close"], qt.Equals, 0)
+		s.setDemandPerGroup("large", 9)
+		s.setDemandPerGroup("small", 9)
+		runFor(s, c, false, 30*time.Second)
+		s.setDemandPerGroup("large", 0)
+		s.setDemandPerGroup("small", 0)
+		runFor(s, c, false, 60*time.Second)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
+		qt.Assert(t, s.countServing("small"), qt.Equals, 6)
+		qt.Assert(t, s.orderCounts["close"], qt.Equals, 0)
 	})
 }
 
 // Heads are looked at anyway; a sign of life from before a suspicion must not end it.
-func TestLookBeforeASuspicionDoesNotClearIt(t *testing.T) {
+func TestProbeBeforeSuspicionDoesNotClearIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := equipped(6)
-		settle(s, c, false, 3*time.Second)
-		head := headOf(s, "large")
+		s, c := newWarmFleet(6)
+		runFor(s, c, false, 3*time.Second)
+		head := openHeadOf(s, "large")
 		s.kill(head.id)
 		c.Suspect(head.group, head.epoch, "")
-		settle(s, c, false, time.Second)
-		qt.Assert(t, s.cleared[head.group], qt.Equals, 0)
+		runFor(s, c, false, time.Second)
+		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 0)
 		_, isThere := s.records[head.group]
-		qt.Assert(t, isThere && s.serving("large") == 6, qt.IsFalse)
+		qt.Assert(t, isThere && s.countServing("large") == 6, qt.IsFalse)
 	})
 }
 
@@ -99,17 +99,17 @@
 // then decided who was thought to need more: the smaller model's groups grew from 19 to
 // 28 while four of twelve of the larger one were left. Free servers may be used, but no
 // model grows at the cost of the other.
-func TestNoModelGrowsAtTheCostOfAnotherWhereAllAreFull(t *testing.T) {
+func TestNoModelLosesGroupsWhenAllModelsAreOverloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := equipped(6)
-		next := s.restart()
+		s, _ := newWarmFleet(6)
+		next := s.restartDaemons()
 		for range 40 {
-			s.hold("large", 60)
-			s.hold("small", 60)
-			settle(s, next, false, 100*time.Millisecond)
-			qt.Assert(t, s.serving("large") >= 6, qt.IsTrue, qt.Commentf("%d", s.serving("large")))
-			qt.Assert(t, s.serving("small") >= 6, qt.IsTrue, qt.Commentf("%d", s.serving("small")))
+			s.setDemandPerGroup("large", 60)
+			s.setDemandPerGroup("small", 60)
+			runFor(s, next, false, 100*time.Millisecond)
+			qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
+			qt.Assert(t, s.countServing("small") >= 6, qt.IsTrue, qt.Commentf("%d", s.countServing("small")))
 		}
-		qt.Assert(t, s.orders["close"], qt.Equals, 0)
+		qt.Assert(t, s.orderCounts["close"], qt.Equals, 0)
 	})
 }
--- a/core/assembly/finish_test.go
+++ b/core/assembly/finish_test.go
@@ -12,63 +12,63 @@
 
 // A head that died without a word was waited for until its entry went and then
 // for the stall time; its members now leave at once.
-func TestLostHeadIsReplacedWithoutWaitingForTheStall(t *testing.T) {
+func TestDeadHeadIsReplacedBeforeStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		s.kill(head.id)
 		c.Suspect(head.group, head.epoch, "")
 
-		settle(s, c, false, 3500*time.Millisecond)
+		runFor(s, c, false, 3500*time.Millisecond)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
 // Found by a hunt (TWO, hunt-1d97-39 of valdeserna-riego): the head and a member
 // lost their entries while cut off from the store; the member came back and was
 // joined to another group while its old head was still open.
-func TestMemberThatComesBackLeavesBeforeItIsUsed(t *testing.T) {
+func TestReturningMemberLeavesOldGroupBeforeReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(2)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(2)
+		head := openHeadOf(s, "large")
 		for _, id := range head.members[:2] {
-			s.servers[id].isCut = true
-			s.servers[id].cutAt = time.Now()
+			s.servers[id].isCutOff = true
+			s.servers[id].cutOffAt = time.Now()
 		}
-		unreachable := func(order assembly.Order) fate {
-			return fate{
-				isNone: s.servers[order.Server.ID].isCut,
+		unreachable := func(order assembly.Order) delivery {
+			return delivery{
+				isDropped: s.servers[order.Server.ID].isCutOff,
 			}
 		}
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-			s.run(c, false, unreachable)
+			s.step(c, false, unreachable)
 			s.tick()
 		}
-		s.servers[head.members[1]].isCut = false
+		s.servers[head.members[1]].isCutOff = false
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-			s.run(c, false, unreachable)
+			s.step(c, false, unreachable)
 			s.tick()
 		}
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
 // Found by a hunt on a deployment of our own (TWO, scale-1 with seed 363847341756):
 // a leaving head had stopped listening and was taken for dead, while it still finished
 // its work; its members were joined to another group without leaving.
-func TestMembersLeaveAHeadThatOnlyStoppedListening(t *testing.T) {
+func TestMembersLeaveGroupWhoseHeadStoppedListening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
-		s.servers[head.id].isDeaf = true
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
+		s.servers[head.id].hasStoppedListening = true
 
-		settle(s, c, false, 8*time.Second)
+		runFor(s, c, false, 8*time.Second)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 		// The head itself serves to its end; its members form the next group.
-		qt.Assert(t, s.serving("large") >= 6, qt.IsTrue)
+		qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue)
 	})
 }
 
@@ -76,45 +76,45 @@
 // seed 7): servers had said that they leave while the store was away for eight seconds;
 // after its return the entry of a head that had stopped listening still told nothing of
 // it. The head was taken for dead, and its members joined another group while it served.
-func TestMembersLeaveAHeadThatStoppedListeningBeforeItsEntryTellsSo(t *testing.T) {
+func TestMembersLeaveGroupWhoseHeadStoppedListeningWithStaleEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
-		s.servers[head.id].isDeaf = true
-		s.servers[head.id].isStale = true
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
+		s.servers[head.id].hasStoppedListening = true
+		s.servers[head.id].hasStaleEntry = true
 		c.Suspect(head.group, head.epoch, "")
 
-		settle(s, c, false, 3*time.Second)
+		runFor(s, c, false, 3*time.Second)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large") >= 6, qt.IsTrue)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue)
 	})
 }
 
 // Found in incident inc-2a94: the record of a group whose whole domain was lost at
 // 11 s still stood at the end of the day.
-func TestRecordOfALostDomainIsDropped(t *testing.T) {
+func TestRecordOfLostDomainIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
-		for _, one := range s.servers {
-			if one.domain == head.domain {
-				s.kill(one.id)
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
+		for _, server := range s.servers {
+			if server.domain == head.domain {
+				s.kill(server.id)
 			}
 		}
-		settle(s, c, false, 70*time.Second)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		runFor(s, c, false, 70*time.Second)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 		_, isThere := s.records[head.group]
 		qt.Assert(t, isThere, qt.IsFalse)
 		// It is not dropped while its servers may come back soon.
-		s, c = started(6)
-		head = headOf(s, "large")
-		for _, one := range s.servers {
-			if one.domain == head.domain {
-				s.kill(one.id)
+		s, c = newStartedFleet(6)
+		head = openHeadOf(s, "large")
+		for _, server := range s.servers {
+			if server.domain == head.domain {
+				s.kill(server.id)
 			}
 		}
-		settle(s, c, false, 15*time.Second)
+		runFor(s, c, false, 15*time.Second)
 		_, isThere = s.records[head.group]
 		qt.Assert(t, isThere, qt.IsTrue)
 	})
--- a/core/assembly/form_test.go
+++ b/core/assembly/form_test.go
@@ -10,14 +10,14 @@
 	"headcourse/core/assembly"
 )
 
-func TestGroupsFormByShareOverAllDomains(t *testing.T) {
+func TestGroupsSpreadEvenlyOverDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(6)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
-		qt.Assert(t, s.serving("small"), qt.Equals, 6)
+		s, _ := newStartedFleet(6)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
+		qt.Assert(t, s.countServing("small"), qt.Equals, 6)
 		byDomain := map[string]int{}
-		for _, record := range s.stored() {
+		for _, record := range s.storedRecords() {
 			byDomain[s.servers[record.Members[0]].domain+record.Model]++
 			for _, id := range record.Members {
 				qt.Assert(t, s.servers[id].domain, qt.Equals, s.servers[record.Members[0]].domain)
@@ -32,23 +32,23 @@
 // Of two models with equal shares, the one with the larger groups is without more of
 // them at any time; it was overloaded first (valdeserna-riego-grown trouble-2, 20 s to
 // 24 s: seven or eight of eleven groups of eight, twenty of 21 of four).
-func TestLargerGroupsGetMoreOfTheServers(t *testing.T) {
+func TestModelWithLargerGroupsGetsExtraGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(48)
+		s, _ := newStartedFleet(48)
 		// 384 servers, 0.67 and 0.33 of them: 48 groups of four and 48 of two by
 		// the shares alone, 51 and 49 with the risk; two of the 51 fit into no domain.
-		qt.Assert(t, s.serving("large"), qt.Equals, 49)
-		qt.Assert(t, s.serving("small"), qt.Equals, 49)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 49)
+		qt.Assert(t, s.countServing("small"), qt.Equals, 49)
 	})
 }
 
 // Loads before the first request are not counted; waiting for the bound would leave
 // a fleet with a slow weight store half empty when clients come.
-func TestAllLoadBeforeTheFirstRequest(t *testing.T) {
+func TestAllServersLoadBeforeFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSim(24)
+		s := newSimFleet(24)
 		c := &assembly.Controller{}
-		settle(s, c, true, time.Second)
-		qt.Assert(t, s.orders["join"]+s.orders["stage"], qt.Equals, 24*8)
+		runFor(s, c, true, time.Second)
+		qt.Assert(t, s.orderCounts["join"]+s.orderCounts["stage"], qt.Equals, 24*8)
 	})
 }
--- a/core/assembly/fuzz_test.go
+++ b/core/assembly/fuzz_test.go
@@ -15,8 +15,8 @@
 // groups come back.
 func TestFuzz(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
-		s, c := started(3)
-		fuzzFleet(rt, s, c, 400)
+		s, c := newStartedFleet(3)
+		runRandomFaults(rt, s, c, 400)
 	})
 }
 
@@ -32,8 +32,8 @@
 		7144796478021722746,
 	} {
 		fuzz.CheckSeed(t, seed, func(rt *rapid.T) {
-			s, c := started(3)
-			fuzzFleet(rt, s, c, 400)
+			s, c := newStartedFleet(3)
+			runRandomFaults(rt, s, c, 400)
 		})
 	}
 }
@@ -42,121 +42,121 @@
 // callers ask for both models, from nothing to more than all groups can serve.
 func TestFuzzOfLargeGroups(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
-		s, c := largeGroups(2)
-		s.hold("large", rapid.IntRange(0, 70).Draw(rt, "held by large groups"))
-		s.hold("small", rapid.IntRange(0, 70).Draw(rt, "held by small groups"))
-		fuzzFleet(rt, s, c, 120)
+		s, c := newLargeGroupFleet(2)
+		s.setDemandPerGroup("large", rapid.IntRange(0, 70).Draw(rt, "held by large groups"))
+		s.setDemandPerGroup("small", rapid.IntRange(0, 70).Draw(rt, "held by small groups"))
+		runRandomFaults(rt, s, c, 120)
 	})
 }
 
-// fuzzFleet plays up to so many steps on a fleet.
-func fuzzFleet(rt *rapid.T, s *simFleet, c *assembly.Controller, mostSteps int) {
-	fuzzFleetWith(rt, s, c, mostSteps, func(c *assembly.Controller) *assembly.Controller {
+// runRandomFaults plays up to so many steps on a fleet.
+func runRandomFaults(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int) {
+	runRandomFaultsWith(rt, s, c, maxSteps, func(c *assembly.Controller) *assembly.Controller {
 		return c
 	})
 }
 
-// fuzzFleetWith is fuzzFleet with something more at each step, which returns who leads then.
-func fuzzFleetWith(rt *rapid.T, s *simFleet, c *assembly.Controller, mostSteps int, more func(*assembly.Controller) *assembly.Controller) {
-	former := &assembly.Controller{}
-	former.Load(s.stored())
-	steps := rapid.IntRange(50, mostSteps).Draw(rt, "steps")
-	trouble := rapid.Float64Range(0, 0.5).Draw(rt, "trouble")
-	fateOf := func(order assembly.Order) fate {
-		if s.servers[order.Server.ID].isCut || rapid.Float64Range(0, 1).Draw(rt, "luck") > trouble {
-			return fate{}
+// runRandomFaultsWith is runRandomFaults with something more at each step, which returns who leads then.
+func runRandomFaultsWith(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int, atEachStep func(*assembly.Controller) *assembly.Controller) {
+	formerLeader := &assembly.Controller{}
+	formerLeader.Load(s.storedRecords())
+	steps := rapid.IntRange(50, maxSteps).Draw(rt, "steps")
+	faultRate := rapid.Float64Range(0, 0.5).Draw(rt, "trouble")
+	deliveryOf := func(order assembly.Order) delivery {
+		if s.servers[order.Server.ID].isCutOff || rapid.Float64Range(0, 1).Draw(rt, "luck") > faultRate {
+			return delivery{}
 		}
-		return fate{
-			isLost: rapid.Bool().Draw(rt, "lost"),
-			isNone: rapid.Bool().Draw(rt, "none"),
-			delay:  time.Duration(rapid.IntRange(0, 10).Draw(rt, "late")) * time.Second,
+		return delivery{
+			isAnswerLost: rapid.Bool().Draw(rt, "lost"),
+			isDropped:    rapid.Bool().Draw(rt, "none"),
+			delay:        time.Duration(rapid.IntRange(0, 10).Draw(rt, "late")) * time.Second,
 		}
 	}
 	for range steps {
-		disturb(rt, s, c, &former)
-		c = more(c)
-		s.run(c, false, fateOf)
+		injectFault(rt, s, c, &formerLeader)
+		c = atEachStep(c)
+		s.step(c, false, deliveryOf)
 		s.tick()
-		if len(s.violated) > 0 {
-			rt.Fatalf("broken: %v", s.violated)
+		if len(s.violations) > 0 {
+			rt.Fatalf("broken: %v", s.violations)
 		}
 	}
-	for _, one := range s.servers {
-		one.isCut = false
+	for _, server := range s.servers {
+		server.isCutOff = false
 	}
-	settle(s, c, false, 90*time.Second)
-	if len(s.violated) > 0 {
-		rt.Fatalf("broken after the trouble: %v", s.violated)
+	runFor(s, c, false, 90*time.Second)
+	if len(s.violations) > 0 {
+		rt.Fatalf("broken after the trouble: %v", s.violations)
 	}
-	if s.serving("small") == 0 || s.serving("large") == 0 {
-		rt.Fatalf("groups did not come back: %d large, %d small", s.serving("large"), s.serving("small"))
+	if s.countServing("small") == 0 || s.countServing("large") == 0 {
+		rt.Fatalf("groups did not come back: %d large, %d small", s.countServing("large"), s.countServing("small"))
 	}
 }
 
 // disturb brings about one trouble now and then.
-func disturb(rt *rapid.T, s *simFleet, c *assembly.Controller, former **assembly.Controller) {
-	records := s.stored()
+func injectFault(rt *rapid.T, s *simFleet, c *assembly.Controller, formerLeader **assembly.Controller) {
+	records := s.storedRecords()
 	if len(records) == 0 {
 		return
 	}
 	record := records[rapid.IntRange(0, len(records)-1).Draw(rt, "group")]
 	id := record.Members[rapid.IntRange(0, len(record.Members)-1).Draw(rt, "member")]
-	one := s.servers[id]
+	server := s.servers[id]
 	switch kind := rapid.IntRange(0, 60).Draw(rt, "trouble kind"); kind {
 	case 0, 3, 7:
-		s.trouble(one, kind)
+		s.applyFault(server, kind)
 		c.Suspect(record.Name, record.Epoch, "")
 	case 4:
 		// Another daemon leads for a step by an old view of its own, as one does
 		// that was paused, and then the leader reads the records again.
 		next := &assembly.Controller{}
-		next.Load(s.stored())
-		s.run(next, false, promptly)
-		*former = next
-		c.Load(s.stored())
+		next.Load(s.storedRecords())
+		s.step(next, false, deliverPromptly)
+		*formerLeader = next
+		c.Load(s.storedRecords())
 	case 9:
 		// A daemon tells of a silence that another may not find.
 		c.Suspect(record.Name, record.Epoch, id)
 	default:
-		s.trouble(one, kind)
+		s.applyFault(server, kind)
 	}
 }
 
 // trouble brings about one trouble of a server, or none. Servers that go are
 // replaced.
-func (s *simFleet) trouble(one *simServer, kind int) {
+func (s *simFleet) applyFault(server *simServer, kind int) {
 	switch kind {
 	case 0:
-		if !one.isDead {
-			s.kill(one.id)
-			s.add(one.domain, one.staged)
+		if !server.isDead {
+			s.kill(server.id)
+			s.addServer(server.domain, server.staged)
 		}
 	case 1:
-		if !one.isDead && !one.isCut {
-			one.isCut = true
-			one.cutAt = time.Now()
+		if !server.isDead && !server.isCutOff {
+			server.isCutOff = true
+			server.cutOffAt = time.Now()
 		}
 	case 2:
-		one.isCut = false
+		server.isCutOff = false
 	case 5:
 		// It says that it leaves.
-		if !one.drains {
-			one.drains = true
-			s.add(one.domain, one.staged)
+		if !server.isDraining {
+			server.isDraining = true
+			s.addServer(server.domain, server.staged)
 		}
 	case 6:
 		// It leaves, has stopped listening, and finishes its work.
-		if !one.isDead && !one.isDeaf {
-			one.isDeaf = true
-			one.endsAt = time.Now().Add(simLeave)
-			s.add(one.domain, one.staged)
+		if !server.isDead && !server.hasStoppedListening {
+			server.hasStoppedListening = true
+			server.exitsAt = time.Now().Add(simShutdownTime)
+			s.addServer(server.domain, server.staged)
 		}
 	case 7:
-		one.pace = 4
+		server.slowdown = 4
 	case 8:
-		one.pace = 1
+		server.slowdown = 1
 	case 10, 11:
 		// It starts again under its id, before its entry has lapsed.
-		s.rebirth(one)
+		s.restartServer(server)
 	}
 }
--- a/core/assembly/late.go
+++ b/core/assembly/late.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// lateFor is how long a server is left alone that did not join a group in time. One that
+// overdueExclusion is how long a server is left alone that did not join a group in time. One that
 // is cut off from the store loses its entry after three heartbeats, and is back with it.
-const lateFor = 5 * time.Second
+const overdueExclusion = 5 * time.Second
 
-// noteLate notes that a server did not join a group in time.
-func (c *Controller) noteLate(id string) {
+// excludeOverdue notes that a server did not join a group in time.
+func (c *Controller) excludeOverdue(id string) {
 	now := time.Now()
-	if c.late == nil {
-		c.late = map[string]time.Time{}
+	if c.excludedUntil == nil {
+		c.excludedUntil = map[string]time.Time{}
 	}
-	maps.DeleteFunc(c.late, func(_ string, until time.Time) bool {
+	maps.DeleteFunc(c.excludedUntil, func(_ string, until time.Time) bool {
 		return now.After(until)
 	})
-	c.late[id] = now.Add(lateFor)
+	c.excludedUntil[id] = now.Add(overdueExclusion)
 }
--- a/core/assembly/layout.go
+++ b/core/assembly/layout.go
@@ -9,134 +9,134 @@
 )
 
 // layout is the state of one service that planning works on.
-type layout struct {
-	service *config.Service
-	free    map[string][]fleet.Server
-	domains []string
+type serviceState struct {
+	service     *config.Service
+	freeServers map[string][]fleet.Server
+	domains     []string
 	// live counts the groups of each model, over all and by domain.
-	live     map[string]int
-	inDomain map[string]map[string]int
+	liveGroups   map[string]int
+	liveInDomain map[string]map[string]int
 	// groups are the open ones by domain, in the order of their names.
-	groups map[string][]*group
+	openGroups map[string][]*group
 	// holders counts the servers of a domain, free or not, that have a model's weights
 	// or are loading them.
-	holders map[choiceKey]int
+	holders map[domainModel]int
 	// warming counts the servers of a domain that load a model to be free again.
-	warming map[choiceKey]int
+	warmingServers map[domainModel]int
 	// demands are the estimates of what callers ask for, by model.
 	demands map[string]demand
 	// staged are the loads under way, by server.
-	staged map[string]stageOrder
-	// isFreeing tells of domains in which the record of a group is being removed: its
+	stageOrders map[string]stageOrder
+	// isFreeingDomain tells of domains in which the record of a group is being removed: its
 	// members are free some milliseconds later, and mostly the best to form the next.
-	isFreeing map[string]bool
+	isFreeingDomain map[string]bool
 	// coming counts the groups of each model that can be formed soon without ending
 	// others.
-	coming map[string]int
+	upcomingGroups map[string]int
 	// postponed are models for which no group can be formed now.
-	postponed map[string]bool
-	total     int
+	isPostponed  map[string]bool
+	totalServers int
 	// kept are servers that are asked for a sign of life for a group of a model, by ID.
-	kept map[string]string
+	reservedFor map[string]string
 	// plans are how many groups each model should have; nil: not worked out yet.
-	plans map[string]int
+	allocation map[string]int
 	// choices are kept by domain and model, since planning asks for the same ones
 	// again and again; a domain's are forgotten when its free servers change.
-	choices map[choiceKey]choice
+	cachedChoices map[domainModel]memberChoice
 }
 
-// choiceKey names a domain and a model.
-type choiceKey struct {
+// domainModel names a domain and a model.
+type domainModel struct {
 	domain string
 	model  string
 }
 
 // layout returns the state of a service.
-func (c *Controller) layout(service *config.Service, world World, plan *Plan) *layout {
-	at := &layout{
-		service:   service,
-		free:      map[string][]fleet.Server{},
-		live:      map[string]int{},
-		inDomain:  map[string]map[string]int{},
-		groups:    map[string][]*group{},
-		holders:   map[choiceKey]int{},
-		warming:   map[choiceKey]int{},
-		staged:    c.staged,
-		isFreeing: map[string]bool{},
-		coming:    map[string]int{},
-		postponed: map[string]bool{},
-		choices:   map[choiceKey]choice{},
-		demands:   c.demandsOf(service),
+func (c *Controller) newServiceState(service *config.Service, input World, plan *Plan) *serviceState {
+	state := &serviceState{
+		service:         service,
+		freeServers:     map[string][]fleet.Server{},
+		liveGroups:      map[string]int{},
+		liveInDomain:    map[string]map[string]int{},
+		openGroups:      map[string][]*group{},
+		holders:         map[domainModel]int{},
+		warmingServers:  map[domainModel]int{},
+		stageOrders:     c.stageOrders,
+		isFreeingDomain: map[string]bool{},
+		upcomingGroups:  map[string]int{},
+		isPostponed:     map[string]bool{},
+		cachedChoices:   map[domainModel]memberChoice{},
+		demands:         c.demandsOf(service),
 	}
-	c.countGroups(at, world)
-	c.listFree(at, world, plan)
-	return at
+	c.countGroups(state, input)
+	c.listFreeServers(state, input, plan)
+	return state
 }
 
 // countGroups counts the groups of the service that are to serve.
-func (c *Controller) countGroups(at *layout, world World) {
-	note := func(record Record) {
-		if record.Service != at.service.Name {
+func (c *Controller) countGroups(state *serviceState, input World) {
+	count := func(record Record) {
+		if record.Service != state.service.Name {
 			return
 		}
-		head, _ := world.Fleet.Server(record.Members[0])
-		if world.Evacuated.Has(head.Zone) {
+		head, _ := input.Fleet.Server(record.Members[0])
+		if input.Evacuated.Has(head.Zone) {
 			// It serves nobody, and is kept for when the zone is taken back.
 			return
 		}
 		if record.IsWarmUp {
-			at.addWarming(head.Domain, record.Model)
+			state.countWarmUp(head.Domain, record.Model)
 			return
 		}
-		at.add(head.Domain, record.Model)
+		state.countGroup(head.Domain, record.Model)
 	}
 	for _, name := range sortedNames(c.groups) {
 		g := c.groups[name]
-		if g.ending != "" {
-			domain, isKnown := domainOf(g.record, world)
-			at.isFreeing[domain] = at.isFreeing[domain] || (isKnown && g.isRemoving)
+		if g.endReason != "" {
+			domain, isKnown := groupDomain(g.record, input)
+			state.isFreeingDomain[domain] = state.isFreeingDomain[domain] || (isKnown && g.isRemoving)
 			continue
 		}
 		if !c.isSlow(g) {
-			note(g.record)
+			count(g.record)
 		}
-		head, ok := world.Fleet.Server(g.record.Members[0])
-		isServing := ok && g.wasOpen && !world.Evacuated.Has(head.Zone)
-		if isServing && g.record.Service == at.service.Name {
-			at.groups[head.Domain] = append(at.groups[head.Domain], g)
+		head, ok := input.Fleet.Server(g.record.Members[0])
+		isServing := ok && g.wasOpen && !input.Evacuated.Has(head.Zone)
+		if isServing && g.record.Service == state.service.Name {
+			state.openGroups[head.Domain] = append(state.openGroups[head.Domain], g)
 		}
 	}
-	for _, record := range c.creating {
-		note(record)
+	for _, record := range c.pendingRecords {
+		count(record)
 	}
 }
 
-// listFree counts the servers that the service's groups may be made of, and lists
+// listFreeServers counts the servers that the service's groups may be made of, and lists
 // those that are free.
-func (c *Controller) listFree(at *layout, world World, plan *Plan) {
-	taken := c.taken()
+func (c *Controller) listFreeServers(state *serviceState, input World, plan *Plan) {
+	assigned := c.assignedServers()
 	isListed := map[string]bool{}
-	for _, server := range world.Fleet.Servers() {
-		if !world.isMaterial(server, at.service.Name) {
+	for _, server := range input.Fleet.Servers() {
+		if !input.isEligible(server, state.service.Name) {
 			continue
 		}
-		at.total++
-		c.countHeld(at, server)
+		state.totalServers++
+		c.countHolders(state, server)
 		if !isListed[server.Domain] {
 			isListed[server.Domain] = true
-			at.domains = append(at.domains, server.Domain)
+			state.domains = append(state.domains, server.Domain)
 		}
-		if !taken[server.ID] && c.isFree(server, plan) {
-			at.free[server.Domain] = append(at.free[server.Domain], server)
+		if !assigned[server.ID] && c.isFree(server, plan) {
+			state.freeServers[server.Domain] = append(state.freeServers[server.Domain], server)
 		}
 	}
 }
 
-// countHeld counts a server among those that have the weights of models.
-func (c *Controller) countHeld(at *layout, server fleet.Server) {
-	for _, model := range at.service.Engine.Models {
-		if c.willHave(server, model.Name) {
-			at.holders[choiceKey{
+// countHolders counts a server among those that have the weights of models.
+func (c *Controller) countHolders(state *serviceState, server fleet.Server) {
+	for _, model := range state.service.Engine.Models {
+		if c.hasOrLoads(server, model.Name) {
+			state.holders[domainModel{
 				domain: server.Domain,
 				model:  model.Name,
 			}]++
@@ -144,56 +144,56 @@
 	}
 }
 
-// isMaterial tells whether groups of a service may be made of a server, free or
+// isEligible tells whether groups of a service may be made of a server, free or
 // not.
-func (w World) isMaterial(server fleet.Server, service string) bool {
-	return server.Service == service && server.IsEngine && !server.Draining && !w.Evacuated.Has(server.Zone)
+func (in World) isEligible(server fleet.Server, service string) bool {
+	return server.Service == service && server.IsEngine && !server.Draining && !in.Evacuated.Has(server.Zone)
 }
 
 // soonest returns the servers of a domain that form a group of a model soonest.
-func (l *layout) soonest(domain string, model config.Model) choice {
-	key := choiceKey{
+func (s *serviceState) fastestChoice(domain string, model config.Model) memberChoice {
+	key := domainModel{
 		domain: domain,
 		model:  model.Name,
 	}
-	known, ok := l.choices[key]
-	if !ok {
-		known = choose(l.unreserved(domain, model), model)
-		l.choices[key] = known
+	cached, isCached := s.cachedChoices[key]
+	if !isCached {
+		cached = chooseMembers(s.unreserved(domain, model), model)
+		s.cachedChoices[key] = cached
 	}
-	return known
+	return cached
 }
 
 // unreserved returns the free servers of a domain that no group of another model waits
 // for.
-func (l *layout) unreserved(domain string, model config.Model) []fleet.Server {
+func (s *serviceState) unreserved(domain string, model config.Model) []fleet.Server {
 	var servers []fleet.Server
-	for _, server := range l.free[domain] {
-		order, isLoading := l.staged[server.ID]
+	for _, server := range s.freeServers[domain] {
+		order, isLoading := s.stageOrders[server.ID]
 		isLoadingForOther := isLoading && order.isForGroup && order.model != model.Name
-		keptFor, isKept := l.kept[server.ID]
-		if !isLoadingForOther && (!isKept || keptFor == model.Name) {
+		reservedModel, isReserved := s.reservedFor[server.ID]
+		if !isLoadingForOther && (!isReserved || reservedModel == model.Name) {
 			servers = append(servers, server)
 		}
 	}
 	return servers
 }
 
-// keepFor keeps servers of a domain for a group of a model.
-func (l *layout) keepFor(model config.Model, servers []fleet.Server) {
-	if l.kept == nil {
-		l.kept = map[string]string{}
+// reserve keeps servers of a domain for a group of a model.
+func (s *serviceState) reserve(model config.Model, servers []fleet.Server) {
+	if s.reservedFor == nil {
+		s.reservedFor = map[string]string{}
 	}
 	for _, server := range servers {
-		l.kept[server.ID] = model.Name
+		s.reservedFor[server.ID] = model.Name
 	}
-	l.forgetChoices(servers[0].Domain)
+	s.invalidateChoices(servers[0].Domain)
 }
 
-// forgetChoices forgets what was chosen in a domain.
-func (l *layout) forgetChoices(domain string) {
-	for _, model := range l.service.Engine.Models {
-		delete(l.choices, choiceKey{
+// invalidateChoices forgets what was chosen in a domain.
+func (s *serviceState) invalidateChoices(domain string) {
+	for _, model := range s.service.Engine.Models {
+		delete(s.cachedChoices, domainModel{
 			domain: domain,
 			model:  model.Name,
 		})
@@ -201,25 +201,25 @@
 }
 
 // take makes servers of a domain members of a group.
-func (l *layout) take(domain string, members []string) {
-	l.free[domain] = slices.DeleteFunc(l.free[domain], func(server fleet.Server) bool {
+func (s *serviceState) removeFree(domain string, members []string) {
+	s.freeServers[domain] = slices.DeleteFunc(s.freeServers[domain], func(server fleet.Server) bool {
 		return slices.Contains(members, server.ID)
 	})
-	l.forgetChoices(domain)
+	s.invalidateChoices(domain)
 }
 
 // add counts a group.
-func (l *layout) add(domain, model string) {
-	l.live[model]++
-	if l.inDomain[domain] == nil {
-		l.inDomain[domain] = map[string]int{}
+func (s *serviceState) countGroup(domain, model string) {
+	s.liveGroups[model]++
+	if s.liveInDomain[domain] == nil {
+		s.liveInDomain[domain] = map[string]int{}
 	}
-	l.inDomain[domain][model]++
+	s.liveInDomain[domain][model]++
 }
 
-// addWarming counts a server that loads a model to be free again.
-func (l *layout) addWarming(domain, model string) {
-	l.warming[choiceKey{
+// countWarmUp counts a server that loads a model to be free again.
+func (s *serviceState) countWarmUp(domain, model string) {
+	s.warmingServers[domainModel{
 		domain: domain,
 		model:  model,
 	}]++
@@ -229,24 +229,24 @@
 // group that could still serve, it did not fail to answer lately, and it is not
 // slow.
 func (c *Controller) isFree(server fleet.Server, plan *Plan) bool {
-	if time.Now().Before(c.late[server.ID]) {
+	if time.Now().Before(c.excludedUntil[server.ID]) {
 		return false
 	}
-	if !c.isWell(server) {
-		if time.Since(c.signs[server.ID].asked) > probeUnfitAgain {
+	if !c.isHealthy(server) {
+		if time.Since(c.probeStates[server.ID].sentAt) > unhealthyProbeInterval {
 			c.probe(server, plan)
 		}
 		return false
 	}
-	return server.Membership.State == fleet.NoGroup || c.isClosed(server.Membership)
+	return server.Membership.State == fleet.NoGroup || c.isOfClosedGroup(server.Membership)
 }
 
-// keepsLacking tells whether a server's host keeps the weights of a model that lacks
+// keepsNeededWeights tells whether a server's host keeps the weights of a model that lacks
 // groups, and the server could not join one without them.
-func (l *layout) keepsLacking(server fleet.Server) bool {
+func (s *serviceState) keepsNeededWeights(server fleet.Server) bool {
 	for _, staged := range server.Staged {
-		model, ok := l.service.Engine.Model(staged)
-		if ok && l.isLacking(model) && !server.CanRejoin(staged) {
+		model, ok := s.service.Engine.Model(staged)
+		if ok && s.isBelowTarget(model) && !server.CanRejoin(staged) {
 			return true
 		}
 	}
@@ -255,17 +255,17 @@
 
 // taken returns the servers that are members of a group that has a record, or is
 // about to have one.
-func (c *Controller) taken() map[string]bool {
-	taken := map[string]bool{}
+func (c *Controller) assignedServers() map[string]bool {
+	assigned := map[string]bool{}
 	for _, g := range c.groups {
 		for _, id := range g.record.Members {
-			taken[id] = true
+			assigned[id] = true
 		}
 	}
-	for _, record := range c.creating {
+	for _, record := range c.pendingRecords {
 		for _, id := range record.Members {
-			taken[id] = true
+			assigned[id] = true
 		}
 	}
-	return taken
+	return assigned
 }
--- a/core/assembly/plan.go
+++ b/core/assembly/plan.go
@@ -28,15 +28,15 @@
 // Cut returns the part of the plan's changes of records that fits a transaction of
 // so many rows, and the rest. A removed group takes two rows: its record and what
 // daemons told of it.
-func (p Plan) Cut(rows int) (first, rest Plan) {
+func (p Plan) Cut(maxRows int) (first, rest Plan) {
 	const rowsOfRemoved = 2
-	create := min(len(p.Create), rows)
-	rows -= create
-	remove := min(len(p.Remove), rows/rowsOfRemoved)
-	rows -= remove * rowsOfRemoved
-	cleared := min(len(p.Cleared), rows)
-	rows -= cleared
-	recent := min(len(p.Recent), rows)
+	create := min(len(p.Create), maxRows)
+	maxRows -= create
+	remove := min(len(p.Remove), maxRows/rowsOfRemoved)
+	maxRows -= remove * rowsOfRemoved
+	cleared := min(len(p.Cleared), maxRows)
+	maxRows -= cleared
+	recent := min(len(p.Recent), maxRows)
 	first = Plan{
 		Create:  p.Create[:create],
 		Remove:  p.Remove[:remove],
--- a/core/assembly/plan_test.go
+++ b/core/assembly/plan_test.go
@@ -13,7 +13,7 @@
 // Found by the sweep: with 3,002 servers the first plan creates 400 groups, more
 // than one transaction of the store holds; it was refused again and again, and no
 // group ever formed.
-func TestChangesAreCutToWhatATransactionHolds(t *testing.T) {
+func TestPlanIsSplitToTransactionSize(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var plan assembly.Plan
 		for i := range rapid.IntRange(0, 30).Draw(rt, "create") {
--- a/core/assembly/recent.go
+++ b/core/assembly/recent.go
@@ -33,10 +33,10 @@
 	return recent, errors.Wrap(err, "decode recent models of a domain")
 }
 
-// noteRecent adds to the plan what the servers of a group's domain loaded last. It is
+// planRecentModels adds to the plan what the servers of a group's domain loaded last. It is
 // written with the removal of the group, after which they do not tell it any more.
-func noteRecent(record Record, world World, plan *Plan) {
-	domain, ok := domainOf(record, world)
+func planRecentModels(record Record, input World, plan *Plan) {
+	domain, ok := groupDomain(record, input)
 	if !ok {
 		return
 	}
@@ -44,7 +44,7 @@
 		Domain: domain,
 		Models: map[string]string{},
 	}
-	for _, server := range world.Fleet.Servers() {
+	for _, server := range input.Fleet.Servers() {
 		if server.Domain == domain && server.Recent != "" {
 			recent.Models[server.Start()] = server.Recent
 		}
@@ -52,10 +52,10 @@
 	plan.Recent = append(plan.Recent, recent)
 }
 
-// domainOf returns the domain of a group's members, by the first one that is known.
-func domainOf(record Record, world World) (string, bool) {
+// groupDomain returns the domain of a group's members, by the first one that is known.
+func groupDomain(record Record, input World) (string, bool) {
 	for _, id := range record.Members {
-		if server, ok := world.Fleet.Known(id); ok {
+		if server, ok := input.Fleet.Known(id); ok {
 			return server.Domain, true
 		}
 	}
--- a/core/assembly/restore_test.go
+++ b/core/assembly/restore_test.go
@@ -27,14 +27,14 @@
 func (s *simFleet) snapshot() simSnapshot {
 	return simSnapshot{
 		records: maps.Clone(s.records),
-		recent:  maps.Clone(s.recent),
+		recent:  maps.Clone(s.recentModels),
 		epoch:   s.epoch,
 	}
 }
 
-// emptyStore returns a copy of the store from before the first group.
-func emptyStore(domains int) simSnapshot {
-	return newSim(domains).snapshot()
+// emptySnapshot returns a copy of the store from before the first group.
+func emptySnapshot(domains int) simSnapshot {
+	return newSimFleet(domains).snapshot()
 }
 
 // restore replaces the store by a copy, in a new era, and returns the new leader: the lease
@@ -43,14 +43,14 @@
 	s.era++
 	s.epoch = from.epoch
 	s.records = maps.Clone(from.records)
-	s.recent = maps.Clone(from.recent)
-	return s.restart()
+	s.recentModels = maps.Clone(from.recent)
+	return s.restartDaemons()
 }
 
 // epochs returns the epochs of all records, in their order.
-func (s *simFleet) epochs() []int64 {
+func (s *simFleet) recordEpochs() []int64 {
 	var epochs []int64
-	for _, record := range s.stored() {
+	for _, record := range s.storedRecords() {
 		epochs = append(epochs, record.Epoch)
 	}
 	slices.Sort(epochs)
@@ -58,66 +58,66 @@
 }
 
 // members returns the members of all open groups, by group.
-func (s *simFleet) members() map[string][]string {
+func (s *simFleet) openMembers() map[string][]string {
 	members := map[string][]string{}
-	for _, one := range s.servers {
-		if one.state == fleet.Open {
-			members[one.group] = one.members
+	for _, server := range s.servers {
+		if server.state == fleet.Open {
+			members[server.group] = server.members
 		}
 	}
 	return members
 }
 
 // Guards against groups that serve being sent away since the store has lost their records.
-func TestGroupsThatServeGoOnWithoutTheirRecords(t *testing.T) {
+func TestServingGroupsSurviveLossOfTheirRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(3)
-		before := emptyStore(3)
-		large, small, epochs := s.serving("large"), s.serving("small"), s.epochs()
+		s, _ := newStartedFleet(3)
+		before := emptySnapshot(3)
+		large, small, epochs := s.countServing("large"), s.countServing("small"), s.recordEpochs()
 		qt.Assert(t, large > 0 && small > 0, qt.IsTrue)
 
 		c := s.restore(before)
-		members := s.members()
-		settle(s, c, false, 20*time.Second)
-		qt.Assert(t, s.serving("large"), qt.Equals, large)
-		qt.Assert(t, s.serving("small"), qt.Equals, small)
-		qt.Assert(t, s.members(), qt.DeepEquals, members)
-		for _, epoch := range s.epochs() {
+		members := s.openMembers()
+		runFor(s, c, false, 20*time.Second)
+		qt.Assert(t, s.countServing("large"), qt.Equals, large)
+		qt.Assert(t, s.countServing("small"), qt.Equals, small)
+		qt.Assert(t, s.openMembers(), qt.DeepEquals, members)
+		for _, epoch := range s.recordEpochs() {
 			qt.Assert(t, slices.Contains(epochs, epoch), qt.IsTrue)
 		}
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
 // Guards against an adopted group that a later leader does not know by its epoch.
-func TestAdoptedGroupsAreKnownToTheNextLeader(t *testing.T) {
+func TestNextLeaderKeepsAdoptedGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(3)
-		before := emptyStore(3)
-		large := s.serving("large")
-		settle(s, s.restore(before), false, 5*time.Second)
-		members := s.members()
-		settle(s, s.restart(), false, 20*time.Second)
-		qt.Assert(t, s.members(), qt.DeepEquals, members)
-		qt.Assert(t, s.serving("large"), qt.Equals, large)
+		s, _ := newStartedFleet(3)
+		before := emptySnapshot(3)
+		large := s.countServing("large")
+		runFor(s, s.restore(before), false, 5*time.Second)
+		members := s.openMembers()
+		runFor(s, s.restartDaemons(), false, 20*time.Second)
+		qt.Assert(t, s.openMembers(), qt.DeepEquals, members)
+		qt.Assert(t, s.countServing("large"), qt.Equals, large)
 	})
 }
 
 // Guards against members of newer groups being disturbed by a record that a restore brings back.
-func TestRecordThatIsBackHarmsNoNewerGroup(t *testing.T) {
+func TestRestoredRecordDoesNotDisturbNewerGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(3)
+		s, c := newStartedFleet(3)
 		before := s.snapshot()
-		s.killMember(c, headOf(s, "large"), 1)
-		settle(s, c, false, 20*time.Second)
-		large, small := s.serving("large"), s.serving("small")
+		s.killMember(c, openHeadOf(s, "large"), 1)
+		runFor(s, c, false, 20*time.Second)
+		large, small := s.countServing("large"), s.countServing("small")
 
 		c = s.restore(before)
-		settle(s, c, false, 30*time.Second)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large") >= large, qt.IsTrue)
-		qt.Assert(t, s.serving("small") >= small, qt.IsTrue)
-		for _, record := range s.stored() {
+		runFor(s, c, false, 30*time.Second)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large") >= large, qt.IsTrue)
+		qt.Assert(t, s.countServing("small") >= small, qt.IsTrue)
+		for _, record := range s.storedRecords() {
 			head := s.servers[record.Members[0]]
 			qt.Assert(t, head.group, qt.Equals, record.Name)
 			qt.Assert(t, head.epoch, qt.Equals, record.Epoch)
@@ -127,30 +127,30 @@
 
 // Guards against a group that forms on under an epoch of a former era, for which orders may
 // still be on their way.
-func TestGroupOfAFormerEraIsNotFormedOn(t *testing.T) {
+func TestFormingGroupOfFormerEraIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(3)
-		former := s.serving("small")
-		s.killMember(c, headOf(s, "small"), 1)
+		s, c := newStartedFleet(3)
+		previous := s.countServing("small")
+		s.killMember(c, openHeadOf(s, "small"), 1)
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end) && !s.isForming(); {
-			s.run(c, false, promptly)
+			s.step(c, false, deliverPromptly)
 			s.tick()
 		}
 		qt.Assert(t, s.isForming(), qt.IsTrue)
-		forming := s.epochs()[len(s.records)-1]
+		forming := s.recordEpochs()[len(s.records)-1]
 
 		c = s.restore(s.snapshot())
-		settle(s, c, false, 30*time.Second)
-		qt.Assert(t, slices.Contains(s.epochs(), forming), qt.IsFalse)
-		qt.Assert(t, s.serving("small"), qt.Equals, former)
-		qt.Assert(t, s.violated, qt.HasLen, 0)
+		runFor(s, c, false, 30*time.Second)
+		qt.Assert(t, slices.Contains(s.recordEpochs(), forming), qt.IsFalse)
+		qt.Assert(t, s.countServing("small"), qt.Equals, previous)
+		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
 // isForming tells whether a server joins a group.
 func (s *simFleet) isForming() bool {
-	for _, one := range s.servers {
-		if one.state == fleet.Joining {
+	for _, server := range s.servers {
+		if server.state == fleet.Joining {
 			return true
 		}
 	}
@@ -158,25 +158,25 @@
 }
 
 // Guards against epochs that are given out again after a restore.
-func TestEpochsRiseOverARestore(t *testing.T) {
+func TestEpochsIncreaseAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(3)
-		before := emptyStore(3)
-		highest := s.epochs()[len(s.records)-1]
+		s, _ := newStartedFleet(3)
+		before := emptySnapshot(3)
+		highest := s.recordEpochs()[len(s.records)-1]
 		c := s.restore(before)
-		s.killMember(c, s.anyOpen("large"), 1)
-		settle(s, c, false, 20*time.Second)
-		newest := s.epochs()[len(s.records)-1]
+		s.killMember(c, s.anyOpenHead("large"), 1)
+		runFor(s, c, false, 20*time.Second)
+		newest := s.recordEpochs()[len(s.records)-1]
 		qt.Assert(t, newest > highest, qt.IsTrue)
 		qt.Assert(t, rowstore.EraOf(newest), qt.Equals, int64(1))
 	})
 }
 
-// anyOpen returns the head of some open group of a model, whether it has a record or not.
-func (s *simFleet) anyOpen(model string) *simServer {
+// anyOpenHead returns the head of some open group of a model, whether it has a record or not.
+func (s *simFleet) anyOpenHead(model string) *simServer {
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
-		if one := s.servers[id]; one.state == fleet.Open && one.model == model {
-			return one
+		if server := s.servers[id]; server.state == fleet.Open && server.model == model {
+			return server
 		}
 	}
 	return nil
@@ -186,26 +186,26 @@
 // and then twice in a row, and a leader of the former era still gives orders.
 func TestFuzzWithRestores(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
-		s, c := started(3)
+		s, c := newStartedFleet(3)
 		snapshot := s.snapshot()
-		drill := func(c *assembly.Controller) *assembly.Controller {
+		restoreAtRandom := func(c *assembly.Controller) *assembly.Controller {
 			switch rapid.IntRange(0, 40).Draw(rt, "drill") {
 			case 0, 1, 2:
 				snapshot = s.snapshot()
 			case 3, 4:
-				s.orderOnly(c, promptly)
+				s.deliverOrdersOnly(c, deliverPromptly)
 				return s.restore(snapshot)
 			}
 			return c
 		}
-		fuzzFleetWith(rt, s, c, 300, drill)
+		runRandomFaultsWith(rt, s, c, 300, restoreAtRandom)
 	})
 }
 
-// orderOnly has a leader decide once whose lease is lost: its orders are carried out, its
+// deliverOrdersOnly has a leader decide once whose lease is lost: its orders are carried out, its
 // changes of records are not.
-func (s *simFleet) orderOnly(c *assembly.Controller, fateOf func(assembly.Order) fate) {
-	records, recent, epoch := maps.Clone(s.records), maps.Clone(s.recent), s.epoch
-	s.run(c, false, fateOf)
-	s.records, s.recent, s.epoch = records, recent, epoch
+func (s *simFleet) deliverOrdersOnly(c *assembly.Controller, deliveryOf func(assembly.Order) delivery) {
+	records, recent, epoch := maps.Clone(s.records), maps.Clone(s.recentModels), s.epoch
+	s.step(c, false, deliveryOf)
+	s.records, s.recentModels, s.epoch = records, recent, epoch
 }
--- a/core/assembly/second.go
+++ b/core/assembly/second.go
@@ -14,26 +14,26 @@
 // Whenever it joins, its host keeps that group's model again, in place of the other,
 // which is loaded anew.
 
-// stageSeconds has servers whose hosts keep only what they have loaded load the
+// stageSecondModels has servers whose hosts keep only what they have loaded load the
 // weights of a second model. Loads take long and few run at once, so servers go first
 // whose domains have the fewest that could change: after a loss of one member all others
 // of its group load anew, and by turns of their names one domain had twelve such servers
 // and the next none.
-func (c *Controller) stageSeconds(at *layout, world World, plan *Plan) {
+func (c *Controller) stageSecondModels(state *serviceState, input World, plan *Plan) {
 	var waiting []fleet.Server
-	for _, server := range world.Fleet.Servers() {
-		if world.isMaterial(server, at.service.Name) && !c.isStaging(server) && hasRoomForSecond(server, at.service.Engine) {
+	for _, server := range input.Fleet.Servers() {
+		if input.isEligible(server, state.service.Name) && !c.isStaging(server) && canStageSecondModel(server, state.service.Engine) {
 			waiting = append(waiting, server)
 		}
 	}
-	for c.mayStage(at.service.Engine, forSecond, world) {
-		chosen, model := at.nextSecond(waiting)
+	for c.mayStage(state.service.Engine, forSecond, input) {
+		chosen, model := state.nextSecondModel(waiting)
 		if chosen < 0 {
 			return
 		}
 		server := waiting[chosen]
-		c.stage(server, model, at.service.Engine, forSecond, world, plan)
-		at.holders[choiceKey{
+		c.orderStage(server, model, state.service.Engine, forSecond, input, plan)
+		state.holders[domainModel{
 			domain: server.Domain,
 			model:  model.Name,
 		}]++
@@ -41,13 +41,13 @@
 	}
 }
 
-// nextSecond returns the place of the server that should load a second model next, and the
+// nextSecondModel returns the place of the server that should load a second model next, and the
 // model; -1: none should.
-func (l *layout) nextSecond(waiting []fleet.Server) (int, config.Model) {
+func (s *serviceState) nextSecondModel(waiting []fleet.Server) (int, config.Model) {
 	best, bestScore := -1, 0.0
 	var bestModel config.Model
 	for i, server := range waiting {
-		model, score := l.second(server)
+		model, score := s.scarcestSecondModel(server)
 		if score > bestScore {
 			best, bestScore, bestModel = i, score, model
 		}
@@ -55,9 +55,9 @@
 	return best, bestModel
 }
 
-// hasRoomForSecond tells whether a server has loaded a model, is not loading one, and
+// canStageSecondModel tells whether a server has loaded a model, is not loading one, and
 // its host keeps fewer other models than it could.
-func hasRoomForSecond(server fleet.Server, engine *config.Engine) bool {
+func canStageSecondModel(server fleet.Server, engine *config.Engine) bool {
 	if server.Recent == "" || server.Membership.State == fleet.Joining {
 		return false
 	}
@@ -72,14 +72,14 @@
 
 // second returns the model that the fewest servers of a server's domain could change
 // to, for the work that it has there, and how much it is worth; 0: none.
-func (l *layout) second(server fleet.Server) (config.Model, float64) {
+func (s *serviceState) scarcestSecondModel(server fleet.Server) (config.Model, float64) {
 	var best config.Model
 	bestScore := 0.0
-	for _, model := range l.service.Engine.Models {
+	for _, model := range s.service.Engine.Models {
 		if server.CanRejoin(model.Name) || server.HasStaged(model.Name) {
 			continue
 		}
-		holders := l.holders[choiceKey{
+		holders := s.holders[domainModel{
 			domain: server.Domain,
 			model:  model.Name,
 		}]
--- a/core/assembly/signs.go
+++ b/core/assembly/signs.go
@@ -8,17 +8,17 @@
 
 // Figures of probes.
 const (
-	// probeAgain is the time between two probes of one server.
-	probeAgain = 120 * time.Millisecond
-	// probeUnfitAgain is the same for a free server that did not answer or is slow.
-	probeUnfitAgain = time.Second
-	// probeValid is how long a sign of life counts.
-	probeValid = time.Second
-	// aliveFor is how long a sign of life counts where a group is formed.
-	aliveFor = 3 * time.Second
+	// probeInterval is the time between two probes of one server.
+	probeInterval = 120 * time.Millisecond
+	// unhealthyProbeInterval is the same for a free server that did not answer or is slow.
+	unhealthyProbeInterval = time.Second
+	// probeResultTTL is how long a sign of life counts.
+	probeResultTTL = time.Second
+	// formProbeTTL is how long a sign of life counts where a group is formed.
+	formProbeTTL = 3 * time.Second
 	// silences is how many probes in a row must be silent for a server to count
 	// as dead.
-	silences = 2
+	deadAfterUnanswered = 2
 )
 
 // Sign is a sign of life of a server, or its lack.
@@ -45,109 +45,109 @@
 	Pace float64
 }
 
-// slowPace is the pace from which a server counts as slow: a stream's first event
+// slowThreshold is the pace from which a server counts as slow: a stream's first event
 // then takes longer than its goal, and its pauses nearly so.
-const slowPace = 2
+const slowThreshold = 2
 
 // IsSlow tells whether the server answered and works much slower than usual.
 func (f Found) IsSlow() bool {
-	return f.Sign == Alive && f.Pace >= slowPace
+	return f.Sign == Alive && f.Pace >= slowThreshold
 }
 
 // sign is what the last probes of a server found.
-type sign struct {
-	last   Sign
-	isSlow bool
+type probeState struct {
+	lastSign Sign
+	isSlow   bool
 	// at is when a probe last told something, asked when one was last sent.
-	at    time.Time
-	asked time.Time
+	resultAt time.Time
+	sentAt   time.Time
 	// silences counts the probes since the last sign of life.
-	silences int
+	unanswered int
 }
 
 // Probed notes what a probe of a server found.
 func (c *Controller) Probed(id string, found Found) {
-	if c.signs == nil {
-		c.signs = map[string]sign{}
+	if c.probeStates == nil {
+		c.probeStates = map[string]probeState{}
 	}
-	former := c.signs[id]
-	next := sign{
-		last:   found.Sign,
-		isSlow: found.IsSlow(),
-		at:     time.Now(),
-		asked:  former.asked,
+	previous := c.probeStates[id]
+	next := probeState{
+		lastSign: found.Sign,
+		isSlow:   found.IsSlow(),
+		resultAt: time.Now(),
+		sentAt:   previous.sentAt,
 	}
 	if found.Sign != Alive {
-		next.silences = former.silences + 1
+		next.unanswered = previous.unanswered + 1
 	}
-	c.signs[id] = next
+	c.probeStates[id] = next
 }
 
 // probe asks for a sign of life, not too often.
 func (c *Controller) probe(server fleet.Server, plan *Plan) {
-	if c.signs == nil {
-		c.signs = map[string]sign{}
+	if c.probeStates == nil {
+		c.probeStates = map[string]probeState{}
 	}
-	known := c.signs[server.ID]
-	if time.Since(known.asked) < probeAgain {
+	state := c.probeStates[server.ID]
+	if time.Since(state.sentAt) < probeInterval {
 		return
 	}
-	known.asked = time.Now()
-	c.signs[server.ID] = known
+	state.sentAt = time.Now()
+	c.probeStates[server.ID] = state
 	plan.Probes = append(plan.Probes, server)
 }
 
 // isDead tells whether a server's recent signs say that it is gone; isKnown
 // whether there are recent signs.
 func (c *Controller) isDead(id string) (isDead, isKnown bool) {
-	known := c.signs[id]
-	if known.at.IsZero() || time.Since(known.at) > probeValid {
+	state := c.probeStates[id]
+	if state.resultAt.IsZero() || time.Since(state.resultAt) > probeResultTTL {
 		return false, false
 	}
-	switch known.last {
+	switch state.lastSign {
 	case Alive:
 		return false, true
 	case Refused:
 		return true, true
 	default:
-		return known.silences >= silences, known.silences >= silences
+		return state.unanswered >= deadAfterUnanswered, state.unanswered >= deadAfterUnanswered
 	}
 }
 
-// hasAnswered tells whether a server answered so lately that it need not be asked again
+// hasAnsweredRecently tells whether a server answered so lately that it need not be asked again
 // yet. Where many servers are cut off from the store alone, a leader on a small VM that asks
 // all of them at each step gets their answers too late, and ends groups that work.
-func (c *Controller) hasAnswered(id string) bool {
-	known := c.signs[id]
-	return known.last == Alive && time.Since(known.at) < probeValid/2
+func (c *Controller) hasAnsweredRecently(id string) bool {
+	state := c.probeStates[id]
+	return state.lastSign == Alive && time.Since(state.resultAt) < probeResultTTL/2
 }
 
-// areAlive tells whether all servers answered a probe lately; others are asked, and
+// haveAllAnswered tells whether all servers answered a probe lately; others are asked, and
 // the answer is there some milliseconds later. An entry may be of a server that died
 // while the store was away, and a group with such a member is found out only seconds later.
-func (c *Controller) areAlive(servers []fleet.Server, plan *Plan) bool {
-	areAlive := true
+func (c *Controller) haveAllAnswered(servers []fleet.Server, plan *Plan) bool {
+	haveAnswered := true
 	for _, server := range servers {
-		known := c.signs[server.ID]
-		if known.last != Alive || time.Since(known.at) > aliveFor {
+		state := c.probeStates[server.ID]
+		if state.lastSign != Alive || time.Since(state.resultAt) > formProbeTTL {
 			c.probe(server, plan)
-			areAlive = false
+			haveAnswered = false
 		}
 	}
-	return areAlive
+	return haveAnswered
 }
 
-// isRefused tells whether nothing listened at a server's address just now, or
+// isRefusedRecently tells whether nothing listened at a server's address just now, or
 // another server did.
-func (c *Controller) isRefused(id string) bool {
-	known := c.signs[id]
-	return known.last == Refused && time.Since(known.at) < probeValid
+func (c *Controller) isRefusedRecently(id string) bool {
+	state := c.probeStates[id]
+	return state.lastSign == Refused && time.Since(state.resultAt) < probeResultTTL
 }
 
-// isWell tells whether a server answered its last probe, or was not asked, and is not
+// isHealthy tells whether a server answered its last probe, or was not asked, and is not
 // slow.
-func (c *Controller) isWell(server fleet.Server) bool {
-	known := c.signs[server.ID]
-	isSilent := known.last != Alive && known.silences >= silences
-	return !isSilent && !known.isSlow
+func (c *Controller) isHealthy(server fleet.Server) bool {
+	state := c.probeStates[server.ID]
+	isSilent := state.lastSign != Alive && state.unanswered >= deadAfterUnanswered
+	return !isSilent && !state.isSlow
 }
--- a/core/assembly/sim_test.go
+++ b/core/assembly/sim_test.go
@@ -15,16 +15,16 @@
 
 // Times of the simulated fleet, as the platform's pages give them.
 const (
-	simStep   = 50 * time.Millisecond
-	simLapse  = 3600 * time.Millisecond
-	simStall  = 5 * time.Second
-	simForm   = 300 * time.Millisecond
-	simLoad   = 12 * time.Second
-	simWarm   = 1500 * time.Millisecond
-	simRejoin = 200 * time.Millisecond
-	simLeave  = 10 * time.Second
-	// simToken is the time in which each request gets one more token.
-	simToken = 10 * time.Millisecond
+	simStep         = 50 * time.Millisecond
+	simEntryExpiry  = 3600 * time.Millisecond
+	simStallTimeout = 5 * time.Second
+	simForm         = 300 * time.Millisecond
+	simLoad         = 12 * time.Second
+	simStagedLoad   = 1500 * time.Millisecond
+	simRejoin       = 200 * time.Millisecond
+	simShutdownTime = 10 * time.Second
+	// simTokenTime is the time in which each request gets one more token.
+	simTokenTime = 10 * time.Millisecond
 )
 
 // simFleet is a fleet with a store of records. It checks what must always hold:
@@ -32,74 +32,74 @@
 // and no server joins a group while the head of its own group, which it has not
 // left, serves or stands still.
 type simFleet struct {
-	config   *config.Config
-	servers  map[string]*simServer
-	records  map[string]assembly.Record
-	epoch    int64
-	era      int64
-	next     int
-	late     []lateOrder
-	violated []string
-	view     fleet.View
-	orders   map[string]int
+	config        *config.Config
+	servers       map[string]*simServer
+	records       map[string]assembly.Record
+	epoch         int64
+	era           int64
+	serverNumber  int
+	delayedOrders []delayedOrder
+	violations    []string
+	view          fleet.View
+	orderCounts   map[string]int
 	// recent is what the store tells of the models that servers loaded last.
-	recent map[string]string
+	recentModels map[string]string
 	// probes counts the probes.
-	probes int
+	probeCount int
 	// cleared counts how often the suspicion of a group was dropped.
-	cleared map[string]int
+	clearedCounts map[string]int
 	// asked is what callers ask of each model, in requests of 100 tokens; one that is not
 	// there is not known.
-	asked map[string]usage.Rate
+	demand map[string]usage.Rate
 	// zones are the zones of domains, evacuated those that are evacuated. A join there is a
 	// violation.
-	zones     map[string]string
-	evacuated evacuation.Zones
+	zoneOfDomain map[string]string
+	evacuated    evacuation.Zones
 	// isIdle tells that no client has sent a request yet.
 	isIdle bool
 }
 
-// lateOrder is an order that is carried out later.
-type lateOrder struct {
+// delayedOrder is an order that is carried out later.
+type delayedOrder struct {
 	order assembly.Order
-	at    time.Time
+	dueAt time.Time
 }
 
-// newSim returns a fleet of domains with serversOfDomain servers each.
-func newSim(domains int) *simFleet {
-	return newSimOf(simConfig(), domains, serversOfDomain)
+// newSimFleet returns a fleet of domains with serversPerDomain servers each.
+func newSimFleet(domains int) *simFleet {
+	return newSimFleetWith(simConfig(), domains, serversPerDomain)
 }
 
-// newSimOf returns a fleet of domains of some size that serves a configuration.
-func newSimOf(known *config.Config, domains, servers int) *simFleet {
+// newSimFleetWith returns a fleet of domains of some size that serves a configuration.
+func newSimFleetWith(cfg *config.Config, domains, servers int) *simFleet {
 	s := &simFleet{
-		config:  known,
-		servers: map[string]*simServer{},
-		records: map[string]assembly.Record{},
-		epoch:   10,
-		orders:  map[string]int{},
-		recent:  map[string]string{},
-		cleared: map[string]int{},
-		asked:   map[string]usage.Rate{},
+		config:        cfg,
+		servers:       map[string]*simServer{},
+		records:       map[string]assembly.Record{},
+		epoch:         10,
+		orderCounts:   map[string]int{},
+		recentModels:  map[string]string{},
+		clearedCounts: map[string]int{},
+		demand:        map[string]usage.Rate{},
 	}
 	for d := range domains {
 		for range servers {
-			s.add(fmt.Sprintf("d%d", d), "")
+			s.addServer(fmt.Sprintf("d%d", d), "")
 		}
 	}
 	return s
 }
 
 // add starts a server in a domain whose host keeps a model's weights.
-func (s *simFleet) add(domain, staged string) {
-	s.next++
-	one := &simServer{
-		id:       fmt.Sprintf("i-%03d", s.next),
+func (s *simFleet) addServer(domain, staged string) {
+	s.serverNumber++
+	server := &simServer{
+		id:       fmt.Sprintf("i-%03d", s.serverNumber),
 		domain:   domain,
 		staged:   staged,
 		wasReady: map[string]bool{},
 	}
-	s.servers[one.id] = one
+	s.servers[server.id] = server
 }
 
 // simConfig is a service of two models, of four and of two servers.
@@ -111,7 +111,7 @@
 				Name: "engines",
 				Engine: &config.Engine{
 					Capacity:       26,
-					Step:           simToken,
+					Step:           simTokenTime,
 					LoadsPerSecond: 4,
 					LoadsAtOnce:    6,
 					StagedModels:   1,
@@ -121,14 +121,14 @@
 							Size:  4,
 							Share: 0.67,
 							Load:  simLoad,
-							Warm:  simWarm,
+							Warm:  simStagedLoad,
 						},
 						{
 							Name:  "small",
 							Size:  2,
 							Share: 0.33,
 							Load:  simLoad,
-							Warm:  simWarm,
+							Warm:  simStagedLoad,
 						},
 					},
 				},
@@ -142,27 +142,27 @@
 func (s *simFleet) tick() {
 	time.Sleep(simStep)
 	now := time.Now()
-	for _, one := range s.servers {
-		if one.state == fleet.Joining && now.After(one.dueAt) {
-			one.state = fleet.Ready
-			one.loaded = one.model
-			one.staged = one.model
-			one.wasReady[fmt.Sprintf("%s/%d", one.group, one.epoch)] = true
+	for _, server := range s.servers {
+		if server.state == fleet.Joining && now.After(server.readyAt) {
+			server.state = fleet.Ready
+			server.loaded = server.model
+			server.staged = server.model
+			server.wasReady[fmt.Sprintf("%s/%d", server.group, server.epoch)] = true
 		}
-		if !one.stagedAt.IsZero() && now.After(one.stagedAt) {
-			one.staged = one.staging
-			one.stagedAt = time.Time{}
+		if !server.stageDoneAt.IsZero() && now.After(server.stageDoneAt) {
+			server.staged = server.stagingModel
+			server.stageDoneAt = time.Time{}
 		}
-		if one.isDeaf && now.After(one.endsAt) && !one.endsAt.IsZero() {
-			one.isDead = true
+		if server.hasStoppedListening && now.After(server.exitsAt) && !server.exitsAt.IsZero() {
+			server.isDead = true
 		}
-		s.breakStill(one)
+		s.breakStalled(server)
 	}
-	due := s.late
-	s.late = nil
+	due := s.delayedOrders
+	s.delayedOrders = nil
 	for _, late := range due {
-		if now.Before(late.at) {
-			s.late = append(s.late, late)
+		if now.Before(late.dueAt) {
+			s.delayedOrders = append(s.delayedOrders, late)
 			continue
 		}
 		s.apply(late.order)
@@ -170,25 +170,25 @@
 }
 
 // look returns the fleet as its entries show it.
-func (s *simFleet) look() fleet.View {
+func (s *simFleet) observe() fleet.View {
 	now := time.Now()
 	var entries []fleet.Server
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
-		one := s.servers[id]
-		if one.isDead && now.Sub(one.goneAt) > simLapse {
+		server := s.servers[id]
+		if server.isDead && now.Sub(server.diedAt) > simEntryExpiry {
 			continue
 		}
-		if (one.isDeaf && !one.isStale) || (one.isCut && now.Sub(one.cutAt) > simLapse) {
+		if (server.hasStoppedListening && !server.hasStaleEntry) || (server.isCutOff && now.Sub(server.cutOffAt) > simEntryExpiry) {
 			continue
 		}
-		if one.isDead || one.isCut || one.isStale {
+		if server.isDead || server.isCutOff || server.hasStaleEntry {
 			// The entry stays as it was.
-			if former, ok := s.view.Server(id); ok {
-				entries = append(entries, former)
+			if previous, ok := s.view.Server(id); ok {
+				entries = append(entries, previous)
 			}
 			continue
 		}
-		entries = append(entries, s.entry(one))
+		entries = append(entries, s.entryOf(server))
 	}
 	s.epoch++
 	s.view = s.view.WithAll(s.epoch, entries, now)
@@ -196,29 +196,29 @@
 }
 
 // entry returns a server's entry.
-func (s *simFleet) entry(one *simServer) fleet.Server {
+func (s *simFleet) entryOf(server *simServer) fleet.Server {
 	entry := fleet.Server{
-		ID:       one.id,
-		Born:     one.born,
+		ID:       server.id,
+		Born:     server.born,
 		Service:  "engines",
 		Address:  "10.0.0.1:1",
-		Zone:     s.zones[one.domain],
-		Domain:   one.domain,
-		Draining: one.drains,
+		Zone:     s.zoneOfDomain[server.domain],
+		Domain:   server.domain,
+		Draining: server.isDraining,
 		IsEngine: true,
 	}
-	if one.loaded != "" && one.state > fleet.Joining {
-		entry.Models = []string{one.loaded}
+	if server.loaded != "" && server.state > fleet.Joining {
+		entry.Models = []string{server.loaded}
 	}
-	if one.staged != "" {
-		entry.Staged = []string{one.staged}
+	if server.staged != "" {
+		entry.Staged = []string{server.staged}
 	}
-	if one.state != fleet.NoGroup {
+	if server.state != fleet.NoGroup {
 		entry.Membership = fleet.Membership{
-			Group: one.group,
-			Epoch: one.epoch,
-			Rank:  slices.Index(one.members, one.id),
-			State: one.state,
+			Group: server.group,
+			Epoch: server.epoch,
+			Rank:  slices.Index(server.members, server.id),
+			State: server.state,
 		}
 	}
 	return entry
@@ -226,30 +226,30 @@
 
 // probe returns what a probe of a server finds.
 func (s *simFleet) probe(server fleet.Server) assembly.Found {
-	one := s.servers[server.ID]
-	if one == nil || one.isDead {
+	simulated := s.servers[server.ID]
+	if simulated == nil || simulated.isDead {
 		return assembly.Found{
 			Sign: assembly.Silent,
 		}
 	}
-	if one.isDeaf || one.born != server.Born {
+	if simulated.hasStoppedListening || simulated.born != server.Born {
 		return assembly.Found{
 			Sign: assembly.Refused,
 		}
 	}
 	return assembly.Found{
 		Sign: assembly.Alive,
-		Pace: one.pace,
+		Pace: simulated.slowdown,
 	}
 }
 
 // zoneOf returns the zone of a server.
 func (s *simFleet) zoneOf(id string) string {
-	return s.zones[s.servers[id].domain]
+	return s.zoneOfDomain[s.servers[id].domain]
 }
 
 // stored returns the records, as a new leader reads them.
-func (s *simFleet) stored() []assembly.Record {
+func (s *simFleet) storedRecords() []assembly.Record {
 	var all []assembly.Record
 	for _, name := range slices.Sorted(maps.Keys(s.records)) {
 		all = append(all, s.records[name])
@@ -259,46 +259,46 @@
 
 // fate says what becomes of one order: its answer may be lost, and it may be
 // carried out late or not at all.
-type fate struct {
-	isLost bool
-	delay  time.Duration
-	isNone bool
+type delivery struct {
+	isAnswerLost bool
+	delay        time.Duration
+	isDropped    bool
 }
 
 // run has the controller decide once and carries out what it decides. fateOf
 // gives each order's fate.
-func (s *simFleet) run(c *assembly.Controller, isStart bool, fateOf func(assembly.Order) fate) {
+func (s *simFleet) step(c *assembly.Controller, isStart bool, deliveryOf func(assembly.Order) delivery) {
 	plan := c.Step(assembly.World{
 		Config:     s.config,
-		Fleet:      s.look(),
+		Fleet:      s.observe(),
 		Evacuated:  s.evacuated,
 		Era:        s.era,
 		IsSteady:   true,
 		IsStart:    isStart,
 		IsIdle:     s.isIdle,
-		StallTime:  simStall,
+		StallTime:  simStallTimeout,
 		LoadWindow: 5 * time.Second,
 		LoadExcess: 1.1,
 		Asked: func(_, model string) (usage.Rate, bool) {
-			rate, isKnown := s.asked[model]
+			rate, isKnown := s.demand[model]
 			return rate, isKnown
 		},
 	})
 	for _, record := range plan.Create {
 		if zone := s.zoneOf(record.Members[0]); s.evacuated.Has(zone) {
-			s.violated = append(s.violated, "group "+record.Name+" formed in evacuated zone "+zone)
+			s.violations = append(s.violations, "group "+record.Name+" formed in evacuated zone "+zone)
 		}
 	}
-	s.probes += len(plan.Probes)
+	s.probeCount += len(plan.Probes)
 	for _, server := range plan.Probes {
 		c.Probed(server.ID, s.probe(server))
 	}
 	for _, group := range plan.Cleared {
-		s.cleared[group]++
+		s.clearedCounts[group]++
 	}
 	for _, order := range plan.Orders {
-		s.orders[order.Kind.String()]++
-		c.Ordered(order, s.give(order, fateOf(order)))
+		s.orderCounts[order.Kind.String()]++
+		c.Ordered(order, s.deliver(order, deliveryOf(order)))
 	}
 	if len(plan.Create) > 0 {
 		s.epoch++
@@ -308,7 +308,7 @@
 		c.Created(plan.Create, s.epoch)
 	}
 	for _, recent := range plan.Recent {
-		maps.Copy(s.recent, recent.Models)
+		maps.Copy(s.recentModels, recent.Models)
 	}
 	for _, name := range plan.Remove {
 		delete(s.records, name)
@@ -317,44 +317,44 @@
 }
 
 // restart forgets what daemons know of the fleet but for what the store keeps.
-func (s *simFleet) restart() *assembly.Controller {
+func (s *simFleet) restartDaemons() *assembly.Controller {
 	s.view = fleet.View{}
-	s.look()
-	s.view = s.view.WithRecent(s.recent)
-	next := &assembly.Controller{}
-	next.Load(s.stored())
-	return next
+	s.observe()
+	s.view = s.view.WithRecent(s.recentModels)
+	leader := &assembly.Controller{}
+	leader.Load(s.storedRecords())
+	return leader
 }
 
 // hold has callers ask as much of a model as lets each group that serves now hold so many
 // requests.
-func (s *simFleet) hold(model string, held int) {
-	s.ask(model, float64(held*s.serving(model)))
+func (s *simFleet) setDemandPerGroup(model string, heldPerGroup int) {
+	s.setDemand(model, float64(heldPerGroup*s.countServing(model)))
 }
 
 // ask has callers ask as much of a model as lets all of its groups together hold so many
 // requests.
-func (s *simFleet) ask(model string, held float64) {
+func (s *simFleet) setDemand(model string, held float64) {
 	const tokens = 100
-	rate := held / simToken.Seconds()
-	s.asked[model] = usage.Rate{
+	rate := held / simTokenTime.Seconds()
+	s.demand[model] = usage.Rate{
 		Requests: rate / tokens,
 		Answer:   rate,
 	}
 }
 
 // give gives an order its fate.
-func (s *simFleet) give(order assembly.Order, f fate) assembly.Result {
+func (s *simFleet) deliver(order assembly.Order, outcome delivery) assembly.Result {
 	switch {
-	case f.isNone:
+	case outcome.isDropped:
 		return assembly.NoAnswer
-	case f.delay > 0:
-		s.late = append(s.late, lateOrder{
+	case outcome.delay > 0:
+		s.delayedOrders = append(s.delayedOrders, delayedOrder{
 			order: order,
-			at:    time.Now().Add(f.delay),
+			dueAt: time.Now().Add(outcome.delay),
 		})
 		return assembly.NoAnswer
-	case f.isLost:
+	case outcome.isAnswerLost:
 		s.apply(order)
 		return assembly.NoAnswer
 	default:
@@ -364,18 +364,18 @@
 
 // killMember has a member of a group die, and the controller told that requests stand
 // still there because of it.
-func (s *simFleet) killMember(c *assembly.Controller, head *simServer, member int) (lost string) {
-	lost = head.members[member]
-	s.kill(lost)
-	c.Suspect(head.group, head.epoch, lost)
-	return lost
+func (s *simFleet) killMember(c *assembly.Controller, head *simServer, member int) (killed string) {
+	killed = head.members[member]
+	s.kill(killed)
+	c.Suspect(head.group, head.epoch, killed)
+	return killed
 }
 
 // serving counts the groups of a model that serve whole.
-func (s *simFleet) serving(model string) int {
+func (s *simFleet) countServing(model string) int {
 	count := 0
-	for _, one := range s.servers {
-		if one.model == model && s.isServing(one) {
+	for _, server := range s.servers {
+		if server.model == model && s.isServing(server) {
 			count++
 		}
 	}
@@ -383,6 +383,6 @@
 }
 
 // isServing tells whether a server is the head of a group that serves whole.
-func (s *simFleet) isServing(one *simServer) bool {
-	return one.state == fleet.Open && !one.isDead && one.stillAt.IsZero()
+func (s *simFleet) isServing(server *simServer) bool {
+	return server.state == fleet.Open && !server.isDead && server.stalledAt.IsZero()
 }
--- a/core/assembly/stage_test.go
+++ b/core/assembly/stage_test.go
@@ -11,13 +11,13 @@
 	"headcourse/core/fleet"
 )
 
-func TestEachDomainKeepsASpareOfEachModel(t *testing.T) {
+func TestEachDomainHasSpareOfEachModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := started(6)
+		s, _ := newStartedFleet(6)
 		spares := map[string]int{}
-		for _, one := range s.servers {
-			if one.state == fleet.NoGroup {
-				spares[one.domain+one.staged]++
+		for _, server := range s.servers {
+			if server.state == fleet.NoGroup {
+				spares[server.domain+server.staged]++
 			}
 		}
 		qt.Assert(t, spares, qt.HasLen, 12)
@@ -26,23 +26,23 @@
 
 // Found on a day with many replaced servers: loads of spares that were long done
 // counted as under way, so that new servers loaded nothing for 15 s.
-func TestNewServerLoadsAtOnceAfterTheSparesAreDone(t *testing.T) {
+func TestNewServerLoadsImmediatelyAfterSparesFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSim(6)
+		s := newSimFleet(6)
 		c := &assembly.Controller{}
-		for !s.isEquipped() {
-			settle(s, c, true, simStep)
+		for !s.isWarm() {
+			runFor(s, c, true, simStep)
 		}
-		before := s.orders["stage"]
-		s.add("d0", "")
-		settle(s, c, false, time.Second)
-		qt.Assert(t, s.orders["stage"], qt.Equals, before+1)
+		before := s.orderCounts["stage"]
+		s.addServer("d0", "")
+		runFor(s, c, false, time.Second)
+		qt.Assert(t, s.orderCounts["stage"], qt.Equals, before+1)
 	})
 }
 
 // A leader does not know which loads the one before it ordered. Where two led within one window
 // each used the whole bound: 26 loads and more where 25 may begin.
-func TestLoadsKeepTheBound(t *testing.T) {
+func TestLoadRateStaysWithinLimit(t *testing.T) {
 	for _, example := range []struct {
 		name string
 		// term is how long one leader leads.
@@ -64,35 +64,35 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				loads := checkLoads(t, example.term)
+				loads := countLoads(t, example.term)
 				qt.Assert(t, loads >= 96 && loads <= example.most, qt.IsTrue, qt.Commentf("%d", loads))
 			})
 		})
 	}
 }
 
-// checkLoads plays a fleet without weights under leaders of some term, and counts the loads in
+// countLoads plays a fleet without weights under leaders of some term, and counts the loads in
 // each window.
-func checkLoads(t *testing.T, term time.Duration) int {
+func countLoads(t *testing.T, termLength time.Duration) int {
 	t.Helper()
-	s := newSim(12)
+	s := newSimFleet(12)
 	c := &assembly.Controller{}
 	var loads []time.Time
 	elected := time.Now()
-	counting := func(order assembly.Order) fate {
-		one := s.servers[order.Server.ID]
-		isLoad := order.Kind == assembly.Stage || (order.Kind == assembly.Join && one.staged != order.Model && one.group != order.Group)
+	recordLoad := func(order assembly.Order) delivery {
+		server := s.servers[order.Server.ID]
+		isLoad := order.Kind == assembly.Stage || (order.Kind == assembly.Join && server.staged != order.Model && server.group != order.Group)
 		if isLoad {
 			loads = append(loads, time.Now())
 		}
-		return fate{}
+		return delivery{}
 	}
 	for end := time.Now().Add(200 * time.Second); time.Now().Before(end); {
-		if time.Since(elected) >= term {
+		if time.Since(elected) >= termLength {
 			elected = time.Now()
 			c = &assembly.Controller{}
 		}
-		s.run(c, false, counting)
+		s.step(c, false, recordLoad)
 		s.tick()
 	}
 	const bound = 4*5*1.1 + 3
@@ -111,18 +111,18 @@
 // Weights of second models are loaded while no client has come yet, by all that the weight store
 // serves at once: hundreds of servers in eight domains would else load for tens of seconds beside
 // the first requests. The bound on loads holds.
-func TestSecondModelsAreLoadedBeforeTheFirstRequest(t *testing.T) {
+func TestSecondModelsLoadFasterBeforeFirstRequest(t *testing.T) {
 	staged := func(isIdle bool) int {
-		s := newSim(24)
+		s := newSimFleet(24)
 		s.config.Services[0].Engine.LoadsAtOnce = 40
 		s.config.Services[0].Engine.LoadsPerSecond = 20
 		c := &assembly.Controller{}
-		settle(s, c, true, 500*time.Millisecond)
+		runFor(s, c, true, 500*time.Millisecond)
 		s.isIdle = isIdle
-		settle(s, c, false, 14*time.Second)
-		before := s.orders["stage"]
-		settle(s, c, false, 5*time.Second)
-		return s.orders["stage"] - before
+		runFor(s, c, false, 14*time.Second)
+		before := s.orderCounts["stage"]
+		runFor(s, c, false, 5*time.Second)
+		return s.orderCounts["stage"] - before
 	}
 	synctest.Test(t, func(t *testing.T) {
 		usual, idle := staged(false), staged(true)
--- a/core/assembly/step_bench_test.go
+++ b/core/assembly/step_bench_test.go
@@ -11,11 +11,11 @@
 	"headcourse/core/fleet"
 )
 
-// benchDomain is the number of servers of a fabric domain: two groups of sixteen and
+// benchDomainSize is the number of servers of a fabric domain: two groups of sixteen and
 // five free ones.
 const (
-	benchDomain = 37
-	benchGroup  = 16
+	benchDomainSize = 37
+	benchGroupSize  = 16
 )
 
 // benchConfig is a service of one model of sixteen servers.
@@ -33,10 +33,10 @@
 					Models: []config.Model{
 						{
 							Name:  "large",
-							Size:  benchGroup,
+							Size:  benchGroupSize,
 							Share: 1,
 							Load:  simLoad,
-							Warm:  simWarm,
+							Warm:  simStagedLoad,
 						},
 					},
 				},
@@ -50,27 +50,27 @@
 	var all []fleet.Server
 	var records []assembly.Record
 	for i := range servers {
-		one := fleet.Server{
+		server := fleet.Server{
 			ID:       fmt.Sprintf("i-%05d", i),
 			Service:  "engines",
 			Capacity: 22,
 			Models:   []string{"large"},
 			Staged:   []string{"large"},
 			Recent:   "large",
-			Domain:   strconv.Itoa(i / benchDomain),
+			Domain:   strconv.Itoa(i / benchDomainSize),
 			IsEngine: true,
 		}
-		place := i % benchDomain
-		if place < 2*benchGroup {
-			name := fmt.Sprintf("g%d-%d", i/benchDomain, place/benchGroup)
-			one.Membership = fleet.Membership{
+		place := i % benchDomainSize
+		if place < 2*benchGroupSize {
+			name := fmt.Sprintf("g%d-%d", i/benchDomainSize, place/benchGroupSize)
+			server.Membership = fleet.Membership{
 				Group: name,
 				Epoch: 7,
-				Rank:  place % benchGroup,
+				Rank:  place % benchGroupSize,
 				State: fleet.Ready,
 			}
-			if place%benchGroup == 0 {
-				one.Membership.State = fleet.Open
+			if place%benchGroupSize == 0 {
+				server.Membership.State = fleet.Open
 				records = append(records, assembly.Record{
 					Name:    name,
 					Epoch:   7,
@@ -79,9 +79,9 @@
 				})
 			}
 			last := &records[len(records)-1]
-			last.Members = append(last.Members, one.ID)
+			last.Members = append(last.Members, server.ID)
 		}
-		all = append(all, one)
+		all = append(all, server)
 	}
 	return fleet.View{}.WithAll(1, all, time.Now()), records
 }
@@ -95,16 +95,16 @@
 			view, records := benchFleet(servers)
 			var controller assembly.Controller
 			controller.Load(records)
-			world := assembly.World{
+			input := assembly.World{
 				Config:     benchConfig(),
 				Fleet:      view,
 				IsSteady:   true,
-				StallTime:  simStall,
+				StallTime:  simStallTimeout,
 				LoadWindow: 5 * time.Second,
 				LoadExcess: 1.1,
 			}
 			for b.Loop() {
-				controller.Step(world)
+				controller.Step(input)
 			}
 		})
 	}
--- a/core/assembly/suspect_test.go
+++ b/core/assembly/suspect_test.go
@@ -13,25 +13,25 @@
 
 // The daemon that tells of a stall has asked the member twice already; the leader
 // asked twice again, which took 0.3 s of each repair.
-func TestToldSilenceNeedsOneProbeMore(t *testing.T) {
+func TestReportedUnansweredProbeCountsAsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		s.kill(head.members[2])
 		c.Suspect(head.group, head.epoch, head.members[2])
-		settle(s, c, false, 3*simStep)
+		runFor(s, c, false, 3*simStep)
 		_, isThere := s.records[head.group]
 		qt.Assert(t, isThere, qt.IsFalse)
 	})
 }
 
-func TestToldSilenceOfAMemberThatAnswersIsDropped(t *testing.T) {
+func TestSuspicionClearsWhenReportedMemberAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		c.Suspect(head.group, head.epoch, head.members[2])
-		settle(s, c, false, 3*time.Second)
-		qt.Assert(t, s.cleared[head.group], qt.Equals, 1)
+		runFor(s, c, false, 3*time.Second)
+		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 1)
 		_, isThere := s.records[head.group]
 		qt.Assert(t, isThere, qt.IsTrue)
 	})
@@ -40,26 +40,26 @@
 // Found on a day with slow servers (valdeserna-riego-grown trouble-2, 20 s to 24 s):
 // eight of 45 groups had a member that took four times as long; four of five
 // requests there were late, and nothing replaced the member.
-func TestSlowMemberIsReplacedFromTheSpares(t *testing.T) {
+func TestSlowMemberIsReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
 		slow := head.members[2]
-		s.servers[slow].pace = 4
+		s.servers[slow].slowdown = 4
 		c.Suspect(head.group, head.epoch, "")
 
-		settle(s, c, false, 6*time.Second)
+		runFor(s, c, false, 6*time.Second)
 
-		qt.Assert(t, s.violated, qt.HasLen, 0)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
-		for _, record := range s.stored() {
+		qt.Assert(t, s.violations, qt.HasLen, 0)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
+		for _, record := range s.storedRecords() {
 			qt.Assert(t, slices.Contains(record.Members, slow), qt.IsFalse)
 		}
 
 		// It is a spare again when it works as usual.
-		s.servers[slow].pace = 1
-		settle(s, c, false, 3*time.Second)
-		other := headOf(s, "large")
+		s.servers[slow].slowdown = 1
+		runFor(s, c, false, 3*time.Second)
+		other := openHeadOf(s, "large")
 		for _, id := range other.members {
 			if s.servers[id].domain == s.servers[slow].domain && id != other.members[0] {
 				s.kill(id)
@@ -67,38 +67,38 @@
 				break
 			}
 		}
-		settle(s, c, false, 25*time.Second)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		runFor(s, c, false, 25*time.Second)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 	})
 }
 
-func TestSlowMemberWithoutASpareStaysAndIsClearedWhenItIsWell(t *testing.T) {
+func TestSlowMemberWithoutSpareStaysUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, c := started(6)
-		head := headOf(s, "large")
-		for _, one := range s.servers {
-			if one.state == fleet.NoGroup {
-				one.pace = 4
+		s, c := newStartedFleet(6)
+		head := openHeadOf(s, "large")
+		for _, server := range s.servers {
+			if server.state == fleet.NoGroup {
+				server.slowdown = 4
 			}
 		}
 		// All six groups of the other model are needed too, so none of them ends for it.
-		s.hold("large", 18)
-		s.hold("small", 18)
+		s.setDemandPerGroup("large", 18)
+		s.setDemandPerGroup("small", 18)
 		slow := head.members[2]
-		s.servers[slow].pace = 4
+		s.servers[slow].slowdown = 4
 		// The spares are found slow as well when they are looked at.
-		for _, one := range s.servers {
-			c.Probed(one.id, s.probe(s.entry(one)))
+		for _, server := range s.servers {
+			c.Probed(server.id, s.probe(s.entryOf(server)))
 		}
 		c.Suspect(head.group, head.epoch, "")
-		settle(s, c, false, 3*time.Second)
-		qt.Assert(t, s.serving("large"), qt.Equals, 6)
+		runFor(s, c, false, 3*time.Second)
+		qt.Assert(t, s.countServing("large"), qt.Equals, 6)
 		qt.Assert(t, s.records[head.group].Members, qt.Contains, slow)
-		qt.Assert(t, s.cleared[head.group], qt.Equals, 0)
+		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 0)
 
-		s.servers[slow].pace = 1
-		settle(s, c, false, 3*time.Second)
-		qt.Assert(t, s.cleared[head.group], qt.Equals, 1)
+		s.servers[slow].slowdown = 1
+		runFor(s, c, false, 3*time.Second)
+		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 1)
 		qt.Assert(t, s.records[head.group].Members, qt.Contains, slow)
 	})
 }
--- a/core/assembly/warm.go
+++ b/core/assembly/warm.go
@@ -15,37 +15,37 @@
 
 // warmUp has free servers that were in no group since their start join one of their
 // own. Before the first request, when loads are quick, empty ones load by it.
-func (c *Controller) warmUp(at *layout, world World, plan *Plan) {
-	if _, isLacking := at.neediest(true); isLacking && !world.IsStart {
+func (c *Controller) warmUp(state *serviceState, input World, plan *Plan) {
+	if _, isLacking := state.neediestModel(true); isLacking && !input.IsStart {
 		return
 	}
-	for _, domain := range at.domains {
-		for _, server := range slices.Clone(at.free[domain]) {
-			if model, ok := c.warmUpModel(at, server, world); ok {
-				at.addWarming(domain, model.Name)
-				c.create(Record{
+	for _, domain := range state.domains {
+		for _, server := range slices.Clone(state.freeServers[domain]) {
+			if model, ok := c.warmUpModel(state, server, input); ok {
+				state.countWarmUp(domain, model.Name)
+				c.planRecord(Record{
 					Model:    model.Name,
 					IsWarmUp: true,
-				}, at, []fleet.Server{
+				}, state, []fleet.Server{
 					server,
-				}, world, plan)
+				}, input, plan)
 			}
 		}
 	}
 }
 
 // warmUpModel returns the model that a free server should be warm with, if any.
-func (c *Controller) warmUpModel(at *layout, server fleet.Server, world World) (config.Model, bool) {
+func (c *Controller) warmUpModel(state *serviceState, server fleet.Server, input World) (config.Model, bool) {
 	if server.Recent != "" || c.isStaging(server) {
 		return config.Model{}, false
 	}
 	for _, staged := range server.Staged {
-		if model, ok := at.service.Engine.Model(staged); ok {
+		if model, ok := state.service.Engine.Model(staged); ok {
 			return model, true
 		}
 	}
-	if !world.IsStart {
+	if !input.IsStart {
 		return config.Model{}, false
 	}
-	return c.lacking(at, server.Domain)
+	return c.scarcestModel(state, server.Domain)
 }
