--- a/core/assembly/adopt.go
+++ b/core/assembly/adopt.go
@@ -5,9 +5,10 @@
 	"headcourse/core/rowstore"
 )
 
-// adopt plans records for groups of former eras that serve whole and have none: the store was
-// restored from a copy that lacks them. They go on under the epoch that their members know.
-// Groups that were not open yet leave, and form anew.
+// adopt plans records for serving groups of former eras that have no record, because the
+// store was restored from a copy without them. Such a group must be complete and keeps the
+// epoch that its members know. Servers leave groups that were not open yet, and form new
+// ones.
 func (c *Controller) adopt(input World, plan *Plan) {
 	for _, head := range input.Fleet.Servers() {
 		if !c.mayAdopt(head, input) {
@@ -35,13 +36,13 @@
 			Epoch:  record.Epoch,
 			Model:  record.Model,
 			What:   "group adopted",
-			Reason: "it serves, and the restored store has no record of it",
+			Reason: "the group serves, but the restored store has no record of it",
 		})
 	}
 }
 
-// mayAdopt tells whether a server is the head of an open group of a former era that has no
-// record, and none is being written.
+// mayAdopt reports whether a server is the head of an open group of a former era that has
+// no record, and no record of it is being written.
 func (c *Controller) mayAdopt(head fleet.Server, input World) bool {
 	m := head.Membership
 	_, hasRecord := c.groups[m.Group]
@@ -50,14 +51,15 @@
 	return isOpenHead && isFormer && isConfiguredEngine(input.Config, head) && !hasRecord && !c.isAdopting(m)
 }
 
-// isAdopting tells whether the record of a membership's group is being written.
+// isAdopting reports whether the record of a membership's group is being written.
 func (c *Controller) isAdopting(m fleet.Membership) bool {
 	record, ok := c.pendingRecords[m.Group]
 	return ok && record.Epoch == m.Epoch
 }
 
-// completeMembers returns the members of a head's group in their order, and whether each of as
-// many as the model takes says that it is in it.
+// completeMembers returns the members of a head's group by rank, and whether the group is
+// complete: as many servers as the model requires report membership, each with its own
+// rank.
 func completeMembers(head fleet.Server, input World) ([]fleet.Server, bool) {
 	model, isKnown := input.Config.Service(head.Service).Engine.Model(head.Models[0])
 	if !isKnown {
--- a/core/assembly/assembly_test.go
+++ b/core/assembly/assembly_test.go
@@ -13,12 +13,12 @@
 	fuzz.Exit(m)
 }
 
-// promptly is the fate of an order where nothing goes wrong.
+// deliverPromptly delivers every order at once and answers it.
 func deliverPromptly(assembly.Order) delivery {
 	return delivery{}
 }
 
-// settle runs a fleet for a time.
+// runFor runs a fleet for a duration without faults in the delivery of orders.
 func runFor(s *simFleet, c *assembly.Controller, isStart bool, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		s.step(c, isStart, deliverPromptly)
@@ -26,10 +26,10 @@
 	}
 }
 
-// serversPerDomain is the usual size of a domain.
+// serversPerDomain is the default size of a domain.
 const serversPerDomain = 8
 
-// started returns a fleet whose groups have formed.
+// newStartedFleet returns a fleet whose groups have formed.
 func newStartedFleet(domains int) (*simFleet, *assembly.Controller) {
 	s := newSimFleet(domains)
 	c := &assembly.Controller{}
@@ -38,7 +38,7 @@
 	return s, c
 }
 
-// openHeadOf returns the head of some open group of a model.
+// openHeadOf returns the head of an open group of a model that has a record.
 func openHeadOf(s *simFleet, model string) *simServer {
 	for _, record := range s.storedRecords() {
 		if head := s.servers[record.Members[0]]; record.Model == model && head.state == fleet.Open {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// kill ends a server without a word.
+// kill makes a server crash without deregistering.
 func (s *simFleet) kill(id string) {
 	s.servers[id].isDead = true
 	s.servers[id].diedAt = time.Now()
--- a/core/assembly/check.go
+++ b/core/assembly/check.go
@@ -8,15 +8,15 @@
 	"headcourse/core/rowstore"
 )
 
-// formTimeoutMargin is how much longer than its load a group may take to form.
+// formTimeoutMargin is how much longer than its loads a group may take to form.
 const formTimeoutMargin = 12 * time.Second
 
-// check brings a group one step nearer to serving, or finds out that it can
-// serve no more.
+// advanceGroup moves a group one step closer to serving, or starts to end it if it can no
+// longer serve.
 func (c *Controller) advanceGroup(g *group, input World, plan *Plan) {
-	reason, isGentle := c.findEndReason(g, input, plan)
+	reason, isGraceful := c.findEndReason(g, input, plan)
 	if reason != "" {
-		g.end(reason, isGentle)
+		g.end(reason, isGraceful)
 		g.addNote("group ends", reason, plan)
 		return
 	}
@@ -26,7 +26,7 @@
 	}
 	if isHeadOpen(g, head) {
 		if !g.wasOpen {
-			g.addNote("group open", "the head tells so", plan)
+			g.addNote("group open", "the head reports that it is open", plan)
 		}
 		g.wasOpen = true
 		return
@@ -41,8 +41,8 @@
 	g.planOrder(head, Open, false, "all members are ready", plan)
 }
 
-// joinMembers orders members to join that have not, and tells whether all of them
-// say that they are ready.
+// joinMembers orders members that are not in the group to join, and reports whether all
+// members report that they are ready.
 func (c *Controller) joinMembers(g *group, input World, plan *Plan) bool {
 	isReady := true
 	for _, id := range g.record.Members {
@@ -62,8 +62,8 @@
 	return isReady
 }
 
-// orderJoin orders a member to join. While one order may still be carried out,
-// giving it again is harmless: it names the same group, epoch and members.
+// orderJoin orders a member to join. Repeating an order that may still be carried out is
+// harmless: it names the same group, epoch and members.
 func (c *Controller) orderJoin(g *group, member fleet.Server, plan *Plan) {
 	if !member.CanRejoin(g.record.Model) && !member.HasStaged(g.record.Model) {
 		if _, ok := g.lastOrders[member.ID]; !ok {
@@ -71,12 +71,12 @@
 			g.loadingMembers[member.ID] = true
 		}
 	}
-	g.planOrder(member, Join, false, "the group forms", plan)
+	g.planOrder(member, Join, false, "the group is forming", plan)
 }
 
-// findEndReason returns why a group must end, or nothing; isGraceful lets it finish its
-// work.
-func (c *Controller) findEndReason(g *group, input World, plan *Plan) (reason string, isGentle bool) {
+// findEndReason returns why a group must end, or an empty string. isGraceful lets the group
+// finish its work.
+func (c *Controller) findEndReason(g *group, input World, plan *Plan) (reason string, isGraceful bool) {
 	head, hasHead := input.Fleet.Server(g.record.Members[0])
 	isHeadIn := hasHead && head.Membership.In(g.record.Name, g.record.Epoch)
 	switch {
@@ -86,48 +86,50 @@
 		return "the head is broken", false
 	}
 	for i, id := range g.record.Members {
-		if reason, isGentle = c.memberLossReason(g, id, i == 0, input, plan); reason != "" {
-			return reason, isGentle
+		if reason, isGraceful = c.memberLossReason(g, id, i == 0, input, plan); reason != "" {
+			return reason, isGraceful
 		}
 	}
 	if !g.wasOpen && !isHeadOpen(g, head) && rowstore.EraOf(g.record.Epoch) < input.Era {
-		// Its record may have been removed since, and orders of then may still come.
-		return "the store was restored before it served", false
+		// Its record may have been removed since the copy was made, and orders from that
+		// time may still arrive.
+		return "the store was restored before the group served", false
 	}
-	if !g.wasOpen && time.Since(g.since) > formTimeout(input.Config, g.record) {
-		return "it took too long to form", false
+	if !g.wasOpen && time.Since(g.knownSince) > formTimeout(input.Config, g.record) {
+		return "the group took too long to form", false
 	}
-	if late := c.overdueMember(g, input, plan); late != "" {
-		return "member " + late + " does not join", false
+	if overdue := c.overdueMember(g, input, plan); overdue != "" {
+		return "member " + overdue + " does not join", false
 	}
 	return c.checkSuspicion(g, input, plan)
 }
 
-// isHeadOpen tells whether a group's head says that it serves.
+// isHeadOpen reports whether a group's head reports that it serves.
 func isHeadOpen(g *group, head fleet.Server) bool {
 	return head.Membership.In(g.record.Name, g.record.Epoch) && head.Membership.State == fleet.Open
 }
 
-// formTimeout returns how long a group may take to form: its members may wait for
-// each other's loads.
+// formTimeout returns how long a group may take to form: its members may wait for each
+// other's loads.
 func formTimeout(cfg *config.Config, record Record) time.Duration {
-	const waits = 2
+	const sequentialLoads = 2
 	service := cfg.Service(record.Service)
 	if service == nil || service.Engine == nil {
 		return formTimeoutMargin
 	}
 	model, _ := service.Engine.Model(record.Model)
-	return waits*model.Load + formTimeoutMargin
+	return sequentialLoads*model.Load + formTimeoutMargin
 }
 
-// joinTimeoutMargin is how much longer than its load a member of staged weights may take to tell
-// that it is ready: three orders, of which the platform may lose two, and its entry.
+// joinTimeoutMargin is how much longer than its load a member with staged weights may take
+// to report that it is ready. It covers three orders, of which the platform may lose two,
+// and the update of the member's entry.
 const joinTimeoutMargin = 2 * time.Second
 
-// overdueMember returns a member that has not told in time that it has joined a group which
-// forms of staged weights, where a free server can take its place; empty: there is none.
-// It may be cut off from the store alone, so that it seems well and says nothing: eleven
-// servers waited for such a one for 11 s.
+// overdueMember returns a member that has not reported in time that it joined a forming
+// group, if its weights were staged and a free server can replace it; otherwise an empty
+// string. Such a member may have lost only its connection to the store, so it answers
+// probes but reports nothing: eleven servers once waited 11 s for one.
 func (c *Controller) overdueMember(g *group, input World, plan *Plan) string {
 	if g.wasOpen || g.record.IsWarmUp {
 		return ""
@@ -137,7 +139,7 @@
 		return ""
 	}
 	model, _ := service.Engine.Model(g.record.Model)
-	if time.Since(g.since) < model.Warm+joinTimeoutMargin {
+	if time.Since(g.knownSince) < model.Warm+joinTimeoutMargin {
 		return ""
 	}
 	for _, id := range g.record.Members {
@@ -153,11 +155,11 @@
 	return ""
 }
 
-// memberLossReason returns why a member is lost to its group, or nothing.
-func (c *Controller) memberLossReason(g *group, id string, isHead bool, input World, plan *Plan) (reason string, isGentle bool) {
+// memberLossReason returns why a member is lost to its group, or an empty string.
+func (c *Controller) memberLossReason(g *group, id string, isHead bool, input World, plan *Plan) (reason string, isGraceful bool) {
 	member, ok := input.Fleet.Server(id)
 	if !ok && !g.wasOpen && input.IsSteady {
-		// It could not tell that it is ready. The others need not wait for it.
+		// The member could not report that it is ready. The others need not wait for it.
 		return "member " + id + " has no entry", false
 	}
 	if !ok {
@@ -167,7 +169,7 @@
 		return "member " + id + " is leaving", true
 	}
 	if g.wasOpen && !member.Membership.In(g.record.Name, g.record.Epoch) {
-		return "member " + id + " is not in the group any more", false
+		return "member " + id + " is no longer in the group", false
 	}
 	if member.Membership.Epoch > g.record.Epoch {
 		return "member " + id + " is in a newer group", false
@@ -175,10 +177,10 @@
 	return "", false
 }
 
-// missingEntryReason returns why a server without an entry is lost. An entry also lapses
-// when its server is cut off from the store alone; a member that answers is
-// still there, but a head without an entry must get no requests.
-func (c *Controller) missingEntryReason(id string, isHead bool, input World, plan *Plan) (reason string, isGentle bool) {
+// missingEntryReason returns why a server without an entry is lost, or an empty string. An
+// entry also expires if its server loses only its connection to the store: a member that
+// answers is still in the group, but a head without an entry must not get requests.
+func (c *Controller) missingEntryReason(id string, isHead bool, input World, plan *Plan) (reason string, isGraceful bool) {
 	if !input.IsSteady {
 		return "", false
 	}
--- a/core/assembly/check_test.go
+++ b/core/assembly/check_test.go
@@ -69,19 +69,20 @@
 	})
 }
 
-// Found on scale-1 of a site of 925 servers: 111 of them were cut off from the store alone
-// and still answered. The leader asked each of them eight times a second, could not keep
-// up with the answers, took members that worked for dead, and ended 20 groups.
+// Guards against too many probes of members that answer but have no entry. On scale-1 of a
+// site of 925 servers, 111 lost only their connection to the store. The leader probed each
+// of them eight times a second, could not process the answers in time, considered working
+// members dead and ended 20 groups.
 func TestAnsweringMembersWithoutEntryAreProbedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
-		cut := 0
+		cutOff := 0
 		for _, record := range s.storedRecords() {
 			if len(record.Members) > 1 {
 				member := s.servers[record.Members[1]]
 				member.isCutOff = true
 				member.cutOffAt = time.Now()
-				cut++
+				cutOff++
 			}
 		}
 		runFor(s, c, false, 5*time.Second)
@@ -89,9 +90,9 @@
 		before := s.probeCount
 		const seconds = 4
 		runFor(s, c, false, seconds*time.Second)
-		asked := s.probeCount - before
-		// Twice a second each, beside a look at each head.
-		qt.Assert(t, asked <= seconds*(2*cut+serving+2), qt.IsTrue, qt.Commentf("%d probes for %d members", asked, cut))
+		probed := s.probeCount - before
+		// Twice a second each, in addition to the probes of each head.
+		qt.Assert(t, probed <= seconds*(2*cutOff+serving+2), qt.IsTrue, qt.Commentf("%d probes for %d members", probed, cutOff))
 		qt.Assert(t, s.countServing("large")+s.countServing("small"), qt.Equals, serving)
 		qt.Assert(t, serving, qt.Equals, 12)
 	})
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -6,77 +6,80 @@
 	"time"
 )
 
-// orderRetryInterval is when an order that has shown no effect is given again: an
-// order takes some milliseconds, its effect on the entry some more.
+// orderRetryInterval is after how long an order without visible effect is given again: an
+// order takes some milliseconds, its effect on the server's entry some more.
 const orderRetryInterval = 700 * time.Millisecond
 
-// Controller decides for all groups. The zero value has none.
+// Controller decides about all groups. The zero value has no groups.
 type Controller struct {
 	groups map[string]*group
-	// creating are records being written; their servers are not free.
+	// pendingRecords are records that are being written; their servers are not free.
 	pendingRecords map[string]Record
 	probeStates    map[string]probeState
-	// staged are the stage orders given, by server, and when.
+	// stageOrders are the pending stage orders, by server.
 	stageOrders map[string]stageOrder
 	loadStarts  []time.Time
-	// closed are ended groups whose head is known to be out of them: their
-	// members may join others without leaving first.
+	// closedGroups are ended groups whose head is known to have left: their members may
+	// join other groups without leaving first.
 	closedGroups map[groupKey]closedGroup
-	// orphans is when a server was last told to leave a group without record.
+	// orphanLeaveAt is when a server was last ordered to leave a group without a record, by
+	// server.
 	orphanLeaveAt map[string]time.Time
-	// counted is how many servers each service had when last looked at.
+	// serverCounts is the last observed number of servers of each service.
 	serverCounts    map[string]serverCount
 	lastGroupNumber int
-	// demands are the estimates of what callers ask for.
+	// demands are the estimates of the demand for each model.
 	demands map[modelKey]demand
-	// wanted is how many groups each model was last wanted to have, for the log.
+	// reportedTargets is the last logged target number of groups of each model.
 	reportedTargets map[modelKey]int
-	// conversions are those under way, by domain.
+	// conversions are the conversions in progress, by domain.
 	conversions map[string]conversion
-	// began is when it was first asked what to do.
+	// firstStepAt is the time of the controller's first step.
 	firstStepAt time.Time
-	// late is until when servers are left alone that did not join in time.
+	// excludedUntil is until when servers that did not join in time are not used, by
+	// server.
 	excludedUntil map[string]time.Time
-	// starts has, by server, when the start that was seen last was born.
+	// incarnations is the birth time of the last observed incarnation, by server.
 	incarnations map[string]int64
 }
 
-// groupKey names a group of one epoch.
+// groupKey identifies a group by name and epoch.
 type groupKey struct {
 	group string
 	epoch int64
 }
 
-// closedGroup is the head of an ended group. wasHeadObservedOut tells that its entry has shown too
-// that it is out.
+// closedGroup is the head of an ended group. wasHeadObservedOut is true once the head's own
+// entry has shown that it left.
 type closedGroup struct {
 	headID             string
 	wasHeadObservedOut bool
 }
 
-// stageOrder is a stage order under way.
+// stageOrder is a pending stage order. With an empty model it is the wait before the next
+// order to a server that rejected one.
 type stageOrder struct {
 	model     string
 	expiresAt time.Time
-	// isForGroup tells that a group waits for the load: the server is left alone by
-	// other models.
+	// isForGroup is true if a group waits for the load: no group of another model may use
+	// the server.
 	isForGroup bool
 }
 
-// count is how many servers there are, and since when.
+// serverCount is a number of servers, and since when it has not changed.
 type serverCount struct {
 	servers int
 	since   time.Time
 }
 
-// Load replaces the groups by the records in the store. What is known of
-// servers is kept; what was ordered is found out from them again.
+// Load replaces the groups by the records in the store. What is known about servers is
+// kept; the state of earlier orders is observed from the servers again.
 func (c *Controller) Load(records []Record) {
 	groups := map[string]*group{}
 	for _, record := range records {
 		previous, ok := c.groups[record.Name]
 		if ok && previous.record.Epoch == record.Epoch {
-			previous.isRemoving = false
+			previous.isRemovalPending = false
 			groups[record.Name] = previous
 			continue
 		}
@@ -86,12 +89,12 @@
 	c.pendingRecords = map[string]Record{}
 }
 
-// sortedNames returns the names of groups in their order.
+// sortedNames returns the names of groups in sorted order.
 func sortedNames(groups map[string]*group) []string {
 	return slices.Sorted(maps.Keys(groups))
 }
 
-// Created notes that records were written at a version.
+// Created handles the confirmation that records were written at a version.
 func (c *Controller) Created(records []Record, version int64) {
 	if c.groups == nil {
 		c.groups = map[string]*group{}
@@ -102,7 +105,7 @@
 	}
 }
 
-// Removed notes that records were removed.
+// Removed handles the confirmation that the records of groups were removed.
 func (c *Controller) Removed(names []string) {
 	if c.closedGroups == nil {
 		c.closedGroups = map[groupKey]closedGroup{}
@@ -120,7 +123,7 @@
 	}
 }
 
-// Ordered notes what became of an order.
+// Ordered handles the result of an order.
 func (c *Controller) Ordered(order Order, result Result) {
 	if order.Kind == Stage {
 		if result == Unfit || result == NotKnown || result == OtherServer {
@@ -142,7 +145,7 @@
 	}
 }
 
-// Step returns what to do now.
+// Step returns the next plan.
 func (c *Controller) Step(input World) Plan {
 	var plan Plan
 	if input.Config == nil {
@@ -163,7 +166,7 @@
 		}
 	}
 	c.adopt(input, &plan)
-	c.removeOrphans(input, &plan)
+	c.orderOrphansToLeave(input, &plan)
 	c.formGroups(input, &plan)
 	return plan
 }
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -9,50 +9,52 @@
 	"headcourse/core/fleet"
 )
 
-// Figures of conversions.
 const (
-	// minConversionGain is how many callers more must be served in time, as a part of those that
-	// one group serves, for a group of another model to be ended. The way back would have
-	// to gain as much, so models do not take from each other in turn.
+	// minConversionGain is the minimum gain for which a group of another model ends: how
+	// many more callers are served in time, as a fraction of those that one group serves. A
+	// conversion back would have to gain as much, so models do not take groups from each
+	// other in turn.
 	minConversionGain = 0.1
-	// starved is how well off a model must stay: a third of its callers are served, however
-	// many more another model's would be.
+	// minServiceLevel is the service level that a model must keep after a conversion: a
+	// third of its callers are served, however many more of another model's callers would
+	// be.
 	minServiceLevel = 0.34
-	// maxConversionLevel is how well off a model must be at most: a conversion takes a group of
-	// the other model away for a second or two, and its servers' second models with it.
+	// maxConversionLevel is the service level below which a model may get groups by
+	// conversions. A conversion removes a group of the other model for a second or two, and
+	// the second models staged on its servers.
 	maxConversionLevel = 1.5
-	// conversionTimeout bounds a conversion: its groups end within drainTimeout, and their
+	// conversionTimeout limits a conversion: its groups end within drainTimeout, and their
 	// servers join at the next step.
 	conversionTimeout = 6 * time.Second
-	// demandWaitTime is how long a leader waits to hear what callers ask for: daemons tell it
+	// demandWaitTime is how long a new leader waits for demand reports: daemons send them
 	// twice a second.
 	demandWaitTime = 3 * time.Second
-	// domainsPerConversion is how many domains there are for each conversion under way at
-	// once: a model that lacks a quarter of its groups in tens of domains would wait for them
-	// one by one.
+	// domainsPerConversion is the number of domains for each concurrent conversion: with
+	// tens of domains and a single conversion at a time, a model that lacks a quarter of
+	// its groups would wait for them one by one.
 	domainsPerConversion = 8
 )
 
-// conversion is the end of groups whose servers are needed for another model, in one
-// domain. The zero value is none.
+// conversion ends groups in one domain whose servers are needed for another model. The zero
+// value is no conversion.
 type conversion struct {
 	service string
 	domain  string
 	model   string
-	// groups are those that end; endsOnlySlow tells that all of them are slow.
+	// groups are those that end; endsOnlySlow is true if all of them are slow.
 	groups       []*group
 	endsOnlySlow bool
 	expiresAt    time.Time
 }
 
-// isUnderWay tells whether groups of the conversion still end or their servers are
-// kept for its model.
+// isUnderWay reports whether groups of the conversion still end or their servers are
+// reserved for its model.
 func (v conversion) isUnderWay() bool {
 	return time.Now().Before(v.expiresAt)
 }
 
-// mayStartConversion tells whether one more conversion may begin. Those that end slow groups only
-// take nothing from anybody, and do not count.
+// mayStartConversion reports whether one more conversion may start. Conversions that end
+// only slow groups take no working group from any model, and do not count.
 func (c *Controller) mayStartConversion(state *serviceState) bool {
 	underWay := 0
 	for _, running := range c.conversions {
@@ -63,16 +65,16 @@
 	return underWay < max(1, len(state.domains)/domainsPerConversion)
 }
 
-// isReservedForOther tells whether the free servers of a domain are kept for another model
-// than the one given.
+// isReservedForOther reports whether the free servers of a domain are reserved for a model
+// other than the given one.
 func (c *Controller) isReservedForOther(state *serviceState, domain string, model config.Model) bool {
 	v := c.conversions[domain]
 	return v.isUnderWay() && v.service == state.service.Name && v.model != model.Name
 }
 
-// convert ends groups of models that have many for a model that lacks some and has no
-// servers to form them of: at each step one conversion more at most, in a domain that has
-// none.
+// convert ends groups of models with a better service level for a model that lacks groups
+// and has no servers to form them. Each step starts at most one conversion, in a domain
+// without one.
 func (c *Controller) convert(state *serviceState, input World, plan *Plan) {
 	c.pruneConversions(state)
 	model, ok := state.neediestModel(true)
@@ -100,27 +102,27 @@
 	}
 }
 
-// bestConversion returns the conversion for a model that ends the fewest groups, of those
-// that may begin now.
+// bestConversion returns the conversion for a model that ends the fewest groups, among
+// those that may start now.
 func (c *Controller) bestConversion(state *serviceState, model config.Model, input World) conversion {
-	mayEndFast := c.mayStartConversion(state)
+	mayEndWorkingGroups := c.mayStartConversion(state)
 	best := conversion{}
 	for _, domain := range state.domains {
 		if c.conversions[domain].isUnderWay() {
 			continue
 		}
-		found := c.conversionInDomain(state, domain, model, input)
-		isPossible := len(found.groups) > 0 && (mayEndFast || found.endsOnlySlow)
-		if isPossible && (len(best.groups) == 0 || len(found.groups) < len(best.groups)) {
-			best = found
+		candidate := c.conversionInDomain(state, domain, model, input)
+		isPossible := len(candidate.groups) > 0 && (mayEndWorkingGroups || candidate.endsOnlySlow)
+		if isPossible && (len(best.groups) == 0 || len(candidate.groups) < len(best.groups)) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// isDemandKnown tells whether it is known what callers ask for, or will not be: a new leader
-// hears of it with its first feeds. Until then it would go by what the operator expects, and
-// end groups that are needed.
+// isDemandKnown reports whether the demand for all models is known, or the wait for it has
+// timed out. A new leader learns the demand from its first reports; until then it would use
+// the operator's shares and end groups that are needed.
 func (c *Controller) isDemandKnown(state *serviceState) bool {
 	for _, model := range state.service.Engine.Models {
 		if _, isKnown := state.demands[model.Name]; !isKnown {
@@ -130,29 +132,30 @@
 	return true
 }
 
-// pruneConversions forgets the conversions of a service whose groups have ended.
+// pruneConversions removes the conversions of a service whose groups have ended.
 func (c *Controller) pruneConversions(state *serviceState) {
 	maps.DeleteFunc(c.conversions, func(_ string, v conversion) bool {
 		return !v.isUnderWay() || (v.service == state.service.Name && !c.isEnding(v))
 	})
 }
 
-// isEnding tells whether a group of a conversion still ends. Afterwards its servers are
-// free: the step that saw it formed the new group, or never will.
+// isEnding reports whether a group of a conversion has not ended yet. Once all have ended,
+// their servers are free: the step that observed it has formed the new group, or no later
+// step will.
 func (c *Controller) isEnding(v conversion) bool {
 	return slices.ContainsFunc(v.groups, func(g *group) bool {
 		return c.groups[g.record.Name] == g
 	})
 }
 
-// conversionInDomain returns the groups of a domain to end so that a group of a model can be
-// formed there; none where that is not possible or gains nothing.
+// conversionInDomain returns the conversion that lets a group of a model form in a domain;
+// the zero value if that is impossible or gains nothing.
 func (c *Controller) conversionInDomain(state *serviceState, domain string, model config.Model, input World) conversion {
 	found := conversion{
 		service: state.service.Name,
 		domain:  domain,
 		model:   model.Name,
-		// So far it takes no other.
+		// No group has been chosen yet.
 		endsOnlySlow: true,
 	}
 	missing := model.Size - countUsable(state.freeServers[domain], model)
@@ -176,8 +179,8 @@
 	return found
 }
 
-// mayEndFor tells whether a group may be ended for one of a model. A slow one serves
-// nobody well.
+// mayEndFor reports whether a group may end for a group of another model. A slow group may
+// always end, because its callers are served late.
 func (c *Controller) mayEndFor(g *group, state *serviceState, model config.Model, ended map[string]int) bool {
 	if c.isSlow(g) {
 		return true
@@ -185,8 +188,8 @@
 	return g.record.Model != model.Name && c.isWorthConverting(state, model, g.record.Model, ended)
 }
 
-// isWorthConverting tells whether more callers are served in time after one more group was taken
-// from one model for another.
+// isWorthConverting reports whether moving one more group from one model to another lets
+// more callers be served in time.
 func (c *Controller) isWorthConverting(state *serviceState, model config.Model, from string, ended map[string]int) bool {
 	other, ok := state.service.Engine.Model(from)
 	if !ok {
@@ -199,7 +202,7 @@
 		return false
 	}
 	if current == 0 {
-		// Its first caller would find nobody.
+		// The model's first caller would find no group.
 		return true
 	}
 	gained := state.missedPerSecond(model, current) - state.missedPerSecond(model, current+1)
@@ -219,8 +222,8 @@
 	return members
 }
 
-// countUpcomingGroups counts the groups of a model that can be formed of servers that are
-// free soon: those of groups that end or only load a model, with those that are free.
+// countUpcomingGroups counts the groups of a model that can form from servers that are free
+// or soon will be: members of ending groups and of warm-up groups.
 func (c *Controller) countUpcomingGroups(state *serviceState, model config.Model, input World) int {
 	servers := map[string]int{}
 	for _, domain := range state.domains {
@@ -242,8 +245,8 @@
 	return groups
 }
 
-// usable counts the servers that can be members of a group of a model without a load
-// from the weight store.
+// countUsable counts the servers that can join a group of a model without a load from the
+// weight store.
 func countUsable(servers []fleet.Server, model config.Model) int {
 	count := 0
 	for _, server := range servers {
--- a/core/assembly/convert_test.go
+++ b/core/assembly/convert_test.go
@@ -12,7 +12,7 @@
 	"headcourse/core/fleet"
 )
 
-// lose ends the free servers of domains.
+// killFreeServers makes the free servers of domains crash.
 func (s *simFleet) killFreeServers(domains ...string) {
 	for _, domain := range domains {
 		for _, server := range s.servers {
@@ -23,8 +23,8 @@
 	}
 }
 
-// runBusyFor runs a fleet for a time while callers ask as much as keeps the groups of each
-// model that served at first busy for two thirds of their rate, whatever is lost.
+// runBusyFor runs a fleet for a duration. The demand keeps the groups of each model that
+// served at first at two thirds of their capacity; it does not change when groups are lost.
 func runBusyFor(s *simFleet, c *assembly.Controller, duration time.Duration) {
 	const held = 17
 	for _, model := range []string{"large", "small"} {
@@ -35,7 +35,7 @@
 	runFor(s, c, false, duration)
 }
 
-// killMemberIn ends a member of a model's group in a domain and tells of it.
+// killMemberIn kills a member of a group of a model in a domain and reports the stall.
 func (s *simFleet) killMemberIn(c *assembly.Controller, domain, model string) {
 	for _, record := range s.storedRecords() {
 		head := s.servers[record.Members[0]]
@@ -48,8 +48,8 @@
 	}
 }
 
-// Found on the days of a new customer: with no spare left, groups of four waited for
-// loads of 16 s, while the servers of groups of two kept their weights.
+// Guards against groups of four waiting for loads of 16 s without a spare, while the
+// servers of groups of two had their weights staged.
 func TestGroupIsConvertedForModelWithGreaterShortage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -59,7 +59,8 @@
 		s.killMemberIn(c, "d1", "large")
 		runBusyFor(s, c, 8*time.Second)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
-		// Two of six were lost; one group of small each came back as one of large.
+		// Two of six were lost; for each, a group of the small model was converted back to
+		// a large one.
 		qt.Assert(t, s.countServing("large") >= 5, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
 		qt.Assert(t, s.countServing("small") >= 4, qt.IsTrue, qt.Commentf("%d", s.countServing("small")))
 	})
@@ -97,8 +98,8 @@
 	})
 }
 
-// A slow group serves late; it does not count as one of its model's, and its other
-// members are used where that forms a whole one.
+// A slow group serves late and does not count as a group of its model. Its other members
+// are reused if that forms a complete group.
 func TestSlowGroupDoesNotCountAsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(2)
@@ -118,15 +119,15 @@
 	})
 }
 
-// Found on a day on which the store was away for eight seconds: a server that had died
-// meanwhile still had its entry and was made a member, which cost 3.3 s.
+// Guards against making a dead server a member. During an outage of the store of eight
+// seconds a server died; its entry had not expired, and its membership cost 3.3 s.
 func TestUnresponsiveServerIsNotMadeMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
 		head := openHeadOf(s, "large")
 		lost := head.members[2]
 		for _, server := range s.servers {
-			// The spare of the model died just now; its entry stands.
+			// The spare of the model has just crashed; its entry has not expired yet.
 			if server.domain == head.domain && server.state == fleet.NoGroup && server.loaded == "large" {
 				s.kill(server.id)
 			}
@@ -149,8 +150,8 @@
 	})
 }
 
-// Found on the same day: the head had broken before the new leader saw it open, and its
-// group was kept for four seconds.
+// Guards against keeping the group of a broken head. The head had broken during the same
+// outage, before the new leader observed it open, and its group was kept for four seconds.
 func TestBrokenHeadEndsGroupUnderNewLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newWarmFleet(6)
@@ -167,10 +168,11 @@
 	})
 }
 
-// Found on scale-1 of a site of 925 servers: seven of 25 groups of the larger model were
-// lost, and from then on 21 of 28 served while the smaller one had all that it needed. One
-// group of so many is 0.037 of what a model needs, less than what a conversion had to gain;
-// and they went one at a time.
+// Guards against conversions that are rejected or run one at a time in a large fleet. On
+// scale-1 of a site of 925 servers, seven of 25 groups of the larger model were lost, and
+// 21 of 28 served from then on, while the smaller model had all that it needed. One group
+// in a fleet of that size is 0.037 of what a model needs, less than the minimum gain of a
+// conversion at the time.
 func TestConversionsRunInParallelAcrossManyDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains = 32
@@ -180,7 +182,7 @@
 			all = append(all, fmt.Sprintf("d%d", i))
 		}
 		s.killFreeServers(all...)
-		// Where no spare is left a lost member of the larger model takes its group away.
+		// Without spares, each lost member of the larger model ends its group.
 		runBusyFor(s, c, 3*time.Second)
 		before := s.countServing("large")
 		for _, domain := range all[:8] {
@@ -188,8 +190,9 @@
 		}
 		runBusyFor(s, c, 6*time.Second)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
-		// Eight of 32 are lost, and one comes back for two of the smaller model, which is
-		// asked as much: 26 and 28, or 27 and 26, is the best for the one that is worse off.
+		// Eight of 32 groups are lost, and one comes back in place of two of the smaller
+		// model, which has the same demand. The best result for the model that is worse off
+		// is 26 and 28, or 27 and 26.
 		qt.Assert(t, before, qt.Equals, domains)
 		worse := min(s.countServing("large"), s.countServing("small"))
 		qt.Assert(t, worse >= before-6, qt.IsTrue, qt.Commentf("%d of %d", worse, before))
--- a/core/assembly/decode_fuzz_test.go
+++ b/core/assembly/decode_fuzz_test.go
@@ -6,8 +6,8 @@
 	"headcourse/core/assembly"
 )
 
-// FuzzDecodeRecord looks for rows that are taken for records without members, or that stop
-// a controller.
+// FuzzDecodeRecord looks for rows that decode to records without members, or that crash a
+// controller.
 func FuzzDecodeRecord(f *testing.F) {
 	for _, seed := range []string{
 		`{"name":"g","service":"engines","model":"large","members":["a","b"]}`,
@@ -27,10 +27,10 @@
 			return
 		}
 		if record.Name == "" || len(record.Members) == 0 {
-			t.Fatalf("%q is taken for %+v", value, record)
+			t.Fatalf("%q decodes to %+v", value, record)
 		}
 		if record.Epoch <= 0 {
-			t.Fatalf("%q is taken for a group of epoch %d", value, record.Epoch)
+			t.Fatalf("%q decodes to a group of epoch %d", value, record.Epoch)
 		}
 		s := newSimFleet(1)
 		c := &assembly.Controller{}
@@ -39,7 +39,7 @@
 	})
 }
 
-// FuzzDecodeRecent looks for rows that stop a daemon.
+// FuzzDecodeRecent looks for rows that crash a daemon.
 func FuzzDecodeRecent(f *testing.F) {
 	f.Add([]byte(`{"domain":"d0","models":{"i-001":"large"}}`))
 	f.Add([]byte(`{"models":[]}`))
--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -8,36 +8,37 @@
 	"headcourse/core/config"
 )
 
-// Figures of demand.
 const (
-	// riseTimeConstant and fallTimeConstant are the time constants with which an estimate follows a
-	// rising and a falling demand: late growth costs callers, and groups that were
-	// given up soon after a burst would be missed by the next.
+	// riseTimeConstant and fallTimeConstant are the time constants with which an estimate
+	// follows a rising and a falling demand. Late growth delays callers, and groups given
+	// up soon after a burst would be missing in the next one.
 	riseTimeConstant = 1500 * time.Millisecond
 	fallTimeConstant = 10 * time.Second
-	// minMeasurableFraction is the part of the servers that must be needed for the mix of the
-	// requests to say how servers are to be divided; below it chance decides.
+	// minMeasurableFraction is the fraction of the servers that must be needed for the
+	// measured mix of requests to decide how servers are divided; below it the mix is
+	// mostly random.
 	minMeasurableFraction = 0.35
-	// minNeededGroups is what a model needs that nobody asks for.
+	// minNeededGroups is the number of groups that a model without demand needs.
 	minNeededGroups = 0.5
 )
 
-// modelKey names a model of a service.
+// modelKey identifies a model of a service.
 type modelKey struct {
 	service string
 	model   string
 }
 
-// demand is how many groups a model needs to serve what callers ask for.
+// demand is the number of groups that a model needs to serve its callers.
 type demand struct {
 	groups config.Groups
-	// requests is how many callers ask a second.
+	// requestsPerSecond is the rate of requests from callers.
 	requestsPerSecond float64
 	updatedAt         time.Time
 }
 
-// estimate follows the demand for the models of a service. Soon after an outage the
-// callers of all of it come at once: that tells nothing of what is asked for later.
+// updateDemands updates the estimates for the models of a service. Just after an outage of
+// the store or at the start the demand is not measured: all callers return at once then,
+// which says nothing about the later demand.
 func (c *Controller) updateDemands(service *config.Service, input World) {
 	if !input.IsSteady || input.IsStart || input.Asked == nil {
 		return
@@ -76,7 +77,7 @@
 	return demands
 }
 
-// reportTargets tells of models that are to have another number of groups than before.
+// reportTargets adds a note for each model whose target number of groups has changed.
 func (c *Controller) reportTargets(state *serviceState, plan *Plan) {
 	if c.reportedTargets == nil {
 		c.reportedTargets = map[modelKey]int{}
@@ -94,14 +95,13 @@
 		plan.Notes = append(plan.Notes, Note{
 			Model:  model.Name,
 			What:   "number of groups changed",
-			Reason: fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
+			Reason: fmt.Sprintf("target %d, live %d, planned %d, needed %.1f, minimum %.1f", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
 		})
 	}
 }
 
-// following returns the estimate after it has followed an observation since it was
-// last made. The first one counts as it is: what is asked is a mean over seconds already,
-// and a new leader begins with it.
+// smoothed returns the estimate after an observation. The first observation is taken as it
+// is, because the demand is already a mean over seconds and a new leader starts from it.
 func (d demand) smoothed(observed demand) demand {
 	now := time.Now()
 	if d.updatedAt.IsZero() {
--- a/core/assembly/demand_test.go
+++ b/core/assembly/demand_test.go
@@ -10,8 +10,9 @@
 	"headcourse/core/assembly"
 )
 
-// With requests of the smaller model at 1.6 times its share, its six groups were full
-// for 14 s while twelve servers were free.
+// Guards against free servers that are not used for an overloaded model. With 1.6 times the
+// requests of its share, the smaller model's six groups were at capacity for 14 s while
+// twelve servers were free.
 func TestOverloadedModelGetsGroupsFromFreeServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -38,25 +39,26 @@
 	})
 }
 
-// With shares of 0.3 and 0.7 but work of 0.6 and 0.4, groups of the smaller model that
-// nobody needed were formed again and again of spares that the larger one lacked later:
-// scale-1 of a deployment of our own earned 0.67, and 0.73 and 0.77 since.
+// Guards against dividing servers by the configured shares when the demand differs. With
+// shares of 0.3 and 0.7 but work of 0.6 and 0.4, groups of the smaller model that nobody
+// needed kept forming from spares that the larger model lacked later. Scale-1 of an
+// internal deployment scored 0.67, and 0.73 and 0.77 since the fix.
 func TestAllocationFollowsMeasuredDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
 		runWithDemandFor(s, c, 20*time.Second, 4, 0.8)
 		s.killMemberIn(c, "d0", "small")
 		runWithDemandFor(s, c, 10*time.Second, 4, 0.8)
-		// Four groups' work of the larger model keeps its six; the smaller one does not
-		// get back what nobody asks for.
+		// Demand worth four groups keeps all six of the larger model; the smaller one does
+		// not get back a group without demand for it.
 		qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue, qt.Commentf("%d", s.countServing("large")))
 		qt.Assert(t, s.countServing("small"), qt.Equals, 5)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
-// runWithDemandFor runs a fleet for a time while so many groups' work is asked of each model,
-// and shared by its groups.
+// runWithDemandFor runs a fleet for a duration while the demand for each model is worth the
+// given number of groups, spread over the groups that it has.
 func runWithDemandFor(s *simFleet, c *assembly.Controller, duration time.Duration, large, small float64) {
 	const capacity = 26
 	s.setDemand("large", capacity*large)
@@ -80,7 +82,7 @@
 	})
 }
 
-// Heads are looked at anyway; a sign of life from before a suspicion must not end it.
+// Heads are probed regularly. An answer from before a suspicion must not clear it.
 func TestProbeBeforeSuspicionDoesNotClearIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -90,15 +92,15 @@
 		c.Suspect(head.group, head.epoch, "")
 		runFor(s, c, false, time.Second)
 		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 0)
-		_, isThere := s.records[head.group]
-		qt.Assert(t, isThere && s.countServing("large") == 6, qt.IsFalse)
+		_, hasRecord := s.records[head.group]
+		qt.Assert(t, hasRecord && s.countServing("large") == 6, qt.IsFalse)
 	})
 }
 
-// After an outage all callers come back at once and all groups are full, whose number
-// then decided who was thought to need more: the smaller model's groups grew from 19 to
-// 28 while four of twelve of the larger one were left. Free servers may be used, but no
-// model grows at the cost of the other.
+// Guards against comparing models by the number of full groups. After an outage all callers
+// return at once and all groups are full: the smaller model's groups grew from 19 to 28
+// while four of twelve of the larger one were left. Free servers may be used, but no model
+// may grow at the expense of the other.
 func TestNoModelLosesGroupsWhenAllModelsAreOverloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newWarmFleet(6)
--- a/core/assembly/evacuated_test.go
+++ b/core/assembly/evacuated_test.go
@@ -12,8 +12,8 @@
 	"headcourse/core/evacuation"
 )
 
-// Twelve domains of eight servers in three zones, of which one is evacuated: the others have to
-// serve what it served, before daemons leave it.
+// One of three zones is evacuated: the other zones have to take over its load before the
+// daemons leave it. Domains have eight servers.
 
 // newZonedFleet returns a fleet in three zones whose groups serve.
 func newZonedFleet(domains int) (*simFleet, *assembly.Controller) {
@@ -40,15 +40,16 @@
 	return count
 }
 
-// evacuate evacuates a zone; daemons go on sending requests there for a while.
+// evacuate evacuates a zone; daemons continue to send requests there for a while.
 func (s *simFleet) evacuate(zone string) {
 	s.evacuated = s.evacuated.With(zone, evacuation.Evacuation{
 		LeaveAt: time.Now().Add(1500 * time.Millisecond),
 	})
 }
 
-// TestGroupsFormInOtherZonesDuringEvacuation has callers ask for as many groups as served in all
-// zones: spares of the other zones make up for a part of them while the zone is still used.
+// TestGroupsFormInOtherZonesDuringEvacuation sets a demand for as many groups as serve in
+// all zones: spares of the other zones replace some of the groups while the evacuated zone
+// still serves.
 func TestGroupsFormInOtherZonesDuringEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newZonedFleet(12)
@@ -56,20 +57,22 @@
 		s.setDemandPerGroup("large", held)
 		s.setDemandPerGroup("small", held)
 		runFor(s, c, false, 5*time.Second)
-		inAll := s.countServing("large") + s.countServing("small")
+		total := s.countServing("large") + s.countServing("small")
 		s.evacuate("a")
-		outside := s.countServingOutside("large") + s.countServingOutside("small")
+		outsideBefore := s.countServingOutside("large") + s.countServingOutside("small")
 		runFor(s, c, false, 2500*time.Millisecond)
-		more := s.countServingOutside("large") + s.countServingOutside("small")
-		qt.Assert(t, more > outside, qt.IsTrue, qt.Commentf("%d groups outside the zone, %d before, %d in all zones", more, outside, inAll))
-		// The groups of the zone serve until the daemons have left, and wait afterwards.
-		qt.Assert(t, s.countServing("large")+s.countServing("small") >= inAll, qt.IsTrue)
+		outsideAfter := s.countServingOutside("large") + s.countServingOutside("small")
+		qt.Assert(t, outsideAfter > outsideBefore, qt.IsTrue, qt.Commentf("%d groups outside the zone, %d before the evacuation, %d in all zones", outsideAfter, outsideBefore, total))
+		// The groups of the zone serve until the daemons have left, and stay idle
+		// afterwards.
+		qt.Assert(t, s.countServing("large")+s.countServing("small") >= total, qt.IsTrue)
 		runFor(s, c, false, 20*time.Second)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
-// Where the zone is taken back its groups are there: they need not form anew.
+// The groups of a zone are still there when its evacuation is cancelled, and need not form
+// again.
 func TestGroupsOfEvacuatedZoneSurviveUntilItReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newZonedFleet(12)
@@ -87,8 +90,8 @@
 	})
 }
 
-// All zones evacuated leave nothing to form groups of, and nothing to do; a member that is lost
-// meanwhile ends its group, which forms again when its zone is back.
+// With all zones evacuated no group can form. A member that is lost meanwhile ends its
+// group, which forms again once its zone is back.
 func TestNoGroupFormsWhileAllZonesAreEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newZonedFleet(6)
--- a/core/assembly/finish.go
+++ b/core/assembly/finish.go
@@ -7,44 +7,44 @@
 	"headcourse/core/fleet"
 )
 
-// Times of an end.
 const (
-	// drainTimeout is how long a group whose members leave may finish its work.
+	// drainTimeout is how long a group with a draining member may finish its work.
 	drainTimeout = 2500 * time.Millisecond
-	// leaveTimeout is how long a leaving server that has stopped listening may still be
-	// in its group, as the platform's pages say.
+	// leaveTimeout is how long a draining server that has stopped listening may still be in
+	// its group, according to the platform's documentation.
 	leaveTimeout = 10 * time.Second
-	// abandonTimeout is how long a group none of whose members is there is waited for:
-	// three stall times and more, after which a head that lives is broken.
+	// abandonTimeout is how long to wait for a group without any known member before its
+	// record is removed. It is more than three stall times, after which any live head has
+	// broken.
 	abandonTimeout = 20 * time.Second
-	// stallMargin is added to the time after which a silent head is broken.
+	// stallMargin is added to the stall time after which an unresponsive head is considered
+	// broken.
 	stallMargin = time.Second
 )
 
-// finish brings an ending group to its end: the head is closed and leaves, and
-// the record is removed when the head is known not to serve.
+// finishEnding completes the end of a group: the head is closed and leaves, and the record
+// is removed once the head is known not to serve.
 func (c *Controller) finishEnding(g *group, input World, plan *Plan) {
-	if g.isRemoving {
+	if g.isRemovalPending {
 		return
 	}
 	if !c.withdrawHead(g, input, plan) {
 		return
 	}
-	g.isRemoving = true
+	g.isRemovalPending = true
 	g.addNote("group ended", g.endReason, plan)
 	plan.Remove = append(plan.Remove, g.record.Name)
 	planRecentModels(g.record, input, plan)
 }
 
-// withdrawHead moves the head out of its group and tells whether it is known to
-// be out.
+// withdrawHead makes the head leave its group and reports whether it is known to have left.
 func (c *Controller) withdrawHead(g *group, input World, plan *Plan) bool {
 	id := g.record.Members[0]
 	head, ok := input.Fleet.Server(id)
-	isOut := ok && !head.Membership.In(g.record.Name, g.record.Epoch)
-	if isOut || g.hasHeadTakenLeave {
-		// A head that started again may come back by an order to its former start: the
-		// members leave before they join others.
+	hasLeft := ok && !head.Membership.In(g.record.Name, g.record.Epoch)
+	if hasLeft || g.hasHeadTakenLeave {
+		// A restarted head may rejoin through an order to its former incarnation, so the
+		// members have to leave before they join other groups.
 		g.isHeadOut = !g.hasHeadRestarted
 		return true
 	}
@@ -66,11 +66,12 @@
 	return false
 }
 
-// withdrawLostHead does the same for a head that does not answer, or whose entry
-// is gone. It may be cut off and still serve for other daemons; or it leaves, has
-// stopped listening, and finishes its work for up to 10 s, which looks like a crash
-// where its entry could not tell so. It is told to leave; and its members are: without
-// them it stands still, and is broken after the stall time whether it lives or not.
+// withdrawLostHead does the same for a head that does not answer or has no entry. Such a
+// head may be cut off from this daemon and still serve for others. It may also be draining:
+// it has stopped listening and finishes its work for up to 10 s, which looks like a crash
+// if its entry could not show it. Therefore both the head and the members are ordered to
+// leave: without members the head stalls, and has broken after the stall time whether it is
+// alive or not.
 func (c *Controller) withdrawLostHead(g *group, id string, input World, plan *Plan) bool {
 	if server, ok := input.Fleet.Known(id); ok {
 		c.probe(server, plan)
@@ -89,9 +90,9 @@
 	return !g.incompleteSince.IsZero() && time.Since(g.incompleteSince) > input.StallTime+stallMargin
 }
 
-// isAbandoned tells whether nothing has been heard of any member for so long that
-// the group's record is dropped: a whole domain was lost. Should its servers come
-// back, they leave the group without a record before they are used.
+// isAbandoned reports whether no member has been known for so long that the group's record
+// is removed, because a whole domain was lost. If its servers come back, they leave the
+// group without a record before they are reused.
 func isAbandoned(g *group, input World) bool {
 	if !input.IsSteady || time.Since(g.endingSince) < abandonTimeout {
 		return false
@@ -104,12 +105,12 @@
 	return true
 }
 
-// withdrawMembers orders the other members of a group to leave, and notes since
-// when one of them is surely out. It tells whether all that are there say that
-// they are out: then none of them could be in two groups. One without an entry
-// may come back and still be a member; it leaves before it is used again.
+// withdrawMembers orders the other members of a group to leave, and records since when the
+// group is certain to lack a member. It reports whether at least one member has left and no
+// present member is still in the group, so that none can be in two groups. A member without
+// an entry may come back and still be in the group; it leaves before it is reused.
 func (c *Controller) withdrawMembers(g *group, input World, plan *Plan) bool {
-	out, in := 0, 0
+	leftCount, presentCount := 0, 0
 	for _, id := range g.record.Members[1:] {
 		member, ok := input.Fleet.Server(id)
 		switch {
@@ -118,20 +119,21 @@
 			if c.isUnresponsive(member, plan) {
 				continue
 			}
-			in++
+			presentCount++
 		case ok, c.isRefusedRecently(id) && time.Since(g.endingSince) > leaveTimeout:
-			out++
+			leftCount++
 		}
 	}
-	if (out > 0 || len(g.record.Members) == 1) && g.incompleteSince.IsZero() {
+	if (leftCount > 0 || len(g.record.Members) == 1) && g.incompleteSince.IsZero() {
 		g.incompleteSince = time.Now()
 	}
-	return out > 0 && in == 0
+	return leftCount > 0 && presentCount == 0
 }
 
-// isUnresponsive tells whether a member that was told to leave does not answer: its entry may
-// stand for three heartbeats. Should it come back, it leaves before it is used again. Where
-// the head and another member died together, ten others waited 1.6 s to 2.7 s for it.
+// isUnresponsive reports whether a member that was ordered to leave does not answer: its
+// entry may exist for three more heartbeats. If it comes back, it leaves before it is
+// reused. Without this check ten members waited 1.6 s to 2.7 s when their head and another
+// member had died together.
 func (c *Controller) isUnresponsive(member fleet.Server, plan *Plan) bool {
 	isDead, _ := c.isDead(member.ID)
 	if !c.hasAnsweredRecently(member.ID) {
@@ -140,17 +142,17 @@
 	return isDead
 }
 
-// removeOrphans has servers leave groups that have no record: the rest of a group
-// whose head was lost, or what a late order has left behind. Members of a group
-// whose head is known to be out of it are left alone: they just join another.
-func (c *Controller) removeOrphans(input World, plan *Plan) {
+// orderOrphansToLeave orders servers to leave groups without a record: remaining members of a
+// group whose head was lost, or memberships from delayed orders. Members of a group whose
+// head is known to have left are skipped: they join another group directly.
+func (c *Controller) orderOrphansToLeave(input World, plan *Plan) {
 	if c.orphanLeaveAt == nil {
 		c.orphanLeaveAt = map[string]time.Time{}
 	}
 	for _, server := range input.Fleet.Servers() {
 		m := server.Membership
 		if !isConfiguredEngine(input.Config, server) {
-			// An entry for a service that is not configured may be anybody's.
+			// An entry for a service that is not configured may belong to any system.
 			continue
 		}
 		if m.State == fleet.NoGroup || c.hasRecord(m.Group, m.Epoch) || c.isAdopting(m) || c.isOfClosedGroup(m) {
@@ -170,13 +172,13 @@
 	}
 }
 
-// isConfiguredEngine tells whether a server is of a service of engines that is configured.
+// isConfiguredEngine reports whether a server belongs to a configured service of engines.
 func isConfiguredEngine(cfg *config.Config, server fleet.Server) bool {
 	service := cfg.Service(server.Service)
 	return service != nil && service.Engine != nil
 }
 
-// isOfClosedGroup tells whether a membership is of an ended group whose head is out.
+// isOfClosedGroup reports whether a membership is of an ended group whose head has left.
 func (c *Controller) isOfClosedGroup(m fleet.Membership) bool {
 	_, ok := c.closedGroups[groupKey{
 		group: m.Group,
@@ -185,9 +187,9 @@
 	return ok
 }
 
-// reopenClosedGroups finds heads that are in an ended group again although they had been out of
-// it: orders to join and to open that were not answered are carried out seconds later. Such
-// a group is not closed any more: its head and its members leave before they join others.
+// reopenClosedGroups finds heads that are in an ended group again after they had left it:
+// orders to join and to open without an answer may be carried out seconds later. Such a
+// group is no longer closed: its head and members leave before they join other groups.
 func (c *Controller) reopenClosedGroups(view fleet.View) {
 	for key, head := range c.closedGroups {
 		server, _ := view.Server(head.headID)
@@ -201,7 +203,7 @@
 	}
 }
 
-// hasRecord tells whether a group is known.
+// hasRecord reports whether a group with this name and epoch has a record.
 func (c *Controller) hasRecord(name string, epoch int64) bool {
 	g, ok := c.groups[name]
 	return ok && g.record.Epoch == epoch
--- a/core/assembly/finish_test.go
+++ b/core/assembly/finish_test.go
@@ -10,8 +10,8 @@
 	"headcourse/core/assembly"
 )
 
-// A head that died without a word was waited for until its entry went and then
-// for the stall time; its members now leave at once.
+// Guards against waiting for a crashed head until its entry expires and then for the stall
+// time; its members leave immediately.
 func TestDeadHeadIsReplacedBeforeStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -26,9 +26,10 @@
 	})
 }
 
-// Found by a hunt (TWO, hunt-1d97-39 of valdeserna-riego): the head and a member
-// lost their entries while cut off from the store; the member came back and was
-// joined to another group while its old head was still open.
+// Guards against reusing a returning member before it leaves its old group (run TWO,
+// hunt-1d97-39 of valdeserna-riego). The head and a member lost their entries while
+// disconnected from the store. The member came back and was ordered to join another group
+// while its old head was still open.
 func TestReturningMemberLeavesOldGroupBeforeReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(2)
@@ -55,9 +56,9 @@
 	})
 }
 
-// Found by a hunt on a deployment of our own (TWO, scale-1 with seed 363847341756):
-// a leaving head had stopped listening and was taken for dead, while it still finished
-// its work; its members were joined to another group without leaving.
+// Guards against taking a draining head for dead (run TWO, scale-1 of an internal
+// deployment, seed 363847341756). The head had stopped listening but still finished its
+// work; its members joined another group without leaving.
 func TestMembersLeaveGroupWhoseHeadStoppedListening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -67,15 +68,16 @@
 		runFor(s, c, false, 8*time.Second)
 
 		qt.Assert(t, s.violations, qt.HasLen, 0)
-		// The head itself serves to its end; its members form the next group.
+		// The head itself serves until it exits; its members form the next group.
 		qt.Assert(t, s.countServing("large") >= 6, qt.IsTrue)
 	})
 }
 
-// Found on a standard day with another seed (TWO, trouble-3 of lainela-headcourse with
-// seed 7): servers had said that they leave while the store was away for eight seconds;
-// after its return the entry of a head that had stopped listening still told nothing of
-// it. The head was taken for dead, and its members joined another group while it served.
+// Guards against the same with a stale entry (run TWO, trouble-3 of lainela-headcourse,
+// seed 7). Servers reported that they were leaving while the store was unavailable for
+// eight seconds. Afterwards the entry of a head that had stopped listening still did not
+// show it; the head was considered dead, and its members joined another group while it
+// served.
 func TestMembersLeaveGroupWhoseHeadStoppedListeningWithStaleEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -91,8 +93,8 @@
 	})
 }
 
-// Found in incident inc-2a94: the record of a group whose whole domain was lost at
-// 11 s still stood at the end of the day.
+// Guards against records that are never removed. In incident inc-2a94 a whole domain was
+// lost at 11 s, and the record of its group still existed at the end of the day.
 func TestRecordOfLostDomainIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -104,9 +106,9 @@
 		}
 		runFor(s, c, false, 70*time.Second)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
-		_, isThere := s.records[head.group]
-		qt.Assert(t, isThere, qt.IsFalse)
-		// It is not dropped while its servers may come back soon.
+		_, hasRecord := s.records[head.group]
+		qt.Assert(t, hasRecord, qt.IsFalse)
+		// It is not removed while its servers may come back soon.
 		s, c = newStartedFleet(6)
 		head = openHeadOf(s, "large")
 		for _, server := range s.servers {
@@ -115,7 +117,7 @@
 			}
 		}
 		runFor(s, c, false, 15*time.Second)
-		_, isThere = s.records[head.group]
-		qt.Assert(t, isThere, qt.IsTrue)
+		_, hasRecord = s.records[head.group]
+		qt.Assert(t, hasRecord, qt.IsTrue)
 	})
 }
--- a/core/assembly/form.go
+++ b/core/assembly/form.go
@@ -12,23 +12,23 @@
 	"headcourse/core/rowstore"
 )
 
-// Figures of planning.
 const (
-	// loadBurst is how many loads beyond the weight store's bound may begin in
-	// a window; the platform allows three.
+	// loadBurst is how many loads beyond the weight store's limit may start in a window;
+	// the platform allows three.
 	loadBurst = 2
-	// loadWindowMargin is added to the window: orders do not all travel alike.
+	// loadWindowMargin is added to the window because the delay of orders varies.
 	loadWindowMargin = 250 * time.Millisecond
-	// takeoverFraction is the part of a window's loads that a leader may begin in its first
-	// window: it does not know what the one before has just begun. Each leaves as much to
-	// two successors.
+	// takeoverFraction is the fraction of a window's loads that a new leader may start in
+	// its first window, because it does not know which loads its predecessor has just
+	// started. Each leader reserves as many for two successors.
 	takeoverFraction = 1.0 / 6
-	// settleTime is how long no server must have come for all to count as there
-	// when the system starts: they write their first entries within one heartbeat.
+	// settleTime is how long no new server must have appeared for the fleet to be
+	// considered complete at the start: servers write their first entries within one
+	// heartbeat.
 	settleTime = 350 * time.Millisecond
 )
 
-// form plans new groups and stages weights, for every service of engines.
+// formGroups plans new groups and stages weights, for every service of engines.
 func (c *Controller) formGroups(input World, plan *Plan) {
 	if c.pendingRecords == nil {
 		c.pendingRecords = map[string]Record{}
@@ -45,8 +45,8 @@
 	}
 }
 
-// hasSettled tells whether all servers of a new system seem to be there, so
-// that groups can be spread evenly over the domains.
+// hasSettled reports whether all servers of a new system seem to be present, so that groups
+// can be spread evenly over the domains.
 func (c *Controller) hasSettled(state *serviceState) bool {
 	if c.serverCounts == nil {
 		c.serverCounts = map[string]serverCount{}
@@ -84,8 +84,8 @@
 	c.stageWeights(state, input, plan)
 }
 
-// formGroup plans a group of a model in the domain where it forms soonest, and
-// tells whether it did.
+// formGroup plans a group of a model in the domain where it forms soonest, and reports
+// whether it did.
 func (c *Controller) formGroup(state *serviceState, model config.Model, input World, plan *Plan) bool {
 	var best []fleet.Server
 	bestLoads, bestGroups := math.MaxInt, math.MaxInt
@@ -103,9 +103,9 @@
 		return false
 	}
 	if !input.IsStart && !c.haveAllAnswered(best, plan) {
-		// They are asked; until they answer they are kept for this group. Else a group of
-		// another model took half of the servers of a lost one, and came back by a conversion
-		// 2 s later.
+		// The servers have been probed and stay reserved for this group until they answer.
+		// Without the reservation a group of another model took half of the servers of a
+		// lost group, which came back by a conversion 2 s later.
 		state.reserve(model, best)
 		return false
 	}
@@ -116,7 +116,7 @@
 	return true
 }
 
-// create plans the record of a group of free servers.
+// planRecord plans the record of a group of free servers.
 func (c *Controller) planRecord(record Record, state *serviceState, members []fleet.Server, input World, plan *Plan) {
 	c.lastGroupNumber++
 	record.Era = input.Era
@@ -143,22 +143,23 @@
 	return ids
 }
 
-// groupName returns a name that no other group has or had: revisions of the
-// store never repeat, and a controller counts its own.
+// groupName returns a name that no other group has or had: revisions of the store never
+// repeat, and a controller numbers its own groups.
 func groupName(revision rowstore.Revision, number int) string {
 	const base = 36
 	return "g" + strconv.FormatInt(revision.Ordinal(), base) + "-" + strconv.Itoa(number)
 }
 
-// choice is the servers that would form a group soonest.
+// memberChoice is the servers that would form a group soonest.
 type memberChoice struct {
-	// members are nil where there are too few servers.
+	// members is nil if there are too few servers.
 	members []fleet.Server
-	// loads is how many of them must load the model's weights first.
+	// loads is how many of the members must load the model's weights from the weight store
+	// first.
 	loads int
 }
 
-// choose returns the free servers that would form a group of a model soonest.
+// chooseMembers returns the free servers that would form a group of a model soonest.
 func chooseMembers(free []fleet.Server, model config.Model) memberChoice {
 	if len(free) < model.Size {
 		return memberChoice{}
@@ -178,11 +179,11 @@
 	return chosen
 }
 
-// rankMustLoad and above are the ranks of servers that must load weights.
+// rankMustLoad is the lowest rank of servers that must load weights from the weight store.
 const rankMustLoad = 2
 
-// joinRank orders servers by how soon they are ready with a model, and among
-// those that must load by how little is lost by it.
+// joinRank orders servers by how soon they are ready with a model. Among those that must
+// load, servers without staged weights come first.
 func joinRank(server fleet.Server, model string) int {
 	switch {
 	case server.CanRejoin(model):
@@ -196,8 +197,8 @@
 	}
 }
 
-// mayLoad tells whether so many loads may begin now. Those before the first request
-// do not count, as the platform's pages say.
+// mayLoad reports whether this many loads may start now. Loads before the first request do
+// not count, according to the platform's documentation.
 func (c *Controller) mayLoad(loads int, engine *config.Engine, input World) bool {
 	if loads == 0 || input.IsStart {
 		return true
@@ -207,23 +208,24 @@
 		return now.Sub(at) > input.LoadWindow+loadWindowMargin
 	})
 	limit := c.loadLimit(engine, input, now)
-	return len(c.loadStarts)+c.reservedLoads()+loads <= max(limit, loads)
+	return len(c.loadStarts)+c.pendingLoads()+loads <= max(limit, loads)
 }
 
-// loadLimit returns how many loads this leader may begin in a window. The weight store's bound
-// is for all leaders of a window together.
+// loadLimit returns how many loads this leader may start in a window. The weight store's
+// limit applies to all leaders of a window together.
 func (c *Controller) loadLimit(engine *config.Engine, input World, now time.Time) int {
 	limit := int(engine.LoadsPerSecond*input.LoadWindow.Seconds()*max(1, input.LoadExcess)) + loadBurst
-	first := max(1, int(takeoverFraction*float64(limit)))
+	takeoverLimit := max(1, int(takeoverFraction*float64(limit)))
 	if now.Sub(c.firstStepAt) <= input.LoadWindow+loadWindowMargin {
-		return first
+		return takeoverLimit
 	}
 	const successors = 2
-	return limit - successors*first
+	return limit - successors*takeoverLimit
 }
 
-// reserved counts the loads of groups being created, whose orders come next.
-func (c *Controller) reservedLoads() int {
+// pendingLoads counts the loads of groups whose records are being written; their orders
+// follow.
+func (c *Controller) pendingLoads() int {
 	count := 0
 	for _, record := range c.pendingRecords {
 		count += len(record.Members)
--- a/core/assembly/form_test.go
+++ b/core/assembly/form_test.go
@@ -29,21 +29,23 @@
 	})
 }
 
-// Of two models with equal shares, the one with the larger groups is without more of
-// them at any time; it was overloaded first (valdeserna-riego-grown trouble-2, 20 s to
-// 24 s: seven or eight of eleven groups of eight, twenty of 21 of four).
+// Guards against equal treatment of models with groups of different sizes. With equal
+// shares, the model with the larger groups has more of them missing at any time, and was
+// overloaded first (valdeserna-riego-grown trouble-2, 20 s to 24 s: seven or eight of
+// eleven groups of eight served, twenty of 21 of four).
 func TestModelWithLargerGroupsGetsExtraGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newStartedFleet(48)
-		// 384 servers, 0.67 and 0.33 of them: 48 groups of four and 48 of two by
-		// the shares alone, 51 and 49 with the risk; two of the 51 fit into no domain.
+		// With 384 servers and shares of 0.67 and 0.33, the shares alone give 48 groups of
+		// four and 48 of two. With the expected unavailability it is 51 and 49; two of the
+		// 51 fit into no domain.
 		qt.Assert(t, s.countServing("large"), qt.Equals, 49)
 		qt.Assert(t, s.countServing("small"), qt.Equals, 49)
 	})
 }
 
-// Loads before the first request are not counted; waiting for the bound would leave
-// a fleet with a slow weight store half empty when clients come.
+// Loads before the first request are not counted. Applying the limit to them would leave a
+// fleet with a slow weight store half empty when clients arrive.
 func TestAllServersLoadBeforeFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimFleet(24)
--- a/core/assembly/fuzz_test.go
+++ b/core/assembly/fuzz_test.go
@@ -10,9 +10,9 @@
 	"headcourse/lab/fuzz"
 )
 
-// TestFuzz plays random losses, cuts, late and lost orders, and changes of the
-// leader; nothing that must always hold may break, and when the trouble ends the
-// groups come back.
+// TestFuzz applies random crashes, disconnections, delayed and lost orders, and changes of
+// the leader. No invariant may be violated, and the groups must come back after the faults
+// end.
 func TestFuzz(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		s, c := newStartedFleet(3)
@@ -20,10 +20,10 @@
 	})
 }
 
-// TestFuzzOfKeptSeeds plays drawn cases again that broke something. In two of them orders to
-// join and to open a group were not answered and carried out after its head had left. The
-// head served again, and it and its members joined others without leaving, since the group
-// was known to be closed; in the others a server started again under its ID.
+// TestFuzzOfKeptSeeds repeats seeds that once violated an invariant. In two of them
+// unanswered orders to join and to open a group were carried out after its head had left.
+// The head served again, and it and its members joined other groups without leaving,
+// because the group was considered closed. In the others a server restarted under its ID.
 func TestFuzzOfKeptSeeds(t *testing.T) {
 	for _, seed := range []uint64{
 		10554856337836883301,
@@ -38,38 +38,39 @@
 	}
 }
 
-// TestFuzzOfLargeGroups does the same with groups of twelve and six in domains of 27, while
-// callers ask for both models, from nothing to more than all groups can serve.
+// TestFuzzOfLargeGroups does the same with groups of twelve and six in domains of 27, and a
+// demand for both models from nothing to more than all groups can serve.
 func TestFuzzOfLargeGroups(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		s, c := newLargeGroupFleet(2)
-		s.setDemandPerGroup("large", rapid.IntRange(0, 70).Draw(rt, "held by large groups"))
-		s.setDemandPerGroup("small", rapid.IntRange(0, 70).Draw(rt, "held by small groups"))
+		s.setDemandPerGroup("large", rapid.IntRange(0, 70).Draw(rt, "requests in flight per large group"))
+		s.setDemandPerGroup("small", rapid.IntRange(0, 70).Draw(rt, "requests in flight per small group"))
 		runRandomFaults(rt, s, c, 120)
 	})
 }
 
-// runRandomFaults plays up to so many steps on a fleet.
+// runRandomFaults runs a fleet with random faults for at most maxSteps steps.
 func runRandomFaults(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int) {
 	runRandomFaultsWith(rt, s, c, maxSteps, func(c *assembly.Controller) *assembly.Controller {
 		return c
 	})
 }
 
-// runRandomFaultsWith is runRandomFaults with something more at each step, which returns who leads then.
+// runRandomFaultsWith is runRandomFaults with an extra action at each step, which returns
+// the current leader.
 func runRandomFaultsWith(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int, atEachStep func(*assembly.Controller) *assembly.Controller) {
 	formerLeader := &assembly.Controller{}
 	formerLeader.Load(s.storedRecords())
 	steps := rapid.IntRange(50, maxSteps).Draw(rt, "steps")
-	faultRate := rapid.Float64Range(0, 0.5).Draw(rt, "trouble")
+	faultRate := rapid.Float64Range(0, 0.5).Draw(rt, "fault rate")
 	deliveryOf := func(order assembly.Order) delivery {
-		if s.servers[order.Server.ID].isCutOff || rapid.Float64Range(0, 1).Draw(rt, "luck") > faultRate {
+		if s.servers[order.Server.ID].isCutOff || rapid.Float64Range(0, 1).Draw(rt, "delivery") > faultRate {
 			return delivery{}
 		}
 		return delivery{
-			isAnswerLost: rapid.Bool().Draw(rt, "lost"),
-			isDropped:    rapid.Bool().Draw(rt, "none"),
-			delay:        time.Duration(rapid.IntRange(0, 10).Draw(rt, "late")) * time.Second,
+			isAnswerLost: rapid.Bool().Draw(rt, "answer lost"),
+			isDropped:    rapid.Bool().Draw(rt, "dropped"),
+			delay:        time.Duration(rapid.IntRange(0, 10).Draw(rt, "delay in s")) * time.Second,
 		}
 	}
 	for range steps {
@@ -78,7 +79,7 @@
 		s.step(c, false, deliveryOf)
 		s.tick()
 		if len(s.violations) > 0 {
-			rt.Fatalf("broken: %v", s.violations)
+			rt.Fatalf("invariant violated: %v", s.violations)
 		}
 	}
 	for _, server := range s.servers {
@@ -86,14 +87,14 @@
 	}
 	runFor(s, c, false, 90*time.Second)
 	if len(s.violations) > 0 {
-		rt.Fatalf("broken after the trouble: %v", s.violations)
+		rt.Fatalf("invariant violated after the faults ended: %v", s.violations)
 	}
 	if s.countServing("small") == 0 || s.countServing("large") == 0 {
 		rt.Fatalf("groups did not come back: %d large, %d small", s.countServing("large"), s.countServing("small"))
 	}
 }
 
-// disturb brings about one trouble now and then.
+// injectFault applies a random fault in some of the steps.
 func injectFault(rt *rapid.T, s *simFleet, c *assembly.Controller, formerLeader **assembly.Controller) {
 	records := s.storedRecords()
 	if len(records) == 0 {
@@ -102,28 +103,27 @@
 	record := records[rapid.IntRange(0, len(records)-1).Draw(rt, "group")]
 	id := record.Members[rapid.IntRange(0, len(record.Members)-1).Draw(rt, "member")]
 	server := s.servers[id]
-	switch kind := rapid.IntRange(0, 60).Draw(rt, "trouble kind"); kind {
+	switch kind := rapid.IntRange(0, 60).Draw(rt, "fault kind"); kind {
 	case 0, 3, 7:
 		s.applyFault(server, kind)
 		c.Suspect(record.Name, record.Epoch, "")
 	case 4:
-		// Another daemon leads for a step by an old view of its own, as one does
-		// that was paused, and then the leader reads the records again.
+		// Another daemon leads for one step with an outdated view, like a daemon that was
+		// paused; then the leader reads the records again.
 		next := &assembly.Controller{}
 		next.Load(s.storedRecords())
 		s.step(next, false, deliverPromptly)
 		*formerLeader = next
 		c.Load(s.storedRecords())
 	case 9:
-		// A daemon tells of a silence that another may not find.
+		// A daemon reports a member that does not answer it but may answer others.
 		c.Suspect(record.Name, record.Epoch, id)
 	default:
 		s.applyFault(server, kind)
 	}
 }
 
-// trouble brings about one trouble of a server, or none. Servers that go are
-// replaced.
+// applyFault applies a fault to a server, or none. Servers that leave are replaced.
 func (s *simFleet) applyFault(server *simServer, kind int) {
 	switch kind {
 	case 0:
@@ -139,13 +139,13 @@
 	case 2:
 		server.isCutOff = false
 	case 5:
-		// It says that it leaves.
+		// The server reports that it is draining.
 		if !server.isDraining {
 			server.isDraining = true
 			s.addServer(server.domain, server.staged)
 		}
 	case 6:
-		// It leaves, has stopped listening, and finishes its work.
+		// The server is draining, has stopped listening, and finishes its work.
 		if !server.isDead && !server.hasStoppedListening {
 			server.hasStoppedListening = true
 			server.exitsAt = time.Now().Add(simShutdownTime)
@@ -156,7 +156,7 @@
 	case 8:
 		server.slowdown = 1
 	case 10, 11:
-		// It starts again under its id, before its entry has lapsed.
+		// The server restarts under its ID before its entry has expired.
 		s.restartServer(server)
 	}
 }
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -7,65 +7,66 @@
 	"headcourse/core/fleet"
 )
 
-// group is what the controller knows of a group beside its record.
+// group is the state of a group in addition to its record.
 type group struct {
 	record     Record
-	since      time.Time
+	knownSince time.Time
 	lastOrders map[string]sentOrder
-	// loads are members that load the model's weights as they join.
+	// loadingMembers are members that load the model's weights from the weight store as
+	// they join.
 	loadingMembers map[string]bool
-	// ending is why the group ends; empty while it is to serve. A gentle end
-	// lets it finish its work.
+	// endReason is why the group ends; it is empty until then. A graceful end lets the
+	// group finish its work.
 	endReason   string
 	isGraceful  bool
 	endingSince time.Time
-	// isSuspected tells that daemons found requests standing still or slow, first at
+	// isSuspected is true if daemons have reported stalled or slow requests, first at
 	// suspectedAt.
 	isSuspected bool
 	suspectedAt time.Time
-	// slow is a member that makes the group slow, as far as known.
-	slowMember string
-	wasOpen    bool
-	isRemoving bool
-	// isHeadOut tells that the group ended because its head is known to be out.
+	// slowMember is a member that was found to be slow; empty: none.
+	slowMember       string
+	wasOpen          bool
+	isRemovalPending bool
+	// isHeadOut is true if the group has ended and its head is known to have left.
 	isHeadOut bool
-	// hasHeadRestarted tells that the head has started again under its ID.
+	// hasHeadRestarted is true if the head has restarted under its ID.
 	hasHeadRestarted bool
-	// hasHeadTakenLeave tells that the head itself took the order to leave;
-	// incompleteSince since when it is surely without one of its members.
+	// hasHeadTakenLeave is true if the head itself accepted the order to leave;
+	// incompleteSince is since when the group is certain to lack a member.
 	hasHeadTakenLeave bool
 	incompleteSince   time.Time
 }
 
-// asked is the last order given to a member.
+// sentOrder is the last order given to a member.
 type sentOrder struct {
 	kind   Kind
 	sentAt time.Time
 }
 
-// newGroup returns the group of a record.
+// newGroup returns the state of a group with a record.
 func newGroup(record Record) *group {
 	return &group{
 		record:         record,
-		since:          time.Now(),
+		knownSince:     time.Now(),
 		lastOrders:     map[string]sentOrder{},
 		loadingMembers: map[string]bool{},
 	}
 }
 
-// has tells whether a server is a member.
+// hasMember reports whether a server is a member.
 func (g *group) hasMember(id string) bool {
 	return slices.Contains(g.record.Members, id)
 }
 
-// end makes a group end.
-func (g *group) end(reason string, isGentle bool) {
+// end starts to end the group.
+func (g *group) end(reason string, isGraceful bool) {
 	g.endReason = reason
-	g.isGraceful = isGentle
+	g.isGraceful = isGraceful
 	g.endingSince = time.Now()
 }
 
-// order gives an order to a member unless the same was given just now.
+// planOrder adds an order to a member to the plan unless the same order was given recently.
 func (g *group) planOrder(server fleet.Server, kind Kind, cutoff bool, reason string, plan *Plan) {
 	last, ok := g.lastOrders[server.ID]
 	if ok && last.kind == kind && time.Since(last.sentAt) < orderRetryInterval {
@@ -90,7 +91,7 @@
 	plan.Orders = append(plan.Orders, order)
 }
 
-// note adds a change of belief to the plan.
+// addNote adds a state change of the group to the plan.
 func (g *group) addNote(what, reason string, plan *Plan) {
 	plan.Notes = append(plan.Notes, Note{
 		Group:  g.record.Name,
--- a/core/assembly/late.go
+++ b/core/assembly/late.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// overdueExclusion is how long a server is left alone that did not join a group in time. One that
-// is cut off from the store loses its entry after three heartbeats, and is back with it.
+// overdueExclusion is how long a server that did not join a group in time is not used. A
+// server that is disconnected from the store loses its entry after three heartbeats, and is
+// usable again once its entry is back.
 const overdueExclusion = 5 * time.Second
 
-// excludeOverdue notes that a server did not join a group in time.
+// excludeOverdue excludes a server that did not join a group in time from other groups for
+// a while.
 func (c *Controller) excludeOverdue(id string) {
 	now := time.Now()
 	if c.excludedUntil == nil {
--- a/core/assembly/layout.go
+++ b/core/assembly/layout.go
@@ -8,50 +8,53 @@
 	"headcourse/core/fleet"
 )
 
-// layout is the state of one service that planning works on.
+// serviceState is the state of one service that planning works on.
 type serviceState struct {
 	service     *config.Service
 	freeServers map[string][]fleet.Server
 	domains     []string
-	// live counts the groups of each model, over all and by domain.
+	// liveGroups counts the groups of each model, liveInDomain does so by domain.
 	liveGroups   map[string]int
 	liveInDomain map[string]map[string]int
-	// groups are the open ones by domain, in the order of their names.
+	// openGroups are the open groups by domain, in the order of their names.
 	openGroups map[string][]*group
-	// holders counts the servers of a domain, free or not, that have a model's weights
-	// or are loading them.
+	// holders counts the servers of a domain, free or not, that have a model's weights or
+	// are loading them.
 	holders map[domainModel]int
-	// warming counts the servers of a domain that load a model to be free again.
+	// warmingServers counts the servers of a domain that load a model in a warm-up group.
 	warmingServers map[domainModel]int
-	// demands are the estimates of what callers ask for, by model.
+	// demands are the estimates of the demand, by model.
 	demands map[string]demand
-	// staged are the loads under way, by server.
+	// stageOrders are the pending stage orders, by server.
 	stageOrders map[string]stageOrder
-	// isFreeingDomain tells of domains in which the record of a group is being removed: its
-	// members are free some milliseconds later, and mostly the best to form the next.
+	// isFreeingDomain is true for domains in which the record of a group is being removed:
+	// its members are free some milliseconds later, and usually the best choice for the
+	// next group.
 	isFreeingDomain map[string]bool
-	// coming counts the groups of each model that can be formed soon without ending
+	// upcomingGroups counts the groups of each model that can form soon without ending
 	// others.
 	upcomingGroups map[string]int
-	// postponed are models for which no group can be formed now.
+	// isPostponed is true for models of which no group can form now.
 	isPostponed  map[string]bool
 	totalServers int
-	// kept are servers that are asked for a sign of life for a group of a model, by ID.
+	// reservedFor is the model of the group for which a probed server is reserved, by
+	// server.
 	reservedFor map[string]string
-	// plans are how many groups each model should have; nil: not worked out yet.
+	// allocation is how many groups each model should have; nil until it is computed.
 	allocation map[string]int
-	// choices are kept by domain and model, since planning asks for the same ones
-	// again and again; a domain's are forgotten when its free servers change.
+	// cachedChoices caches choices by domain and model, because planning requests the same
+	// ones repeatedly. The choices of a domain are invalidated when its free servers
+	// change.
 	cachedChoices map[domainModel]memberChoice
 }
 
-// domainModel names a domain and a model.
+// domainModel identifies a model in a domain.
 type domainModel struct {
 	domain string
 	model  string
 }
 
-// layout returns the state of a service.
+// newServiceState returns the state of a service.
 func (c *Controller) newServiceState(service *config.Service, input World, plan *Plan) *serviceState {
 	state := &serviceState{
 		service:         service,
@@ -81,7 +84,7 @@
 		}
 		head, _ := input.Fleet.Server(record.Members[0])
 		if input.Evacuated.Has(head.Zone) {
-			// It serves nobody, and is kept for when the zone is taken back.
+			// The group gets no requests, and is kept until the evacuation is cancelled.
 			return
 		}
 		if record.IsWarmUp {
@@ -94,7 +97,7 @@
 		g := c.groups[name]
 		if g.endReason != "" {
 			domain, isKnown := groupDomain(g.record, input)
-			state.isFreeingDomain[domain] = state.isFreeingDomain[domain] || (isKnown && g.isRemoving)
+			state.isFreeingDomain[domain] = state.isFreeingDomain[domain] || (isKnown && g.isRemovalPending)
 			continue
 		}
 		if !c.isSlow(g) {
@@ -111,8 +114,8 @@
 	}
 }
 
-// listFreeServers counts the servers that the service's groups may be made of, and lists
-// those that are free.
+// listFreeServers counts the servers that may form the service's groups, and lists those
+// that are free.
 func (c *Controller) listFreeServers(state *serviceState, input World, plan *Plan) {
 	assigned := c.assignedServers()
 	isListed := map[string]bool{}
@@ -132,7 +135,7 @@
 	}
 }
 
-// countHolders counts a server among those that have the weights of models.
+// countHolders counts a server for each model whose weights it has.
 func (c *Controller) countHolders(state *serviceState, server fleet.Server) {
 	for _, model := range state.service.Engine.Models {
 		if c.hasOrLoads(server, model.Name) {
@@ -144,13 +147,12 @@
 	}
 }
 
-// isEligible tells whether groups of a service may be made of a server, free or
-// not.
+// isEligible reports whether a server, free or not, may be a member of a service's groups.
 func (in World) isEligible(server fleet.Server, service string) bool {
 	return server.Service == service && server.IsEngine && !server.Draining && !in.Evacuated.Has(server.Zone)
 }
 
-// soonest returns the servers of a domain that form a group of a model soonest.
+// fastestChoice returns the servers of a domain that form a group of a model soonest.
 func (s *serviceState) fastestChoice(domain string, model config.Model) memberChoice {
 	key := domainModel{
 		domain: domain,
@@ -164,8 +166,8 @@
 	return cached
 }
 
-// unreserved returns the free servers of a domain that no group of another model waits
-// for.
+// unreserved returns the free servers of a domain for which no group of another model
+// waits.
 func (s *serviceState) unreserved(domain string, model config.Model) []fleet.Server {
 	var servers []fleet.Server
 	for _, server := range s.freeServers[domain] {
@@ -179,7 +181,7 @@
 	return servers
 }
 
-// reserve keeps servers of a domain for a group of a model.
+// reserve reserves servers of a domain for a group of a model.
 func (s *serviceState) reserve(model config.Model, servers []fleet.Server) {
 	if s.reservedFor == nil {
 		s.reservedFor = map[string]string{}
@@ -190,7 +192,7 @@
 	s.invalidateChoices(servers[0].Domain)
 }
 
-// invalidateChoices forgets what was chosen in a domain.
+// invalidateChoices removes the cached choices of a domain.
 func (s *serviceState) invalidateChoices(domain string) {
 	for _, model := range s.service.Engine.Models {
 		delete(s.cachedChoices, domainModel{
@@ -200,7 +202,7 @@
 	}
 }
 
-// take makes servers of a domain members of a group.
+// removeFree removes the members of a new group from a domain's free servers.
 func (s *serviceState) removeFree(domain string, members []string) {
 	s.freeServers[domain] = slices.DeleteFunc(s.freeServers[domain], func(server fleet.Server) bool {
 		return slices.Contains(members, server.ID)
@@ -208,7 +210,7 @@
 	s.invalidateChoices(domain)
 }
 
-// add counts a group.
+// countGroup counts a group.
 func (s *serviceState) countGroup(domain, model string) {
 	s.liveGroups[model]++
 	if s.liveInDomain[domain] == nil {
@@ -217,7 +219,7 @@
 	s.liveInDomain[domain][model]++
 }
 
-// countWarmUp counts a server that loads a model to be free again.
+// countWarmUp counts a server that loads a model in a warm-up group.
 func (s *serviceState) countWarmUp(domain, model string) {
 	s.warmingServers[domainModel{
 		domain: domain,
@@ -225,9 +227,8 @@
 	}]++
 }
 
-// isFree tells whether a server without a record may join a group: it is in no
-// group that could still serve, it did not fail to answer lately, and it is not
-// slow.
+// isFree reports whether a server without a record may join a group: it is in no group that
+// could still serve, its last probes did not fail, and it is not slow.
 func (c *Controller) isFree(server fleet.Server, plan *Plan) bool {
 	if time.Now().Before(c.excludedUntil[server.ID]) {
 		return false
@@ -241,8 +242,8 @@
 	return server.Membership.State == fleet.NoGroup || c.isOfClosedGroup(server.Membership)
 }
 
-// keepsNeededWeights tells whether a server's host keeps the weights of a model that lacks
-// groups, and the server could not join one without them.
+// keepsNeededWeights reports whether a server's host has staged the weights of a model that
+// lacks groups, and the server could not join a group of it without them.
 func (s *serviceState) keepsNeededWeights(server fleet.Server) bool {
 	for _, staged := range server.Staged {
 		model, ok := s.service.Engine.Model(staged)
@@ -253,8 +254,8 @@
 	return false
 }
 
-// taken returns the servers that are members of a group that has a record, or is
-// about to have one.
+// assignedServers returns the members of all groups that have a record or whose record is
+// being written.
 func (c *Controller) assignedServers() map[string]bool {
 	assigned := map[string]bool{}
 	for _, g := range c.groups {
--- a/core/assembly/need.go
+++ b/core/assembly/need.go
@@ -6,58 +6,58 @@
 	"headcourse/core/config"
 )
 
-// How well off each model is: how many groups it needs, how many of its callers are not
-// served in time with fewer, and to which model one group more is worth most.
+// The service level of each model: how many groups it needs, how many of its requests are
+// late with fewer groups, and to which model one more group is worth most.
 
-// Figures of risk.
 const (
-	// memberUnavailability is the part of the time that a group is missing for each of its members.
-	// Where two of 160 servers are lost every three seconds, a group is back 2 s after one of its
-	// members was; and losses come together.
+	// memberUnavailability is the fraction of the time that a group is unavailable for each
+	// of its members. If two of 160 servers are lost every three seconds, a group is back 2
+	// s after the loss of a member; in addition, losses come together.
 	memberUnavailability = 0.012
-	// maxGroupUnavailability bounds it for groups of very many.
+	// maxGroupUnavailability limits the fraction for groups of very many members.
 	maxGroupUnavailability = 0.4
 )
 
-// Figures of what keeps up.
 const (
-	// defaultMinFraction is the part of the groups that a model needs with which it keeps up,
-	// where that is not known.
+	// defaultMinFraction is the fraction of the needed groups that keeps up with a model's
+	// requests, if the demand is not known.
 	defaultMinFraction = 0.7
-	// maxMinFraction bounds that part, so that one group more is something to every model.
+	// maxMinFraction limits that fraction, so that one more group gains something for every
+	// model.
 	maxMinFraction = 0.95
 )
 
-// requests returns how many callers ask a model a second; where that is not known, as many
-// as its groups' servers.
+// requestsPerSecond returns the rate of requests for a model. If it is not known, it
+// returns the number of servers that the model needs.
 func (s *serviceState) requestsPerSecond(model config.Model) float64 {
-	if known, ok := s.demands[model.Name]; ok && known.requestsPerSecond > 0 {
-		return known.requestsPerSecond
+	if estimate, ok := s.demands[model.Name]; ok && estimate.requestsPerSecond > 0 {
+		return estimate.requestsPerSecond
 	}
 	return s.neededGroups(model) * float64(model.Size)
 }
 
-// late returns the part of a model's callers that are not served in time by so many
-// groups; those that are not served at all count twice.
+// lateWeight returns the fraction of a model's requests that are late with this many
+// groups; requests that are not served at all count twice.
 func (s *serviceState) lateWeight(model config.Model, groups int) float64 {
 	return max(0, 2-s.serviceLevel(model, groups))
 }
 
-// missed returns how many of a model's callers, a second, are not served in time with so
-// many groups, some of which are missing at any time, by chance.
+// missedPerSecond returns the expected number of a model's requests a second that are not
+// served in time with this many groups, some of which are unavailable at random.
 func (s *serviceState) missedPerSecond(model config.Model, groups int) float64 {
-	risk := min(maxGroupUnavailability, memberUnavailability*float64(model.Size))
-	chance := math.Pow(1-risk, float64(groups))
-	sum := 0.0
-	for lost := 0; lost <= groups; lost++ {
-		sum += chance * s.lateWeight(model, groups-lost)
-		chance *= float64(groups-lost) / float64(lost+1) * risk / (1 - risk)
+	unavailability := min(maxGroupUnavailability, memberUnavailability*float64(model.Size))
+	probability := math.Pow(1-unavailability, float64(groups))
+	expected := 0.0
+	for unavailable := 0; unavailable <= groups; unavailable++ {
+		expected += probability * s.lateWeight(model, groups-unavailable)
+		probability *= float64(groups-unavailable) / float64(unavailable+1) * unavailability / (1 - unavailability)
 	}
-	return sum * s.requestsPerSecond(model)
+	return expected * s.requestsPerSecond(model)
 }
 
-// gain returns how many callers more, a second and for each server, are served in time by
-// one group more than so many, or by each of a few more where these help more together.
+// gainPerServer returns how many more requests a second are served in time, for each server
+// of one more group. If a few more groups together gain more for each server, it returns
+// that gain.
 func (s *serviceState) gainPerServer(model config.Model, groups int) float64 {
 	const maxAdded = 4
 	best := 0.0
@@ -68,40 +68,40 @@
 	return best
 }
 
-// need returns how many groups a model's requests need to be in time.
+// neededGroups returns how many groups serve all of a model's requests in time.
 func (s *serviceState) neededGroups(model config.Model) float64 {
-	known, ok := s.demands[model.Name]
+	estimate, ok := s.demands[model.Name]
 	if !ok {
 		return float64(s.plannedGroups(model))
 	}
-	return max(minNeededGroups, known.groups.InTime)
+	return max(minNeededGroups, estimate.groups.InTime)
 }
 
-// least returns how many groups keep up with a model's requests.
+// minGroups returns how many groups keep up with a model's requests.
 func (s *serviceState) minGroups(model config.Model) float64 {
-	known, ok := s.demands[model.Name]
+	estimate, ok := s.demands[model.Name]
 	if !ok {
 		return defaultMinFraction * s.neededGroups(model)
 	}
-	return min(max(defaultMinFraction*minNeededGroups, known.groups.Least), maxMinFraction*s.neededGroups(model))
+	return min(max(defaultMinFraction*minNeededGroups, estimate.groups.Least), maxMinFraction*s.neededGroups(model))
 }
 
-// want returns how many groups a model gets where servers are free: at least as many
-// as planned, since callers may come back.
+// targetGroups returns how many groups a model gets if servers are free. It is at least the
+// planned number, because demand may return.
 func (s *serviceState) targetGroups(model config.Model) int {
 	return max(s.plannedGroups(model), int(math.Round(s.neededGroups(model))))
 }
 
-// isBelowTarget tells whether a model has fewer groups than it should.
+// isBelowTarget reports whether a model has fewer groups than its target.
 func (s *serviceState) isBelowTarget(model config.Model) bool {
 	return s.liveGroups[model.Name] < s.targetGroups(model)
 }
 
-// neediest returns the model to whose callers one group more is worth most, for each of
-// its servers, of those that want more groups and are postponed, or of the others.
+// neediestModel returns the model below its target for which one more group gains the most
+// for each server, among the postponed models or among the others.
 func (s *serviceState) neediestModel(isPostponed bool) (config.Model, bool) {
 	var best config.Model
-	bestGain, isAny := 0.0, false
+	bestGain, isFound := 0.0, false
 	for _, model := range s.service.Engine.Models {
 		if !s.isBelowTarget(model) || s.isPostponed[model.Name] != isPostponed {
 			continue
@@ -109,22 +109,23 @@
 		gain := s.gainPerServer(model, s.liveGroups[model.Name])
 		switch {
 		case s.liveGroups[model.Name] == 0:
-			// Its first caller would find nobody.
+			// The model's first caller would find no group.
 			gain = math.Inf(1)
 		case !s.isDemandSufficient():
 			gain = -s.serviceLevel(model, s.liveGroups[model.Name])
 		}
-		if !isAny || gain > bestGain {
-			best, bestGain, isAny = model, gain, true
+		if !isFound || gain > bestGain {
+			best, bestGain, isFound = model, gain, true
 		}
 	}
-	return best, isAny
+	return best, isFound
 }
 
-// ease returns how well off a model is with so many groups: below 1 as the
-// part of its requests that its groups keep up with, from 1 on as the part of the way to
-// serving them in time, which is 2. It is not the part of the groups that the model needs:
-// one with a tenth less than it needs may be a little later, or not keep up at all.
+// serviceLevel returns the service level of a model with this many groups. Below 1 it is
+// the fraction of its requests that the groups keep up with; from 1 to 2 it is the progress
+// towards serving them in time. It is not the fraction of the needed groups: with a tenth
+// fewer groups than needed, requests may be slightly late, or the groups may not keep up at
+// all.
 func (s *serviceState) serviceLevel(model config.Model, count int) float64 {
 	groups := float64(count)
 	least := s.minGroups(model)
--- a/core/assembly/plan.go
+++ b/core/assembly/plan.go
@@ -2,22 +2,23 @@
 
 import "headcourse/core/fleet"
 
-// Plan is what to do next.
+// Plan is the result of a step.
 type Plan struct {
 	Create []Record
 	Remove []string
 	Orders []Order
 	Probes []fleet.Server
-	// Recent is what servers of domains loaded last, to be written with the rest.
+	// Recent is which models the servers of domains loaded last; it is written together
+	// with the records.
 	Recent []Recent
-	// Cleared are groups whose suspicion was dropped, so that daemons may tell
-	// of them again.
+	// Cleared are groups whose suspicion was cleared, so that daemons may report them
+	// again.
 	Cleared []string
-	// Notes are changes of what the controller believes, for the log.
+	// Notes are state changes of groups, for the log.
 	Notes []Note
 }
 
-// AddChanges adds the changes of records of a later plan.
+// AddChanges appends the record changes of a later plan.
 func (p *Plan) AddChanges(later Plan) {
 	p.Create = append(p.Create, later.Create...)
 	p.Remove = append(p.Remove, later.Remove...)
@@ -25,9 +26,9 @@
 	p.Cleared = append(p.Cleared, later.Cleared...)
 }
 
-// Cut returns the part of the plan's changes of records that fits a transaction of
-// so many rows, and the rest. A removed group takes two rows: its record and what
-// daemons told of it.
+// Cut splits the plan's record changes into a part that fits a transaction of maxRows rows,
+// and the rest. A removed group takes two rows: its record and the daemons' report about
+// it.
 func (p Plan) Cut(maxRows int) (first, rest Plan) {
 	const rowsOfRemoved = 2
 	create := min(len(p.Create), maxRows)
@@ -52,12 +53,12 @@
 	return first, rest
 }
 
-// HasChanges tells whether the plan changes records.
+// HasChanges reports whether the plan changes records.
 func (p Plan) HasChanges() bool {
 	return len(p.Create)+len(p.Remove)+len(p.Cleared)+len(p.Recent) > 0
 }
 
-// Note is one change of belief about a group.
+// Note is a state change of a group or model.
 type Note struct {
 	Group  string
 	Epoch  int64
--- a/core/assembly/plan_test.go
+++ b/core/assembly/plan_test.go
@@ -10,9 +10,8 @@
 	"headcourse/core/assembly"
 )
 
-// Found by the sweep: with 3,002 servers the first plan creates 400 groups, more
-// than one transaction of the store holds; it was refused again and again, and no
-// group ever formed.
+// Guards against plans that exceed a transaction of the store. With 3,002 servers the first
+// plan creates 400 groups; the store rejected it repeatedly, and no group ever formed.
 func TestPlanIsSplitToTransactionSize(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var plan assembly.Plan
@@ -29,14 +28,14 @@
 			var first assembly.Plan
 			first, rest = rest.Cut(rows)
 			if !first.HasChanges() || len(first.Create)+2*len(first.Remove)+len(first.Cleared) > rows {
-				rt.Fatalf("cut to %+v of %d rows", first, rows)
+				rt.Fatalf("first part %+v does not fit %d rows", first, rows)
 			}
 			done.Create = append(done.Create, first.Create...)
 			done.Remove = append(done.Remove, first.Remove...)
 			done.Cleared = append(done.Cleared, first.Cleared...)
 		}
 		if len(done.Create) != len(plan.Create) || !slices.Equal(done.Remove, plan.Remove) || !slices.Equal(done.Cleared, plan.Cleared) {
-			rt.Fatalf("of %+v only %+v was done", plan, done)
+			rt.Fatalf("plan %+v was split into parts of only %+v", plan, done)
 		}
 	})
 }
--- a/core/assembly/planned.go
+++ b/core/assembly/planned.go
@@ -6,21 +6,22 @@
 	"headcourse/core/config"
 )
 
-// How the servers that groups are made of are divided over the models.
+// How servers are divided over the models.
 
-// groupedFraction is the part of the servers that groups are made of; the others
-// stay free, with weights on their hosts, to repair groups quickly.
+// groupedFraction is the fraction of the servers that are in groups. The others stay free,
+// with weights staged on their hosts, for quick repairs of groups.
 const groupedFraction = 0.75
 
-// nearly is the part of a group's servers that must be left of the plan for one more.
+// minGroupFraction is the fraction of a group's servers that must be left in the budget for
+// one more group.
 const minGroupFraction = 0.95
 
-// extraFractionPerMember is how many more groups a model gets for each of a group's members: each is
-// one more whose loss takes the whole group away. More of it leaves too few spares
-// (docs/MEASURES.md).
+// extraFractionPerMember is how many more groups a model gets, as a fraction, for each
+// member of a group: each member is one more whose loss ends the whole group. A higher
+// value leaves too few spares (docs/MEASURES.md).
 const extraFractionPerMember = 0.015
 
-// planned returns how many groups a model should have.
+// plannedGroups returns how many groups a model should have.
 func (s *serviceState) plannedGroups(model config.Model) int {
 	if s.allocation == nil {
 		s.allocation = s.allocate()
@@ -28,9 +29,9 @@
 	return s.allocation[model.Name]
 }
 
-// plan divides the servers that groups are made of: as the operator expects the work to be
-// divided while too little is asked to tell, and so that the fewest callers are not served
-// in time else.
+// allocate divides the servers over the models. With too little demand to measure the mix,
+// it uses the operator's shares; otherwise it minimises the requests that are not served in
+// time.
 func (s *serviceState) allocate() map[string]int {
 	groups := map[string]int{}
 	if !s.isDemandSufficient() {
@@ -51,8 +52,8 @@
 	for {
 		best, bestGain := config.Model{}, -1.0
 		for _, model := range s.service.Engine.Models {
-			isRoom := serversLeft >= minGroupFraction*float64(model.Size)
-			if gain := s.gainPerServer(model, groups[model.Name]); isRoom && gain > bestGain {
+			fits := serversLeft >= minGroupFraction*float64(model.Size)
+			if gain := s.gainPerServer(model, groups[model.Name]); fits && gain > bestGain {
 				best, bestGain = model, gain
 			}
 		}
@@ -66,23 +67,23 @@
 	return groups
 }
 
-// exchange improves a plan by giving up groups of one model for one group of another, as
-// long as that helps: large groups may not have fitted into what was left.
+// improveAllocation exchanges groups of one model for one group of another while that gains
+// something: large groups may not have fitted into the remaining servers.
 func (s *serviceState) improveAllocation(groups map[string]int, serversLeft float64) {
 	const maxExchanges = 16
 	for range maxExchanges {
-		better := s.bestExchange(groups, serversLeft)
-		if better.gain <= 0 {
+		best := s.bestExchange(groups, serversLeft)
+		if best.gain <= 0 {
 			return
 		}
-		groups[better.from.Name] -= better.givenUp
-		groups[better.to.Name]++
-		serversLeft += float64(better.givenUp*better.from.Size - better.to.Size)
+		groups[best.from.Name] -= best.givenUp
+		groups[best.to.Name]++
+		serversLeft += float64(best.givenUp*best.from.Size - best.to.Size)
 	}
 }
 
-// exchanged is a number of groups of one model that are given up for one of another, and
-// how many callers more are served in time.
+// exchange replaces a number of groups of one model by one group of another; gain is how
+// many more requests a second are served in time.
 type exchange struct {
 	from    config.Model
 	to      config.Model
@@ -90,23 +91,23 @@
 	gain    float64
 }
 
-// bestExchange returns the exchange that helps most.
+// bestExchange returns the exchange with the highest gain.
 func (s *serviceState) bestExchange(groups map[string]int, serversLeft float64) exchange {
 	var best exchange
 	for _, from := range s.service.Engine.Models {
 		for _, to := range s.service.Engine.Models {
 			missing := minGroupFraction*float64(to.Size) - serversLeft
-			number := max(1, int(math.Ceil(missing/float64(from.Size))))
-			if from.Name == to.Name || groups[from.Name] <= number {
+			givenUp := max(1, int(math.Ceil(missing/float64(from.Size))))
+			if from.Name == to.Name || groups[from.Name] <= givenUp {
 				continue
 			}
-			lost := s.missedPerSecond(from, groups[from.Name]-number) - s.missedPerSecond(from, groups[from.Name])
+			lost := s.missedPerSecond(from, groups[from.Name]-givenUp) - s.missedPerSecond(from, groups[from.Name])
 			gained := s.missedPerSecond(to, groups[to.Name]) - s.missedPerSecond(to, groups[to.Name]+1)
 			if gained-lost > best.gain {
 				best = exchange{
 					from:    from,
 					to:      to,
-					givenUp: number,
+					givenUp: givenUp,
 					gain:    gained - lost,
 				}
 			}
@@ -115,12 +116,13 @@
 	return best
 }
 
-// used returns how many servers groups would be made of if all were of one model.
+// serverBudget returns how many servers groups would use if all were of one model.
 func (s *serviceState) serverBudget(model config.Model) float64 {
 	return groupedFraction * float64(s.totalServers) * (1 + extraFractionPerMember*float64(model.Size))
 }
 
-// neededServers returns how many servers the groups need that serve in time what is asked.
+// neededServers returns how many servers are needed to serve the demand for all models in
+// time.
 func (s *serviceState) neededServers() float64 {
 	sum := 0.0
 	for _, model := range s.service.Engine.Models {
@@ -129,8 +131,8 @@
 	return sum
 }
 
-// isDemandSufficient tells whether enough is known to be asked of all models to say how servers
-// are to be divided.
+// isDemandSufficient reports whether the demand for all models is known and high enough to
+// decide how servers are divided.
 func (s *serviceState) isDemandSufficient() bool {
 	for _, model := range s.service.Engine.Models {
 		if _, ok := s.demands[model.Name]; !ok {
--- a/core/assembly/recent.go
+++ b/core/assembly/recent.go
@@ -6,17 +6,17 @@
 	"github.com/pkg/errors"
 )
 
-// RecentTable tells which model each server loaded last; the key is a domain. A
-// server's entry tells it only while the server is in a group, and a daemon that has
-// just started saw nothing of what was before. Without it a new leader takes servers
-// that would join again in 0.2 s for ones that have to load for 16 s.
+// RecentTable holds which model each server loaded last; the key is a domain. A server's
+// entry shows it only while the server is in a group, and a daemon that has just started
+// has not observed earlier groups. Without the table a new leader would assume a load of 16
+// s for servers that rejoin within 0.2 s.
 const RecentTable = "recent_models"
 
-// Recent is what the servers of a domain loaded last.
+// Recent is which models the servers of a domain loaded last.
 type Recent struct {
 	Domain string `json:"domain"`
-	// Models are models by the start of the server: one that started again under its ID
-	// has loaded none.
+	// Models are model names by incarnation of the server: a server that restarted under
+	// its ID has loaded no model.
 	Models map[string]string `json:"models"`
 }
 
@@ -26,15 +26,16 @@
 	return value, errors.Wrapf(err, "encode recent models of domain %s", r.Domain)
 }
 
-// DecodeRecent returns what a row of RecentTable tells.
+// DecodeRecent decodes a row of RecentTable.
 func DecodeRecent(value []byte) (Recent, error) {
 	var recent Recent
 	err := json.Unmarshal(value, &recent)
 	return recent, errors.Wrap(err, "decode recent models of a domain")
 }
 
-// planRecentModels adds to the plan what the servers of a group's domain loaded last. It is
-// written with the removal of the group, after which they do not tell it any more.
+// planRecentModels adds the last loaded models of the servers in a group's domain to the
+// plan. They are written together with the removal of the group, because the servers do not
+// report them afterwards.
 func planRecentModels(record Record, input World, plan *Plan) {
 	domain, ok := groupDomain(record, input)
 	if !ok {
@@ -52,7 +53,7 @@
 	plan.Recent = append(plan.Recent, recent)
 }
 
-// groupDomain returns the domain of a group's members, by the first one that is known.
+// groupDomain returns the domain of a group, which is that of its first known member.
 func groupDomain(record Record, input World) (string, bool) {
 	for _, id := range record.Members {
 		if server, ok := input.Fleet.Known(id); ok {
--- a/core/assembly/restore_test.go
+++ b/core/assembly/restore_test.go
@@ -23,7 +23,7 @@
 	epoch   int64
 }
 
-// snapshot returns a copy of the store as it is.
+// snapshot returns a copy of the current store.
 func (s *simFleet) snapshot() simSnapshot {
 	return simSnapshot{
 		records: maps.Clone(s.records),
@@ -38,7 +38,7 @@
 }
 
 // restore replaces the store by a copy, in a new era, and returns the new leader: the lease
-// of the former era is lost with it.
+// of the former era is lost.
 func (s *simFleet) restore(from simSnapshot) *assembly.Controller {
 	s.era++
 	s.epoch = from.epoch
@@ -47,7 +47,7 @@
 	return s.restartDaemons()
 }
 
-// epochs returns the epochs of all records, in their order.
+// recordEpochs returns the epochs of all records in ascending order.
 func (s *simFleet) recordEpochs() []int64 {
 	var epochs []int64
 	for _, record := range s.storedRecords() {
@@ -57,7 +57,7 @@
 	return epochs
 }
 
-// members returns the members of all open groups, by group.
+// openMembers returns the members of all open groups, by group.
 func (s *simFleet) openMembers() map[string][]string {
 	members := map[string][]string{}
 	for _, server := range s.servers {
@@ -68,7 +68,8 @@
 	return members
 }
 
-// Guards against groups that serve being sent away since the store has lost their records.
+// Guards against ending serving groups because a restore of the store has lost their
+// records.
 func TestServingGroupsSurviveLossOfTheirRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newStartedFleet(3)
@@ -89,7 +90,7 @@
 	})
 }
 
-// Guards against an adopted group that a later leader does not know by its epoch.
+// Guards against an adopted group that a later leader does not recognise by its epoch.
 func TestNextLeaderKeepsAdoptedGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newStartedFleet(3)
@@ -103,7 +104,7 @@
 	})
 }
 
-// Guards against members of newer groups being disturbed by a record that a restore brings back.
+// Guards against disturbing members of newer groups by a record that a restore brings back.
 func TestRestoredRecordDoesNotDisturbNewerGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(3)
@@ -125,8 +126,8 @@
 	})
 }
 
-// Guards against a group that forms on under an epoch of a former era, for which orders may
-// still be on their way.
+// Guards against a group that continues to form under an epoch of a former era, for which
+// delayed orders may still arrive.
 func TestFormingGroupOfFormerEraIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(3)
@@ -147,7 +148,7 @@
 	})
 }
 
-// isForming tells whether a server joins a group.
+// isForming reports whether a server is joining a group.
 func (s *simFleet) isForming() bool {
 	for _, server := range s.servers {
 		if server.state == fleet.Joining {
@@ -157,7 +158,7 @@
 	return false
 }
 
-// Guards against epochs that are given out again after a restore.
+// Guards against reusing epochs after a restore.
 func TestEpochsIncreaseAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newStartedFleet(3)
@@ -172,7 +173,7 @@
 	})
 }
 
-// anyOpenHead returns the head of some open group of a model, whether it has a record or not.
+// anyOpenHead returns the head of an open group of a model, whether it has a record or not.
 func (s *simFleet) anyOpenHead(model string) *simServer {
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		if server := s.servers[id]; server.state == fleet.Open && server.model == model {
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// TestFuzzWithRestores plays random trouble while the store is restored from older copies, now
-// and then twice in a row, and a leader of the former era still gives orders.
+// TestFuzzWithRestores applies random faults while the store is restored from older copies,
+// sometimes twice in a row, and a leader of the former era still gives orders.
 func TestFuzzWithRestores(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		s, c := newStartedFleet(3)
@@ -202,8 +203,8 @@
 	})
 }
 
-// deliverOrdersOnly has a leader decide once whose lease is lost: its orders are carried out, its
-// changes of records are not.
+// deliverOrdersOnly runs one step of a leader that has lost its lease: its orders are
+// carried out, its record changes are not.
 func (s *simFleet) deliverOrdersOnly(c *assembly.Controller, deliveryOf func(assembly.Order) delivery) {
 	records, recent, epoch := maps.Clone(s.records), maps.Clone(s.recentModels), s.epoch
 	s.step(c, false, deliveryOf)
--- a/core/assembly/second.go
+++ b/core/assembly/second.go
@@ -7,18 +7,18 @@
 	"headcourse/core/fleet"
 )
 
-// A server rejoins the model that it loaded last within 0.2 s, whatever its host keeps.
-// So what the host keeps of that same model is of no use, and its place is better
-// taken by another model: then the server can change to that one within the 1.1 s to
-// 1.6 s of a load from the host, not the 12 s to 16 s of one from the weight store.
-// Whenever it joins, its host keeps that group's model again, in place of the other,
-// which is loaded anew.
+// A server rejoins the model that it loaded last within 0.2 s, whatever weights its host
+// has staged. Staged weights of that same model are therefore useless, and their space is
+// better used for another model: the server can then change to it within the 1.1 s to 1.6 s
+// of a load from the host, instead of the 12 s to 16 s of a load from the weight store.
+// Each join replaces the staged weights by those of the group's model, and the other model
+// is staged again.
 
-// stageSecondModels has servers whose hosts keep only what they have loaded load the
-// weights of a second model. Loads take long and few run at once, so servers go first
-// whose domains have the fewest that could change: after a loss of one member all others
-// of its group load anew, and by turns of their names one domain had twelve such servers
-// and the next none.
+// stageSecondModels stages a second model on the hosts that have only staged what their
+// server has loaded. Loads are slow and few run at once, so the domains with the fewest
+// servers that could change to a model come first. After the loss of one member all others
+// of its group load again; in the order of names, one domain had twelve servers with a
+// second model and the next none.
 func (c *Controller) stageSecondModels(state *serviceState, input World, plan *Plan) {
 	var waiting []fleet.Server
 	for _, server := range input.Fleet.Servers() {
@@ -41,8 +41,8 @@
 	}
 }
 
-// nextSecondModel returns the place of the server that should load a second model next, and the
-// model; -1: none should.
+// nextSecondModel returns the index of the server that should load a second model next, and
+// the model; -1 if there is none.
 func (s *serviceState) nextSecondModel(waiting []fleet.Server) (int, config.Model) {
 	best, bestScore := -1, 0.0
 	var bestModel config.Model
@@ -55,8 +55,8 @@
 	return best, bestModel
 }
 
-// canStageSecondModel tells whether a server has loaded a model, is not loading one, and
-// its host keeps fewer other models than it could.
+// canStageSecondModel reports whether a server has loaded a model, is not joining, and its
+// host has staged fewer other models than it can hold.
 func canStageSecondModel(server fleet.Server, engine *config.Engine) bool {
 	if server.Recent == "" || server.Membership.State == fleet.Joining {
 		return false
@@ -70,8 +70,8 @@
 	return others < engine.StagedModels
 }
 
-// second returns the model that the fewest servers of a server's domain could change
-// to, for the work that it has there, and how much it is worth; 0: none.
+// scarcestSecondModel returns the model to which the fewest servers of a server's domain
+// could change, relative to the model's share, and its score; 0 if there is none.
 func (s *serviceState) scarcestSecondModel(server fleet.Server) (config.Model, float64) {
 	var best config.Model
 	bestScore := 0.0
--- a/core/assembly/second_test.go
+++ b/core/assembly/second_test.go
@@ -11,7 +11,7 @@
 	"headcourse/core/fleet"
 )
 
-// equipped returns a fleet whose servers have all loaded one model and keep another.
+// newWarmFleet returns a fleet whose servers have all loaded one model and staged another.
 func newWarmFleet(domains int) (*simFleet, *assembly.Controller) {
 	s := newSimFleet(domains)
 	c := &assembly.Controller{}
@@ -19,7 +19,7 @@
 	return s, c
 }
 
-// isWarm tells whether all servers have loaded one model and keep another.
+// isWarm reports whether all servers have loaded one model and staged another.
 func (s *simFleet) isWarm() bool {
 	for _, server := range s.servers {
 		if server.loaded == "" || server.staged == server.loaded {
@@ -37,8 +37,8 @@
 	})
 }
 
-// A spare that had only loaded weights to its host took 1.6 s to replace a member, and
-// could do so for one model only.
+// A spare that had only staged weights took 1.6 s to replace a member, and could do so for
+// one model only.
 func TestWarmSpareReplacesMemberOfEitherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -63,15 +63,16 @@
 	})
 }
 
-// A server's entry tells no model once it has left its group. A daemon that started
-// since took it for one that has to load for 16 s; it is told by the store.
+// Guards against a new daemon that does not know the last loaded models, which an entry
+// shows only while the server is in a group. Such a daemon assumed a load of 16 s; the
+// store holds the models now.
 func TestNewDaemonReadsRecentModelsFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
 		head := openHeadOf(s, "large")
 		members := head.members
 		lost := s.killMember(c, head, 2)
-		for _, isThere := s.records[head.group]; isThere; _, isThere = s.records[head.group] {
+		for _, hasRecord := s.records[head.group]; hasRecord; _, hasRecord = s.records[head.group] {
 			s.step(c, false, deliverPromptly)
 		}
 		next := s.restartDaemons()
@@ -102,7 +103,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, "decode recent models of a domain: .*")
 }
 
-// A warm-up group is never opened, and a new leader ends it.
+// A warm-up group never opens, and a new leader ends it.
 func TestWarmUpGroupsNeverServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimFleet(6)
--- a/core/assembly/shifted_test.go
+++ b/core/assembly/shifted_test.go
@@ -13,13 +13,13 @@
 	"headcourse/core/usage"
 )
 
-// Few large groups: six domains of 27 servers, models of twelve and of six, of which the
-// second is asked four fifths of all requests. It is the pattern of a user's deployment: a
-// domain holds two large groups, or one and two small ones, or four small ones, and three
-// servers to spare; a lost member takes away a sixth of what the large model has.
+// Few large groups: six domains of 27 servers and models of twelve and of six servers; the
+// second model gets four fifths of all requests. This is a user's deployment: a domain
+// holds two large groups, or one large and two small ones, or four small ones, and three
+// spares. The loss of a member removes a sixth of the large model's groups.
 
-// largeGroupConfig is a service of two models, of twelve and of six servers, with the times of
-// the user's engines.
+// largeGroupConfig is a service of two models, of twelve and of six servers, with the load
+// times of the user's engines.
 func largeGroupConfig() *config.Config {
 	return config.New(config.Config{
 		Version: 1,
@@ -60,8 +60,8 @@
 	})
 }
 
-// newLargeGroupFleet returns a fleet of large groups, which have formed and whose hosts keep a
-// second model.
+// newLargeGroupFleet returns a fleet of large groups that have formed and whose hosts have
+// staged a second model.
 func newLargeGroupFleet(domains int) (*simFleet, *assembly.Controller) {
 	const servers = 27
 	s := newSimFleetWith(largeGroupConfig(), domains, servers)
@@ -70,14 +70,14 @@
 	return s, c
 }
 
-// Requests a second that the user's callers send to each model, and their sizes.
+// The requests a second that the user's callers send to each model.
 const (
 	largeRequestsPerSecond = 48
 	smallRequestsPerSecond = 315
 )
 
-// setUserDemand has callers ask as much of each model as the user's do, times a factor for
-// the small one.
+// setUserDemand sets the user's demand for each model, multiplied by a factor for the small
+// one.
 func (s *simFleet) setUserDemand(smallFactor float64) {
 	s.demand["large"] = usage.Of(usage.Size{
 		Prompt: 2000,
@@ -89,8 +89,8 @@
 	}, 300*time.Millisecond).Times(smallFactor * smallRequestsPerSecond)
 }
 
-// minServing runs a fleet for a time and returns the fewest groups of each model that
-// served at any moment.
+// minServing runs a fleet for a duration and returns the minimum number of groups of each
+// model that served at any time.
 func minServing(s *simFleet, c *assembly.Controller, duration time.Duration) (large, small int) {
 	large, small = s.countServing("large"), s.countServing("small")
 	for end := time.Now().Add(duration); time.Now().Before(end); {
@@ -102,8 +102,9 @@
 	return large, small
 }
 
-// What is asked of the user's fleet takes five large groups and ten or eleven small ones;
-// when the small ones were counted by what their heads held, four large ones were left.
+// Guards against giving up large groups that are needed. The user's demand needs five large
+// groups and ten or eleven small ones; when the demand for the small model was measured by
+// the requests in flight at its heads, only four large groups were left.
 func TestNeededLargeGroupsAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
@@ -115,9 +116,9 @@
 	})
 }
 
-// The leader dies in the middle of a domain's loss: the next one ended five of six groups
-// for the other model within 1.5 s, by the operator's shares. What is asked it hears from
-// the first feeds, half a second later.
+// Guards against a new leader that ends serving groups before it knows the demand. When the
+// leader died during the loss of a domain, the next one ended five of six groups within 1.5
+// s to match the operator's shares. The first demand reports arrive half a second later.
 func TestNewLeaderEndsNoGroupBeforeDemandIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
@@ -125,13 +126,13 @@
 		runFor(s, c, false, 5*time.Second)
 		s.killDomain("d0")
 		runFor(s, c, false, time.Second)
-		asked := s.demand
+		demand := s.demand
 		s.demand = map[string]usage.Rate{}
 		next := s.restartDaemons()
 		closed := s.orderCounts["close"]
 		runFor(s, next, false, 500*time.Millisecond)
 		qt.Assert(t, s.orderCounts["close"], qt.Equals, closed)
-		s.demand = asked
+		s.demand = demand
 		large, small := minServing(s, next, 6*time.Second)
 		qt.Assert(t, large >= 4, qt.IsTrue, qt.Commentf("%d", large))
 		qt.Assert(t, small >= 8, qt.IsTrue, qt.Commentf("%d", small))
@@ -139,7 +140,7 @@
 	})
 }
 
-// darken ends all servers of a domain without a word, and has their heads noticed.
+// killDomain makes all servers of a domain crash.
 func (s *simFleet) killDomain(domain string) {
 	for _, server := range s.servers {
 		if server.domain == domain && !server.isDead {
@@ -148,8 +149,8 @@
 	}
 }
 
-// A domain goes dark: a sixth of all servers, one large group and two small ones or one.
-// The others serve what is asked within 8 s, by the spares that there are.
+// A whole domain is lost: a sixth of all servers, with one large group and one or two small
+// ones. The spares of the other domains make up for it within 8 s.
 func TestOtherDomainsServeAfterDomainLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
@@ -168,8 +169,8 @@
 	})
 }
 
-// Callers ask 1.6 times as much of the small model while two large groups are lost: the
-// small one gets the groups that keep up with it, the large one keeps enough to serve.
+// The demand for the small model grows to 1.6 times while two large groups are lost. The
+// small model gets the groups that keep up with it, the large one keeps enough to serve.
 func TestSmallModelBurstWhileLargeGroupsAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
@@ -185,12 +186,13 @@
 	})
 }
 
-// The head of a large group and another member die together. The ten others waited until
-// the entry of the dead member lapsed, 1.6 s to 2.7 s; now they serve again before.
+// Guards against waiting for a dead member. The head of a large group and another member
+// die together; the ten others used to wait 1.6 s to 2.7 s until the entry of the dead
+// member expired.
 func TestMembersOfDeadHeadDoNotWaitForDeadMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
-		// All six large groups are needed, and no more small ones than there are.
+		// All six large groups are needed, and no more small ones than exist.
 		s.setUserDemand(0.8)
 		s.demand["large"] = s.demand["large"].Times(1.4)
 		runFor(s, c, false, 5*time.Second)
--- a/core/assembly/signs.go
+++ b/core/assembly/signs.go
@@ -6,66 +6,64 @@
 	"headcourse/core/fleet"
 )
 
-// Figures of probes.
 const (
-	// probeInterval is the time between two probes of one server.
+	// probeInterval is the minimum time between two probes of one server.
 	probeInterval = 120 * time.Millisecond
 	// unhealthyProbeInterval is the same for a free server that did not answer or is slow.
 	unhealthyProbeInterval = time.Second
-	// probeResultTTL is how long a sign of life counts.
+	// probeResultTTL is how long a probe result is valid.
 	probeResultTTL = time.Second
-	// formProbeTTL is how long a sign of life counts where a group is formed.
+	// formProbeTTL is how long an answer is valid when a group forms.
 	formProbeTTL = 3 * time.Second
-	// silences is how many probes in a row must be silent for a server to count
-	// as dead.
+	// deadAfterUnanswered is how many probes in a row must stay unanswered for a server to
+	// be considered dead.
 	deadAfterUnanswered = 2
 )
 
-// Sign is a sign of life of a server, or its lack.
+// Sign is the status that a probe found.
 type Sign int
 
-// The signs of life. Refused: nothing listens at its address, or another
-// server does.
+// The statuses of probes. Silent: the server did not answer. Refused: nothing listens at
+// the server's address, or another server does.
 const (
 	Silent Sign = iota
 	Alive
 	Refused
 )
 
-// String returns the sign as it stands in logs.
+// String returns the name of the status in logs.
 func (s Sign) String() string {
 	return [...]string{"silent", "alive", "refused"}[s]
 }
 
-// Found is what a probe of a server found out.
+// Found is the result of a probe of a server.
 type Found struct {
 	Sign Sign
-	// Pace is how many times longer than usual the server's work takes; 0: not
-	// told.
+	// Pace is how many times longer than usual the server's work takes; 0: not reported.
 	Pace float64
 }
 
-// slowThreshold is the pace from which a server counts as slow: a stream's first event
-// then takes longer than its goal, and its pauses nearly so.
+// slowThreshold is the pace from which a server is considered slow: the first event of a
+// stream then takes longer than its goal, and the gaps between events nearly so.
 const slowThreshold = 2
 
-// IsSlow tells whether the server answered and works much slower than usual.
+// IsSlow reports whether the server answered and works much slower than usual.
 func (f Found) IsSlow() bool {
 	return f.Sign == Alive && f.Pace >= slowThreshold
 }
 
-// sign is what the last probes of a server found.
+// probeState is the state of the probes of a server.
 type probeState struct {
 	lastSign Sign
 	isSlow   bool
-	// at is when a probe last told something, asked when one was last sent.
+	// resultAt is the time of the last result, sentAt that of the last probe.
 	resultAt time.Time
 	sentAt   time.Time
-	// silences counts the probes since the last sign of life.
+	// unanswered counts the failed probes since the last answer.
 	unanswered int
 }
 
-// Probed notes what a probe of a server found.
+// Probed handles the result of a probe of a server.
 func (c *Controller) Probed(id string, found Found) {
 	if c.probeStates == nil {
 		c.probeStates = map[string]probeState{}
@@ -83,7 +81,7 @@
 	c.probeStates[id] = next
 }
 
-// probe asks for a sign of life, not too often.
+// probe adds a probe of a server to the plan unless it was probed recently.
 func (c *Controller) probe(server fleet.Server, plan *Plan) {
 	if c.probeStates == nil {
 		c.probeStates = map[string]probeState{}
@@ -97,8 +95,8 @@
 	plan.Probes = append(plan.Probes, server)
 }
 
-// isDead tells whether a server's recent signs say that it is gone; isKnown
-// whether there are recent signs.
+// isDead reports whether recent probes found a server dead; isKnown is false without
+// conclusive recent results.
 func (c *Controller) isDead(id string) (isDead, isKnown bool) {
 	state := c.probeStates[id]
 	if state.resultAt.IsZero() || time.Since(state.resultAt) > probeResultTTL {
@@ -114,17 +112,19 @@
 	}
 }
 
-// hasAnsweredRecently tells whether a server answered so lately that it need not be asked again
-// yet. Where many servers are cut off from the store alone, a leader on a small VM that asks
-// all of them at each step gets their answers too late, and ends groups that work.
+// hasAnsweredRecently reports whether a server answered so recently that it need not be
+// probed again yet. If many servers lose only their connection to the store, a leader on a
+// small VM that probes all of them at each step gets their answers too late and ends
+// working groups.
 func (c *Controller) hasAnsweredRecently(id string) bool {
 	state := c.probeStates[id]
 	return state.lastSign == Alive && time.Since(state.resultAt) < probeResultTTL/2
 }
 
-// haveAllAnswered tells whether all servers answered a probe lately; others are asked, and
-// the answer is there some milliseconds later. An entry may be of a server that died
-// while the store was away, and a group with such a member is found out only seconds later.
+// haveAllAnswered reports whether all servers answered a probe recently, and probes the
+// others, whose answers arrive some milliseconds later. An entry may belong to a server
+// that died while the store was unavailable, and a group with such a member would be
+// detected only seconds later.
 func (c *Controller) haveAllAnswered(servers []fleet.Server, plan *Plan) bool {
 	haveAnswered := true
 	for _, server := range servers {
@@ -137,15 +137,14 @@
 	return haveAnswered
 }
 
-// isRefusedRecently tells whether nothing listened at a server's address just now, or
-// another server did.
+// isRefusedRecently reports whether a recent probe found that nothing listens at a server's
+// address, or another server does.
 func (c *Controller) isRefusedRecently(id string) bool {
 	state := c.probeStates[id]
 	return state.lastSign == Refused && time.Since(state.resultAt) < probeResultTTL
 }
 
-// isHealthy tells whether a server answered its last probe, or was not asked, and is not
-// slow.
+// isHealthy reports whether a server has not missed its last probes and is not slow.
 func (c *Controller) isHealthy(server fleet.Server) bool {
 	state := c.probeStates[server.ID]
 	isSilent := state.lastSign != Alive && state.unanswered >= deadAfterUnanswered
--- a/core/assembly/sim_test.go
+++ b/core/assembly/sim_test.go
@@ -13,7 +13,7 @@
 	"headcourse/core/usage"
 )
 
-// Times of the simulated fleet, as the platform's pages give them.
+// The times of the simulated fleet, from the platform's documentation.
 const (
 	simStep         = 50 * time.Millisecond
 	simEntryExpiry  = 3600 * time.Millisecond
@@ -27,10 +27,9 @@
 	simTokenTime = 10 * time.Millisecond
 )
 
-// simFleet is a fleet with a store of records. It checks what must always hold:
-// a head opens only if every member was ready under the group's name and epoch;
-// and no server joins a group while the head of its own group, which it has not
-// left, serves or stands still.
+// simFleet is a fleet with a store of records. It checks two invariants: a head opens only
+// if every member was ready under the group's name and epoch; and no server joins a group
+// while the head of the group that it has not left serves or stalls.
 type simFleet struct {
 	config        *config.Config
 	servers       map[string]*simServer
@@ -42,20 +41,20 @@
 	violations    []string
 	view          fleet.View
 	orderCounts   map[string]int
-	// recent is what the store tells of the models that servers loaded last.
+	// recentModels is the last loaded model of each server in the store.
 	recentModels map[string]string
-	// probes counts the probes.
+	// probeCount counts the probes.
 	probeCount int
-	// cleared counts how often the suspicion of a group was dropped.
+	// clearedCounts counts how often the suspicion of a group was cleared.
 	clearedCounts map[string]int
-	// asked is what callers ask of each model, in requests of 100 tokens; one that is not
-	// there is not known.
+	// demand is the demand for each model, in requests of 100 tokens; the demand for a
+	// missing model is not known.
 	demand map[string]usage.Rate
-	// zones are the zones of domains, evacuated those that are evacuated. A join there is a
-	// violation.
+	// zoneOfDomain is the zone of each domain, evacuated the evacuated zones. A join there
+	// is a violation.
 	zoneOfDomain map[string]string
 	evacuated    evacuation.Zones
-	// isIdle tells that no client has sent a request yet.
+	// isIdle is true while no client has sent a request.
 	isIdle bool
 }
 
@@ -70,7 +69,8 @@
 	return newSimFleetWith(simConfig(), domains, serversPerDomain)
 }
 
-// newSimFleetWith returns a fleet of domains of some size that serves a configuration.
+// newSimFleetWith returns a fleet of domains with this many servers each that serves a
+// configuration.
 func newSimFleetWith(cfg *config.Config, domains, servers int) *simFleet {
 	s := &simFleet{
 		config:        cfg,
@@ -90,7 +90,7 @@
 	return s
 }
 
-// add starts a server in a domain whose host keeps a model's weights.
+// addServer starts a server in a domain; its host has staged a model's weights.
 func (s *simFleet) addServer(domain, staged string) {
 	s.serverNumber++
 	server := &simServer{
@@ -137,8 +137,8 @@
 	})
 }
 
-// tick lets time pass: loads end, groups without a member break, late orders
-// are carried out.
+// tick advances the time by one step: loads end, groups that lack a member break, and
+// delayed orders are carried out.
 func (s *simFleet) tick() {
 	time.Sleep(simStep)
 	now := time.Now()
@@ -169,7 +169,7 @@
 	}
 }
 
-// look returns the fleet as its entries show it.
+// observe returns the fleet as its entries show it.
 func (s *simFleet) observe() fleet.View {
 	now := time.Now()
 	var entries []fleet.Server
@@ -182,7 +182,7 @@
 			continue
 		}
 		if server.isDead || server.isCutOff || server.hasStaleEntry {
-			// The entry stays as it was.
+			// The entry does not change.
 			if previous, ok := s.view.Server(id); ok {
 				entries = append(entries, previous)
 			}
@@ -195,7 +195,7 @@
 	return s.view
 }
 
-// entry returns a server's entry.
+// entryOf returns a server's entry.
 func (s *simFleet) entryOf(server *simServer) fleet.Server {
 	entry := fleet.Server{
 		ID:       server.id,
@@ -224,7 +224,7 @@
 	return entry
 }
 
-// probe returns what a probe of a server finds.
+// probe returns the result of a probe of a server.
 func (s *simFleet) probe(server fleet.Server) assembly.Found {
 	simulated := s.servers[server.ID]
 	if simulated == nil || simulated.isDead {
@@ -248,7 +248,7 @@
 	return s.zoneOfDomain[s.servers[id].domain]
 }
 
-// stored returns the records, as a new leader reads them.
+// storedRecords returns the records as a new leader reads them.
 func (s *simFleet) storedRecords() []assembly.Record {
 	var all []assembly.Record
 	for _, name := range slices.Sorted(maps.Keys(s.records)) {
@@ -257,16 +257,16 @@
 	return all
 }
 
-// fate says what becomes of one order: its answer may be lost, and it may be
-// carried out late or not at all.
+// delivery is how one order is delivered: its answer may be lost, and it may be carried out
+// late or never.
 type delivery struct {
 	isAnswerLost bool
 	delay        time.Duration
 	isDropped    bool
 }
 
-// run has the controller decide once and carries out what it decides. fateOf
-// gives each order's fate.
+// step runs one step of the controller and carries out its plan. deliveryOf returns how
+// each order is delivered.
 func (s *simFleet) step(c *assembly.Controller, isStart bool, deliveryOf func(assembly.Order) delivery) {
 	plan := c.Step(assembly.World{
 		Config:     s.config,
@@ -316,7 +316,8 @@
 	c.Removed(plan.Remove)
 }
 
-// restart forgets what daemons know of the fleet but for what the store keeps.
+// restartDaemons discards what daemons know about the fleet except for the store, and
+// returns the new leader.
 func (s *simFleet) restartDaemons() *assembly.Controller {
 	s.view = fleet.View{}
 	s.observe()
@@ -326,14 +327,14 @@
 	return leader
 }
 
-// hold has callers ask as much of a model as lets each group that serves now hold so many
-// requests.
+// setDemandPerGroup sets the demand for a model so that each group that serves now has
+// heldPerGroup requests in flight.
 func (s *simFleet) setDemandPerGroup(model string, heldPerGroup int) {
 	s.setDemand(model, float64(heldPerGroup*s.countServing(model)))
 }
 
-// ask has callers ask as much of a model as lets all of its groups together hold so many
-// requests.
+// setDemand sets the demand for a model so that its groups together have this many requests
+// in flight.
 func (s *simFleet) setDemand(model string, held float64) {
 	const tokens = 100
 	rate := held / simTokenTime.Seconds()
@@ -343,7 +344,7 @@
 	}
 }
 
-// give gives an order its fate.
+// deliver delivers an order and returns its result.
 func (s *simFleet) deliver(order assembly.Order, outcome delivery) assembly.Result {
 	switch {
 	case outcome.isDropped:
@@ -362,8 +363,8 @@
 	}
 }
 
-// killMember has a member of a group die, and the controller told that requests stand
-// still there because of it.
+// killMember kills a member of a group and reports to the controller that requests stall
+// there because of it.
 func (s *simFleet) killMember(c *assembly.Controller, head *simServer, member int) (killed string) {
 	killed = head.members[member]
 	s.kill(killed)
@@ -371,7 +372,7 @@
 	return killed
 }
 
-// serving counts the groups of a model that serve whole.
+// countServing counts the complete groups of a model that serve.
 func (s *simFleet) countServing(model string) int {
 	count := 0
 	for _, server := range s.servers {
@@ -382,7 +383,7 @@
 	return count
 }
 
-// isServing tells whether a server is the head of a group that serves whole.
+// isServing reports whether a server is the head of a complete group that serves.
 func (s *simFleet) isServing(server *simServer) bool {
 	return server.state == fleet.Open && !server.isDead && server.stalledAt.IsZero()
 }
--- a/core/assembly/simserver_test.go
+++ b/core/assembly/simserver_test.go
@@ -8,7 +8,7 @@
 	"headcourse/core/fleet"
 )
 
-// simServer is one start of a simulated model engine.
+// simServer is one incarnation of a simulated model engine.
 type simServer struct {
 	id       string
 	born     int64
@@ -17,11 +17,11 @@
 	slowdown float64
 	diedAt   time.Time
 	isCutOff bool
-	// hasStoppedListening servers leave: their entry is gone and they take no connection, but
-	// they finish their work.
+	// hasStoppedListening is true for a draining server that has no entry and accepts no
+	// connections, but finishes its work.
 	hasStoppedListening bool
-	// hasStaleEntry servers leave, but their entry stands as it was: the store was away when
-	// they said so.
+	// hasStaleEntry is true for a draining server whose entry does not show it, because the
+	// store was unavailable.
 	hasStaleEntry bool
 	exitsAt       time.Time
 	cutOffAt      time.Time
@@ -41,10 +41,11 @@
 	wasReady      map[string]bool
 }
 
-// rebirth has a server crash and start again under its id, before anybody looked: it holds
-// and knows nothing of before, but its host keeps what is staged. That it was ready in a
-// group stays true: the platform excuses a member that was ready and is then lost, and a
-// head may be ordered to open by an entry from before.
+// restartServer makes a server crash and restart under its ID before its next observation.
+// It loses its memberships and its loaded model, but its host keeps the staged weights.
+// That it was ready in a group stays recorded: the platform permits opening a group with a
+// member that was ready and is then lost, because the order to open may follow from an
+// earlier entry.
 func (s *simFleet) restartServer(server *simServer) {
 	if server.isDead || server.hasStoppedListening {
 		return
@@ -62,13 +63,13 @@
 	}
 }
 
-// head returns the head of a server's group, or nil.
-func (s *simFleet) headOfGroup(of *simServer) *simServer {
-	if of.state == fleet.NoGroup || len(of.members) == 0 {
+// headOfGroup returns the head of a server's group, or nil.
+func (s *simFleet) headOfGroup(server *simServer) *simServer {
+	if server.state == fleet.NoGroup || len(server.members) == 0 {
 		return nil
 	}
-	head := s.servers[of.members[0]]
-	if head == nil || head.isDead || head.group != of.group || head.epoch != of.epoch {
+	head := s.servers[server.members[0]]
+	if head == nil || head.isDead || head.group != server.group || head.epoch != server.epoch {
 		return nil
 	}
 	return head
@@ -150,7 +151,7 @@
 	return assembly.Taken
 }
 
-// breakStalled breaks a head that has been without a member for the stall time.
+// breakStalled breaks a head whose group has lacked a member for the stall time.
 func (s *simFleet) breakStalled(server *simServer) {
 	if server.state != fleet.Open && server.state != fleet.Closing {
 		return
--- a/core/assembly/stage.go
+++ b/core/assembly/stage.go
@@ -9,26 +9,25 @@
 	"headcourse/core/fleet"
 )
 
-// Times of stage orders.
 const (
-	// stageTimeoutMargin is how much longer than a load a stage order may take before it
-	// is given again.
+	// stageTimeoutMargin is how much longer than a load a stage order may take before it is
+	// given again.
 	stageTimeoutMargin = 3 * time.Second
-	// stageRetryInterval is when a server that did not take an order to load is asked
-	// again: it is loading, perhaps by another daemon's order.
+	// stageRetryInterval is after how long a server that rejected a stage order gets one
+	// again: it is already loading, possibly for another daemon.
 	stageRetryInterval = 3 * time.Second
 )
 
-// stageWeights has free servers load weights to their hosts, so that a repair
-// takes no load: first for models that lack groups, then as spares.
+// stageWeights stages weights on the hosts of free servers, so that a repair needs no load
+// from the weight store: first for models that lack groups, then for spares.
 func (c *Controller) stageWeights(state *serviceState, input World, plan *Plan) {
 	for _, model := range state.service.Engine.Models {
 		if state.liveGroups[model.Name] >= state.targetGroups(model) {
 			continue
 		}
 		if input.IsStart {
-			// Loads are quick now and groups load as they form; a group that is
-			// lacking fits into no domain.
+			// Loads are quick now and groups load as they form; a group that is still
+			// missing fits into no domain.
 			continue
 		}
 		c.stageMissing(state, model, input, plan)
@@ -37,10 +36,10 @@
 	c.stageSecondModels(state, input, plan)
 }
 
-// stageSpares has servers that hold nothing load weights as spares.
+// stageSpares makes servers without any weights load some as spares.
 func (c *Controller) stageSpares(state *serviceState, input World, plan *Plan) {
 	if input.IsStart {
-		// They load as they warm up.
+		// Servers load as they warm up.
 		return
 	}
 	for _, domain := range state.domains {
@@ -53,8 +52,8 @@
 	}
 }
 
-// pruneStageOrders forgets stage orders that are done or past their time, and those
-// of servers that are gone.
+// pruneStageOrders removes stage orders that are done or have timed out, and those of
+// servers that are gone.
 func (c *Controller) pruneStageOrders(view fleet.View) {
 	maps.DeleteFunc(c.stageOrders, func(id string, order stageOrder) bool {
 		server, ok := view.Server(id)
@@ -62,14 +61,13 @@
 	})
 }
 
-// isStaging tells whether a stage order of a server is under way.
+// isStaging reports whether a server has a pending stage order.
 func (c *Controller) isStaging(server fleet.Server) bool {
 	_, ok := c.stageOrders[server.ID]
 	return ok
 }
 
-// hasOrLoads tells whether a free server has a model's weights, or is loading
-// them.
+// hasOrLoads reports whether a server has a model's weights, or is loading them.
 func (c *Controller) hasOrLoads(server fleet.Server, model string) bool {
 	if c.isStaging(server) {
 		return c.stageOrders[server.ID].model == model
@@ -77,9 +75,9 @@
 	return server.HasStaged(model) || server.CanRejoin(model)
 }
 
-// stageMissing completes the weights for the groups that a model lacks, in the
-// domains where the fewest servers must load them. Domains where all weights are
-// there, or being loaded, count as groups on their way.
+// stageMissing completes the weights for the groups that a model lacks, in the domains
+// where the fewest servers must load them. Domains in which all weights are present or
+// being loaded count as upcoming groups.
 func (c *Controller) stageMissing(state *serviceState, model config.Model, input World, plan *Plan) {
 	missingGroups := state.targetGroups(model) - state.liveGroups[model.Name]
 	var chosen [][]fleet.Server
@@ -99,10 +97,10 @@
 	}
 }
 
-// serversToLoad returns the free servers of a domain that must load a model's
-// weights for one more group, those first that lose nothing by it, and whether there
-// are enough. One does not load that would lose the weights of a model that lacks
-// groups too.
+// serversToLoad returns the free servers of a domain that must load a model's weights for
+// one more group, and whether there are enough. Servers without staged weights come first.
+// A server does not load if that would replace the weights of another model that lacks
+// groups.
 func (c *Controller) serversToLoad(state *serviceState, free []fleet.Server, model config.Model) ([]fleet.Server, bool) {
 	missing := model.Size
 	var empty, others []fleet.Server
@@ -128,21 +126,23 @@
 	return candidates[:missing], true
 }
 
-// stageSpare has an empty server load the weights that its domain lacks most.
+// stageSpare makes a server without weights load those of which its domain has the fewest
+// spares.
 func (c *Controller) stageSpare(state *serviceState, domain string, server fleet.Server, input World, plan *Plan) {
 	if model, ok := c.scarcestModel(state, domain); ok {
 		c.orderStage(server, model, state.service.Engine, forSpare, input, plan)
 	}
 }
 
-// purpose is what a load is for.
+// loadPurpose is the purpose of a load.
 type loadPurpose struct {
 	// reason is for the log.
 	reason string
-	// share is the part of the loads that the weight store serves at full speed up to which
-	// one for this purpose may begin. A load takes 12 s to 16 s and is not stopped, and one
-	// more than the store serves makes all of them take longer: so those that can wait
-	// leave room for those that cannot, such as new servers, which stand empty meanwhile.
+	// maxFraction is the fraction of the loads that the weight store serves at full speed
+	// up to which a load for this purpose may start. A load takes 12 s to 16 s and is not
+	// cancelled, and one more than the store serves slows all of them down. Less urgent
+	// loads therefore leave capacity for urgent ones, such as those of new servers, which
+	// are idle meanwhile.
 	maxFraction float64
 }
 
@@ -153,7 +153,7 @@
 		maxFraction: 1,
 	}
 	forSpare = loadPurpose{
-		reason:      "the domain has no spare with them",
+		reason:      "the domain has no spare with these weights",
 		maxFraction: 0.85,
 	}
 	forSecond = loadPurpose{
@@ -162,19 +162,19 @@
 	}
 )
 
-// mayStage tells whether one more load for a purpose may begin.
+// mayStage reports whether one more load for a purpose may start.
 func (c *Controller) mayStage(engine *config.Engine, purpose loadPurpose, input World) bool {
-	share := purpose.maxFraction
+	fraction := purpose.maxFraction
 	if input.IsIdle {
-		// Loads are quick, and nobody waits for those that are more urgent.
-		share = 1
+		// Loads are quick, and no more urgent ones wait.
+		fraction = 1
 	}
-	limit := max(1, int(share*float64(engine.LoadsAtOnce)))
-	isCrowded := !input.IsStart && len(c.stageOrders) >= limit
-	return !isCrowded && c.mayLoad(1, engine, input)
+	limit := max(1, int(fraction*float64(engine.LoadsAtOnce)))
+	isAtLimit := !input.IsStart && len(c.stageOrders) >= limit
+	return !isAtLimit && c.mayLoad(1, engine, input)
 }
 
-// stage orders a server to load weights, unless too many loads are under way.
+// orderStage orders a server to load weights, unless too many loads are in progress.
 func (c *Controller) orderStage(server fleet.Server, model config.Model, engine *config.Engine, purpose loadPurpose, input World, plan *Plan) {
 	if !c.mayStage(engine, purpose, input) {
 		return
@@ -193,8 +193,8 @@
 	})
 }
 
-// lacking returns the model of which a domain has the fewest spares, measured
-// by the servers that its groups there use.
+// scarcestModel returns the model of which a domain has the fewest spares relative to the
+// servers that its groups there use.
 func (c *Controller) scarcestModel(state *serviceState, domain string) (config.Model, bool) {
 	var best config.Model
 	bestScore := 0.0
--- a/core/assembly/stage_test.go
+++ b/core/assembly/stage_test.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// Found on a day with many replaced servers: loads of spares that were long done
-// counted as under way, so that new servers loaded nothing for 15 s.
+// Guards against counting finished loads of spares as pending. On a day with many replaced
+// servers, new servers loaded nothing for 15 s.
 func TestNewServerLoadsImmediatelyAfterSparesFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimFleet(6)
@@ -40,39 +40,40 @@
 	})
 }
 
-// A leader does not know which loads the one before it ordered. Where two led within one window
-// each used the whole bound: 26 loads and more where 25 may begin.
+// Guards against exceeding the limit on loads when the leader changes. A leader does not
+// know which loads its predecessor ordered: two leaders within one window each used the
+// whole limit and started 26 loads or more where 25 are allowed.
 func TestLoadRateStaysWithinLimit(t *testing.T) {
 	for _, example := range []struct {
 		name string
 		// term is how long one leader leads.
 		term time.Duration
-		// most is how many loads are ordered in all: leaders order anew what they do not
-		// see done.
-		most int
+		// maxLoads is the maximum total of loads: a leader repeats orders whose result it
+		// does not see.
+		maxLoads int
 	}{
 		{
-			name: "one leader",
-			term: time.Hour,
-			most: 96,
+			name:     "one leader",
+			term:     time.Hour,
+			maxLoads: 96,
 		},
 		{
-			name: "leaders change",
-			term: 2 * time.Second,
-			most: 96 * 5,
+			name:     "leaders change",
+			term:     2 * time.Second,
+			maxLoads: 96 * 5,
 		},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				loads := countLoads(t, example.term)
-				qt.Assert(t, loads >= 96 && loads <= example.most, qt.IsTrue, qt.Commentf("%d", loads))
+				qt.Assert(t, loads >= 96 && loads <= example.maxLoads, qt.IsTrue, qt.Commentf("%d", loads))
 			})
 		})
 	}
 }
 
-// countLoads plays a fleet without weights under leaders of some term, and counts the loads in
-// each window.
+// countLoads runs a fleet without weights under successive leaders, checks the number of
+// loads in each window, and returns the total.
 func countLoads(t *testing.T, termLength time.Duration) int {
 	t.Helper()
 	s := newSimFleet(12)
@@ -108,9 +109,9 @@
 	return len(loads)
 }
 
-// Weights of second models are loaded while no client has come yet, by all that the weight store
-// serves at once: hundreds of servers in eight domains would else load for tens of seconds beside
-// the first requests. The bound on loads holds.
+// Second models are loaded before the first client arrives, with all loads that the weight
+// store serves at once. Otherwise hundreds of servers in eight domains would load for tens
+// of seconds during the first requests. The limit on loads still applies.
 func TestSecondModelsLoadFasterBeforeFirstRequest(t *testing.T) {
 	staged := func(isIdle bool) int {
 		s := newSimFleet(24)
@@ -125,8 +126,8 @@
 		return s.orderCounts["stage"] - before
 	}
 	synctest.Test(t, func(t *testing.T) {
-		usual, idle := staged(false), staged(true)
-		qt.Assert(t, idle >= usual*3/2, qt.IsTrue, qt.Commentf("%d loads while idle, %d else", idle, usual))
+		busy, idle := staged(false), staged(true)
+		qt.Assert(t, idle >= busy*3/2, qt.IsTrue, qt.Commentf("%d loads while idle, %d otherwise", idle, busy))
 		// 20 a second, with the excess, in any 5 s.
 		qt.Assert(t, idle <= 110, qt.IsTrue, qt.Commentf("%d", idle))
 	})
--- a/core/assembly/starts.go
+++ b/core/assembly/starts.go
@@ -2,9 +2,9 @@
 
 import "headcourse/core/fleet"
 
-// detectRestarts finds servers that started again under the ID that they had, maybe before
-// their entry had lapsed. Such a start holds and knows nothing of before, and neither does
-// the controller of it.
+// detectRestarts finds servers that restarted under the same ID, possibly before their
+// entry expired. A new incarnation has no memberships and no loaded model, so the
+// controller discards what it knew about the former one.
 func (c *Controller) detectRestarts(input World, plan *Plan) {
 	if c.incarnations == nil {
 		c.incarnations = map[string]int64{}
@@ -19,8 +19,8 @@
 	c.pruneIncarnations(input.Fleet)
 }
 
-// pruneIncarnations forgets the starts of servers that are not known any more, now and then: IDs
-// are new with most starts.
+// pruneIncarnations removes the incarnations of unknown servers once they are more than
+// half of all: most restarts have a new ID.
 func (c *Controller) pruneIncarnations(view fleet.View) {
 	const slack = 2
 	if len(c.incarnations) <= slack*len(view.Servers()) {
@@ -33,10 +33,10 @@
 	}
 }
 
-// handleRestart forgets what was known of a server's former start, and ends the groups that
-// it was asked to join. An order to the former start may still be carried out by this one,
-// which has heard of no newer epoch and takes it; so a group never goes on with it under the
-// same epoch, and one whose head started again keeps its members until they have left.
+// handleRestart discards what was known about a server's former incarnation, and ends the
+// groups that it was ordered to join. The new incarnation knows no newer epoch and may
+// carry out an order to the former one. So a group never continues with it under the same
+// epoch, and a group whose head restarted keeps its members until they have left.
 func (c *Controller) handleRestart(server fleet.Server, plan *Plan) {
 	delete(c.probeStates, server.ID)
 	delete(c.stageOrders, server.ID)
--- a/core/assembly/starts_test.go
+++ b/core/assembly/starts_test.go
@@ -12,8 +12,9 @@
 	"headcourse/core/fleet"
 )
 
-// A member that started again under its ID, within one look, joined again under the old
-// epoch, and its group formed on: orders to its former start, carried out late, fit there.
+// Guards against continuing to form a group with a member that restarted under its ID
+// between two observations. The member rejoined under the old epoch, for which delayed
+// orders to its former incarnation were still valid.
 func TestFormingGroupEndsWhenMemberRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimFleet(1)
@@ -22,16 +23,17 @@
 		record := s.storedRecords()[0]
 		s.restartServer(s.servers[record.Members[1]])
 		runFor(s, c, true, 2*time.Second)
-		_, isThere := s.records[record.Name]
-		qt.Assert(t, isThere, qt.IsFalse)
+		_, hasRecord := s.records[record.Name]
+		qt.Assert(t, hasRecord, qt.IsFalse)
 		runFor(s, c, false, 40*time.Second)
 		qt.Assert(t, s.countServing("large"), qt.Equals, 1)
 		qt.Assert(t, s.violations, qt.HasLen, 0)
 	})
 }
 
-// An order to a head's former start may be carried out by its new one, which opens the
-// group again; its members had joined others directly by then, which is two groups at once.
+// Guards against two groups at once after a restart of a head. The new incarnation may
+// carry out an order to the former one and open the group again, when its members had
+// already joined others directly.
 func TestMembersOfRestartedHeadLeaveBeforeJoiningOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(1)
@@ -58,7 +60,8 @@
 	})
 }
 
-// A leader that comes takes no model for loaded that a server's former start had loaded.
+// Guards against a new leader that assumes a model is loaded because the server's former
+// incarnation had loaded it.
 func TestNewLeaderIgnoresModelsOfFormerIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(1)
--- a/core/assembly/step_bench_test.go
+++ b/core/assembly/step_bench_test.go
@@ -12,7 +12,7 @@
 )
 
 // benchDomainSize is the number of servers of a fabric domain: two groups of sixteen and
-// five free ones.
+// five free servers.
 const (
 	benchDomainSize = 37
 	benchGroupSize  = 16
@@ -86,8 +86,8 @@
 	return fleet.View{}.WithAll(1, all, time.Now()), records
 }
 
-// BenchmarkStep measures one step of the leader, which it makes ten times a second and
-// at each news, over a fleet at rest. Measured beside other work: 0.026 ms with 51 servers,
+// BenchmarkStep measures one step of the leader over an idle fleet. The leader makes a step
+// ten times a second and at each event. Measured on a busy VM: 0.026 ms with 51 servers,
 // 0.074 ms with 174, 0.49 ms with 931 and 5.0 ms with 7,400.
 func BenchmarkStep(b *testing.B) {
 	for _, servers := range []int{51, 174, 931, 7400} {
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Suspect notes that a daemon's requests stand still at a group, or are slow there,
-// and the member that did not answer that daemon (empty: none). That silence counts
-// as one: a probe of the controller's own decides.
+// Suspect records that a daemon reported stalled or slow requests at a group, and the
+// member that did not answer that daemon (empty: none). The missing answer counts as one
+// unanswered probe: the controller's own probe decides.
 func (c *Controller) Suspect(name string, epoch int64, unresponsive string) {
 	g, ok := c.groups[name]
 	if !ok || g.record.Epoch != epoch || g.endReason != "" {
@@ -21,10 +21,10 @@
 	}
 }
 
-// checkSuspicion probes the members of a group at which requests stand still or are
-// slow, and returns why it must end, or nothing. A group with a slow member goes
-// on, and stays suspected, where no spare could take that member's place.
-func (c *Controller) checkSuspicion(g *group, input World, plan *Plan) (reason string, isGentle bool) {
+// checkSuspicion probes the members of a suspected group and returns why it must end, or an
+// empty string. A group with a slow member continues, and stays suspected, if no spare can
+// replace that member.
+func (c *Controller) checkSuspicion(g *group, input World, plan *Plan) (reason string, isGraceful bool) {
 	if !g.isSuspected {
 		return "", false
 	}
@@ -40,21 +40,21 @@
 	g.isSuspected = false
 	g.slowMember = ""
 	plan.Cleared = append(plan.Cleared, g.record.Name)
-	g.addNote("suspicion dropped", "all members answer", plan)
+	g.addNote("suspicion cleared", "all members answer", plan)
 	return "", false
 }
 
-// examined is what is known of the members of a suspected group.
+// memberFindings is what is known about the members of a suspected group.
 type memberFindings struct {
-	// dead and slow each name a member that is so; empty: none.
+	// deadMember and slowMember each name such a member; empty: none.
 	deadMember string
 	slowMember string
-	// isComplete tells that there are recent signs of all members.
+	// isComplete is true if there are recent probe results of all members.
 	isComplete bool
 }
 
-// examine looks at the members of a group up to the first dead one, and probes those
-// without recent signs.
+// examineMembers examines the members of a group up to the first dead one, and probes those
+// without recent results.
 func (c *Controller) examineMembers(g *group, input World, plan *Plan) memberFindings {
 	findings := memberFindings{
 		isComplete: true,
@@ -69,7 +69,7 @@
 			findings.deadMember = id
 			return findings
 		}
-		// A sign from before the suspicion says nothing: heads are looked at anyway.
+		// A result from before the suspicion is not evidence: heads are probed regularly.
 		if !isKnown || c.probeStates[id].resultAt.Before(g.suspectedAt) {
 			findings.isComplete = false
 			c.probe(server, plan)
@@ -81,9 +81,9 @@
 	return findings
 }
 
-// slowMemberReason returns why a group with a slow member must end, or nothing where it
-// could not form again without that member.
-func (c *Controller) slowMemberReason(g *group, slow string, input World, plan *Plan) (reason string, isGentle bool) {
+// slowMemberReason returns why a group with a slow member must end, or an empty string if
+// it could not form again without that member.
+func (c *Controller) slowMemberReason(g *group, slow string, input World, plan *Plan) (reason string, isGraceful bool) {
 	if g.slowMember != slow {
 		g.slowMember = slow
 		g.addNote("group slow", "member "+slow+" is slow", plan)
@@ -94,21 +94,21 @@
 	return "", false
 }
 
-// isSlow tells whether a group has a slow member, as far as known. It serves on, but
-// late, and daemons avoid it where they can: it does not count as one of its model's.
+// isSlow reports whether a group has a slow member, as far as known. Such a group serves
+// late and daemons avoid it if they can, so it does not count as a group of its model.
 func (c *Controller) isSlow(g *group) bool {
 	return g.slowMember != "" && c.probeStates[g.slowMember].isSlow
 }
 
-// hasSpareFor tells whether a free server of a member's domain keeps the weights
-// of the group's model.
+// hasSpareFor reports whether a free server in a member's domain can replace it without a
+// load from the weight store.
 func (c *Controller) hasSpareFor(g *group, member string, input World, plan *Plan) bool {
 	replaced, _ := input.Fleet.Server(member)
 	assigned := c.assignedServers()
 	for _, server := range input.Fleet.Servers() {
-		isNear := server.Domain == replaced.Domain && input.isEligible(server, g.record.Service)
-		isFit := (server.HasStaged(g.record.Model) || server.CanRejoin(g.record.Model)) && !assigned[server.ID]
-		if isNear && isFit && c.isFree(server, plan) {
+		isInDomain := server.Domain == replaced.Domain && input.isEligible(server, g.record.Service)
+		isReady := (server.HasStaged(g.record.Model) || server.CanRejoin(g.record.Model)) && !assigned[server.ID]
+		if isInDomain && isReady && c.isFree(server, plan) {
 			return true
 		}
 	}
--- a/core/assembly/suspect_test.go
+++ b/core/assembly/suspect_test.go
@@ -11,8 +11,9 @@
 	"headcourse/core/fleet"
 )
 
-// The daemon that tells of a stall has asked the member twice already; the leader
-// asked twice again, which took 0.3 s of each repair.
+// Guards against repeating probes that a daemon has made. The daemon that reports a stall
+// has already probed the member twice; two more probes by the leader took 0.3 s of each
+// repair.
 func TestReportedUnansweredProbeCountsAsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -20,8 +21,8 @@
 		s.kill(head.members[2])
 		c.Suspect(head.group, head.epoch, head.members[2])
 		runFor(s, c, false, 3*simStep)
-		_, isThere := s.records[head.group]
-		qt.Assert(t, isThere, qt.IsFalse)
+		_, hasRecord := s.records[head.group]
+		qt.Assert(t, hasRecord, qt.IsFalse)
 	})
 }
 
@@ -32,14 +33,14 @@
 		c.Suspect(head.group, head.epoch, head.members[2])
 		runFor(s, c, false, 3*time.Second)
 		qt.Assert(t, s.clearedCounts[head.group], qt.Equals, 1)
-		_, isThere := s.records[head.group]
-		qt.Assert(t, isThere, qt.IsTrue)
+		_, hasRecord := s.records[head.group]
+		qt.Assert(t, hasRecord, qt.IsTrue)
 	})
 }
 
-// Found on a day with slow servers (valdeserna-riego-grown trouble-2, 20 s to 24 s):
-// eight of 45 groups had a member that took four times as long; four of five
-// requests there were late, and nothing replaced the member.
+// Guards against slow members that stay in their groups (valdeserna-riego-grown trouble-2,
+// 20 s to 24 s). Eight of 45 groups had a member that took four times as long, and four of
+// five requests there were late.
 func TestSlowMemberIsReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -56,7 +57,7 @@
 			qt.Assert(t, slices.Contains(record.Members, slow), qt.IsFalse)
 		}
 
-		// It is a spare again when it works as usual.
+		// It is a spare again once it works as usual.
 		s.servers[slow].slowdown = 1
 		runFor(s, c, false, 3*time.Second)
 		other := openHeadOf(s, "large")
@@ -81,12 +82,13 @@
 				server.slowdown = 4
 			}
 		}
-		// All six groups of the other model are needed too, so none of them ends for it.
+		// All six groups of the other model are needed too, so none of them ends for this
+		// one.
 		s.setDemandPerGroup("large", 18)
 		s.setDemandPerGroup("small", 18)
 		slow := head.members[2]
 		s.servers[slow].slowdown = 4
-		// The spares are found slow as well when they are looked at.
+		// Probes find the spares slow as well.
 		for _, server := range s.servers {
 			c.Probed(server.id, s.probe(s.entryOf(server)))
 		}
--- a/core/assembly/warm.go
+++ b/core/assembly/warm.go
@@ -7,16 +7,16 @@
 	"headcourse/core/fleet"
 )
 
-// A server that was in a group of a model once joins another of it within 0.2 s, and
-// its host is free to keep a second model. A spare that has only loaded weights to its
-// host has neither: so it joins a group of its own once, which is never opened, and
-// leaves. Then it replaces a member of either model, and the group of the first one
-// stands still 1.4 s less.
+// A server that was in a group of a model rejoins that model within 0.2 s, and its host can
+// stage a second model. A spare that has only staged weights can do neither. So it joins a
+// group of its own once, which never opens, and leaves. Then it can replace a member of
+// either model, and a group of the first model is down 1.4 s less.
 
-// warmUp has free servers that were in no group since their start join one of their
-// own. Before the first request, when loads are quick, empty ones load by it.
+// warmUp makes free servers that have joined no group since their start join a warm-up
+// group. Before the first request, when loads are quick, servers without weights load this
+// way.
 func (c *Controller) warmUp(state *serviceState, input World, plan *Plan) {
-	if _, isLacking := state.neediestModel(true); isLacking && !input.IsStart {
+	if _, isBelowTarget := state.neediestModel(true); isBelowTarget && !input.IsStart {
 		return
 	}
 	for _, domain := range state.domains {
@@ -34,7 +34,7 @@
 	}
 }
 
-// warmUpModel returns the model that a free server should be warm with, if any.
+// warmUpModel returns the model that a free server should warm up with, if any.
 func (c *Controller) warmUpModel(state *serviceState, server fleet.Server, input World) (config.Model, bool) {
 	if server.Recent != "" || c.isStaging(server) {
 		return config.Model{}, false
