--- a/core/assembly/check.go
+++ b/core/assembly/check.go
@@ -17,7 +17,7 @@
 	reason, isGraceful := c.findEndReason(g, input, plan)
 	if reason != "" {
 		g.end(reason, isGraceful)
-		g.addNote("group ends", reason, plan)
+		g.addEvent("group ends", reason, plan)
 		return
 	}
 	head, ok := input.Fleet.Server(g.record.Members[0])
@@ -26,7 +26,7 @@
 	}
 	if isHeadOpen(g, head) {
 		if !g.wasOpen {
-			g.addNote("group open", "the head reports that it is open", plan)
+			g.addEvent("group open", "the head reports that it is open", plan)
 		}
 		g.wasOpen = true
 		return
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -98,7 +98,7 @@
 	c.conversions[best.domain] = best
 	for _, g := range best.groups {
 		g.end("its servers are needed for "+model.Name, true)
-		g.addNote("group ends", g.endReason, plan)
+		g.addEvent("group ends", g.endReason, plan)
 	}
 }
 
--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -77,7 +77,7 @@
 	return demands
 }
 
-// reportTargets adds a note for each model whose target number of groups has changed.
+// reportTargets adds an event for each model whose target number of groups has changed.
 func (c *Controller) reportTargets(state *serviceState, plan *Plan) {
 	if c.reportedTargets == nil {
 		c.reportedTargets = map[modelKey]int{}
--- a/core/assembly/finish.go
+++ b/core/assembly/finish.go
@@ -32,7 +32,7 @@
 		return
 	}
 	g.isRemovalPending = true
-	g.addNote("group ended", g.endReason, plan)
+	g.addEvent("group ended", g.endReason, plan)
 	plan.Remove = append(plan.Remove, g.record.Name)
 	planRecentModels(g.record, input, plan)
 }
--- a/core/assembly/finish_test.go
+++ b/core/assembly/finish_test.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// Guards against reusing a returning member before it leaves its old group (run TWO,
-// hunt-1d97-39 of valdeserna-riego). The head and a member lost their entries while
+// Guards against reusing a returning member before it leaves its old group (violation
+// TWO, hunt-1d97-39 of valdeserna-riego). The head and a member lost their entries while
 // disconnected from the store. The member came back and was ordered to join another group
 // while its old head was still open.
 func TestReturningMemberLeavesOldGroupBeforeReuse(t *testing.T) {
@@ -56,9 +56,9 @@
 	})
 }
 
-// Guards against taking a draining head for dead (run TWO, scale-1 of an internal
-// deployment, seed 363847341756). The head had stopped listening but still finished its
-// work; its members joined another group without leaving.
+// Guards against taking a draining head for dead (violation TWO, scale-1 of an
+// internal deployment, seed 363847341756). The head had stopped listening but still
+// finished its work; its members joined another group without leaving.
 func TestMembersLeaveGroupWhoseHeadStoppedListening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -73,11 +73,11 @@
 	})
 }
 
-// Guards against the same with a stale entry (run TWO, trouble-3 of lainela-headcourse,
-// seed 7). Servers reported that they were leaving while the store was unavailable for
-// eight seconds. Afterwards the entry of a head that had stopped listening still did not
-// show it; the head was considered dead, and its members joined another group while it
-// served.
+// Guards against the same with a stale entry (violation TWO, trouble-3 of
+// lainela-headcourse, seed 7). Servers reported that they were leaving while the store was
+// unavailable for eight seconds. Afterwards the entry of a head that had stopped listening
+// still did not show it; the head was considered dead, and its members joined another group
+// while it served.
 func TestMembersLeaveGroupWhoseHeadStoppedListeningWithStaleEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -67,7 +67,7 @@
 }
 
 // planOrder adds an order to a member to the plan unless the same order was given recently.
-func (g *group) planOrder(server fleet.Server, kind Kind, cutoff bool, reason string, plan *Plan) {
+func (g *group) planOrder(server fleet.Server, kind Kind, isImmediate bool, reason string, plan *Plan) {
 	last, ok := g.lastOrders[server.ID]
 	if ok && last.kind == kind && time.Since(last.sentAt) < orderRetryInterval {
 		return
@@ -81,7 +81,7 @@
 		Kind:   kind,
 		Group:  g.record.Name,
 		Epoch:  g.record.Epoch,
-		Cutoff: cutoff,
+		Cutoff: isImmediate,
 		Reason: reason,
 	}
 	if kind == Join {
@@ -91,13 +91,13 @@
 	plan.Orders = append(plan.Orders, order)
 }
 
-// addNote adds a state change of the group to the plan.
-func (g *group) addNote(what, reason string, plan *Plan) {
+// addEvent adds a state change of the group to the plan.
+func (g *group) addEvent(message, reason string, plan *Plan) {
 	plan.Notes = append(plan.Notes, Note{
 		Group:  g.record.Name,
 		Epoch:  g.record.Epoch,
 		Model:  g.record.Model,
-		What:   what,
+		What:   message,
 		Reason: reason,
 	})
 }
--- a/core/assembly/large_groups_test.go
+++ b/core/assembly/large_groups_test.go
@@ -117,8 +117,8 @@
 }
 
 // Guards against a new leader that ends serving groups before it knows the demand. When the
-// leader died during the loss of a domain, the next one ended five of six groups within 1.5
-// s to match the operator's shares. The first demand reports arrive half a second later.
+// leader died during the loss of a domain, the next one ended five of six groups within
+// 1.5 s to match the operator's shares. The first demand reports arrive half a second later.
 func TestNewLeaderEndsNoGroupBeforeDemandIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
--- a/core/assembly/need.go
+++ b/core/assembly/need.go
@@ -11,8 +11,8 @@
 
 const (
 	// memberUnavailability is the fraction of the time that a group is unavailable for each
-	// of its members. If two of 160 servers are lost every three seconds, a group is back 2
-	// s after the loss of a member; in addition, losses come together.
+	// of its members. If two of 160 servers are lost every three seconds, a group is back
+	// 2 s after the loss of a member; in addition, losses come together.
 	memberUnavailability = 0.012
 	// maxGroupUnavailability limits the fraction for groups of very many members.
 	maxGroupUnavailability = 0.4
--- a/core/assembly/plan.go
+++ b/core/assembly/plan.go
@@ -14,7 +14,7 @@
 	// Cleared are groups whose suspicion was cleared, so that daemons may report them
 	// again.
 	Cleared []string
-	// Notes are state changes of groups, for the log.
+	// Notes are the state changes of groups and models, for the log.
 	Notes []Note
 }
 
--- a/core/assembly/probe.go
+++ b/core/assembly/probe.go
@@ -43,19 +43,19 @@
 	Pace float64
 }
 
-// slowThreshold is the pace from which a server is considered slow: the first event of a
-// stream then takes longer than its goal, and the gaps between events nearly so.
-const slowThreshold = 2
+// minSlowdown is the minimum pace of a slow server: the first event of a stream then takes
+// longer than its goal, and the gaps between events nearly so.
+const minSlowdown = 2
 
 // IsSlow reports whether the server answered and works much slower than usual.
-func (f Found) IsSlow() bool {
-	return f.Sign == Alive && f.Pace >= slowThreshold
+func (r Found) IsSlow() bool {
+	return r.Sign == Alive && r.Pace >= minSlowdown
 }
 
 // probeState is the state of the probes of a server.
 type probeState struct {
-	lastSign Sign
-	isSlow   bool
+	lastStatus Sign
+	isSlow     bool
 	// resultAt is the time of the last result, sentAt that of the last probe.
 	resultAt time.Time
 	sentAt   time.Time
@@ -64,18 +64,18 @@
 }
 
 // Probed handles the result of a probe of a server.
-func (c *Controller) Probed(id string, found Found) {
+func (c *Controller) Probed(id string, result Found) {
 	if c.probeStates == nil {
 		c.probeStates = map[string]probeState{}
 	}
 	previous := c.probeStates[id]
 	next := probeState{
-		lastSign: found.Sign,
-		isSlow:   found.IsSlow(),
-		resultAt: time.Now(),
-		sentAt:   previous.sentAt,
+		lastStatus: result.Sign,
+		isSlow:     result.IsSlow(),
+		resultAt:   time.Now(),
+		sentAt:     previous.sentAt,
 	}
-	if found.Sign != Alive {
+	if result.Sign != Alive {
 		next.unanswered = previous.unanswered + 1
 	}
 	c.probeStates[id] = next
@@ -102,7 +102,7 @@
 	if state.resultAt.IsZero() || time.Since(state.resultAt) > probeResultTTL {
 		return false, false
 	}
-	switch state.lastSign {
+	switch state.lastStatus {
 	case Alive:
 		return false, true
 	case Refused:
@@ -118,7 +118,7 @@
 // working groups.
 func (c *Controller) hasAnsweredRecently(id string) bool {
 	state := c.probeStates[id]
-	return state.lastSign == Alive && time.Since(state.resultAt) < probeResultTTL/2
+	return state.lastStatus == Alive && time.Since(state.resultAt) < probeResultTTL/2
 }
 
 // haveAllAnswered reports whether all servers answered a probe recently, and probes the
@@ -129,7 +129,7 @@
 	haveAnswered := true
 	for _, server := range servers {
 		state := c.probeStates[server.ID]
-		if state.lastSign != Alive || time.Since(state.resultAt) > formProbeTTL {
+		if state.lastStatus != Alive || time.Since(state.resultAt) > formProbeTTL {
 			c.probe(server, plan)
 			haveAnswered = false
 		}
@@ -141,12 +141,12 @@
 // address, or another server does.
 func (c *Controller) isRefusedRecently(id string) bool {
 	state := c.probeStates[id]
-	return state.lastSign == Refused && time.Since(state.resultAt) < probeResultTTL
+	return state.lastStatus == Refused && time.Since(state.resultAt) < probeResultTTL
 }
 
 // isHealthy reports whether a server has not missed its last probes and is not slow.
 func (c *Controller) isHealthy(server fleet.Server) bool {
 	state := c.probeStates[server.ID]
-	isSilent := state.lastSign != Alive && state.unanswered >= deadAfterUnanswered
+	isSilent := state.lastStatus != Alive && state.unanswered >= deadAfterUnanswered
 	return !isSilent && !state.isSlow
 }
--- a/core/assembly/recent_models.go
+++ b/core/assembly/recent_models.go
@@ -8,8 +8,8 @@
 
 // RecentTable holds which model each server loaded last; the key is a domain. A server's
 // entry shows it only while the server is in a group, and a daemon that has just started
-// has not observed earlier groups. Without the table a new leader would assume a load of 16
-// s for servers that rejoin within 0.2 s.
+// has not observed earlier groups. Without the table a new leader would assume a load of
+// 16 s for servers that rejoin within 0.2 s.
 const RecentTable = "recent_models"
 
 // Recent is which models the servers of a domain loaded last.
--- a/core/assembly/restart.go
+++ b/core/assembly/restart.go
@@ -54,7 +54,7 @@
 		}
 		if g.endReason == "" && (g.wasOpen || wasAsked) {
 			g.end("member "+server.ID+" has started again", false)
-			g.addNote("group ends", g.endReason, plan)
+			g.addEvent("group ends", g.endReason, plan)
 		}
 	}
 }
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -40,7 +40,7 @@
 	g.isSuspected = false
 	g.slowMember = ""
 	plan.Cleared = append(plan.Cleared, g.record.Name)
-	g.addNote("suspicion cleared", "all members answer", plan)
+	g.addEvent("suspicion cleared", "all members answer", plan)
 	return "", false
 }
 
@@ -86,7 +86,7 @@
 func (c *Controller) slowMemberReason(g *group, slow string, input World, plan *Plan) (reason string, isGraceful bool) {
 	if g.slowMember != slow {
 		g.slowMember = slow
-		g.addNote("group slow", "member "+slow+" is slow", plan)
+		g.addEvent("group slow", "member "+slow+" is slow", plan)
 	}
 	if c.hasSpareFor(g, slow, input, plan) {
 		return "member " + slow + " is slow", false
