--- a/core/assembly/assembly_test.go
+++ b/core/assembly/assembly_test.go
@@ -13,34 +13,34 @@
 	fuzz.Exit(m)
 }
 
-// promptly is the fate of an order where nothing goes wrong.
-func promptly(assembly.Order) fate {
-	return fate{}
+// deliverPromptly delivers every order at once and answers it.
+func deliverPromptly(assembly.Order) delivery {
+	return delivery{}
 }
 
-// settle runs a fleet for a time.
-func settle(s *simFleet, c *assembly.Controller, isStart bool, d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		s.run(c, isStart, promptly)
+// runFor runs a fleet for a duration without faults in the delivery of orders.
+func runFor(s *simFleet, c *assembly.Controller, isStart bool, duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
+		s.step(c, isStart, deliverPromptly)
 		s.tick()
 	}
 }
 
-// serversOfDomain is the usual size of a domain.
-const serversOfDomain = 8
+// serversPerDomain is the default size of a domain.
+const serversPerDomain = 8
 
-// started returns a fleet whose groups have formed.
-func started(domains int) (*simFleet, *assembly.Controller) {
-	s := newSim(domains)
+// newStartedFleet returns a fleet whose groups have formed.
+func newStartedFleet(domains int) (*simFleet, *assembly.Controller) {
+	s := newSimFleet(domains)
 	c := &assembly.Controller{}
-	settle(s, c, true, 14*time.Second)
-	settle(s, c, false, 16*time.Second)
+	runFor(s, c, true, 14*time.Second)
+	runFor(s, c, false, 16*time.Second)
 	return s, c
 }
 
-// headOf returns the head of some open group of a model.
-func headOf(s *simFleet, model string) *simServer {
-	for _, record := range s.stored() {
+// openHeadOf returns the head of an open group of a model that has a record.
+func openHeadOf(s *simFleet, model string) *simServer {
+	for _, record := range s.storedRecords() {
 		if head := s.servers[record.Members[0]]; record.Model == model && head.state == fleet.Open {
 			return head
 		}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// kill ends a server without a word.
+// kill makes a server crash without deregistering.
 func (s *simFleet) kill(id string) {
 	s.servers[id].isDead = true
-	s.servers[id].goneAt = time.Now()
+	s.servers[id].diedAt = time.Now()
 }
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -6,126 +6,129 @@
 	"time"
 )
 
-// askAgain is when an order that has shown no effect is given again: an
-// order takes some milliseconds, its effect on the entry some more.
-const askAgain = 700 * time.Millisecond
+// orderRetryInterval is after how long an order without visible effect is given again: an
+// order takes some milliseconds, its effect on the server's entry some more.
+const orderRetryInterval = 700 * time.Millisecond
 
-// Controller decides for all groups. The zero value has none.
+// Controller decides about all groups. The zero value has no groups.
 type Controller struct {
 	groups map[string]*group
-	// creating are records being written; their servers are not free.
-	creating map[string]Record
-	signs    map[string]sign
-	// staged are the stage orders given, by server, and when.
-	staged map[string]stageOrder
-	loads  []time.Time
-	// closed are ended groups whose head is known to be out of them: their
-	// members may join others without leaving first.
-	closed map[membershipKey]closedHead
-	// orphans is when a server was last told to leave a group without record.
-	orphans map[string]time.Time
-	// counted is how many servers each service had when last looked at.
-	counted map[string]count
-	number  int
-	// demands are the estimates of what callers ask for.
+	// pendingRecords are records that are being written; their servers are not free.
+	pendingRecords map[string]Record
+	probeStates    map[string]probeState
+	// stageOrders are the pending stage orders, by server.
+	stageOrders map[string]stageOrder
+	loadStarts  []time.Time
+	// closedGroups are ended groups whose head is known to have left: their members may
+	// join other groups without leaving first.
+	closedGroups map[groupKey]closedGroup
+	// orphanLeaveAt is when a server was last ordered to leave a group without a record, by
+	// server.
+	orphanLeaveAt map[string]time.Time
+	// serverCounts is the last observed number of servers of each service.
+	serverCounts    map[string]serverCount
+	lastGroupNumber int
+	// demands are the estimates of the demand for each model.
 	demands map[modelKey]demand
-	// wanted is how many groups each model was last wanted to have, for the log.
-	wanted map[modelKey]int
-	// conversions are those under way, by domain.
+	// reportedTargets is the last logged target number of groups of each model.
+	reportedTargets map[modelKey]int
+	// conversions are the conversions in progress, by domain.
 	conversions map[string]conversion
-	// began is when it was first asked what to do.
-	began time.Time
-	// late is until when servers are left alone that did not join in time.
-	late map[string]time.Time
-	// starts has, by server, when the start that was seen last was born.
-	starts map[string]int64
+	// firstStepAt is the time of the controller's first step.
+	firstStepAt time.Time
+	// excludedUntil is until when servers that did not join in time are not used, by
+	// server.
+	excludedUntil map[string]time.Time
+	// incarnations is the birth time of the last observed incarnation, by server.
+	incarnations map[string]int64
 }
 
-// membershipKey names a group of one epoch.
-type membershipKey struct {
+// groupKey identifies a group by name and epoch.
+type groupKey struct {
 	group string
 	epoch int64
 }
 
-// closedHead is the head of an ended group. wasSeenOut tells that its entry has shown too
-// that it is out.
-type closedHead struct {
-	id         string
-	wasSeenOut bool
+// closedGroup is the head of an ended group. wasHeadObservedOut is true once the head's own
+// entry has shown that it left.
+type closedGroup struct {
+	headID             string
+	wasHeadObservedOut bool
 }
 
-// stageOrder is a stage order under way.
+// stageOrder is a pending stage order. With an empty model it is the wait before the next
+// order to a server that rejected one.
 type stageOrder struct {
-	model string
-	until time.Time
-	// isForGroup tells that a group waits for the load: the server is left alone by
-	// other models.
+	model     string
+	expiresAt time.Time
+	// isForGroup is true if a group waits for the load: no group of another model may use
+	// the server.
 	isForGroup bool
 }
 
-// count is how many servers there are, and since when.
-type count struct {
+// serverCount is a number of servers, and since when it has not changed.
+type serverCount struct {
 	servers int
 	since   time.Time
 }
 
-// Load replaces the groups by the records in the store. What is known of
-// servers is kept; what was ordered is found out from them again.
+// Load replaces the groups by the records in the store. What is known about servers is
+// kept; the state of earlier orders is observed from the servers again.
 func (c *Controller) Load(records []Record) {
-	known := map[string]*group{}
+	groups := map[string]*group{}
 	for _, record := range records {
-		former, ok := c.groups[record.Name]
-		if ok && former.record.Epoch == record.Epoch {
-			former.isRemoving = false
-			known[record.Name] = former
+		previous, ok := c.groups[record.Name]
+		if ok && previous.record.Epoch == record.Epoch {
+			previous.isRemovalPending = false
+			groups[record.Name] = previous
 			continue
 		}
-		known[record.Name] = newGroup(record)
+		groups[record.Name] = newGroup(record)
 	}
-	c.groups = known
-	c.creating = map[string]Record{}
+	c.groups = groups
+	c.pendingRecords = map[string]Record{}
 }
 
-// sortedNames returns the names of groups in their order.
+// sortedNames returns the names of groups in sorted order.
 func sortedNames(groups map[string]*group) []string {
 	return slices.Sorted(maps.Keys(groups))
 }
 
-// Created notes that records were written at a version.
+// Created handles the confirmation that records were written at a version.
 func (c *Controller) Created(records []Record, version int64) {
 	if c.groups == nil {
 		c.groups = map[string]*group{}
 	}
 	for _, record := range records {
-		delete(c.creating, record.Name)
+		delete(c.pendingRecords, record.Name)
 		c.groups[record.Name] = newGroup(record.WithVersion(version))
 	}
 }
 
-// Removed notes that records were removed.
+// Removed handles the confirmation that the records of groups were removed.
 func (c *Controller) Removed(names []string) {
-	if c.closed == nil {
-		c.closed = map[membershipKey]closedHead{}
+	if c.closedGroups == nil {
+		c.closedGroups = map[groupKey]closedGroup{}
 	}
 	for _, name := range names {
 		if g, ok := c.groups[name]; ok && g.isHeadOut {
-			c.closed[membershipKey{
+			c.closedGroups[groupKey{
 				group: name,
 				epoch: g.record.Epoch,
-			}] = closedHead{
-				id: g.record.Members[0],
+			}] = closedGroup{
+				headID: g.record.Members[0],
 			}
 		}
 		delete(c.groups, name)
 	}
 }
 
-// Ordered notes what became of an order.
+// Ordered handles the result of an order.
 func (c *Controller) Ordered(order Order, result Result) {
 	if order.Kind == Stage {
 		if result == Unfit || result == NotKnown || result == OtherServer {
-			c.staged[order.Server.ID] = stageOrder{
-				until: time.Now().Add(stageAgain),
+			c.stageOrders[order.Server.ID] = stageOrder{
+				expiresAt: time.Now().Add(stageRetryInterval),
 			}
 		}
 		return
@@ -135,35 +138,35 @@
 		return
 	}
 	if order.Kind == Leave && result == Taken && order.Server.ID == g.record.Members[0] {
-		g.hasHeadLeft = true
+		g.hasHeadTakenLeave = true
 	}
-	if order.Kind == Join && (result == Fenced || result == OtherServer) && g.ending == "" {
+	if order.Kind == Join && (result == Fenced || result == OtherServer) && g.endReason == "" {
 		g.end("member refused to join: "+result.String(), false)
 	}
 }
 
-// Step returns what to do now.
-func (c *Controller) Step(world World) Plan {
+// Step returns the next plan.
+func (c *Controller) Step(input World) Plan {
 	var plan Plan
-	if world.Config == nil {
+	if input.Config == nil {
 		return plan
 	}
-	if c.began.IsZero() {
-		c.began = time.Now()
+	if c.firstStepAt.IsZero() {
+		c.firstStepAt = time.Now()
 	}
-	c.noteStarts(world, &plan)
-	c.noteHeadsBack(world.Fleet)
+	c.detectRestarts(input, &plan)
+	c.reopenClosedGroups(input.Fleet)
 	for _, name := range sortedNames(c.groups) {
 		g := c.groups[name]
-		if g.ending == "" {
-			c.check(g, world, &plan)
+		if g.endReason == "" {
+			c.advanceGroup(g, input, &plan)
 		}
-		if g.ending != "" {
-			c.finish(g, world, &plan)
+		if g.endReason != "" {
+			c.finishEnding(g, input, &plan)
 		}
 	}
-	c.adopt(world, &plan)
-	c.endOrphans(world, &plan)
-	c.form(world, &plan)
+	c.adopt(input, &plan)
+	c.orderOrphansToLeave(input, &plan)
+	c.formGroups(input, &plan)
 	return plan
 }
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -9,166 +9,169 @@
 	"headcourse/core/fleet"
 )
 
-// Figures of conversions.
 const (
-	// convertGain is how many callers more must be served in time, as a part of those that
-	// one group serves, for a group of another model to be ended. The way back would have
-	// to gain as much, so models do not take from each other in turn.
-	convertGain = 0.1
-	// starved is how well off a model must stay: a third of its callers are served, however
-	// many more another model's would be.
-	starved = 0.34
-	// convertBelow is how well off a model must be at most: a conversion takes a group of
-	// the other model away for a second or two, and its servers' second models with it.
-	convertBelow = 1.5
-	// convertTime bounds a conversion: its groups end within closeTime, and their
+	// minConversionGain is the minimum gain for which a group of another model ends: how
+	// many more callers are served in time, as a fraction of those that one group serves. A
+	// conversion back would have to gain as much, so models do not take groups from each
+	// other in turn.
+	minConversionGain = 0.1
+	// minServiceLevel is the service level that a model must keep after a conversion: a
+	// third of its callers are served, however many more of another model's callers would
+	// be.
+	minServiceLevel = 0.34
+	// maxConversionLevel is the service level below which a model may get groups by
+	// conversions. A conversion removes a group of the other model for a second or two, and
+	// the second models staged on its servers.
+	maxConversionLevel = 1.5
+	// conversionTimeout limits a conversion: its groups end within drainTimeout, and their
 	// servers join at the next step.
-	convertTime = 6 * time.Second
-	// groundsTime is how long a leader waits to hear what callers ask for: daemons tell it
+	conversionTimeout = 6 * time.Second
+	// demandWaitTime is how long a new leader waits for demand reports: daemons send them
 	// twice a second.
-	groundsTime = 3 * time.Second
-	// domainsPerConversion is how many domains there are for each conversion under way at
-	// once: a model that lacks a quarter of its groups in tens of domains would wait for them
-	// one by one.
+	demandWaitTime = 3 * time.Second
+	// domainsPerConversion is the number of domains for each concurrent conversion: with
+	// tens of domains and a single conversion at a time, a model that lacks a quarter of
+	// its groups would wait for them one by one.
 	domainsPerConversion = 8
 )
 
-// conversion is the end of groups whose servers are needed for another model, in one
-// domain. The zero value is none.
+// conversion ends groups in one domain whose servers are needed for another model. The zero
+// value is no conversion.
 type conversion struct {
 	service string
 	domain  string
 	model   string
-	// groups are those that end; isOfSlow tells that all of them are slow.
-	groups   []*group
-	isOfSlow bool
-	until    time.Time
+	// groups are those that end; endsOnlySlow is true if all of them are slow.
+	groups       []*group
+	endsOnlySlow bool
+	expiresAt    time.Time
 }
 
-// isUnderWay tells whether groups of the conversion still end or their servers are
-// kept for its model.
+// isUnderWay reports whether groups of the conversion still end or their servers are
+// reserved for its model.
 func (v conversion) isUnderWay() bool {
-	return time.Now().Before(v.until)
+	return time.Now().Before(v.expiresAt)
 }
 
-// mayConvert tells whether one more conversion may begin. Those that end slow groups only
-// take nothing from anybody, and do not count.
-func (c *Controller) mayConvert(at *layout) bool {
+// mayStartConversion reports whether one more conversion may start. Conversions that end
+// only slow groups take no working group from any model, and do not count.
+func (c *Controller) mayStartConversion(state *serviceState) bool {
 	underWay := 0
-	for _, one := range c.conversions {
-		if one.isUnderWay() && !one.isOfSlow {
+	for _, running := range c.conversions {
+		if running.isUnderWay() && !running.endsOnlySlow {
 			underWay++
 		}
 	}
-	return underWay < max(1, len(at.domains)/domainsPerConversion)
+	return underWay < max(1, len(state.domains)/domainsPerConversion)
 }
 
-// isReservedFor tells whether the free servers of a domain are kept for another model
-// than the one given.
-func (c *Controller) isReservedFor(at *layout, domain string, model config.Model) bool {
+// isReservedForOther reports whether the free servers of a domain are reserved for a model
+// other than the given one.
+func (c *Controller) isReservedForOther(state *serviceState, domain string, model config.Model) bool {
 	v := c.conversions[domain]
-	return v.isUnderWay() && v.service == at.service.Name && v.model != model.Name
+	return v.isUnderWay() && v.service == state.service.Name && v.model != model.Name
 }
 
-// convert ends groups of models that have many for a model that lacks some and has no
-// servers to form them of: at each step one conversion more at most, in a domain that has
-// none.
-func (c *Controller) convert(at *layout, world World, plan *Plan) {
-	c.endConversions(at)
-	model, ok := at.neediest(true)
-	if !ok || world.IsStart || !world.IsSteady || !c.hasGrounds(at) {
+// convert ends groups of models with a better service level for a model that lacks groups
+// and has no servers to form them. Each step starts at most one conversion, in a domain
+// without one.
+func (c *Controller) convert(state *serviceState, input World, plan *Plan) {
+	c.pruneConversions(state)
+	model, ok := state.neediestModel(true)
+	if !ok || input.IsStart || !input.IsSteady || !c.isDemandKnown(state) {
 		return
 	}
-	for _, one := range at.service.Engine.Models {
-		at.coming[one.Name] = c.comingGroups(at, one, world)
+	for _, other := range state.service.Engine.Models {
+		state.upcomingGroups[other.Name] = c.countUpcomingGroups(state, other, input)
 	}
-	if at.ease(model, at.live[model.Name]+at.coming[model.Name]) >= convertBelow {
+	if state.serviceLevel(model, state.liveGroups[model.Name]+state.upcomingGroups[model.Name]) >= maxConversionLevel {
 		return
 	}
-	best := c.bestConversion(at, model, world)
+	best := c.bestConversion(state, model, input)
 	if len(best.groups) == 0 {
 		return
 	}
-	best.until = time.Now().Add(convertTime)
+	best.expiresAt = time.Now().Add(conversionTimeout)
 	if c.conversions == nil {
 		c.conversions = map[string]conversion{}
 	}
 	c.conversions[best.domain] = best
 	for _, g := range best.groups {
 		g.end("its servers are needed for "+model.Name, true)
-		g.note("group ends", g.ending, plan)
+		g.addEvent("group ends", g.endReason, plan)
 	}
 }
 
-// bestConversion returns the conversion for a model that ends the fewest groups, of those
-// that may begin now.
-func (c *Controller) bestConversion(at *layout, model config.Model, world World) conversion {
-	mayTakeWell := c.mayConvert(at)
+// bestConversion returns the conversion for a model that ends the fewest groups, among
+// those that may start now.
+func (c *Controller) bestConversion(state *serviceState, model config.Model, input World) conversion {
+	mayEndWorkingGroups := c.mayStartConversion(state)
 	best := conversion{}
-	for _, domain := range at.domains {
+	for _, domain := range state.domains {
 		if c.conversions[domain].isUnderWay() {
 			continue
 		}
-		found := c.conversionIn(at, domain, model, world)
-		isPossible := len(found.groups) > 0 && (mayTakeWell || found.isOfSlow)
-		if isPossible && (len(best.groups) == 0 || len(found.groups) < len(best.groups)) {
-			best = found
+		candidate := c.conversionInDomain(state, domain, model, input)
+		isPossible := len(candidate.groups) > 0 && (mayEndWorkingGroups || candidate.endsOnlySlow)
+		if isPossible && (len(best.groups) == 0 || len(candidate.groups) < len(best.groups)) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// hasGrounds tells whether it is known what callers ask for, or will not be: a new leader
-// hears of it with its first feeds. Until then it would go by what the operator expects, and
-// end groups that are needed.
-func (c *Controller) hasGrounds(at *layout) bool {
-	for _, model := range at.service.Engine.Models {
-		if _, isKnown := at.demands[model.Name]; !isKnown {
-			return time.Since(c.began) > groundsTime
+// isDemandKnown reports whether the demand for all models is known, or the wait for it has
+// timed out. A new leader learns the demand from its first reports; until then it would use
+// the operator's shares and end groups that are needed.
+func (c *Controller) isDemandKnown(state *serviceState) bool {
+	for _, model := range state.service.Engine.Models {
+		if _, isKnown := state.demands[model.Name]; !isKnown {
+			return time.Since(c.firstStepAt) > demandWaitTime
 		}
 	}
 	return true
 }
 
-// endConversions forgets the conversions of a service whose groups have ended.
-func (c *Controller) endConversions(at *layout) {
+// pruneConversions removes the conversions of a service whose groups have ended.
+func (c *Controller) pruneConversions(state *serviceState) {
 	maps.DeleteFunc(c.conversions, func(_ string, v conversion) bool {
-		return !v.isUnderWay() || (v.service == at.service.Name && !c.isEnding(v))
+		return !v.isUnderWay() || (v.service == state.service.Name && !c.isEnding(v))
 	})
 }
 
-// isEnding tells whether a group of a conversion still ends. Afterwards its servers are
-// free: the step that saw it formed the new group, or never will.
+// isEnding reports whether a group of a conversion has not ended yet. Once all have ended,
+// their servers are free: the step that observed it has formed the new group, or no later
+// step will.
 func (c *Controller) isEnding(v conversion) bool {
 	return slices.ContainsFunc(v.groups, func(g *group) bool {
 		return c.groups[g.record.Name] == g
 	})
 }
 
-// conversionIn returns the groups of a domain to end so that a group of a model can be
-// formed there; none where that is not possible or gains nothing.
-func (c *Controller) conversionIn(at *layout, domain string, model config.Model, world World) conversion {
+// conversionInDomain returns the conversion that lets a group of a model form in a domain;
+// the zero value if that is impossible or gains nothing.
+func (c *Controller) conversionInDomain(state *serviceState, domain string, model config.Model, input World) conversion {
 	found := conversion{
-		service: at.service.Name,
+		service: state.service.Name,
 		domain:  domain,
 		model:   model.Name,
-		// So far it takes no other.
-		isOfSlow: true,
+		// No group has been chosen yet.
+		endsOnlySlow: true,
 	}
-	missing := model.Size - usable(at.free[domain], model)
-	taken := map[string]int{}
-	for _, g := range at.groups[domain] {
+	missing := model.Size - countUsable(state.freeServers[domain], model)
+	ended := map[string]int{}
+	for _, g := range state.openGroups[domain] {
 		if missing <= 0 {
 			break
 		}
-		gained := usable(c.wellMembers(g, world), model)
-		if gained == 0 || !c.mayTake(g, at, model, taken) {
+		gained := countUsable(c.reusableMembers(g, input), model)
+		if gained == 0 || !c.mayEndFor(g, state, model, ended) {
 			continue
 		}
-		taken[g.record.Model]++
+		ended[g.record.Model]++
 		missing -= gained
 		found.groups = append(found.groups, g)
-		found.isOfSlow = found.isOfSlow && c.isSlow(g)
+		found.endsOnlySlow = found.endsOnlySlow && c.isSlow(g)
 	}
 	if missing > 0 {
 		return conversion{}
@@ -176,78 +179,78 @@
 	return found
 }
 
-// mayTake tells whether a group may be ended for one of a model. A slow one serves
-// nobody well.
-func (c *Controller) mayTake(g *group, at *layout, model config.Model, taken map[string]int) bool {
+// mayEndFor reports whether a group may end for a group of another model. A slow group may
+// always end, because its callers are served late.
+func (c *Controller) mayEndFor(g *group, state *serviceState, model config.Model, ended map[string]int) bool {
 	if c.isSlow(g) {
 		return true
 	}
-	return g.record.Model != model.Name && c.isWorth(at, model, g.record.Model, taken)
+	return g.record.Model != model.Name && c.isWorthConverting(state, model, g.record.Model, ended)
 }
 
-// isWorth tells whether more callers are served in time after one more group was taken
-// from one model for another.
-func (c *Controller) isWorth(at *layout, model config.Model, from string, taken map[string]int) bool {
-	other, ok := at.service.Engine.Model(from)
+// isWorthConverting reports whether moving one more group from one model to another lets
+// more callers be served in time.
+func (c *Controller) isWorthConverting(state *serviceState, model config.Model, from string, ended map[string]int) bool {
+	other, ok := state.service.Engine.Model(from)
 	if !ok {
 		return true
 	}
-	own := at.live[model.Name] + at.coming[model.Name]
-	others := at.live[from] + at.coming[from]
-	left := min(at.live[from], others) - taken[from] - 1
-	if left < 1 || at.ease(other, left) < starved {
+	current := state.liveGroups[model.Name] + state.upcomingGroups[model.Name]
+	otherCurrent := state.liveGroups[from] + state.upcomingGroups[from]
+	otherLeft := min(state.liveGroups[from], otherCurrent) - ended[from] - 1
+	if otherLeft < 1 || state.serviceLevel(other, otherLeft) < minServiceLevel {
 		return false
 	}
-	if own == 0 {
-		// Its first caller would find nobody.
+	if current == 0 {
+		// The model's first caller would find no group.
 		return true
 	}
-	gained := at.missed(model, own) - at.missed(model, own+1)
-	lost := at.missed(other, others-taken[from]-1) - at.missed(other, others)
-	return gained > lost+convertGain*at.requests(model)/at.need(model)
+	gained := state.missedPerSecond(model, current) - state.missedPerSecond(model, current+1)
+	lost := state.missedPerSecond(other, otherCurrent-ended[from]-1) - state.missedPerSecond(other, otherCurrent)
+	return gained > lost+minConversionGain*state.requestsPerSecond(model)/state.neededGroups(model)
 }
 
-// wellMembers returns the members of a group that could be members of another.
-func (c *Controller) wellMembers(g *group, world World) []fleet.Server {
+// reusableMembers returns the members of a group that could be members of another.
+func (c *Controller) reusableMembers(g *group, input World) []fleet.Server {
 	var members []fleet.Server
 	for _, id := range g.record.Members {
-		server, ok := world.Fleet.Server(id)
-		if ok && !server.Draining && c.isWell(server) {
+		server, ok := input.Fleet.Server(id)
+		if ok && !server.Draining && c.isHealthy(server) {
 			members = append(members, server)
 		}
 	}
 	return members
 }
 
-// comingGroups counts the groups of a model that can be formed of servers that are
-// free soon: those of groups that end or only load a model, with those that are free.
-func (c *Controller) comingGroups(at *layout, model config.Model, world World) int {
-	coming := map[string]int{}
-	for _, domain := range at.domains {
-		coming[domain] = usable(at.free[domain], model)
+// countUpcomingGroups counts the groups of a model that can form from servers that are free
+// or soon will be: members of ending groups and of warm-up groups.
+func (c *Controller) countUpcomingGroups(state *serviceState, model config.Model, input World) int {
+	servers := map[string]int{}
+	for _, domain := range state.domains {
+		servers[domain] = countUsable(state.freeServers[domain], model)
 	}
 	for _, g := range c.groups {
-		if g.record.Service != at.service.Name || (g.ending == "" && !g.record.IsWarmUp) {
+		if g.record.Service != state.service.Name || (g.endReason == "" && !g.record.IsWarmUp) {
 			continue
 		}
-		members := c.wellMembers(g, world)
+		members := c.reusableMembers(g, input)
 		if len(members) > 0 {
-			coming[members[0].Domain] += usable(members, model)
+			servers[members[0].Domain] += countUsable(members, model)
 		}
 	}
 	groups := 0
-	for _, servers := range coming {
+	for _, servers := range servers {
 		groups += servers / model.Size
 	}
 	return groups
 }
 
-// usable counts the servers that can be members of a group of a model without a load
-// from the weight store.
-func usable(servers []fleet.Server, model config.Model) int {
+// countUsable counts the servers that can join a group of a model without a load from the
+// weight store.
+func countUsable(servers []fleet.Server, model config.Model) int {
 	count := 0
 	for _, server := range servers {
-		if joinRank(server, model.Name) < rankLoad {
+		if joinRank(server, model.Name) < rankMustLoad {
 			count++
 		}
 	}
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -7,80 +7,81 @@
 	"headcourse/core/fleet"
 )
 
-// group is what the controller knows of a group beside its record.
+// group is the state of a group in addition to its record.
 type group struct {
-	record Record
-	since  time.Time
-	asked  map[string]asked
-	// loads are members that load the model's weights as they join.
-	loads map[string]bool
-	// ending is why the group ends; empty while it is to serve. A gentle end
-	// lets it finish its work.
-	ending      string
-	isGentle    bool
+	record     Record
+	knownSince time.Time
+	lastOrders map[string]sentOrder
+	// loadingMembers are members that load the model's weights from the weight store as
+	// they join.
+	loadingMembers map[string]bool
+	// endReason is why the group ends; it is empty until then. A graceful end lets the
+	// group finish its work.
+	endReason   string
+	isGraceful  bool
 	endingSince time.Time
-	// isSuspected tells that daemons found requests standing still or slow, first at
+	// isSuspected is true if daemons have reported stalled or slow requests, first at
 	// suspectedAt.
 	isSuspected bool
 	suspectedAt time.Time
-	// slow is a member that makes the group slow, as far as known.
-	slow       string
-	wasOpen    bool
-	isRemoving bool
-	// isHeadOut tells that the group ended because its head is known to be out.
+	// slowMember is a member that was found to be slow; empty: none.
+	slowMember       string
+	wasOpen          bool
+	isRemovalPending bool
+	// isHeadOut is true if the group has ended and its head is known to have left.
 	isHeadOut bool
-	// hasNewHead tells that the head has started again under its ID.
-	hasNewHead bool
-	// hasHeadLeft tells that the head itself took the order to leave;
-	// withoutMember since when it is surely without one of its members.
-	hasHeadLeft   bool
-	withoutMember time.Time
+	// hasHeadRestarted is true if the head has restarted under its ID.
+	hasHeadRestarted bool
+	// hasHeadTakenLeave is true if the head itself accepted the order to leave;
+	// incompleteSince is since when the group is certain to lack a member.
+	hasHeadTakenLeave bool
+	incompleteSince   time.Time
 }
 
-// asked is the last order given to a member.
-type asked struct {
-	kind Kind
-	at   time.Time
+// sentOrder is the last order given to a member.
+type sentOrder struct {
+	kind   Kind
+	sentAt time.Time
 }
 
-// newGroup returns the group of a record.
+// newGroup returns the state of a group with a record.
 func newGroup(record Record) *group {
 	return &group{
-		record: record,
-		since:  time.Now(),
-		asked:  map[string]asked{},
-		loads:  map[string]bool{},
+		record:         record,
+		knownSince:     time.Now(),
+		lastOrders:     map[string]sentOrder{},
+		loadingMembers: map[string]bool{},
 	}
 }
 
-// has tells whether a server is a member.
-func (g *group) has(id string) bool {
+// hasMember reports whether a server is a member.
+func (g *group) hasMember(id string) bool {
 	return slices.Contains(g.record.Members, id)
 }
 
-// end makes a group end.
-func (g *group) end(reason string, isGentle bool) {
-	g.ending = reason
-	g.isGentle = isGentle
+// end starts to end the group.
+func (g *group) end(reason string, isGraceful bool) {
+	g.endReason = reason
+	g.isGraceful = isGraceful
 	g.endingSince = time.Now()
 }
 
-// order gives an order to a member unless the same was given just now.
-func (g *group) order(server fleet.Server, kind Kind, cutoff bool, reason string, plan *Plan) {
-	last, ok := g.asked[server.ID]
-	if ok && last.kind == kind && time.Since(last.at) < askAgain {
+// planOrder adds an order to a member to the plan unless the same order was given recently.
+func (g *group) planOrder(server fleet.Server, kind Kind, isImmediate bool, reason string, plan *Plan) {
+	last, ok := g.lastOrders[server.ID]
+	if ok && last.kind == kind && time.Since(last.sentAt) < orderRetryInterval {
 		return
 	}
-	g.asked[server.ID] = asked{
-		kind: kind,
-		at:   time.Now(),
+	g.lastOrders[server.ID] = sentOrder{
+		kind:   kind,
+		sentAt: time.Now(),
 	}
 	order := Order{
 		Server: server,
 		Kind:   kind,
 		Group:  g.record.Name,
 		Epoch:  g.record.Epoch,
-		Cutoff: cutoff,
+		Cutoff: isImmediate,
 		Reason: reason,
 	}
 	if kind == Join {
@@ -90,13 +91,13 @@
 	plan.Orders = append(plan.Orders, order)
 }
 
-// note adds a change of belief to the plan.
-func (g *group) note(what, reason string, plan *Plan) {
+// addEvent adds a state change of the group to the plan.
+func (g *group) addEvent(message, reason string, plan *Plan) {
 	plan.Notes = append(plan.Notes, Note{
 		Group:  g.record.Name,
 		Epoch:  g.record.Epoch,
 		Model:  g.record.Model,
-		What:   what,
+		What:   message,
 		Reason: reason,
 	})
 }
--- /dev/null
+++ b/core/assembly/overdue.go
@@ -0,0 +1,24 @@
+package assembly
+
+import (
+	"maps"
+	"time"
+)
+
+// overdueExclusion is how long a server that did not join a group in time is not used. A
+// server that is disconnected from the store loses its entry after three heartbeats, and is
+// usable again once its entry is back.
+const overdueExclusion = 5 * time.Second
+
+// excludeOverdue excludes a server that did not join a group in time from other groups for
+// a while.
+func (c *Controller) excludeOverdue(id string) {
+	now := time.Now()
+	if c.excludedUntil == nil {
+		c.excludedUntil = map[string]time.Time{}
+	}
+	maps.DeleteFunc(c.excludedUntil, func(_ string, until time.Time) bool {
+		return now.After(until)
+	})
+	c.excludedUntil[id] = now.Add(overdueExclusion)
+}
--- /dev/null
+++ b/core/assembly/probe.go
@@ -0,0 +1,152 @@
+package assembly
+
+import (
+	"time"
+
+	"headcourse/core/fleet"
+)
+
+const (
+	// probeInterval is the minimum time between two probes of one server.
+	probeInterval = 120 * time.Millisecond
+	// unhealthyProbeInterval is the same for a free server that did not answer or is slow.
+	unhealthyProbeInterval = time.Second
+	// probeResultTTL is how long a probe result is valid.
+	probeResultTTL = time.Second
+	// formProbeTTL is how long an answer is valid when a group forms.
+	formProbeTTL = 3 * time.Second
+	// deadAfterUnanswered is how many probes in a row must stay unanswered for a server to
+	// be considered dead.
+	deadAfterUnanswered = 2
+)
+
+// Sign is the status that a probe found.
+type Sign int
+
+// The statuses of probes. Silent: the server did not answer. Refused: nothing listens at
+// the server's address, or another server does.
+const (
+	Silent Sign = iota
+	Alive
+	Refused
+)
+
+// String returns the name of the status in logs.
+func (s Sign) String() string {
+	return [...]string{"silent", "alive", "refused"}[s]
+}
+
+// Found is the result of a probe of a server.
+type Found struct {
+	Sign Sign
+	// Pace is how many times longer than usual the server's work takes; 0: not reported.
+	Pace float64
+}
+
+// minSlowdown is the minimum pace of a slow server: the first event of a stream then takes
+// longer than its goal, and the gaps between events nearly so.
+const minSlowdown = 2
+
+// IsSlow reports whether the server answered and works much slower than usual.
+func (r Found) IsSlow() bool {
+	return r.Sign == Alive && r.Pace >= minSlowdown
+}
+
+// probeState is the state of the probes of a server.
+type probeState struct {
+	lastStatus Sign
+	isSlow     bool
+	// resultAt is the time of the last result, sentAt that of the last probe.
+	resultAt time.Time
+	sentAt   time.Time
+	// unanswered counts the failed probes since the last answer.
+	unanswered int
+}
+
+// Probed handles the result of a probe of a server.
+func (c *Controller) Probed(id string, result Found) {
+	if c.probeStates == nil {
+		c.probeStates = map[string]probeState{}
+	}
+	previous := c.probeStates[id]
+	next := probeState{
+		lastStatus: result.Sign,
+		isSlow:     result.IsSlow(),
+		resultAt:   time.Now(),
+		sentAt:     previous.sentAt,
+	}
+	if result.Sign != Alive {
+		next.unanswered = previous.unanswered + 1
+	}
+	c.probeStates[id] = next
+}
+
+// probe adds a probe of a server to the plan unless it was probed recently.
+func (c *Controller) probe(server fleet.Server, plan *Plan) {
+	if c.probeStates == nil {
+		c.probeStates = map[string]probeState{}
+	}
+	state := c.probeStates[server.ID]
+	if time.Since(state.sentAt) < probeInterval {
+		return
+	}
+	state.sentAt = time.Now()
+	c.probeStates[server.ID] = state
+	plan.Probes = append(plan.Probes, server)
+}
+
+// isDead reports whether recent probes found a server dead; isKnown is false without
+// conclusive recent results.
+func (c *Controller) isDead(id string) (isDead, isKnown bool) {
+	state := c.probeStates[id]
+	if state.resultAt.IsZero() || time.Since(state.resultAt) > probeResultTTL {
+		return false, false
+	}
+	switch state.lastStatus {
+	case Alive:
+		return false, true
+	case Refused:
+		return true, true
+	default:
+		return state.unanswered >= deadAfterUnanswered, state.unanswered >= deadAfterUnanswered
+	}
+}
+
+// hasAnsweredRecently reports whether a server answered so recently that it need not be
+// probed again yet. If many servers lose only their connection to the store, a leader on a
+// small VM that probes all of them at each step gets their answers too late and ends
+// working groups.
+func (c *Controller) hasAnsweredRecently(id string) bool {
+	state := c.probeStates[id]
+	return state.lastStatus == Alive && time.Since(state.resultAt) < probeResultTTL/2
+}
+
+// haveAllAnswered reports whether all servers answered a probe recently, and probes the
+// others, whose answers arrive some milliseconds later. An entry may belong to a server
+// that died while the store was unavailable, and a group with such a member would be
+// detected only seconds later.
+func (c *Controller) haveAllAnswered(servers []fleet.Server, plan *Plan) bool {
+	haveAnswered := true
+	for _, server := range servers {
+		state := c.probeStates[server.ID]
+		if state.lastStatus != Alive || time.Since(state.resultAt) > formProbeTTL {
+			c.probe(server, plan)
+			haveAnswered = false
+		}
+	}
+	return haveAnswered
+}
+
+// isRefusedRecently reports whether a recent probe found that nothing listens at a server's
+// address, or another server does.
+func (c *Controller) isRefusedRecently(id string) bool {
+	state := c.probeStates[id]
+	return state.lastStatus == Refused && time.Since(state.resultAt) < probeResultTTL
+}
+
+// isHealthy reports whether a server has not missed its last probes and is not slow.
+func (c *Controller) isHealthy(server fleet.Server) bool {
+	state := c.probeStates[server.ID]
+	isSilent := state.lastStatus != Alive && state.unanswered >= deadAfterUnanswered
+	return !isSilent && !state.isSlow
+}
--- /dev/null
+++ b/core/assembly/restart.go
@@ -0,0 +1,60 @@
+package assembly
+
+import "headcourse/core/fleet"
+
+// detectRestarts finds servers that restarted under the same ID, possibly before their
+// entry expired. A new incarnation has no memberships and no loaded model, so the
+// controller discards what it knew about the former one.
+func (c *Controller) detectRestarts(input World, plan *Plan) {
+	if c.incarnations == nil {
+		c.incarnations = map[string]int64{}
+	}
+	for _, server := range input.Fleet.Servers() {
+		previous, wasThere := c.incarnations[server.ID]
+		c.incarnations[server.ID] = server.Born
+		if wasThere && previous != server.Born {
+			c.handleRestart(server, plan)
+		}
+	}
+	c.pruneIncarnations(input.Fleet)
+}
+
+// pruneIncarnations removes the incarnations of unknown servers once they are more than
+// half of all: most restarts have a new ID.
+func (c *Controller) pruneIncarnations(view fleet.View) {
+	const slack = 2
+	if len(c.incarnations) <= slack*len(view.Servers()) {
+		return
+	}
+	for id := range c.incarnations {
+		if _, ok := view.Known(id); !ok {
+			delete(c.incarnations, id)
+		}
+	}
+}
+
+// handleRestart discards what was known about a server's former incarnation, and ends the
+// groups that it was ordered to join. The new incarnation knows no newer epoch and may
+// carry out an order to the former one. So a group never continues with it under the same
+// epoch, and a group whose head restarted keeps its members until they have left.
+func (c *Controller) handleRestart(server fleet.Server, plan *Plan) {
+	delete(c.probeStates, server.ID)
+	delete(c.stageOrders, server.ID)
+	delete(c.orphanLeaveAt, server.ID)
+	delete(c.excludedUntil, server.ID)
+	for _, name := range sortedNames(c.groups) {
+		g := c.groups[name]
+		if !g.hasMember(server.ID) {
+			continue
+		}
+		_, wasAsked := g.lastOrders[server.ID]
+		delete(g.lastOrders, server.ID)
+		if server.ID == g.record.Members[0] {
+			g.hasHeadRestarted = true
+		}
+		if g.endReason == "" && (g.wasOpen || wasAsked) {
+			g.end("member "+server.ID+" has started again", false)
+			g.addEvent("group ends", g.endReason, plan)
+		}
+	}
+}
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -2,113 +2,113 @@
 
 import "time"
 
-// Suspect notes that a daemon's requests stand still at a group, or are slow there,
-// and the member that did not answer that daemon (empty: none). That silence counts
-// as one: a probe of the controller's own decides.
-func (c *Controller) Suspect(name string, epoch int64, silent string) {
+// Suspect records that a daemon reported stalled or slow requests at a group, and the
+// member that did not answer that daemon (empty: none). The missing answer counts as one
+// unanswered probe: the controller's own probe decides.
+func (c *Controller) Suspect(name string, epoch int64, unresponsive string) {
 	g, ok := c.groups[name]
-	if !ok || g.record.Epoch != epoch || g.ending != "" {
+	if !ok || g.record.Epoch != epoch || g.endReason != "" {
 		return
 	}
 	if !g.isSuspected {
 		g.isSuspected = true
 		g.suspectedAt = time.Now()
 	}
-	if silent != "" && c.signs[silent].silences == 0 {
-		c.Probed(silent, Found{
+	if unresponsive != "" && c.probeStates[unresponsive].unanswered == 0 {
+		c.Probed(unresponsive, Found{
 			Sign: Silent,
 		})
 	}
 }
 
-// whySuspected probes the members of a group at which requests stand still or are
-// slow, and returns why it must end, or nothing. A group with a slow member goes
-// on, and stays suspected, where no spare could take that member's place.
-func (c *Controller) whySuspected(g *group, world World, plan *Plan) (reason string, isGentle bool) {
+// checkSuspicion probes the members of a suspected group and returns why it must end, or an
+// empty string. A group with a slow member continues, and stays suspected, if no spare can
+// replace that member.
+func (c *Controller) checkSuspicion(g *group, input World, plan *Plan) (reason string, isGraceful bool) {
 	if !g.isSuspected {
 		return "", false
 	}
-	found := c.examine(g, world, plan)
+	findings := c.examineMembers(g, input, plan)
 	switch {
-	case found.dead != "":
-		return "requests stand still and member " + found.dead + " does not answer", false
-	case !found.allKnown:
+	case findings.deadMember != "":
+		return "requests stand still and member " + findings.deadMember + " does not answer", false
+	case !findings.isComplete:
 		return "", false
-	case found.slow != "":
-		return c.whySlow(g, found.slow, world, plan)
+	case findings.slowMember != "":
+		return c.slowMemberReason(g, findings.slowMember, input, plan)
 	}
 	g.isSuspected = false
-	g.slow = ""
+	g.slowMember = ""
 	plan.Cleared = append(plan.Cleared, g.record.Name)
-	g.note("suspicion dropped", "all members answer", plan)
+	g.addEvent("suspicion cleared", "all members answer", plan)
 	return "", false
 }
 
-// examined is what is known of the members of a suspected group.
-type examined struct {
-	// dead and slow each name a member that is so; empty: none.
-	dead string
-	slow string
-	// allKnown tells that there are recent signs of all members.
-	allKnown bool
+// memberFindings is what is known about the members of a suspected group.
+type memberFindings struct {
+	// deadMember and slowMember each name such a member; empty: none.
+	deadMember string
+	slowMember string
+	// isComplete is true if there are recent probe results of all members.
+	isComplete bool
 }
 
-// examine looks at the members of a group up to the first dead one, and probes those
-// without recent signs.
-func (c *Controller) examine(g *group, world World, plan *Plan) examined {
-	found := examined{
-		allKnown: true,
+// examineMembers examines the members of a group up to the first dead one, and probes those
+// without recent results.
+func (c *Controller) examineMembers(g *group, input World, plan *Plan) memberFindings {
+	findings := memberFindings{
+		isComplete: true,
 	}
 	for _, id := range g.record.Members {
-		server, ok := world.Fleet.Server(id)
+		server, ok := input.Fleet.Server(id)
 		if !ok {
 			continue
 		}
 		isDead, isKnown := c.isDead(id)
 		if isDead {
-			found.dead = id
-			return found
+			findings.deadMember = id
+			return findings
 		}
-		// A sign from before the suspicion says nothing: heads are looked at anyway.
-		if !isKnown || c.signs[id].at.Before(g.suspectedAt) {
-			found.allKnown = false
+		// A result from before the suspicion is not evidence: heads are probed regularly.
+		if !isKnown || c.probeStates[id].resultAt.Before(g.suspectedAt) {
+			findings.isComplete = false
 			c.probe(server, plan)
 		}
-		if c.signs[id].isSlow {
-			found.slow = id
+		if c.probeStates[id].isSlow {
+			findings.slowMember = id
 		}
 	}
-	return found
+	return findings
 }
 
-// whySlow returns why a group with a slow member must end, or nothing where it
-// could not form again without that member.
-func (c *Controller) whySlow(g *group, slow string, world World, plan *Plan) (reason string, isGentle bool) {
-	if g.slow != slow {
-		g.slow = slow
-		g.note("group slow", "member "+slow+" is slow", plan)
+// slowMemberReason returns why a group with a slow member must end, or an empty string if
+// it could not form again without that member.
+func (c *Controller) slowMemberReason(g *group, slow string, input World, plan *Plan) (reason string, isGraceful bool) {
+	if g.slowMember != slow {
+		g.slowMember = slow
+		g.addEvent("group slow", "member "+slow+" is slow", plan)
 	}
-	if c.hasSpareFor(g, slow, world, plan) {
+	if c.hasSpareFor(g, slow, input, plan) {
 		return "member " + slow + " is slow", false
 	}
 	return "", false
 }
 
-// isSlow tells whether a group has a slow member, as far as known. It serves on, but
-// late, and daemons avoid it where they can: it does not count as one of its model's.
+// isSlow reports whether a group has a slow member, as far as known. Such a group serves
+// late and daemons avoid it if they can, so it does not count as a group of its model.
 func (c *Controller) isSlow(g *group) bool {
-	return g.slow != "" && c.signs[g.slow].isSlow
+	return g.slowMember != "" && c.probeStates[g.slowMember].isSlow
 }
 
-// hasSpareFor tells whether a free server of a member's domain keeps the weights
-// of the group's model.
-func (c *Controller) hasSpareFor(g *group, member string, world World, plan *Plan) bool {
-	lost, _ := world.Fleet.Server(member)
-	taken := c.taken()
-	for _, server := range world.Fleet.Servers() {
-		isNear := server.Domain == lost.Domain && world.isMaterial(server, g.record.Service)
-		isFit := (server.HasStaged(g.record.Model) || server.CanRejoin(g.record.Model)) && !taken[server.ID]
-		if isNear && isFit && c.isFree(server, plan) {
+// hasSpareFor reports whether a free server in a member's domain can replace it without a
+// load from the weight store.
+func (c *Controller) hasSpareFor(g *group, member string, input World, plan *Plan) bool {
+	replaced, _ := input.Fleet.Server(member)
+	assigned := c.assignedServers()
+	for _, server := range input.Fleet.Servers() {
+		isInDomain := server.Domain == replaced.Domain && input.isEligible(server, g.record.Service)
+		isReady := (server.HasStaged(g.record.Model) || server.CanRejoin(g.record.Model)) && !assigned[server.ID]
+		if isInDomain && isReady && c.isFree(server, plan) {
 			return true
 		}
 	}
