--- a/lab/standin/answers.go
+++ b/lab/standin/answers.go
@@ -11,17 +11,18 @@
 	"headcourse/platform/wire"
 )
 
-// handleRequest runs a request.
+// handleRequest checks that the request may arrive and answers it as the server's behaviour
+// says.
 func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
-	if !s.isExpected(w, r) {
+	if !s.isForThisServer(w, r) {
 		return
 	}
 	s.platform.checkDirectives(s, r)
-	s.platform.checkEvacuated(s)
+	s.platform.checkEvacuation(s)
 	s.checkCold()
 	s.platform.checkLimit(s, r.Header.Get(headerDaemon))
 	s.mutex.Lock()
-	mood := s.mood
+	behaviour := s.behaviour
 	isHead := s.domain == "" || (s.state.Group != nil && s.state.Group.Rank == 0 && s.state.Group.State == "open")
 	s.mutex.Unlock()
 	if !isHead {
@@ -33,13 +34,13 @@
 		return
 	}
 	id := r.Header.Get(wire.HeaderID)
-	if mood == Shedding || !s.waitWhole(r) {
-		s.askForPause(w, r)
+	if behaviour == Shedding || !s.awaitCompleteGroup(r) {
+		s.addRetryAfter(w, r)
 		w.Header().Set(wire.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.platform.noteRun(s, r, id)
+	s.platform.recordRun(s, r, id)
 	if isCrashing(r) {
 		s.platform.crash(s, r)
 		panic(http.ErrAbortHandler)
@@ -47,33 +48,33 @@
 	w.Header().Set(wire.HeaderID, id)
 	w.Header().Set(wire.HeaderSeal, "seal."+s.id+"."+id)
 	switch {
-	case mood == Failing:
+	case behaviour == Failing:
 		w.WriteHeader(http.StatusInternalServerError)
 	case r.Header.Get(wire.HeaderModel) != "":
-		s.stream(w, r, mood)
+		s.writeStream(w, r, behaviour)
 	default:
-		s.answerWhole(w, id, body, mood)
+		s.writeAnswer(w, id, body, behaviour)
 	}
 }
 
-// answerWhole answers a plain request.
-func (s *Server) answerWhole(w http.ResponseWriter, id string, body []byte, mood Mood) {
-	time.Sleep(workTime)
+// writeAnswer answers a request that is not streamed.
+func (s *Server) writeAnswer(w http.ResponseWriter, id string, body []byte, behaviour Mood) {
+	time.Sleep(processingTime)
 	content := "answer to " + id + " with " + strconv.Itoa(len(body)) + " bytes"
-	switch mood {
+	switch behaviour {
 	case Cutting:
 		w.Header().Set("Content-Length", strconv.Itoa(len(content)))
-		// The connection ends before the length is reached.
+		// The connection ends before Content-Length bytes are written.
 		_, _ = io.WriteString(w, content[:len(content)/2])
 	case Extra:
-		s.answerTwice(w, content)
+		s.writeExtraAnswer(w, content)
 	default:
 		_, _ = io.WriteString(w, content)
 	}
 }
 
-// answerTwice sends the answer, and then one to a request that nobody sent.
-func (s *Server) answerTwice(w http.ResponseWriter, content string) {
+// writeExtraAnswer writes the answer and then a second one that belongs to no request.
+func (s *Server) writeExtraAnswer(w http.ResponseWriter, content string) {
 	controller := http.NewResponseController(w)
 	conn, buffer, err := controller.Hijack()
 	if err != nil {
@@ -84,38 +85,38 @@
 	_, _ = fmt.Fprintf(buffer, "%sContent-Length: %d\r\n\r\n%s", head, len(content), content)
 	_, _ = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\n%s: nobody\r\n%s: foreign\r\nContent-Length: 7\r\n\r\nforeign", wire.HeaderID, wire.HeaderSeal)
 	_ = buffer.Flush()
-	time.Sleep(workTime)
+	time.Sleep(processingTime)
 }
 
-// waitWhole waits while the group lacks a member, and returns false when it is
-// broken or the caller has gone.
-func (s *Server) waitWhole(r *http.Request) bool {
-	for end := time.Now().Add(stallTime); ; {
-		if s.domain == "" || s.platform.isWhole(s) {
+// awaitCompleteGroup waits until all members of the server's group are present. It returns
+// false after incompleteGroupTimeout or when the request is cancelled.
+func (s *Server) awaitCompleteGroup(r *http.Request) bool {
+	for deadline := time.Now().Add(incompleteGroupTimeout); ; {
+		if s.domain == "" || s.platform.isComplete(s) {
 			return true
 		}
-		if time.Now().After(end) || r.Context().Err() != nil {
+		if time.Now().After(deadline) || r.Context().Err() != nil {
 			return false
 		}
-		time.Sleep(eventTime)
+		time.Sleep(eventInterval)
 	}
 }
 
-// stream answers event by event, after the last one that the caller has.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, mood Mood) {
-	_, most, _ := strings.Cut(r.Header.Get(wire.HeaderTokens), ",")
-	tokens, _ := strconv.Atoi(most)
+// writeStream writes the events of a stream that follow the last one that the caller received.
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, behaviour Mood) {
+	_, maxTokens, _ := strings.Cut(r.Header.Get(wire.HeaderTokens), ",")
+	tokens, _ := strconv.Atoi(maxTokens)
 	count := max(1, tokens/tokensPerEvent)
-	last, _ := strconv.Atoi(r.Header.Get(wire.HeaderLastEvent))
+	lastReceived, _ := strconv.Atoi(r.Header.Get(wire.HeaderLastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
-	for i := last + 1; i <= count; i++ {
-		time.Sleep(eventTime)
-		if !s.waitWhole(r) || r.Context().Err() != nil {
+	for i := lastReceived + 1; i <= count; i++ {
+		time.Sleep(eventInterval)
+		if !s.awaitCompleteGroup(r) || r.Context().Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
 		event := Event(r.Header.Get(wire.HeaderID), i)
-		if mood == Cutting && i == count/2 {
+		if behaviour == Cutting && i == count/2 {
 			_, _ = io.WriteString(w, event[:len(event)/2])
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
@@ -125,7 +126,8 @@
 	}
 }
 
-// Event returns the event of a number in the stream that answers a request.
+// Event returns the text of one event, by its number, in the stream that answers a
+// request.
 func Event(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", number, number, id)
 }
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -18,35 +18,36 @@
 // Client sends requests to one daemon and checks the answers.
 type Client struct {
 	Platform *Platform
-	// Address is the daemon's IP:port for clients, Daemon its name; empty: what servers say
-	// to it about further requests is not checked.
+	// Address is the daemon's IP:port for clients. Daemon is its name; if it is empty, the
+	// pauses, limits and drains that servers announce are not checked for these requests.
 	Address string
 	Daemon  string
 	Key     string
 	http    http.Client
 }
 
-// Answer is what a client was answered.
+// Answer is the daemon's answer to one request.
 type Answer struct {
 	ID     string
 	Status int
 	Body   string
 	Seal   string
-	// Reason is why the daemon refused the request, in its own words; empty where a server
+	// Reason is the text with which the daemon rejected the request; empty if a server
 	// answered.
 	Reason string
-	// Retry is the Retry-After header.
+	// Retry is the pause that a rejection requests, in seconds, as the header has it;
+	// empty if it requests none.
 	Retry string
-	// Err is why the answer is not whole.
+	// Err is the error that kept the client from reading the complete answer.
 	Err error
 }
 
-// number makes ids unique over all clients of a process.
-var number atomic.Int64
+// lastRequestNumber makes request IDs unique across all clients of the process.
+var lastRequestNumber atomic.Int64
 
-// Ask sends a request and reads the whole answer.
+// Ask sends a request and reads its complete answer.
 func (c *Client) Ask(ctx context.Context, method, path string, headers map[string]string, body string) Answer {
-	id := fmt.Sprintf("%08x", number.Add(1))
+	id := fmt.Sprintf("%08x", lastRequestNumber.Add(1))
 	answer := Answer{
 		ID: id,
 	}
@@ -85,21 +86,22 @@
 	return answer
 }
 
-// check notes answers that must not be.
+// check records a violation if the answer belongs to another request, or if a request was
+// rejected as not executed although it ran.
 func (c *Client) check(answer Answer, id, path string) {
 	if answer.Status != http.StatusOK || answer.Err != nil {
 		if answer.Status == http.StatusServiceUnavailable && c.Platform.Runs(answer.ID) > 0 && strings.HasPrefix(path, PathUnsafe) {
-			c.Platform.violate("request " + answer.ID + " was refused as not run, but ran")
+			c.Platform.recordViolation("request " + answer.ID + " was rejected as not executed, but ran")
 		}
 		return
 	}
 	if id != answer.ID || !strings.HasSuffix(answer.Seal, answer.ID) {
-		c.Platform.violate("request " + answer.ID + " was given the answer to " + id)
+		c.Platform.recordViolation("request " + answer.ID + " received the answer to " + id)
 	}
 }
 
-// Stream asks for a stream of so many events, and notes one that is not exactly
-// that.
+// Stream requests a stream with the given number of events. It records a violation if the
+// stream ends as complete with other content.
 func (c *Client) Stream(ctx context.Context, model string, events int) Answer {
 	path := PathLarge
 	if model == ModelSmall {
@@ -112,28 +114,28 @@
 	if answer.Status != http.StatusOK || answer.Err != nil {
 		return answer
 	}
-	var whole strings.Builder
+	var expected strings.Builder
 	for i := 1; i <= events; i++ {
-		whole.WriteString(Event(answer.ID, i))
+		expected.WriteString(Event(answer.ID, i))
 	}
-	if answer.Body != whole.String() {
-		c.Platform.violate(fmt.Sprintf("stream %s ended as complete with %d bytes of %d", answer.ID, len(answer.Body), whole.Len()))
+	if answer.Body != expected.String() {
+		c.Platform.recordViolation(fmt.Sprintf("stream %s ended as complete with %d bytes instead of the expected %d", answer.ID, len(answer.Body), expected.Len()))
 	}
 	return answer
 }
 
-// Await asks again and again until an answer satisfies is, or the time is over;
-// it returns the last answer and whether it does.
-func Await(limit time.Duration, ask func() Answer, is func(Answer) bool) (Answer, bool) {
-	const pause = 20 * time.Millisecond
-	for end := time.Now().Add(limit); ; {
-		answer := ask()
-		if is(answer) {
+// Await repeats send until an answer satisfies the condition or the timeout has passed. It
+// returns the last answer and whether that satisfies the condition.
+func Await(timeout time.Duration, send func() Answer, isSatisfied func(Answer) bool) (Answer, bool) {
+	const interval = 20 * time.Millisecond
+	for deadline := time.Now().Add(timeout); ; {
+		answer := send()
+		if isSatisfied(answer) {
 			return answer, true
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return answer, false
 		}
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 }
--- a/lab/standin/crash.go
+++ b/lab/standin/crash.go
@@ -6,58 +6,60 @@
 	"time"
 )
 
-// NameCrashing is the last part of the paths of requests that crash each server which
-// begins to run them.
+// NameCrashing is the last segment of the path of requests that crash every server that
+// starts to run them.
 const NameCrashing = "crashing"
 
-// Times of a crash: crashTime is how long a server runs a request that crashes it, and
-// restartTime how long the next start takes.
+// crashDelay is how long a server runs a request before it crashes. restartDelay is the time
+// from the crash to the next start.
 const (
-	crashTime   = 15 * time.Millisecond
-	restartTime = 400 * time.Millisecond
+	crashDelay   = 15 * time.Millisecond
+	restartDelay = 400 * time.Millisecond
 )
 
-// isCrashing tells whether a request crashes servers.
+// isCrashing reports whether a request crashes the server that runs it.
 func isCrashing(r *http.Request) bool {
 	return strings.HasSuffix(r.URL.Path, "/"+NameCrashing)
 }
 
-// crash ends the server under a request, and starts it again some time later: in turns
-// under a new id and under the one that it had, before its entry has lapsed.
+// crash ends the server that runs the request and restarts it after restartDelay. Crashes for
+// one path alternate between a new ID and the old ID; the old ID is used again before its
+// entry expires.
 func (p *Platform) crash(s *Server, r *http.Request) {
-	time.Sleep(crashTime)
-	if s.dead() {
+	time.Sleep(crashDelay)
+	if s.wasKilled() {
 		return
 	}
 	p.mutex.Lock()
 	p.crashes[r.URL.Path]++
 	keepsID := p.crashes[r.URL.Path]%2 == 0
 	p.mutex.Unlock()
-	// Before the clients know of the crash.
+	// Add precedes the end of the server, so that AwaitRestarts waits for every crash that a
+	// client has seen.
 	p.restarts.Add(1)
-	startAgain := s.Restart
+	restart := s.Restart
 	if keepsID {
 		s.Stop()
 	} else {
 		s.Kill()
-		startAgain = func() error { return p.StartLike(s) }
+		restart = func() error { return p.StartLike(s) }
 	}
-	time.AfterFunc(restartTime, func() {
+	time.AfterFunc(restartDelay, func() {
 		defer p.restarts.Done()
-		if err := startAgain(); err != nil {
-			p.violate("start a server again: " + err.Error())
+		if err := restart(); err != nil {
+			p.recordViolation("restart a crashed server: " + err.Error())
 		}
 	})
 }
 
-// Crashes returns how many servers have crashed under requests for a path.
+// Crashes returns the number of servers that crashed while they ran requests for the path.
 func (p *Platform) Crashes(path string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.crashes[path]
 }
 
-// AwaitRestarts waits until each server that has crashed has started again.
+// AwaitRestarts waits until every crashed server has restarted.
 func (p *Platform) AwaitRestarts() {
 	p.restarts.Wait()
 }
--- a/lab/standin/directives.go
+++ b/lab/standin/directives.go
@@ -10,172 +10,176 @@
 	"headcourse/platform/wire"
 )
 
-// Headers of the stand-in's own clients, which daemons pass on: by which daemon a request
-// comes, and when its client sent it.
+// Headers that the stand-in's clients set and daemons forward: the daemon that the request is
+// sent to, and the time at which the client sent it, in Unix milliseconds.
 const (
 	headerDaemon = "Lab-Daemon"
 	headerSent   = "Lab-Sent"
 )
 
-// What daemons are allowed, as the users' rules have it.
+// What a daemon may still send after a server's directive, by the users' rules.
 const (
-	// pauseGrace is how soon after a server's answer its pause begins, pauseSends how many
-	// requests may come in it all the same: they were under way.
-	pauseGrace = 500 * time.Millisecond
-	pauseSends = 2
-	// leaveGrace is how long after a server's answer clients may still send what reaches it.
-	leaveGrace = 2 * time.Second
+	// pauseGrace is the time from a server's answer to the start of the pause that it
+	// requests. Requests in flight may still arrive later: up to maxRequestsInPause per pause.
+	pauseGrace         = 500 * time.Millisecond
+	maxRequestsInPause = 2
+	// leavingGrace is how long after a server announces that it is leaving clients may still
+	// send requests that reach it.
+	leavingGrace = 2 * time.Second
 )
 
-// promises are what servers said to daemons, and what came from these since. The zero value
-// is empty.
-type promises struct {
-	mutex  sync.Mutex
-	spoken map[spokenKey]*spoken
-	// excused counts the troubles of each daemon for which it cannot be blamed; those of
-	// everybody stand under the empty name.
-	excused map[string]int
-	// limits are those of servers that name one, by their IDs.
-	limits map[string]*limitSpoken
+// directiveLedger records the directives that servers sent to daemons, and the requests that
+// daemons sent afterwards. The zero value is empty.
+type directiveLedger struct {
+	mutex sync.Mutex
+	sent  map[directiveKey]*sentDirectives
+	// exempt counts, per daemon, the faults in progress for which the daemon is not
+	// accountable. The empty name stands for all daemons.
+	exempt map[string]int
+	// limits holds the servers that announce a limit, by server ID.
+	limits map[string]*limitRecord
 	counts DirectiveCounts
 }
 
-// DirectiveCounts is what daemons were asked that can be blamed for it, and what came from
-// them all the same.
+// DirectiveCounts counts the directives that accountable daemons received, and the requests
+// that they sent afterwards.
 type DirectiveCounts struct {
 	Pauses  int
 	Leaves  int
 	InPause int
-	// Limits counts the daemons that a server told its limit, Limited the requests that
-	// came from these to such servers.
+	// Limits counts the pairs of a server and a daemon that received its limit.
+	// Limited counts the requests from such a daemon to such a server.
 	Limits  int
 	Limited int
 }
 
 // DirectiveCounts returns the counts so far.
 func (p *Platform) DirectiveCounts() DirectiveCounts {
-	p.promises.mutex.Lock()
-	defer p.promises.mutex.Unlock()
-	return p.promises.counts
+	p.directives.mutex.Lock()
+	defer p.directives.mutex.Unlock()
+	return p.directives.counts
 }
 
-// spokenKey names a server and the daemon that it spoke to.
-type spokenKey struct {
+// directiveKey identifies a server and the daemon that received its directives.
+type directiveKey struct {
 	server string
 	daemon string
 }
 
-// spoken is what a server said to a daemon.
-type spoken struct {
-	pauses []*pauseSpoken
-	left   time.Time
+// sentDirectives holds the directives that one server sent to one daemon.
+type sentDirectives struct {
+	pauses       []*sentPause
+	leavingSince time.Time
 }
 
-// pauseSpoken is one pause that was asked for, and the requests that came in it.
-type pauseSpoken struct {
-	from, till time.Time
-	came       int
+// sentPause is one requested pause and the number of requests that arrived during it.
+type sentPause struct {
+	from, until time.Time
+	requests    int
 }
 
-// Excuse begins (1) or ends (-1) a trouble of a daemon, or of all where its name is empty,
-// for which it cannot be blamed: what was said to it before may be lost.
+// Excuse begins (1) or ends (-1) an exemption from the checks for one daemon, or for all if
+// the name is empty: a fault may make a daemon lose directives that it received before.
 func (p *Platform) Excuse(daemon string, change int) {
-	p.promises.mutex.Lock()
-	defer p.promises.mutex.Unlock()
-	if p.promises.excused == nil {
-		p.promises.excused = map[string]int{}
+	p.directives.mutex.Lock()
+	defer p.directives.mutex.Unlock()
+	if p.directives.exempt == nil {
+		p.directives.exempt = map[string]int{}
 	}
-	p.promises.excused[daemon] += change
-	for key := range p.promises.spoken {
+	p.directives.exempt[daemon] += change
+	for key := range p.directives.sent {
 		if daemon == "" || key.daemon == daemon {
-			delete(p.promises.spoken, key)
+			delete(p.directives.sent, key)
 		}
 	}
-	for _, spoken := range p.promises.limits {
-		spoken.forgetDaemon(daemon)
+	for _, record := range p.directives.limits {
+		record.removeDaemon(daemon)
 	}
 }
 
-// forgetServer forgets what a server said, which starts again.
-func (p *promises) forgetServer(id string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for key := range p.spoken {
+// removeServer drops the directives of a server, which is about to restart.
+func (l *directiveLedger) removeServer(id string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for key := range l.sent {
 		if key.server == id {
-			delete(p.spoken, key)
+			delete(l.sent, key)
 		}
 	}
-	delete(p.limits, id)
+	delete(l.limits, id)
 }
 
-// isChecked tells whether a daemon can be blamed now. The mutex is held.
-func (p *promises) isChecked(daemon string) bool {
-	return daemon != "" && p.excused[""] == 0 && p.excused[daemon] == 0
+// isChecked reports whether the daemon is accountable now. The mutex is held.
+func (l *directiveLedger) isChecked(daemon string) bool {
+	return daemon != "" && l.exempt[""] == 0 && l.exempt[daemon] == 0
 }
 
-// to returns what a server said to a daemon; nil where it is not checked. The mutex is held.
-func (p *promises) to(server, daemon string) *spoken {
-	if !p.isChecked(daemon) {
+// directivesSent returns the directives that the server sent to the daemon, or nil if the
+// daemon is exempt. The mutex is held.
+func (l *directiveLedger) directivesSent(server, daemon string) *sentDirectives {
+	if !l.isChecked(daemon) {
 		return nil
 	}
-	key := spokenKey{
+	key := directiveKey{
 		server: server,
 		daemon: daemon,
 	}
-	if p.spoken == nil {
-		p.spoken = map[spokenKey]*spoken{}
+	if l.sent == nil {
+		l.sent = map[directiveKey]*sentDirectives{}
 	}
-	if p.spoken[key] == nil {
-		p.spoken[key] = &spoken{}
+	if l.sent[key] == nil {
+		l.sent[key] = &sentDirectives{}
 	}
-	return p.spoken[key]
+	return l.sent[key]
 }
 
-// AskForPauses has the server turn all requests away, and ask with each for a pause; 0 ends
-// it.
+// AskForPauses makes the server reject all requests and request the pause with each
+// rejection; 0 ends this.
 func (s *Server) AskForPauses(pause time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.pause = pause
-	s.mood = Good
+	s.retryAfter = pause
+	s.behaviour = Good
 	if pause > 0 {
-		s.mood = Shedding
+		s.behaviour = Shedding
 	}
 }
 
-// LeaveByAnswersAlone has the server say in all its answers that it leaves, while its entry
-// says that it is ready; it ends some time later.
+// LeaveByAnswersAlone makes the server announce in all its answers that it is leaving, while
+// its entry still says that it is ready. The server ends after drainTime and leavingGrace.
 func (s *Server) LeaveByAnswersAlone() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.isLeaving = true
-	time.AfterFunc(leaveTime+leaveGrace, s.Kill)
+	time.AfterFunc(drainTime+leavingGrace, s.Kill)
 }
 
-// askForPause has an answer that turns a request away ask for a pause, if the server does.
-func (s *Server) askForPause(w http.ResponseWriter, r *http.Request) {
+// addRetryAfter adds the requested pause to a rejection and records it, if the server requests
+// pauses.
+func (s *Server) addRetryAfter(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
-	pause := s.pause
+	pause := s.retryAfter
 	s.mutex.Unlock()
 	if pause == 0 {
 		return
 	}
 	w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', -1, 64))
 	now := time.Now()
-	told := &s.platform.promises
-	told.mutex.Lock()
-	defer told.mutex.Unlock()
-	if heard := told.to(s.id, r.Header.Get(headerDaemon)); heard != nil {
-		told.counts.Pauses++
-		heard.pauses = append(heard.pauses, &pauseSpoken{
-			from: now.Add(pauseGrace),
-			till: now.Add(pause),
+	ledger := &s.platform.directives
+	ledger.mutex.Lock()
+	defer ledger.mutex.Unlock()
+	if sent := ledger.directivesSent(s.id, r.Header.Get(headerDaemon)); sent != nil {
+		ledger.counts.Pauses++
+		sent.pauses = append(sent.pauses, &sentPause{
+			from:  now.Add(pauseGrace),
+			until: now.Add(pause),
 		})
 	}
 }
 
-// sayOwn puts on all answers what the server says of itself: that it leaves, and its limit.
-func (s *Server) sayOwn(next http.Handler) http.Handler {
+// addDirectives adds the server's directives to all its answers: that it is leaving, and its
+// limit.
+func (s *Server) addDirectives(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		isLeaving := s.isLeaving
@@ -183,54 +187,55 @@
 		if isLeaving {
 			w.Header().Set(wire.HeaderLeaving, "1")
 		}
-		isLimited := s.sayLimit(w)
+		isLimited := s.addLimit(w)
 		next.ServeHTTP(w, r)
 		if r.Context().Err() != nil {
-			// A daemon that broke off, as its client did, has perhaps not read the answer.
+			// A daemon that cancelled the request, as its client did, may not have read the
+			// answer.
 			return
 		}
 		if isLeaving {
-			s.platform.promises.noteLeave(s.id, r.Header.Get(headerDaemon))
+			s.platform.directives.recordLeaving(s.id, r.Header.Get(headerDaemon))
 		}
 		if isLimited {
-			s.platform.promises.noteLimit(s.id, r.Header.Get(headerDaemon))
+			s.platform.directives.recordLimitSent(s.id, r.Header.Get(headerDaemon))
 		}
 	})
 }
 
-// noteLeave notes that a server has told a daemon that it leaves.
-func (p *promises) noteLeave(server, daemon string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if heard := p.to(server, daemon); heard != nil && heard.left.IsZero() {
-		heard.left = time.Now()
-		p.counts.Leaves++
+// recordLeaving records that a server told a daemon that it is leaving.
+func (l *directiveLedger) recordLeaving(server, daemon string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if sent := l.directivesSent(server, daemon); sent != nil && sent.leavingSince.IsZero() {
+		sent.leavingSince = time.Now()
+		l.counts.Leaves++
 	}
 }
 
-// checkDirectives notes a request that comes although the server has said that it wants none
-// from that daemon.
+// checkDirectives records a violation if a request arrives in a pause that the server
+// requested from the daemon, or after the server told the daemon that it is leaving.
 func (p *Platform) checkDirectives(s *Server, r *http.Request) {
 	daemon := r.Header.Get(headerDaemon)
 	now := time.Now()
-	p.promises.mutex.Lock()
-	defer p.promises.mutex.Unlock()
-	heard := p.promises.to(s.id, daemon)
-	if heard == nil {
+	p.directives.mutex.Lock()
+	defer p.directives.mutex.Unlock()
+	received := p.directives.directivesSent(s.id, daemon)
+	if received == nil {
 		return
 	}
-	for _, pause := range heard.pauses {
-		if now.Before(pause.from) || !now.Before(pause.till) {
+	for _, pause := range received.pauses {
+		if now.Before(pause.from) || !now.Before(pause.until) {
 			continue
 		}
-		pause.came++
-		p.promises.counts.InPause++
-		if pause.came == pauseSends+1 {
-			p.violate(fmt.Sprintf("%s had asked %s for a pause and got more than %d requests in it", s.id, daemon, pauseSends))
+		pause.requests++
+		p.directives.counts.InPause++
+		if pause.requests == maxRequestsInPause+1 {
+			p.recordViolation(fmt.Sprintf("%s requested a pause from %s and received more than %d requests during it", s.id, daemon, maxRequestsInPause))
 		}
 	}
-	sent, err := strconv.ParseInt(r.Header.Get(headerSent), 10, 64)
-	if err == nil && !heard.left.IsZero() && time.UnixMilli(sent).After(heard.left.Add(leaveGrace)) {
-		p.violate(fmt.Sprintf("%s had told %s that it leaves and got request %s, sent %s later", s.id, daemon, r.Header.Get(wire.HeaderID), time.UnixMilli(sent).Sub(heard.left)))
+	sentMs, err := strconv.ParseInt(r.Header.Get(headerSent), 10, 64)
+	if err == nil && !received.leavingSince.IsZero() && time.UnixMilli(sentMs).After(received.leavingSince.Add(leavingGrace)) {
+		p.recordViolation(fmt.Sprintf("%s told %s that it is leaving and received request %s, sent %s later", s.id, daemon, r.Header.Get(wire.HeaderID), time.UnixMilli(sentMs).Sub(received.leavingSince)))
 	}
 }
--- a/lab/standin/evacuation.go
+++ b/lab/standin/evacuation.go
@@ -8,93 +8,98 @@
 	"headcourse/platform/wire"
 )
 
-// EvacuateTime is how soon after its acknowledgement an evacuated zone must get nothing more.
+// EvacuateTime is the time from the acknowledgement of an evacuation until the zone must
+// receive no more requests.
 const EvacuateTime = 1500 * time.Millisecond
 
-// What a cold server bears, and what it may get in any second from all daemons, as the users'
-// rule has it.
+// The declared cold phase of a server, and the number of requests that all daemons together
+// may send it in any coldWindow, by the users' rule: coldFactor times the declared rate plus
+// coldSlack.
 const (
-	coldStart     = time.Second
+	coldDuration  = time.Second
 	coldPerSecond = 10.0
 	coldFactor    = 1.5
-	coldExtra     = 5
+	coldSlack     = 5
 	coldWindow    = time.Second
 )
 
-// evacuations are the zones that the operator has evacuated. The zero value has none.
+// evacuations holds the zones that the operator has evacuated. The zero value has none.
 type evacuations struct {
 	mutex sync.Mutex
-	// emptyFrom is from when on a zone must get nothing; zero: it is not checked.
+	// emptyFrom is the time from which a zone must receive no requests; a zone without a time
+	// is not checked.
 	emptyFrom map[string]time.Time
-	// isBroken tells that a zone got something all the same, which is noted once.
-	isBroken map[string]bool
+	// isViolated marks zones whose violation is already recorded; each is recorded once.
+	isViolated map[string]bool
 }
 
-// Evacuate evacuates a zone, and checks that it gets nothing once within has passed; 0: it is
-// not checked.
-func (p *Platform) Evacuate(zone string, within time.Duration) {
-	p.Store.put(wire.TableConfig, wire.KeyEvacuate+zone, []byte("{}"))
-	p.evacuated.mutex.Lock()
-	defer p.evacuated.mutex.Unlock()
-	if p.evacuated.emptyFrom == nil {
-		p.evacuated.emptyFrom = map[string]time.Time{}
-		p.evacuated.isBroken = map[string]bool{}
+// Evacuate evacuates a zone. After the deadline every request to the zone is a violation; a
+// deadline of 0 turns the check off.
+func (p *Platform) Evacuate(zone string, deadline time.Duration) {
+	p.Store.putFromPlatform(wire.TableConfig, wire.KeyEvacuate+zone, []byte("{}"))
+	p.evacuations.mutex.Lock()
+	defer p.evacuations.mutex.Unlock()
+	if p.evacuations.emptyFrom == nil {
+		p.evacuations.emptyFrom = map[string]time.Time{}
+		p.evacuations.isViolated = map[string]bool{}
 	}
-	if within > 0 {
-		p.evacuated.emptyFrom[zone] = time.Now().Add(within)
+	if deadline > 0 {
+		p.evacuations.emptyFrom[zone] = time.Now().Add(deadline)
 	}
-	p.evacuated.isBroken[zone] = false
+	p.evacuations.isViolated[zone] = false
 }
 
 // TakeBack ends the evacuation of a zone.
 func (p *Platform) TakeBack(zone string) {
-	// Before the row goes: requests may come at once.
-	p.evacuated.mutex.Lock()
-	delete(p.evacuated.emptyFrom, zone)
-	p.evacuated.mutex.Unlock()
-	p.Store.put(wire.TableConfig, wire.KeyEvacuate+zone, nil)
+	// The check ends before the row is removed: requests may arrive at once after that.
+	p.evacuations.mutex.Lock()
+	delete(p.evacuations.emptyFrom, zone)
+	p.evacuations.mutex.Unlock()
+	p.Store.putFromPlatform(wire.TableConfig, wire.KeyEvacuate+zone, nil)
 }
 
-// checkEvacuated notes a request to a server of a zone that must get nothing.
-func (p *Platform) checkEvacuated(s *Server) {
-	p.evacuated.mutex.Lock()
-	defer p.evacuated.mutex.Unlock()
+// checkEvacuation records a violation if the server's zone must receive no requests.
+func (p *Platform) checkEvacuation(s *Server) {
+	p.evacuations.mutex.Lock()
+	defer p.evacuations.mutex.Unlock()
 	zone := s.state.Zone
-	from := p.evacuated.emptyFrom[zone]
-	if from.IsZero() || time.Now().Before(from) || p.evacuated.isBroken[zone] {
+	from := p.evacuations.emptyFrom[zone]
+	if from.IsZero() || time.Now().Before(from) || p.evacuations.isViolated[zone] {
 		return
 	}
-	p.evacuated.isBroken[zone] = true
-	p.violate(fmt.Sprintf("%s got a request %s after zone %s had to be empty", s.id, time.Since(from).Round(time.Millisecond), zone))
+	p.evacuations.isViolated[zone] = true
+	p.recordViolation(fmt.Sprintf("%s received a request %s after the deadline to evacuate zone %s", s.id, time.Since(from).Round(time.Millisecond), zone))
 }
 
-// withColdStarts returns a configuration whose servers are cold when they start.
+// withColdStarts declares for all services that their servers are cold after a start.
 func withColdStarts(config wire.Config) wire.Config {
 	for i := range config.Services {
-		config.Services[i].ColdStartS = coldStart.Seconds()
+		config.Services[i].ColdStartS = coldDuration.Seconds()
 		config.Services[i].ColdPerS = coldPerSecond
 	}
 	return config
 }
 
-// cold is a server that is cold until a time. The zero value is one that is warm.
-type cold struct {
-	until time.Time
-	came  []time.Time
+// coldState holds when a cold server becomes warm, and the requests that arrived in the last
+// coldWindow. The zero value is a warm server.
+type coldState struct {
+	until    time.Time
+	arrivals []time.Time
 }
 
 // Cool makes the server cold for a while, as after a start.
-func (s *Server) Cool(length time.Duration) {
+func (s *Server) Cool(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cold = cold{
-		until: time.Now().Add(length),
+	s.cold = coldState{
+		until: time.Now().Add(duration),
 	}
-	s.state.ColdLeftMs = float64(length.Milliseconds())
-	s.tell()
+	s.state.ColdLeftMs = float64(duration.Milliseconds())
+	s.writeEntry()
 }
 
-// checkCold notes a request to a cold server, and that it gets too many.
+// checkCold counts a request to a cold server and records a violation if there are too many in
+// one coldWindow.
 func (s *Server) checkCold() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -102,12 +107,12 @@
 	if now.After(s.cold.until) {
 		return
 	}
-	s.cold.came = append(s.cold.came, now)
-	for now.Sub(s.cold.came[0]) >= coldWindow {
-		s.cold.came = s.cold.came[1:]
+	s.cold.arrivals = append(s.cold.arrivals, now)
+	for now.Sub(s.cold.arrivals[0]) >= coldWindow {
+		s.cold.arrivals = s.cold.arrivals[1:]
 	}
-	const allowed = coldFactor*coldPerSecond + coldExtra
-	if came := len(s.cold.came); float64(came) > allowed {
-		s.platform.violate(fmt.Sprintf("%s is cold and got %d requests in a second; allowed %.1f", s.id, came, allowed))
+	const allowed = coldFactor*coldPerSecond + coldSlack
+	if count := len(s.cold.arrivals); float64(count) > allowed {
+		s.platform.recordViolation(fmt.Sprintf("%s is cold and received %d requests in a second; allowed: %.1f", s.id, count, allowed))
 	}
 }
--- a/lab/standin/limits.go
+++ b/lab/standin/limits.go
@@ -10,93 +10,94 @@
 	"headcourse/platform/wire"
 )
 
-// What all daemons together are allowed, as the users' rules have it: from limitContact after
-// a server first named a limit, in any limitWindow, limitFactor of what the limit allows and
-// limitExtra requests of the daemons that had been told for limitGrace.
+// What all daemons together may send to a server with a limit, by the users' rule. From
+// limitSettleTime after the server first announced a limit, each limitWindow may hold
+// limitFactor times the limit plus limitSlack requests. Only requests of daemons that received
+// the limit at least limitGrace ago count.
 const (
-	limitContact = 3 * time.Second
-	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitExtra   = 5
-	limitGrace   = 500 * time.Millisecond
+	limitSettleTime = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	limitFactor     = 1.5
+	limitSlack      = 5
+	limitGrace      = 500 * time.Millisecond
 )
 
-// limitSpoken is what a server says of its limit, and what came of it. The zero value is a
-// server that names none.
-type limitSpoken struct {
-	// words are the limits that it names, each from its time on.
-	words []limitWord
-	first time.Time
-	// told is when each daemon was first told.
-	told map[string]time.Time
-	came []limitArrival
-	// isBroken tells that it got too many, which is noted once.
-	isBroken bool
+// limitRecord holds the limits that a server announced and the requests that arrived since.
+// The zero value is a server without a limit.
+type limitRecord struct {
+	// values are the limits in the order in which they were announced.
+	values      []limitValue
+	firstSentAt time.Time
+	// sentAt is when each daemon first received a limit.
+	sentAt   map[string]time.Time
+	arrivals []limitArrival
+	// isViolated tells that the violation is already recorded; it is recorded once.
+	isViolated bool
 }
 
-// limitWord is a limit from a time on.
-type limitWord struct {
-	at        time.Time
+// limitValue is a limit and the time from which it is announced.
+type limitValue struct {
+	since     time.Time
 	perSecond float64
 }
 
-// limitArrival is a request of a daemon that had been told.
+// limitArrival is a request from a daemon that had received the limit.
 type limitArrival struct {
-	at     time.Time
-	daemon string
+	arrivedAt time.Time
+	daemon    string
 }
 
-// NameLimit has the server name a limit in all its answers: so many requests a second, from
+// NameLimit makes the server announce a limit in all its answers, in requests per second from
 // all daemons together.
 func (s *Server) NameLimit(perSecond float64) {
-	s.setLimit(&perSecond)
+	s.replaceLimit(&perSecond)
 }
 
-// ChangeLimit has a server that names a limit name another one.
+// ChangeLimit replaces the limit of a server that announces one.
 func (s *Server) ChangeLimit(perSecond float64) {
 	s.mutex.Lock()
-	isNamed := s.limit != nil
+	isSet := s.limit != nil
 	s.mutex.Unlock()
-	if isNamed {
+	if isSet {
 		s.NameLimit(perSecond)
 	}
 }
 
-// EndLimit has the server name no limit any more.
+// EndLimit makes the server announce no limit.
 func (s *Server) EndLimit() {
-	s.setLimit(nil)
+	s.replaceLimit(nil)
 }
 
-// setLimit changes what the server names; nil: none.
-func (s *Server) setLimit(perSecond *float64) {
+// replaceLimit sets the limit that the server announces; nil removes it.
+func (s *Server) replaceLimit(perSecond *float64) {
 	s.mutex.Lock()
 	s.limit = perSecond
 	s.mutex.Unlock()
-	told := &s.platform.promises
-	told.mutex.Lock()
-	defer told.mutex.Unlock()
+	ledger := &s.platform.directives
+	ledger.mutex.Lock()
+	defer ledger.mutex.Unlock()
 	if perSecond == nil {
-		delete(told.limits, s.id)
+		delete(ledger.limits, s.id)
 		return
 	}
-	if told.limits == nil {
-		told.limits = map[string]*limitSpoken{}
+	if ledger.limits == nil {
+		ledger.limits = map[string]*limitRecord{}
 	}
-	spoken := told.limits[s.id]
-	if spoken == nil {
-		spoken = &limitSpoken{
-			told: map[string]time.Time{},
+	record := ledger.limits[s.id]
+	if record == nil {
+		record = &limitRecord{
+			sentAt: map[string]time.Time{},
 		}
-		told.limits[s.id] = spoken
+		ledger.limits[s.id] = record
 	}
-	spoken.words = append(spoken.words, limitWord{
-		at:        time.Now(),
+	record.values = append(record.values, limitValue{
+		since:     time.Now(),
 		perSecond: *perSecond,
 	})
 }
 
-// sayLimit puts the limit on an answer, and tells whether there is one.
-func (s *Server) sayLimit(w http.ResponseWriter) bool {
+// addLimit adds the limit to an answer and reports whether there is one.
+func (s *Server) addLimit(w http.ResponseWriter) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.limit == nil {
@@ -106,78 +107,78 @@
 	return true
 }
 
-// noteLimit notes that a server has told a daemon its limit.
-func (p *promises) noteLimit(server, daemon string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	spoken := p.limits[server]
-	if spoken == nil || !p.isChecked(daemon) {
+// recordLimitSent records that a server sent its limit to a daemon.
+func (l *directiveLedger) recordLimitSent(server, daemon string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	record := l.limits[server]
+	if record == nil || !l.isChecked(daemon) {
 		return
 	}
 	now := time.Now()
-	if spoken.first.IsZero() {
-		spoken.first = now
+	if record.firstSentAt.IsZero() {
+		record.firstSentAt = now
 	}
-	if spoken.told[daemon].IsZero() {
-		spoken.told[daemon] = now
-		p.counts.Limits++
+	if record.sentAt[daemon].IsZero() {
+		record.sentAt[daemon] = now
+		l.counts.Limits++
 	}
 }
 
-// checkLimit notes a request to a server that has named a limit, and that it gets too many.
+// checkLimit counts a request to a server with a limit and records a violation if there are
+// too many in one limitWindow.
 func (p *Platform) checkLimit(s *Server, daemon string) {
-	p.promises.mutex.Lock()
-	defer p.promises.mutex.Unlock()
-	spoken := p.promises.limits[s.id]
+	p.directives.mutex.Lock()
+	defer p.directives.mutex.Unlock()
+	record := p.directives.limits[s.id]
 	now := time.Now()
-	if spoken == nil || !p.promises.isChecked(daemon) || !spoken.counts(daemon, now) {
+	if record == nil || !p.directives.isChecked(daemon) || !record.isChecked(daemon, now) {
 		return
 	}
-	p.promises.counts.Limited++
-	spoken.came = append(spoken.came, limitArrival{
-		at:     now,
-		daemon: daemon,
+	p.directives.counts.Limited++
+	record.arrivals = append(record.arrivals, limitArrival{
+		arrivedAt: now,
+		daemon:    daemon,
 	})
-	spoken.came = slices.DeleteFunc(spoken.came, func(one limitArrival) bool {
-		return now.Sub(one.at) >= limitWindow
+	record.arrivals = slices.DeleteFunc(record.arrivals, func(arrival limitArrival) bool {
+		return now.Sub(arrival.arrivedAt) >= limitWindow
 	})
-	allowed := limitFactor*limitWindow.Seconds()*spoken.highest(now) + limitExtra
-	if float64(len(spoken.came)) <= allowed || spoken.isBroken {
+	allowed := limitFactor*limitWindow.Seconds()*record.maxPerSecond(now) + limitSlack
+	if float64(len(record.arrivals)) <= allowed || record.isViolated {
 		return
 	}
-	spoken.isBroken = true
-	p.violate(fmt.Sprintf("%s named a limit and got %d requests in %s from %d daemons that it had told; allowed %.1f", s.id, len(spoken.came), limitWindow, len(spoken.told), allowed))
+	record.isViolated = true
+	p.recordViolation(fmt.Sprintf("%s announced a limit and received %d requests in %s from %d daemons that know the limit; allowed: %.1f", s.id, len(record.arrivals), limitWindow, len(record.sentAt), allowed))
 }
 
-// counts tells whether a daemon's requests count now.
-func (l *limitSpoken) counts(daemon string, now time.Time) bool {
-	told := l.told[daemon]
-	return !told.IsZero() && now.Sub(told) >= limitGrace && now.Sub(l.first) >= limitContact
+// isChecked reports whether requests of the daemon count against the limit now.
+func (l *limitRecord) isChecked(daemon string, now time.Time) bool {
+	sentAt := l.sentAt[daemon]
+	return !sentAt.IsZero() && now.Sub(sentAt) >= limitGrace && now.Sub(l.firstSentAt) >= limitSettleTime
 }
 
-// highest returns the highest limit that was named in the last window, and for as long before
-// as answers may be on their way.
-func (l *limitSpoken) highest(now time.Time) float64 {
+// maxPerSecond returns the highest limit that was announced in the last limitWindow, extended
+// by limitGrace for answers that were still in flight.
+func (l *limitRecord) maxPerSecond(now time.Time) float64 {
 	highest := 0.0
-	for i, word := range l.words {
-		isOver := i+1 < len(l.words) && now.Sub(l.words[i+1].at) > limitWindow+limitGrace
-		if !isOver {
-			highest = max(highest, word.perSecond)
+	for i, value := range l.values {
+		isExpired := i+1 < len(l.values) && now.Sub(l.values[i+1].since) > limitWindow+limitGrace
+		if !isExpired {
+			highest = max(highest, value.perSecond)
 		}
 	}
 	return highest
 }
 
-// forgetDaemon forgets what a server told a daemon, and what came of it; all where its name
-// is empty.
-func (l *limitSpoken) forgetDaemon(daemon string) {
+// removeDaemon drops the records of one daemon, or of all if the name is empty.
+func (l *limitRecord) removeDaemon(daemon string) {
 	if daemon == "" {
-		clear(l.told)
-		l.came = nil
+		clear(l.sentAt)
+		l.arrivals = nil
 		return
 	}
-	delete(l.told, daemon)
-	l.came = slices.DeleteFunc(l.came, func(one limitArrival) bool {
-		return one.daemon == daemon
+	delete(l.sentAt, daemon)
+	l.arrivals = slices.DeleteFunc(l.arrivals, func(arrival limitArrival) bool {
+		return arrival.daemon == daemon
 	})
 }
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -9,9 +9,9 @@
 	"headcourse/platform/wire"
 )
 
-// handleOrder takes an order.
+// handleOrder decodes an order and carries it out.
 func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request) {
-	if !s.isExpected(w, r) {
+	if !s.isForThisServer(w, r) {
 		return
 	}
 	var order wire.Order
@@ -19,61 +19,61 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.WriteHeader(s.platform.apply(s, order))
+	w.WriteHeader(s.platform.applyOrder(s, order))
 }
 
-// apply carries out an order and returns its status. One mutex of the platform
-// covers all orders, so that the ledger sees them one after the other.
-func (p *Platform) apply(s *Server, order wire.Order) int {
-	p.orders.Lock()
-	defer p.orders.Unlock()
+// applyOrder carries out an order and returns the HTTP status. One mutex of the platform
+// serialises all orders, so that the checks see one change of membership at a time.
+func (p *Platform) applyOrder(s *Server, order wire.Order) int {
+	p.ordersMutex.Lock()
+	defer p.ordersMutex.Unlock()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	group := s.state.Group
 	isSame := group != nil && group.Name == order.Group && group.Epoch == order.Epoch
 	switch order.Operation {
 	case wire.OperationJoin:
-		return s.join(order, isSame)
+		return s.joinGroup(order, isSame)
 	case wire.OperationOpen:
-		return s.open(isSame)
+		return s.openGroup(isSame)
 	case wire.OperationClose:
 		if isSame && group.State == "open" {
-			s.setState("ready")
+			s.setMemberState("ready")
 		}
 		return http.StatusOK
 	case wire.OperationLeave:
 		if isSame {
 			s.state.Group = nil
-			s.tell()
+			s.writeEntry()
 		}
 		return http.StatusOK
 	case wire.OperationStage:
 		s.state.Staged = []string{order.Model}
-		s.tell()
+		s.writeEntry()
 		return http.StatusAccepted
 	default:
 		return http.StatusBadRequest
 	}
 }
 
-// setState changes the membership's state. The mutex is held.
-func (s *Server) setState(state string) {
+// setMemberState changes the state of the server's membership. The mutex is held.
+func (s *Server) setMemberState(state string) {
 	next := *s.state.Group
 	next.State = state
 	s.state.Group = &next
-	s.tell()
+	s.writeEntry()
 }
 
-// join makes the server a member. The mutex is held.
-func (s *Server) join(order wire.Order, isSame bool) int {
+// joinGroup makes the server a member of a group and loads its model. The mutex is held.
+func (s *Server) joinGroup(order wire.Order, isSame bool) int {
 	switch {
 	case isSame && slices.Equal(s.members, order.Members):
 		return http.StatusOK
-	case isSame || order.Epoch < s.seen:
+	case isSame || order.Epoch < s.latestEpoch:
 		return http.StatusPreconditionFailed
 	}
-	s.platform.checkFree(s)
-	s.seen = order.Epoch
+	s.platform.checkFormerGroupClosed(s)
+	s.latestEpoch = order.Epoch
 	s.members = order.Members
 	s.state.Group = &wire.Membership{
 		Name:  order.Group,
@@ -81,12 +81,12 @@
 		Rank:  slices.Index(order.Members, s.id),
 		State: "joining",
 	}
-	s.tell()
+	s.writeEntry()
 	time.AfterFunc(loadTime, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		now := s.state.Group
-		if now == nil || now.Name != order.Group || now.Epoch != order.Epoch || now.State != "joining" {
+		current := s.state.Group
+		if current == nil || current.Name != order.Group || current.Epoch != order.Epoch || current.State != "joining" {
 			return
 		}
 		s.state.Models = []wire.LoadedModel{
@@ -95,18 +95,18 @@
 			},
 		}
 		s.state.Staged = []string{order.Model}
-		s.platform.noteReady(s.id, order.Group, order.Epoch)
-		s.setState("ready")
+		s.platform.recordReady(s.id, order.Group, order.Epoch)
+		s.setMemberState("ready")
 	})
 	return http.StatusAccepted
 }
 
-// open lets a ready head serve. The mutex is held.
-func (s *Server) open(isSame bool) int {
+// openGroup makes a ready head accept requests. The mutex is held.
+func (s *Server) openGroup(isSame bool) int {
 	if !isSame || s.state.Group.State != "ready" {
 		return http.StatusConflict
 	}
-	s.platform.checkReady(s)
-	s.setState("open")
+	s.platform.checkMembersReady(s)
+	s.setMemberState("open")
 	return http.StatusAccepted
 }
--- a/lab/standin/platform.go
+++ b/lab/standin/platform.go
@@ -15,21 +15,22 @@
 	"headcourse/platform/wire"
 )
 
-// Figures of the stand-in: a real deployment's, made quick.
+// Capacity and times of the stand-in's servers, shorter than those of a real deployment to
+// keep tests fast.
 const (
-	slots          = 26
-	loadTime       = 120 * time.Millisecond
-	workTime       = 5 * time.Millisecond
-	eventTime      = 10 * time.Millisecond
-	stallTime      = 1500 * time.Millisecond
-	lapse          = 700 * time.Millisecond
-	tokensPerEvent = 5
-	// leaveTime is how long a leaving server still serves.
-	leaveTime = 2500 * time.Millisecond
+	serverCapacity         = 26
+	loadTime               = 120 * time.Millisecond
+	processingTime         = 5 * time.Millisecond
+	eventInterval          = 10 * time.Millisecond
+	incompleteGroupTimeout = 1500 * time.Millisecond
+	entryTTL               = 700 * time.Millisecond
+	tokensPerEvent         = 5
+	// drainTime is how long a server that is leaving still answers requests.
+	drainTime = 2500 * time.Millisecond
 )
 
-// zones are the availability zones: daemons are in the first one, servers in as many as the
-// stand-in is made with.
+// zones are the availability zones. All daemons are in the first one; servers are in the first
+// Size.Zones.
 var zones = []string{"lab-a", "lab-b", "lab-c"}
 
 // Zone returns the name of a zone by its number.
@@ -37,7 +38,7 @@
 	return zones[number%len(zones)]
 }
 
-// Names that the stand-in's configuration uses.
+// Names in the stand-in's configuration.
 const (
 	Host         = "water.example"
 	KeyOne       = "key-of-cuenca"
@@ -52,41 +53,42 @@
 	PathSmall    = "/small/"
 )
 
-// Platform is the stand-in as a whole. Use Start.
+// Platform is the whole stand-in. Use Start.
 type Platform struct {
 	Store *Store
 
-	// mutex is taken after those of servers, never before: servers that carry out orders hold
-	// their own while they call the platform.
-	mutex   sync.Mutex
-	orders  sync.Mutex
-	servers map[string]*Server
-	next    int
-	config  wire.Config
-	ready   map[string]bool
-	runs    map[string]int
+	// mutex is acquired after the mutex of a server, never before: a server that carries out
+	// an order holds its own mutex while it calls the platform.
+	mutex        sync.Mutex
+	ordersMutex  sync.Mutex
+	servers      map[string]*Server
+	serverCount  int
+	config       wire.Config
+	readyMembers map[string]bool
+	runs         map[string]int
 	// crashes counts the servers that crashed, by the path of the request.
 	crashes map[string]int
-	// restarts are the starts of crashed servers that are due.
-	restarts sync.WaitGroup
-	broken   []string
-	// promises are what servers said to daemons about further requests.
-	promises promises
-	// evacuated are the zones that the operator has evacuated.
-	evacuated evacuations
-	dir       string
-	lead      func(address string) (string, error)
+	// restarts counts the pending restarts of crashed servers.
+	restarts   sync.WaitGroup
+	violations []string
+	// directives are the directives that servers sent to daemons.
+	directives directiveLedger
+	// evacuations are the zones that the operator has evacuated.
+	evacuations       evacuations
+	settingsDir       string
+	advertisedAddress func(address string) (string, error)
 }
 
-// Size is how large a stand-in is.
+// Size is the number of servers and zones of a stand-in.
 type Size struct {
 	Domains   int
 	PerDomain int
 	Plain     int
-	// Zones is in how many zones the domains, and the plain servers, are in turn; 0: in one.
+	// Zones is the number of zones over which domains and plain servers are distributed in
+	// turn; 0 means one.
 	Zones int
-	// Lead, if set, returns the address by which others reach a server that
-	// listens at address, such as that of a proxy.
+	// Lead, if set, returns the address that the platform advertises for a server
+	// that listens at address, such as the address of a proxy.
 	Lead func(address string) (string, error)
 }
 
@@ -95,21 +97,21 @@
 	return Zone(number % max(1, s.Zones))
 }
 
-// Start starts a platform whose settings files are written into dir.
+// Start starts a platform that writes settings files into dir.
 func Start(dir string, size Size) (*Platform, error) {
 	store, err := startStore()
 	if err != nil {
 		return nil, err
 	}
 	p := &Platform{
-		Store:   store,
-		servers: map[string]*Server{},
-		ready:   map[string]bool{},
-		runs:    map[string]int{},
-		crashes: map[string]int{},
-		dir:     dir,
-		lead:    size.Lead,
-		config:  withColdStarts(firstConfig()),
+		Store:             store,
+		servers:           map[string]*Server{},
+		readyMembers:      map[string]bool{},
+		runs:              map[string]int{},
+		crashes:           map[string]int{},
+		settingsDir:       dir,
+		advertisedAddress: size.Lead,
+		config:            withColdStarts(initialConfig()),
 	}
 	p.writeConfig()
 	for d := range size.Domains {
@@ -138,8 +140,8 @@
 	_ = p.Store.server.Close()
 }
 
-// firstConfig returns the configuration that the platform starts with.
-func firstConfig() wire.Config {
+// initialConfig returns the configuration that the platform starts with.
+func initialConfig() wire.Config {
 	route := func(path, kind, service string) wire.Route {
 		return wire.Route{
 			Name:        path,
@@ -183,7 +185,7 @@
 				Name:     ServiceModel,
 				MaxConns: 400,
 				Engine: &wire.Engine{
-					Capacity: slots,
+					Capacity: serverCapacity,
 					Models: []wire.Model{
 						model(ModelLarge, 4, 0.67),
 						model(ModelSmall, 2, 0.33),
@@ -212,17 +214,17 @@
 	}
 }
 
-// writeConfig writes the configuration's row.
+// writeConfig writes the row of the configuration.
 func (p *Platform) writeConfig() {
 	encoded, err := json.Marshal(p.config)
 	if err != nil {
-		p.violate("encode configuration: " + err.Error())
+		p.recordViolation("encode configuration: " + err.Error())
 		return
 	}
-	p.Store.put(wire.TableConfig, wire.KeyConfig, encoded)
+	p.Store.putFromPlatform(wire.TableConfig, wire.KeyConfig, encoded)
 }
 
-// ChangeConfig changes the configuration and raises its version.
+// ChangeConfig changes the configuration and increments its version.
 func (p *Platform) ChangeConfig(change func(config *wire.Config)) {
 	p.mutex.Lock()
 	change(&p.config)
@@ -231,22 +233,22 @@
 	p.writeConfig()
 }
 
-// WriteRawConfig writes something that may be no configuration.
+// WriteRawConfig writes a value, valid or not, into the row of the configuration.
 func (p *Platform) WriteRawConfig(value string) {
-	p.Store.put(wire.TableConfig, wire.KeyConfig, []byte(value))
+	p.Store.putFromPlatform(wire.TableConfig, wire.KeyConfig, []byte(value))
 }
 
-// Servers returns the servers of a service that live, by id.
+// Servers returns the running servers of a service, ordered by ID.
 func (p *Platform) Servers(service string) []*Server {
-	return slices.DeleteFunc(p.started(service), (*Server).dead)
+	return slices.DeleteFunc(p.allServers(service), (*Server).wasKilled)
 }
 
-// started returns all servers of a service that were ever started, by id.
-func (p *Platform) started(service string) []*Server {
+// allServers returns all servers of a service that were ever started, ordered by ID.
+func (p *Platform) allServers(service string) []*Server {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var all []*Server
-	for n := 1; n <= p.next; n++ {
+	for n := 1; n <= p.serverCount; n++ {
 		server, ok := p.servers[fmt.Sprintf("i-%04d", n)]
 		if ok && server.service == service {
 			all = append(all, server)
@@ -255,14 +257,14 @@
 	return all
 }
 
-// dead tells whether the server was killed.
-func (s *Server) dead() bool {
+// wasKilled reports whether the server was killed.
+func (s *Server) wasKilled() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.isDead
+	return s.isKilled
 }
 
-// Heads returns the heads of the open, whole groups of a model.
+// Heads returns the heads of a model's groups that are open and complete.
 func (p *Platform) Heads(model string) []*Server {
 	var heads []*Server
 	for _, server := range p.Servers(ServiceModel) {
@@ -270,14 +272,14 @@
 		group, models := server.state.Group, server.state.Models
 		server.mutex.Unlock()
 		isOpen := group != nil && group.Rank == 0 && group.State == "open"
-		if isOpen && len(models) > 0 && models[0].Name == model && p.isWhole(server) {
+		if isOpen && len(models) > 0 && models[0].Name == model && p.isComplete(server) {
 			heads = append(heads, server)
 		}
 	}
 	return heads
 }
 
-// Members returns the servers of a head's group.
+// Members returns the members of a head's group.
 func (p *Platform) Members(head *Server) []*Server {
 	head.mutex.Lock()
 	ids := head.members
@@ -291,8 +293,8 @@
 	return members
 }
 
-// isWhole tells whether all members of a head's group live and are in it.
-func (p *Platform) isWhole(head *Server) bool {
+// isComplete reports whether all members of a head's group are running and still in the group.
+func (p *Platform) isComplete(head *Server) bool {
 	head.mutex.Lock()
 	group := head.state.Group
 	head.mutex.Unlock()
@@ -304,60 +306,62 @@
 			continue
 		}
 		member.mutex.Lock()
-		own, isDead := member.state.Group, member.isDead
+		memberGroup, isDead := member.state.Group, member.isKilled
 		member.mutex.Unlock()
-		if isDead || own == nil || own.Name != group.Name || own.Epoch != group.Epoch {
+		if isDead || memberGroup == nil || memberGroup.Name != group.Name || memberGroup.Epoch != group.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// Violate notes something that a caller saw and that must never happen.
-func (p *Platform) Violate(what string) {
-	p.violate(what)
+// Violate records a violation that a caller detected.
+func (p *Platform) Violate(violation string) {
+	p.recordViolation(violation)
 }
 
-// StartLike starts an empty server of the service and the domain of another.
-func (p *Platform) StartLike(former *Server) error {
-	return p.startServer(former.service, former.domain, former.state.Zone)
+// StartLike starts an empty server with the service, domain and zone of another.
+func (p *Platform) StartLike(template *Server) error {
+	return p.startServer(template.service, template.domain, template.state.Zone)
 }
 
-// violate notes something that must never happen.
-func (p *Platform) violate(what string) {
+// recordViolation records a violation of the users' rules.
+func (p *Platform) recordViolation(violation string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.broken = append(p.broken, what)
+	p.violations = append(p.violations, violation)
 }
 
-// Violations returns what must never happen and did.
+// Violations returns the recorded violations.
 func (p *Platform) Violations() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return append([]string{}, p.broken...)
+	return append([]string{}, p.violations...)
 }
 
-// noteReady notes that a member was ready under a group's name and epoch.
-func (p *Platform) noteReady(id, group string, epoch int64) {
+// recordReady records that a server was a ready member of a group in an epoch.
+func (p *Platform) recordReady(id, group string, epoch int64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.ready[fmt.Sprintf("%s %s %d", id, group, epoch)] = true
+	p.readyMembers[fmt.Sprintf("%s %s %d", id, group, epoch)] = true
 }
 
-// checkReady notes a head that opens before all members were ready.
-func (p *Platform) checkReady(head *Server) {
+// checkMembersReady records a violation if a head opens its group before all members were
+// ready.
+func (p *Platform) checkMembersReady(head *Server) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	group := head.state.Group
 	for _, id := range head.members {
-		if !p.ready[fmt.Sprintf("%s %s %d", id, group.Name, group.Epoch)] {
-			p.broken = append(p.broken, fmt.Sprintf("group %s opened, but %s was never ready in it", group.Name, id))
+		if !p.readyMembers[fmt.Sprintf("%s %s %d", id, group.Name, group.Epoch)] {
+			p.violations = append(p.violations, fmt.Sprintf("group %s opened, but its member %s was never ready", group.Name, id))
 		}
 	}
 }
 
-// checkFree notes a server that joins while the head of its group serves.
-func (p *Platform) checkFree(s *Server) {
+// checkFormerGroupClosed records a violation if a server joins a group while the head of its
+// former group still accepts requests.
+func (p *Platform) checkFormerGroupClosed(s *Server) {
 	group := s.state.Group
 	if group == nil || group.Rank == 0 {
 		return
@@ -369,27 +373,28 @@
 		return
 	}
 	head.mutex.Lock()
-	own, isDead := head.state.Group, head.isDead
+	headGroup, isDead := head.state.Group, head.isKilled
 	head.mutex.Unlock()
-	if !isDead && own != nil && own.Name == group.Name && own.Epoch == group.Epoch && own.State == "open" {
-		p.violate(fmt.Sprintf("%s joined another group while its head %s served", s.id, head.id))
+	if !isDead && headGroup != nil && headGroup.Name == group.Name && headGroup.Epoch == group.Epoch && headGroup.State == "open" {
+		p.recordViolation(fmt.Sprintf("%s joined another group while its former head %s still accepted requests", s.id, head.id))
 	}
 }
 
-// noteRun notes that a server runs a request, and what is wrong with it.
-func (p *Platform) noteRun(s *Server, r *http.Request, id string) {
+// recordRun counts a run of a request. It records a violation if a request that may not be
+// repeated ran before, still has the caller's key, or names an unknown organisation.
+func (p *Platform) recordRun(s *Server, r *http.Request, id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.runs[id]++
 	isUnsafe := len(r.URL.Path) >= len(PathUnsafe) && r.URL.Path[:len(PathUnsafe)] == PathUnsafe
 	if isUnsafe && p.runs[id] > 1 {
-		p.broken = append(p.broken, "request "+id+" may not be repeated and ran again at "+s.id)
+		p.violations = append(p.violations, "request "+id+" may not be repeated, but ran again on "+s.id)
 	}
 	if r.Header.Get(wire.HeaderKey) != "" {
-		p.broken = append(p.broken, "request "+id+" came with its key")
+		p.violations = append(p.violations, "request "+id+" was forwarded with the caller's key")
 	}
 	if tenant := r.Header.Get(wire.HeaderTenant); tenant != "cuenca" && tenant != "loja" {
-		p.broken = append(p.broken, "request "+id+" came for organisation "+tenant)
+		p.violations = append(p.violations, "request "+id+" was forwarded with the unknown organisation "+tenant)
 	}
 }
 
@@ -400,8 +405,8 @@
 	return p.runs[id]
 }
 
-// settingsText is a settings file as the platform writes it.
-const settingsText = `NodeName: %q
+// settingsTemplate is the text of a settings file.
+const settingsTemplate = `NodeName: %q
 Role: "entry"
 Ip: "127.0.0.1"
 Zone: %q
@@ -435,17 +440,17 @@
   Address: %q
 `
 
-// WriteSettings writes the settings file of a daemon and returns its path. Ports
-// of 0 let the daemon pick free ones.
-func (p *Platform) WriteSettings(name string, clients, ready, relay int) (string, error) {
-	return p.WriteSettingsFor(name, p.Store.address, clients, ready, relay)
+// WriteSettings writes the settings file of a daemon and returns its path. A port of 0 makes
+// the daemon choose a free port.
+func (p *Platform) WriteSettings(name string, clientPort, readyPort, relayPort int) (string, error) {
+	return p.WriteSettingsFor(name, p.Store.address, clientPort, readyPort, relayPort)
 }
 
-// WriteSettingsFor is WriteSettings for a daemon that reaches the store by another
-// address, such as that of a proxy.
-func (p *Platform) WriteSettingsFor(name, store string, clients, ready, relay int) (string, error) {
-	path := filepath.Join(p.dir, name+".yaml")
-	text := fmt.Sprintf(settingsText, name, Zone(0), clients, ready, relay, relay, store)
-	const readable = 0o600
-	return path, errors.Wrapf(os.WriteFile(path, []byte(text), readable), "write settings of %s", name)
+// WriteSettingsFor writes the settings file of a daemon that reaches the store by the
+// given address, such as that of a proxy.
+func (p *Platform) WriteSettingsFor(name, storeAddress string, clientPort, readyPort, relayPort int) (string, error) {
+	path := filepath.Join(p.settingsDir, name+".yaml")
+	text := fmt.Sprintf(settingsTemplate, name, Zone(0), clientPort, readyPort, relayPort, relayPort, storeAddress)
+	const fileMode = 0o600
+	return path, errors.Wrapf(os.WriteFile(path, []byte(text), fileMode), "write settings of %s", name)
 }
--- a/lab/standin/platform_test.go
+++ b/lab/standin/platform_test.go
@@ -14,11 +14,12 @@
 	"headcourse/platform/wire"
 )
 
-// stuckAfter is far longer than the calls of a test take.
-const stuckAfter = 30 * time.Second
+// deadlockTimeout is far longer than the calls of a test take.
+const deadlockTimeout = 30 * time.Second
 
-// Guards against a deadlock between lists of servers and servers that carry out orders.
-func TestServersAreListedWhileOrdersAreCarriedOut(t *testing.T) {
+// Guards against a deadlock between listing servers and servers that carry out orders: the
+// platform's mutex and the mutex of a server were acquired in different orders.
+func TestListingServersDuringOrdersDoesNotDeadlock(t *testing.T) {
 	const orders = 2000
 	platform, err := standin.Start(t.TempDir(), standin.Size{
 		Domains:   1,
@@ -26,49 +27,49 @@
 		Plain:     1,
 	})
 	qt.Assert(t, err, qt.IsNil)
-	isDone := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(isDone)
+		defer close(done)
 		var calls conc.WaitGroup
-		hasEnded := make(chan struct{})
+		ordersDone := make(chan struct{})
 		calls.Go(func() {
 			for {
 				select {
-				case <-hasEnded:
+				case <-ordersDone:
 					return
 				default:
 					platform.Servers(standin.ServiceModel)
 				}
 			}
 		})
-		giveOrders(t, platform, orders)
-		close(hasEnded)
+		sendOrders(t, platform, orders)
+		close(ordersDone)
 		calls.Wait()
 	}()
 	select {
-	case <-isDone:
+	case <-done:
 		platform.Close()
-	case <-time.After(stuckAfter):
+	case <-time.After(deadlockTimeout):
 		// Close would wait for the same mutexes.
-		t.Fatal("servers are not listed any more")
+		t.Fatal("listing servers did not return")
 	}
 }
 
-// giveOrders has servers join groups one after the other, each under an epoch of its own.
-func giveOrders(t *testing.T, platform *standin.Platform, orders int) {
+// sendOrders makes servers join groups one after the other, each in an epoch of its own.
+func sendOrders(t *testing.T, platform *standin.Platform, orders int) {
 	t.Helper()
 	servers := platform.Servers(standin.ServiceModel)
 	for i := range orders {
-		one := servers[i%len(servers)]
+		server := servers[i%len(servers)]
 		encoded, err := json.Marshal(wire.Order{
 			Operation: wire.OperationJoin,
 			Group:     "g",
 			Epoch:     int64(i + 1),
 			Model:     standin.ModelSmall,
-			Members:   []string{servers[0].ID(), one.ID()},
+			Members:   []string{servers[0].ID(), server.ID()},
 		})
 		qt.Check(t, err, qt.IsNil)
-		answer, err := http.Post("http://"+one.Address()+wire.PathOrder, "application/json", bytes.NewReader(encoded))
+		answer, err := http.Post("http://"+server.Address()+wire.PathOrder, "application/json", bytes.NewReader(encoded))
 		if qt.Check(t, err, qt.IsNil) {
 			qt.Check(t, answer.Body.Close(), qt.IsNil)
 		}
--- a/lab/standin/restore.go
+++ b/lab/standin/restore.go
@@ -10,91 +10,93 @@
 	"headcourse/platform/wire"
 )
 
-// ownWrite is what an operator or a server wrote last to a row; nil: it removed the row.
-type ownWrite struct {
-	value  []byte
-	number int64
+// platformWrite is the last value that an operator or a server wrote to a row; nil means that
+// the row was removed.
+type platformWrite struct {
+	value    []byte
+	sequence int64
 }
 
 // Snapshot is a copy of the store.
 type Snapshot struct {
-	rows      map[rowKey]wire.Row
-	history   []wire.Row
-	version   int64
-	floor     int64
-	ownWrites int64
-	taken     time.Time
+	rows               map[rowKey]wire.Row
+	history            []wire.Row
+	version            int64
+	minFeedVersion     int64
+	platformWriteCount int64
+	takenAt            time.Time
 }
 
-// Snapshot returns a copy of the store as it is.
+// Snapshot returns a copy of the store's current state.
 func (s *Store) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return Snapshot{
-		rows:      maps.Clone(s.rows),
-		history:   slices.Clone(s.history),
-		version:   s.version,
-		floor:     s.floor,
-		ownWrites: s.ownWrites,
-		taken:     time.Now(),
+		rows:               maps.Clone(s.rows),
+		history:            slices.Clone(s.history),
+		version:            s.version,
+		minFeedVersion:     s.minFeedVersion,
+		platformWriteCount: s.platformWriteCount,
+		takenAt:            time.Now(),
 	}
 }
 
-// Restoring is how the store is restored.
+// Restoring sets how the store is restored.
 type Restoring struct {
-	// RewriteWithin is how long it takes until operators and servers have written again
-	// what the copy lacks, each row at a moment of its own; 0: at once.
+	// RewriteWithin is the time within which operators and servers repeat the writes that
+	// the snapshot lacks, each at a random moment; 0 means at once.
 	RewriteWithin time.Duration
-	// IsClockKept tells that the store's clock goes on; else it goes back with the rows.
+	// IsClockKept tells that the store's clock continues; otherwise it returns to the time of
+	// the snapshot.
 	IsClockKept bool
 }
 
-// Restore replaces the store by a copy and begins a new era. What daemons wrote since is
-// gone, and versions are given out again.
-func (s *Store) Restore(snapshot Snapshot, how Restoring) {
+// Restore replaces the contents of the store by a snapshot and begins a new era. Later writes
+// of daemons are lost, and their version numbers are assigned again.
+func (s *Store) Restore(snapshot Snapshot, options Restoring) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era++
 	s.rows = maps.Clone(snapshot.rows)
 	s.history = slices.Clone(snapshot.history)
 	s.version = snapshot.version
-	s.floor = snapshot.floor
-	if !how.IsClockKept {
-		s.started = s.started.Add(time.Since(snapshot.taken))
+	s.minFeedVersion = snapshot.minFeedVersion
+	if !options.IsClockKept {
+		s.clockStart = s.clockStart.Add(time.Since(snapshot.takenAt))
 	}
-	s.wake()
-	for _, at := range s.lostKeys(snapshot) {
-		number := s.own[at].number
-		if how.RewriteWithin == 0 {
-			s.putAgain(at.table, at.key, s.own[at].value)
+	s.notifyWaiters()
+	for _, key := range s.lostRows(snapshot) {
+		sequence := s.platformWrites[key].sequence
+		if options.RewriteWithin == 0 {
+			s.applyPlatformWrite(key.table, key.key, s.platformWrites[key].value)
 			continue
 		}
-		time.AfterFunc(rand.N(how.RewriteWithin), func() {
-			s.writeAgain(at, number)
+		time.AfterFunc(rand.N(options.RewriteWithin), func() {
+			s.repeatPlatformWrite(key, sequence)
 		})
 	}
 }
 
-// lostKeys returns the rows that operators and servers have written since a copy, in
-// the order in which they did. The mutex is held.
-func (s *Store) lostKeys(snapshot Snapshot) []rowKey {
+// lostRows returns the rows that operators and servers wrote after the snapshot, in the order
+// of their writes. The mutex is held.
+func (s *Store) lostRows(snapshot Snapshot) []rowKey {
 	var lost []rowKey
-	for at, write := range s.own {
-		if write.number > snapshot.ownWrites {
-			lost = append(lost, at)
+	for key, write := range s.platformWrites {
+		if write.sequence > snapshot.platformWriteCount {
+			lost = append(lost, key)
 		}
 	}
 	slices.SortFunc(lost, func(a, b rowKey) int {
-		return cmp.Compare(s.own[a].number, s.own[b].number)
+		return cmp.Compare(s.platformWrites[a].sequence, s.platformWrites[b].sequence)
 	})
 	return lost
 }
 
-// writeAgain writes a row again unless it was written anew since.
-func (s *Store) writeAgain(at rowKey, number int64) {
+// repeatPlatformWrite writes a lost row again unless it has been written since the restore.
+func (s *Store) repeatPlatformWrite(key rowKey, sequence int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.own[at].number == number {
-		s.putAgain(at.table, at.key, s.own[at].value)
+	if s.platformWrites[key].sequence == sequence {
+		s.applyPlatformWrite(key.table, key.key, s.platformWrites[key].value)
 	}
 }
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -14,34 +14,34 @@
 	"headcourse/platform/wire"
 )
 
-// Server is one start of a backend server.
+// Server is a backend server. A restart under the same ID keeps the Server.
 type Server struct {
 	platform *Platform
 	id       string
 	service  string
 	domain   string
 	address  string
-	// listens is where the server itself listens; address may lead there.
-	listens string
-	http    *http.Server
+	// listenAddress is where the server listens; address may be that of a proxy.
+	listenAddress string
+	http          *http.Server
 
-	mutex   sync.Mutex
-	isDead  bool
-	state   wire.Server
-	members []string
-	seen    int64
-	mood    Mood
-	pace    float64
-	// pause is what the server asks for with each request that it turns away; 0: none.
-	pause time.Duration
-	// isLeaving tells that all answers say that the server leaves.
+	mutex       sync.Mutex
+	isKilled    bool
+	state       wire.Server
+	members     []string
+	latestEpoch int64
+	behaviour   Mood
+	pace        float64
+	// retryAfter is the pause that the server requests with each rejection; 0 means none.
+	retryAfter time.Duration
+	// isLeaving makes all answers announce that the server is leaving.
 	isLeaving bool
-	// limit is what all answers say that the server takes a second; nil: nothing.
+	// limit is the limit that all answers announce, in requests per second; nil means none.
 	limit *float64
-	cold  cold
+	cold  coldState
 }
 
-// SetPace makes the server's report say how many times longer its work takes.
+// SetPace sets the slowdown that the server reports: how many times longer its work takes.
 func (s *Server) SetPace(pace float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -51,9 +51,9 @@
 // Mood is how a server treats requests.
 type Mood int
 
-// The moods: Good; Failing answers 500; Shedding says that it ran nothing;
-// Cutting breaks answers off; Extra sends an answer that nobody asked for after
-// each whole one.
+// Good answers normally; Failing answers 500; Shedding rejects requests as not executed;
+// Cutting closes the connection in the middle of an answer; Extra sends a second
+// answer that belongs to no request after each answer.
 const (
 	Good Mood = iota
 	Failing
@@ -69,14 +69,14 @@
 		return errors.Wrapf(err, "listen for a server of %s", service)
 	}
 	address := listener.Addr().String()
-	if p.lead != nil {
-		if address, err = p.lead(address); err != nil {
+	if p.advertisedAddress != nil {
+		if address, err = p.advertisedAddress(address); err != nil {
 			return err
 		}
 	}
 	p.mutex.Lock()
-	p.next++
-	id := fmt.Sprintf("i-%04d", p.next)
+	p.serverCount++
+	id := fmt.Sprintf("i-%04d", p.serverCount)
 	p.mutex.Unlock()
 	s := &Server{
 		platform: p,
@@ -88,7 +88,7 @@
 			Service:  service,
 			Address:  address,
 			Zone:     zone,
-			Capacity: slots,
+			Capacity: serverCapacity,
 			State:    wire.StateReady,
 		},
 	}
@@ -101,61 +101,63 @@
 	p.mutex.Unlock()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.serve(listener)
+	s.startServing(listener)
 	return nil
 }
 
-// serve begins a start of the server: it writes its entry and serves. The mutex is held.
-func (s *Server) serve(listener net.Listener) {
+// startServing begins a new run of the server: it writes the entry and serves requests. The
+// mutex is held.
+func (s *Server) startServing(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathOrder, s.handleOrder)
 	mux.HandleFunc("GET "+wire.PathReport, s.handleReport)
 	mux.HandleFunc("/", s.handleRequest)
 	started := &http.Server{
-		Handler:           s.sayOwn(mux),
+		Handler:           s.addDirectives(mux),
 		ReadHeaderTimeout: time.Minute,
 	}
 	s.http = started
-	s.listens = listener.Addr().String()
-	// Two starts within a millisecond are told apart too.
+	s.listenAddress = listener.Addr().String()
+	// Two starts within one millisecond still get different values.
 	s.state.Born = max(s.state.Born+1, time.Now().UnixMilli())
 	go func() {
-		// Serve ends with an error only when the server is closed.
+		// Serve returns an error only after the server is closed.
 		_ = started.Serve(listener)
 	}()
-	s.tell()
+	s.writeEntry()
 }
 
-// Restart has the server crash and start again under its id, before its entry lapses. It
-// holds and knows nothing of before; its host keeps what is staged.
+// Restart makes the server crash and start again under its ID, before its entry expires. The
+// server loses its models, its group, its limit and its announcement that it is leaving; its
+// host keeps the staged weights.
 func (s *Server) Restart() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.isDead {
+	if s.isKilled {
 		return nil
 	}
 	_ = s.http.Close()
-	listener, err := net.Listen("tcp", s.listens)
+	listener, err := net.Listen("tcp", s.listenAddress)
 	if err != nil {
-		return errors.Wrapf(err, "start %s again", s.id)
+		return errors.Wrapf(err, "restart server %s", s.id)
 	}
 	s.state.Models = nil
 	s.state.Group = nil
 	s.members = nil
-	s.seen = 0
+	s.latestEpoch = 0
 	s.isLeaving = false
 	s.limit = nil
-	s.platform.promises.forgetServer(s.id)
-	s.serve(listener)
+	s.platform.directives.removeServer(s.id)
+	s.startServing(listener)
 	return nil
 }
 
-// ID returns the server's id.
+// ID returns the server's ID.
 func (s *Server) ID() string {
 	return s.id
 }
 
-// Start returns what names this start of the server among those under its id.
+// Start identifies the current run of the server among all runs under its ID.
 func (s *Server) Start() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -168,33 +170,34 @@
 }
 
 // SetMood changes how the server treats requests from now on.
-func (s *Server) SetMood(mood Mood) {
+func (s *Server) SetMood(behaviour Mood) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.mood = mood
+	s.behaviour = behaviour
 }
 
-// Drain has the server say that it leaves.
+// Drain makes the server announce in its entry and its answers that it is leaving.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.State = wire.StateDraining
 	s.isLeaving = true
-	s.tell()
+	s.writeEntry()
 }
 
-// DrainByEntry has the server say that it leaves by its entry alone, not by its answers.
+// DrainByEntry makes the server announce that it is leaving in its entry, but not in its
+// answers.
 func (s *Server) DrainByEntry() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.State = wire.StateDraining
-	s.tell()
+	s.writeEntry()
 }
 
-// Leave has the server say that it leaves, and ends it some time later.
+// Leave makes the server announce that it is leaving, and ends it after drainTime.
 func (s *Server) Leave() {
 	s.Drain()
-	time.AfterFunc(leaveTime, s.Kill)
+	time.AfterFunc(drainTime, s.Kill)
 }
 
 // Stop ends the server's process; its entry stays.
@@ -204,46 +207,46 @@
 	_ = s.http.Close()
 }
 
-// Kill ends the server without a word; its entry goes after the lapse.
+// Kill ends the server without an announcement; its entry is removed after entryTTL.
 func (s *Server) Kill() {
 	s.mutex.Lock()
-	s.isDead = true
+	s.isKilled = true
 	_ = s.http.Close()
 	s.mutex.Unlock()
-	time.AfterFunc(lapse, func() {
-		s.platform.Store.put(wire.TableServers, s.id, nil)
+	time.AfterFunc(entryTTL, func() {
+		s.platform.Store.putFromPlatform(wire.TableServers, s.id, nil)
 	})
 }
 
-// tell writes the server's entry. The mutex is held.
-func (s *Server) tell() {
-	if s.isDead {
+// writeEntry writes the server's entry unless the server was killed. The mutex is held.
+func (s *Server) writeEntry() {
+	if s.isKilled {
 		return
 	}
 	encoded, err := json.Marshal(s.state)
 	if err != nil {
-		s.platform.violate("encode entry of " + s.id + ": " + err.Error())
+		s.platform.recordViolation("encode entry of " + s.id + ": " + err.Error())
 		return
 	}
-	s.platform.Store.put(wire.TableServers, s.id, encoded)
+	s.platform.Store.putFromPlatform(wire.TableServers, s.id, encoded)
 }
 
-// report is what a server answers to a probe.
-type report struct {
+// probeAnswer is the body of the answer to a probe.
+type probeAnswer struct {
 	wire.EngineState
 	wire.Report
 }
 
 // handleReport answers a probe.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
-	if !s.isExpected(w, r) {
+	if !s.isForThisServer(w, r) {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	// Whoever went away gets nothing.
-	_ = json.NewEncoder(w).Encode(report{
+	// The error is ignored: the caller may have closed the connection.
+	_ = json.NewEncoder(w).Encode(probeAnswer{
 		EngineState: s.state.EngineState,
 		Report: wire.Report{
 			Birth: s.state.Birth,
@@ -252,8 +255,9 @@
 	})
 }
 
-// isExpected tells whether a call is for this start; it answers 421 otherwise.
-func (s *Server) isExpected(w http.ResponseWriter, r *http.Request) bool {
+// isForThisServer reports whether a call is addressed to this server's ID, and answers 421 if
+// not.
+func (s *Server) isForThisServer(w http.ResponseWriter, r *http.Request) bool {
 	if expected := r.Header.Get(wire.HeaderInstance); expected == "" || expected == s.id {
 		return true
 	}
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -1,11 +1,10 @@
-// Package standin is a small stand-in of the users' platform: its store with
-// rows under conditions and a feed, backend servers that form groups under
-// orders, and clients that check what they are answered. Real daemons run
-// against it over loopback sockets, in tests and by hand.
+// Package standin is a small stand-in for the users' platform: a store with conditional writes
+// and a feed of changes, backend servers that form groups on orders, and clients that check
+// their answers. Tests and manual runs connect real daemons to it over loopback sockets.
 //
-// It speaks HTTP by net/http, not by the library that the product uses, so that
-// a mistake of one library does not hide on both sides. A ledger notes every run
-// of a request and every membership, and what must never happen.
+// It uses net/http instead of the HTTP library of the product, so that a fault of one library
+// can't go unnoticed on both sides. The stand-in records every run of a request and every
+// group membership, and the violations of the users' rules.
 package standin
 
 import (
@@ -24,13 +23,14 @@
 	"headcourse/platform/wire"
 )
 
-// Fault is how the store behaves to callers; operators and servers always reach
+// Fault is how the store answers daemons. Operators and servers reach the store in spite of
 // it.
 type Fault int
 
-// The faults of the store: Well has none; Refusing answers 503; Silent takes
-// calls and says nothing; Lossy does writes and does not answer; Late says nothing either,
-// and does writes once the fault is over, if their conditions hold then.
+// Well answers normally. Refusing answers 503. Silent accepts calls and never
+// answers. Lossy commits writes but does not answer them. Late never
+// answers either, and commits pending writes when the fault ends, if their conditions hold
+// then.
 const (
 	Well Fault = iota
 	Refusing
@@ -39,37 +39,38 @@
 	Late
 )
 
-// Bounds of calls, as the platform's pages say.
+// Maximum sizes of answers and transactions, as the platform specifies them.
 const (
-	// pageRows is how many rows of a table one answer holds.
-	pageRows = 500
-	// maxEntries is how many conditions, writes and removes a transaction may have
+	// maxPageRows is the number of rows of a table that one answer holds.
+	maxPageRows = 500
+	// maxTransactionEntries limits the conditions, writes and removes of a transaction
 	// together.
-	maxEntries = 100
+	maxTransactionEntries = 100
 )
 
 // Store is the platform's store. Use startStore.
 type Store struct {
-	server  *http.Server
-	address string
-	started time.Time
-	mutex   sync.Mutex
-	rows    map[rowKey]wire.Row
-	history []wire.Row
-	// era counts the restores from older copies; version orders changes within one era.
-	era     int64
-	version int64
-	floor   int64
-	fault   Fault
-	// own are the last writes of operators and servers, ownWrites counts them.
-	own       map[rowKey]ownWrite
-	ownWrites int64
-	// silent is a table about which nothing is answered; empty: none.
-	silent  string
-	changed chan struct{}
+	server     *http.Server
+	address    string
+	clockStart time.Time
+	mutex      sync.Mutex
+	rows       map[rowKey]wire.Row
+	history    []wire.Row
+	// era counts the restores from older copies; version orders the changes within one era.
+	era            int64
+	version        int64
+	minFeedVersion int64
+	fault          Fault
+	// platformWrites holds the last write of operators and servers to each row;
+	// platformWriteCount counts these writes.
+	platformWrites     map[rowKey]platformWrite
+	platformWriteCount int64
+	// unansweredTable is a table whose reads and feeds get no answer; empty means none.
+	unansweredTable string
+	changed         chan struct{}
 }
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct {
 	table string
 	key   string
@@ -82,13 +83,13 @@
 		return nil, errors.Wrap(err, "listen for the store")
 	}
 	s := &Store{
-		address: listener.Addr().String(),
-		started: time.Now(),
-		rows:    map[rowKey]wire.Row{},
-		own:     map[rowKey]ownWrite{},
-		era:     1,
-		version: 1,
-		changed: make(chan struct{}),
+		address:        listener.Addr().String(),
+		clockStart:     time.Now(),
+		rows:           map[rowKey]wire.Row{},
+		platformWrites: map[rowKey]platformWrite{},
+		era:            1,
+		version:        1,
+		changed:        make(chan struct{}),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathRead, s.handleRead)
@@ -99,7 +100,7 @@
 		ReadHeaderTimeout: time.Minute,
 	}
 	go func() {
-		// Serve ends with an error only when the server is closed.
+		// Serve returns an error only after the server is closed.
 		_ = s.server.Serve(listener)
 	}()
 	return s, nil
@@ -110,71 +111,73 @@
 	return s.address
 }
 
-// SetFault changes how the store behaves from now on.
+// SetFault changes how the store answers from now on.
 func (s *Store) SetFault(fault Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
-	s.wake()
+	s.notifyWaiters()
 }
 
-// Forget drops the history, so that whoever follows must read anew.
+// Forget drops the history, so that clients of the feed must read their tables again.
 func (s *Store) Forget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.floor = s.version + 1
+	s.minFeedVersion = s.version + 1
 	s.history = nil
-	s.wake()
+	s.notifyWaiters()
 }
 
-// wake wakes all who follow. The mutex is held.
-func (s *Store) wake() {
+// notifyWaiters wakes all calls that wait for changes. The mutex is held.
+func (s *Store) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// put writes a row from inside, as operators and servers do; a nil value removes
-// it.
-func (s *Store) put(table, key string, value []byte) {
+// putFromPlatform writes a row as operators and servers do, whatever the fault; a nil value
+// removes the row.
+func (s *Store) putFromPlatform(table, key string, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ownWrites++
-	s.own[rowKey{
+	s.platformWriteCount++
+	s.platformWrites[rowKey{
 		table: table,
 		key:   key,
-	}] = ownWrite{
-		value:  value,
-		number: s.ownWrites,
+	}] = platformWrite{
+		value:    value,
+		sequence: s.platformWriteCount,
 	}
-	s.putAgain(table, key, value)
+	s.applyPlatformWrite(table, key, value)
 }
 
-// putAgain writes a row that operators or servers have written before. The mutex is held.
-func (s *Store) putAgain(table, key string, value []byte) {
+// applyPlatformWrite applies a recorded write of an operator or a server as a new version. The
+// mutex is held.
+func (s *Store) applyPlatformWrite(table, key string, value []byte) {
 	s.version++
-	s.apply(table, key, value)
-	s.wake()
+	s.applyChange(table, key, value)
+	s.notifyWaiters()
 }
 
-// SilenceTable has the store answer nothing about one table.
+// SilenceTable makes the store leave reads and feeds of one table unanswered.
 func (s *Store) SilenceTable(table string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = table
+	s.unansweredTable = table
 }
 
-// Write writes a row from inside, as another writer would, whatever the fault.
+// Write writes a row as another writer of the platform would, whatever the fault.
 func (s *Store) Write(table, key string, value []byte) {
-	s.put(table, key, value)
+	s.putFromPlatform(table, key, value)
 }
 
-// Remove removes a row from inside, whatever the fault.
+// Remove removes a row, whatever the fault.
 func (s *Store) Remove(table, key string) {
-	s.put(table, key, nil)
+	s.putFromPlatform(table, key, nil)
 }
 
-// apply makes one change at the current version. The mutex is held.
-func (s *Store) apply(table, key string, value []byte) {
+// applyChange applies one change at the current version and adds it to the history. The mutex
+// is held.
+func (s *Store) applyChange(table, key string, value []byte) {
 	row := wire.Row{
 		Table:     table,
 		Key:       key,
@@ -182,29 +185,30 @@
 		Version:   s.version,
 		Tombstone: value == nil,
 	}
-	at := rowKey{
+	id := rowKey{
 		table: table,
 		key:   key,
 	}
 	if row.Tombstone {
-		delete(s.rows, at)
+		delete(s.rows, id)
 	} else {
-		s.rows[at] = row
+		s.rows[id] = row
 	}
 	s.history = append(s.history, row)
 }
 
-// enter applies the fault to a call; it returns false when the call is over.
-func (s *Store) enter(w http.ResponseWriter, r *http.Request) bool {
+// applyFault applies the store's fault to a call. It returns false if the call needs no
+// further answer.
+func (s *Store) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	s.mutex.Lock()
 	fault := s.fault
-	if s.silent != "" && r.URL.Query().Get("Table") == s.silent {
+	if s.unansweredTable != "" && r.URL.Query().Get("Table") == s.unansweredTable {
 		fault = Silent
 	}
 	s.mutex.Unlock()
 	switch {
 	case fault == Refusing:
-		s.refuse(w, http.StatusServiceUnavailable)
+		s.writeStatus(w, http.StatusServiceUnavailable)
 		return false
 	case fault == Silent, fault == Late && r.Method == http.MethodGet:
 		<-r.Context().Done()
@@ -214,26 +218,26 @@
 	}
 }
 
-// result is an answer and the era that it is of.
+// result is the body of an answer and the era that it belongs to.
 type result struct {
 	wire.Result
 	era int64
 }
 
-// result returns a result with some rows. The mutex is held.
-func (s *Store) result(rows []wire.Row) result {
+// newResult returns a result with the given rows. The mutex is held.
+func (s *Store) newResult(rows []wire.Row) result {
 	return result{
 		Result: wire.Result{
 			Rows:    rows,
 			Version: s.version,
-			NowMs:   float64(time.Since(s.started).Microseconds()) / 1000,
+			NowMs:   float64(time.Since(s.clockStart).Microseconds()) / 1000,
 		},
 		era: s.era,
 	}
 }
 
-// refuse answers with a status alone.
-func (s *Store) refuse(w http.ResponseWriter, status int) {
+// writeStatus answers with a status and no body.
+func (s *Store) writeStatus(w http.ResponseWriter, status int) {
 	s.mutex.Lock()
 	era := s.era
 	s.mutex.Unlock()
@@ -241,34 +245,34 @@
 	w.WriteHeader(status)
 }
 
-// answer writes a result.
-func answer(w http.ResponseWriter, status int, result result) {
+// writeResult answers with a result.
+func writeResult(w http.ResponseWriter, status int, result result) {
 	w.Header().Set(wire.HeaderEra, strconv.FormatInt(result.era, 10))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// Whoever went away gets nothing.
+	// The error is ignored: the caller may have closed the connection.
 	_ = json.NewEncoder(w).Encode(result.Result)
 }
 
-// handleRead returns a table.
+// handleRead answers with one page of a table.
 func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, r) {
+	if !s.applyFault(w, r) {
 		return
 	}
 	query := r.URL.Query()
 	s.mutex.Lock()
-	rows, hasMore := page(s.table(query.Get("Table")), query.Get("Source"))
-	result := s.result(rows)
+	rows, hasMore := pageFrom(s.tableRows(query.Get("Table")), query.Get("Source"))
+	result := s.newResult(rows)
 	s.mutex.Unlock()
 	result.HasMore = hasMore
-	answer(w, http.StatusOK, result)
+	writeResult(w, http.StatusOK, result)
 }
 
-// table returns the rows of a table, ordered by key. The mutex is held.
-func (s *Store) table(name string) []wire.Row {
+// tableRows returns the rows of a table, ordered by key. The mutex is held.
+func (s *Store) tableRows(name string) []wire.Row {
 	var rows []wire.Row
-	for at, row := range s.rows {
-		if at.table == name {
+	for key, row := range s.rows {
+		if key.table == name {
 			rows = append(rows, row)
 		}
 	}
@@ -278,12 +282,12 @@
 	return rows
 }
 
-// Count returns how many rows of a table have keys that begin so.
+// Count returns the number of rows of a table whose keys have the prefix.
 func (s *Store) Count(table, prefix string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
-	for _, row := range s.table(table) {
+	for _, row := range s.tableRows(table) {
 		if strings.HasPrefix(row.Key, prefix) {
 			count++
 		}
@@ -291,107 +295,108 @@
 	return count
 }
 
-// page returns the rows of one answer, from a key on as many as it may hold, and
-// whether there are more after them.
-func page(rows []wire.Row, from string) ([]wire.Row, bool) {
+// pageFrom returns the rows of one page, starting at a key, and whether more rows follow.
+func pageFrom(rows []wire.Row, from string) ([]wire.Row, bool) {
 	start := slices.IndexFunc(rows, func(row wire.Row) bool {
 		return row.Key >= from
 	})
 	if start < 0 {
 		return nil, false
 	}
-	end := min(len(rows), start+pageRows)
+	end := min(len(rows), start+maxPageRows)
 	return rows[start:end], end < len(rows)
 }
 
-// handleFeed returns changes.
+// handleFeed answers with the changes of a table since a version, and waits for one up to the
+// requested time.
 func (s *Store) handleFeed(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, r) {
+	if !s.applyFault(w, r) {
 		return
 	}
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("SinceRev"), 10, 64)
 	if err != nil {
-		s.refuse(w, http.StatusBadRequest)
+		s.writeStatus(w, http.StatusBadRequest)
 		return
 	}
-	wait, err := strconv.Atoi(query.Get("WaitMs"))
+	waitMs, err := strconv.Atoi(query.Get("WaitMs"))
 	if err != nil {
-		s.refuse(w, http.StatusBadRequest)
+		s.writeStatus(w, http.StatusBadRequest)
 		return
 	}
-	deadline := time.After(time.Duration(wait) * time.Millisecond)
-	for isLast := false; ; {
+	deadline := time.After(time.Duration(waitMs) * time.Millisecond)
+	for hasTimedOut := false; ; {
 		s.mutex.Lock()
-		isGone, isWell := since < s.floor || since > s.version, s.fault == Well || s.fault == Lossy
-		news, changed := s.since(query.Get("Table"), since), s.changed
-		result := s.result(news)
+		isOutOfRange, isAnswering := since < s.minFeedVersion || since > s.version, s.fault == Well || s.fault == Lossy
+		changes, changed := s.changesSince(query.Get("Table"), since), s.changed
+		result := s.newResult(changes)
 		s.mutex.Unlock()
 		switch {
-		case !isWell:
-			if !s.enter(w, r) {
+		case !isAnswering:
+			if !s.applyFault(w, r) {
 				return
 			}
-		case isGone:
-			s.refuse(w, http.StatusGone)
+		case isOutOfRange:
+			s.writeStatus(w, http.StatusGone)
 			return
-		case len(news) > 0 || isLast:
-			answer(w, http.StatusOK, result)
+		case len(changes) > 0 || hasTimedOut:
+			writeResult(w, http.StatusOK, result)
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			isLast = true
+			hasTimedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// since returns the newest change of each row of a table. The mutex is held.
-func (s *Store) since(table string, since int64) []wire.Row {
-	var news []wire.Row
+// changesSince returns the newest change of each row of a table after a version. The mutex is
+// held.
+func (s *Store) changesSince(table string, version int64) []wire.Row {
+	var changes []wire.Row
 	for _, row := range s.history {
-		if row.Table != table || row.Version <= since {
+		if row.Table != table || row.Version <= version {
 			continue
 		}
-		news = slices.DeleteFunc(news, func(older wire.Row) bool {
+		changes = slices.DeleteFunc(changes, func(older wire.Row) bool {
 			return older.Key == row.Key
 		})
-		news = append(news, row)
+		changes = append(changes, row)
 	}
-	return news
+	return changes
 }
 
-// handleCommit does a transaction.
+// handleCommit carries out a transaction.
 func (s *Store) handleCommit(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(w, r) {
+	if !s.applyFault(w, r) {
 		return
 	}
 	var transaction wire.Transaction
 	if err := json.NewDecoder(r.Body).Decode(&transaction); err != nil {
-		s.refuse(w, http.StatusBadRequest)
+		s.writeStatus(w, http.StatusBadRequest)
 		return
 	}
-	if len(transaction.Conditions)+len(transaction.Writes)+len(transaction.Removes) > maxEntries {
-		s.refuse(w, http.StatusBadRequest)
+	if len(transaction.Conditions)+len(transaction.Writes)+len(transaction.Removes) > maxTransactionEntries {
+		s.writeStatus(w, http.StatusBadRequest)
 		return
 	}
-	isLate := s.awaitFault(Late)
+	isDelayed := s.awaitFaultEnd(Late)
 	s.mutex.Lock()
 	status, result := s.commit(transaction)
-	isLost := isLate || s.fault == Lossy
+	isUnanswered := isDelayed || s.fault == Lossy
 	s.mutex.Unlock()
-	if isLost {
+	if isUnanswered {
 		<-r.Context().Done()
 		return
 	}
-	answer(w, status, result)
+	writeResult(w, status, result)
 }
 
-// awaitFault waits while the store has a fault, and tells whether it had to.
-func (s *Store) awaitFault(fault Fault) bool {
+// awaitFaultEnd waits until the store no longer has the fault, and reports whether it waited.
+func (s *Store) awaitFaultEnd(fault Fault) bool {
 	for hasWaited := false; ; hasWaited = true {
 		s.mutex.Lock()
 		changed, isOver := s.changed, s.fault != fault
@@ -403,9 +408,9 @@
 	}
 }
 
-// commit does a transaction if its conditions hold. The mutex is held.
+// commit carries out a transaction if its conditions hold. The mutex is held.
 func (s *Store) commit(transaction wire.Transaction) (int, result) {
-	var found []wire.Row
+	var conditionRows []wire.Row
 	holds := true
 	for _, condition := range transaction.Conditions {
 		row := s.rows[rowKey{
@@ -413,23 +418,23 @@
 			key:   condition.Key,
 		}]
 		holds = holds && row.Version == condition.Version
-		found = append(found, row)
+		conditionRows = append(conditionRows, row)
 	}
 	if !holds {
-		return http.StatusPreconditionFailed, s.result(found)
+		return http.StatusPreconditionFailed, s.newResult(conditionRows)
 	}
 	for _, write := range transaction.Writes {
 		if write.Table == wire.TableServers {
-			return http.StatusForbidden, s.result(nil)
+			return http.StatusForbidden, s.newResult(nil)
 		}
 	}
 	s.version++
 	for _, write := range transaction.Writes {
-		s.apply(write.Table, write.Key, append([]byte{}, write.Value...))
+		s.applyChange(write.Table, write.Key, append([]byte{}, write.Value...))
 	}
 	for _, remove := range transaction.Removes {
-		s.apply(remove.Table, remove.Key, nil)
+		s.applyChange(remove.Table, remove.Key, nil)
 	}
-	s.wake()
-	return http.StatusOK, s.result(nil)
+	s.notifyWaiters()
+	return http.StatusOK, s.newResult(nil)
 }
