--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -14,28 +14,29 @@
 	"headcourse/platform/wire"
 )
 
-// revokeBound is when a withdrawn key must be dead, by the settings that the
-// stand-in writes, plus what the soak's own clock reading may lag.
-const revokeBound = 5*time.Second + 100*time.Millisecond
+// revokeDeadline is the time from the acknowledged withdrawal of a key until no request may
+// run under it: RevokeMs of the stand-in's settings, plus 100 ms for the soak's delay in
+// reading its clock.
+const revokeDeadline = 5*time.Second + 100*time.Millisecond
 
-// keyring knows which keys are in force. Keys are withdrawn and replaced while
-// clients use them.
+// keyring holds the keys that are in force and those that were withdrawn. Keys are replaced
+// while clients use them.
 type keyring struct {
 	mutex sync.Mutex
-	// number makes new keys; withdraw is when a key's withdrawal was
+	// issued numbers the new keys; withdrawnAt is when the withdrawal of a key was
 	// acknowledged.
-	number   int
-	current  string
-	former   []string
-	withdraw map[string]time.Time
+	issued      int
+	current     string
+	withdrawn   []string
+	withdrawnAt map[string]time.Time
 }
 
-// use returns a key: mostly one in force, at times one that was withdrawn.
-func (k *keyring) use(old bool) string {
+// pick returns the key in force or, if wanted, the one that was withdrawn last.
+func (k *keyring) pick(wantWithdrawn bool) string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if old && len(k.former) > 0 {
-		return k.former[len(k.former)-1]
+	if wantWithdrawn && len(k.withdrawn) > 0 {
+		return k.withdrawn[len(k.withdrawn)-1]
 	}
 	if k.current == "" {
 		return standin.KeyOne
@@ -43,97 +44,98 @@
 	return k.current
 }
 
-// replace returns a new key for the organisation; withdrawn must be called when
-// the store has it.
-func (k *keyring) replace() (fresh string, withdrawn func()) {
+// rotate returns a new key for the organisation. The caller must call acknowledge when the
+// store has the key.
+func (k *keyring) rotate() (newKey string, acknowledge func()) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	former := k.current
 	if former == "" {
 		former = standin.KeyOne
 	}
-	k.number++
-	k.current = fmt.Sprintf("soak-key-%d", k.number)
+	k.issued++
+	k.current = fmt.Sprintf("soak-key-%d", k.issued)
 	return k.current, func() {
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
-		k.former = append(k.former, former)
-		k.withdraw[former] = time.Now()
+		k.withdrawn = append(k.withdrawn, former)
+		k.withdrawnAt[former] = time.Now()
 	}
 }
 
-// isDead tells whether a request sent now must not run under a key.
-func (k *keyring) isDead(key string) bool {
+// isRevoked reports whether a request that is sent now must not run under the key.
+func (k *keyring) isRevoked(key string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	at, ok := k.withdraw[key]
-	return ok && time.Since(at) > revokeBound
+	withdrawnAt, ok := k.withdrawnAt[key]
+	return ok && time.Since(withdrawnAt) > revokeDeadline
 }
 
-// tally counts how requests ended.
-type tally struct {
+// outcomeCounter counts requests by outcome.
+type outcomeCounter struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-// add counts one.
-func (t *tally) add(what string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.counts[what]++
+// add counts one request.
+func (c *outcomeCounter) add(outcome string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts[outcome]++
 }
 
-// String returns all counts, ordered by name.
-func (t *tally) String() string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// String returns all counts, ordered by outcome.
+func (c *outcomeCounter) String() string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var parts []string
-	for _, name := range slices.Sorted(maps.Keys(t.counts)) {
-		parts = append(parts, fmt.Sprintf("%s %d", name, t.counts[name]))
+	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", name, c.counts[name]))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// runClient sends requests of all kinds to one daemon, over connections that it
-// keeps, until ctx ends.
-func (s *soak) runClient(ctx context.Context, i int) {
+// runClient sends requests of all kinds to one daemon, over connections that it reuses, until
+// ctx ends.
+func (s *soak) runClient(ctx context.Context, daemonIndex int) {
 	client := &standin.Client{
 		Platform: s.platform,
-		Address:  s.daemons[i].entry.Address(),
-		Daemon:   s.daemons[i].name,
+		Address:  s.daemons[daemonIndex].clientProxy.Address(),
+		Daemon:   s.daemons[daemonIndex].name,
 	}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		const oldEvery = 7
-		client.Key = s.keys.use(turn%oldEvery == 0)
-		wasDead := s.keys.isDead(client.Key)
-		answer := s.askOne(ctx, client, turn)
-		if wasDead && s.platform.Runs(answer.ID) > 0 {
-			s.platform.Violate("request " + answer.ID + " ran under a key withdrawn more than " + revokeBound.String() + " before")
+		const withdrawnKeyEvery = 7
+		client.Key = s.keys.pick(turn%withdrawnKeyEvery == 0)
+		wasRevoked := s.keys.isRevoked(client.Key)
+		answer := s.sendRequest(ctx, client, turn)
+		if wasRevoked && s.platform.Runs(answer.ID) > 0 {
+			s.platform.Violate("request " + answer.ID + " ran under a key that was withdrawn more than " + revokeDeadline.String() + " before")
 		}
 		outcome := fmt.Sprintf("%d", answer.Status)
 		if answer.Err != nil {
 			outcome = "broken"
 		}
 		if answer.Reason == "crashes_servers" {
-			// Counted apart: it merely ran where another request crashed its servers.
+			// Counted separately: the request ran on a server that another request crashed.
 			outcome = "held beside a crash"
 		}
-		s.tally.add(outcome)
-		time.Sleep(clientPause)
+		s.outcomes.add(outcome)
+		time.Sleep(clientInterval)
 	}
 }
 
-// askOne sends one request, of each kind in turn. Some clients leave early.
-func (s *soak) askOne(ctx context.Context, client *standin.Client, turn int) standin.Answer {
+// sendRequest sends one request; the turn selects its kind. Every cancelEvery-th request is
+// cancelled early.
+func (s *soak) sendRequest(ctx context.Context, client *standin.Client, turn int) standin.Answer {
 	const (
-		kinds, leaveEvery    = 4, 11
-		longStream, shortOne = 60, 8
+		kinds, cancelEvery                  = 4, 11
+		longStreamEvents, shortStreamEvents = 60, 8
 	)
-	limit := 8 * time.Second
-	if turn%leaveEvery == 0 {
-		limit = 80 * time.Millisecond
+	timeout := 8 * time.Second
+	if turn%cancelEvery == 0 {
+		timeout = 80 * time.Millisecond
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	switch turn % kinds {
 	case 0:
@@ -141,43 +143,44 @@
 	case 1:
 		return client.Ask(ctx, http.MethodPost, standin.PathUnsafe+"report", nil, strings.Repeat("valve ", turn%3000))
 	case 2:
-		return client.Stream(ctx, standin.ModelLarge, longStream)
+		return client.Stream(ctx, standin.ModelLarge, longStreamEvents)
 	default:
-		return client.Stream(ctx, standin.ModelSmall, shortOne)
+		return client.Stream(ctx, standin.ModelSmall, shortStreamEvents)
 	}
 }
 
-// await waits until every daemon serves every kind of request, and returns what
-// does not work.
-func (s *soak) await(what string) []string {
-	var broken []string
-	for i, one := range s.daemons {
-		for turn := range 4 {
+// awaitServing waits until every daemon serves every kind of request. It returns a failure for
+// each daemon and kind that still fails after servingTimeout.
+func (s *soak) awaitServing(phase string) []string {
+	var failures []string
+	for i, d := range s.daemons {
+		for kind := range 4 {
 			client := &standin.Client{
 				Platform: s.platform,
-				Address:  s.daemons[i].entry.Address(),
+				Address:  s.daemons[i].clientProxy.Address(),
 			}
-			// A turn that is no multiple of the early leavers' number.
-			const patientTurn = 100
-			answer, ok := standin.Await(patience, func() standin.Answer {
-				client.Key = s.keys.use(false)
-				return s.askOne(context.Background(), client, patientTurn+turn)
+			// Turns from here on are not multiples of cancelEvery, so no request is cancelled
+			// early.
+			const uncancelledTurn = 100
+			answer, ok := standin.Await(servingTimeout, func() standin.Answer {
+				client.Key = s.keys.pick(false)
+				return s.sendRequest(context.Background(), client, uncancelledTurn+kind)
 			}, func(answer standin.Answer) bool {
 				return answer.Status == http.StatusOK && answer.Err == nil
 			})
 			if !ok {
-				broken = append(broken, fmt.Sprintf("%s: %s does not serve kind %d: status %d, %v", what, one.name, turn, answer.Status, answer.Err))
+				failures = append(failures, fmt.Sprintf("%s: %s does not serve kind %d: status %d, %v", phase, d.name, kind, answer.Status, answer.Err))
 			}
 		}
 	}
-	return broken
+	return failures
 }
 
-// changeKeys withdraws the key in use and gives out another.
-func (s *soak) changeKeys() {
-	fresh, withdrawn := s.keys.replace()
+// rotateKeys withdraws the key in force and issues another.
+func (s *soak) rotateKeys() {
+	newKey, acknowledge := s.keys.rotate()
 	s.platform.ChangeConfig(func(config *wire.Config) {
-		config.Tenants[0].APIKeys = []string{fresh}
+		config.Tenants[0].APIKeys = []string{newKey}
 	})
-	withdrawn()
+	acknowledge()
 }
--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -10,42 +10,43 @@
 	"headcourse/platform/wire"
 )
 
-// Figures of requests that crash servers.
+// Requests that crash servers.
 const (
-	// crashPause is the time between two repeats of one: clients repeat at once.
-	crashPause = 60 * time.Millisecond
-	// endsKnown is how many servers may end under a request before all daemons must hold
-	// it, sendsLeft how often it may be sent even then, and knownWithin when.
-	endsKnown   = 3
-	sendsLeft   = 3
-	knownWithin = 2 * time.Second
+	// crashingRequestInterval is the time between two repeats of a request. It is short
+	// because real clients repeat at once.
+	crashingRequestInterval = 60 * time.Millisecond
+	// After crashThreshold servers crashed under a request, all daemons must quarantine it
+	// within crashReportTime. It may crash maxCrashesAfterThreshold more servers even then.
+	crashThreshold           = 3
+	maxCrashesAfterThreshold = 3
+	crashReportTime          = 2 * time.Second
 )
 
-// crashServers has a request come again and again, through one daemon after the other,
-// which crashes each server that begins to run it.
-func crashServers(s *soak) func() {
-	number := len(s.crashing)
-	path := []string{standin.PathSafe, standin.PathUnsafe, standin.PathSmall}[number%3] + fmt.Sprintf("%d/%s", number, standin.NameCrashing)
-	s.crashing = append(s.crashing, path)
+// sendCrashingRequests repeats a request that crashes each server that starts to run it,
+// through each daemon in turn.
+func sendCrashingRequests(s *soak) func() {
+	index := len(s.crashingPaths)
+	path := []string{standin.PathSafe, standin.PathUnsafe, standin.PathSmall}[index%3] + fmt.Sprintf("%d/%s", index, standin.NameCrashing)
+	s.crashingPaths = append(s.crashingPaths, path)
 	ctx, stop := context.WithCancel(context.Background())
-	s.crashers.Go(func() {
-		for turn := number; ctx.Err() == nil; turn++ {
-			s.askCrashing(ctx, turn%len(s.daemons), path)
-			time.Sleep(crashPause)
+	s.crashingSenders.Go(func() {
+		for turn := index; ctx.Err() == nil; turn++ {
+			s.sendCrashingRequest(ctx, turn%len(s.daemons), path)
+			time.Sleep(crashingRequestInterval)
 		}
 	})
 	return stop
 }
 
-// askCrashing sends a request that crashes servers to one daemon.
-func (s *soak) askCrashing(ctx context.Context, daemon int, path string) {
+// sendCrashingRequest sends a request that crashes servers to one daemon.
+func (s *soak) sendCrashingRequest(ctx context.Context, daemonIndex int, path string) {
 	client := &standin.Client{
 		Platform: s.platform,
-		Address:  s.daemons[daemon].entry.Address(),
+		Address:  s.daemons[daemonIndex].clientProxy.Address(),
 		Key:      standin.KeyTwo,
 	}
-	const patience = 3 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	const timeout = 3 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	headers := map[string]string{}
 	if path[:len(standin.PathSmall)] == standin.PathSmall {
@@ -55,31 +56,31 @@
 	client.Ask(ctx, http.MethodPost, path, headers, "what no server survives")
 }
 
-// checkCrashing sends each request under which servers ended again, to every daemon, and
-// returns those that are still sent on. Words of ends may be lost with a daemon that is
-// killed at that moment, so a few sends are allowed, as they are in the users' rule.
-func (s *soak) checkCrashing() []string {
-	s.crashers.Wait()
-	time.Sleep(knownWithin)
-	var broken []string
-	for _, path := range s.crashing {
+// checkCrashingRequests sends each request that crashed crashThreshold servers to every daemon
+// again, and returns those that are still forwarded to servers. A daemon that is killed may
+// lose its report of a crash, so a few crashes are allowed, as in the users' rule.
+func (s *soak) checkCrashingRequests() []string {
+	s.crashingSenders.Wait()
+	time.Sleep(crashReportTime)
+	var failures []string
+	for _, path := range s.crashingPaths {
 		before := s.platform.Crashes(path)
-		if before < endsKnown {
+		if before < crashThreshold {
 			continue
 		}
 		const rounds = 2
 		for range rounds {
 			for i := range s.daemons {
-				s.askCrashing(context.Background(), i, path)
+				s.sendCrashingRequest(context.Background(), i, path)
 			}
 		}
 		after := s.platform.Crashes(path)
-		s.say("%d servers ended under %s, then %d more", before, path, after-before)
-		if after-before > sendsLeft {
-			broken = append(broken, fmt.Sprintf("%s ended %d servers after %d had ended under it", path, after-before, before))
+		s.logf("%d servers ended under %s, then %d more", before, path, after-before)
+		if after-before > maxCrashesAfterThreshold {
+			failures = append(failures, fmt.Sprintf("%s ended %d servers after %d had ended under it", path, after-before, before))
 		}
 	}
-	// A start forgets what the checks that follow have a server say.
+	// The checks that follow set directives on servers, and a restart would drop these.
 	s.platform.AwaitRestarts()
-	return broken
+	return failures
 }
--- a/lab/soak/directives.go
+++ b/lab/soak/directives.go
@@ -6,54 +6,56 @@
 	"headcourse/lab/standin"
 )
 
-// Pauses that servers ask for.
-const leastPause, mostPause = 200 * time.Millisecond, 20 * time.Second
+// Range of the pauses that servers request.
+const minPause, maxPause = 200 * time.Millisecond, 20 * time.Second
 
-// Times for which a daemon is not blamed for what it was told before: killTime until it has
-// ended, stopTime until it has stopped in order.
+// Times for which a daemon is exempt from the checks of directives that it received before:
+// killExemption lasts until a killed daemon has ended, stopExemption until a daemon has shut
+// down.
 const (
-	killTime = 1500 * time.Millisecond
-	stopTime = 6 * time.Second
+	killExemption = 1500 * time.Millisecond
+	stopExemption = 6 * time.Second
 )
 
-// askForPauses has some servers of a service turn requests away for a while, all in step or
-// each with a pause of its own.
-func askForPauses(s *soak) func() {
-	chosen := s.someServers()
-	isInStep := s.random.IntN(2) == 0
-	pause := s.between(leastPause, mostPause)
-	for _, one := range chosen {
-		if !isInStep {
-			pause = s.between(leastPause, mostPause)
+// requestPauses makes some servers of a service reject requests and request pauses, all the
+// same pause or one of its own each.
+func requestPauses(s *soak) func() {
+	chosen := s.randomServers()
+	isSamePause := s.random.IntN(2) == 0
+	pause := s.randomDuration(minPause, maxPause)
+	for _, server := range chosen {
+		if !isSamePause {
+			pause = s.randomDuration(minPause, maxPause)
 		}
-		one.AskForPauses(pause)
+		server.AskForPauses(pause)
 	}
 	return func() {
-		for _, one := range chosen {
-			one.AskForPauses(0)
+		for _, server := range chosen {
+			server.AskForPauses(0)
 		}
 	}
 }
 
-// leaveByAnswers has a plain server leave without a word in its entry, and starts another.
-func leaveByAnswers(s *soak) func() {
+// leaveInAnswersOnly makes a plain server leave without a change of its entry, and starts a
+// replacement.
+func leaveInAnswersOnly(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
-	s.replace(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveByAnswersAlone)
+	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveByAnswersAlone)
 	return nil
 }
 
-// excuse has a daemon not blamed for a time for what servers told it before; all where it is
-// nil.
-func (s *soak) excuse(one *daemon, length time.Duration) {
-	end := s.beginExcuse(one)
-	time.AfterFunc(length, end)
+// exempt exempts a daemon, or all if it is nil, from the checks of directives for the
+// duration.
+func (s *soak) exempt(d *daemon, duration time.Duration) {
+	end := s.beginExemption(d)
+	time.AfterFunc(duration, end)
 }
 
-// beginExcuse is excuse until its end is called.
-func (s *soak) beginExcuse(one *daemon) (end func()) {
+// beginExemption exempts a daemon, or all if it is nil, until end is called.
+func (s *soak) beginExemption(d *daemon) (end func()) {
 	name := ""
-	if one != nil {
-		name = one.name
+	if d != nil {
+		name = d.name
 	}
 	s.platform.Excuse(name, 1)
 	return func() { s.platform.Excuse(name, -1) }
--- a/lab/soak/evacuations.go
+++ b/lab/soak/evacuations.go
@@ -6,43 +6,43 @@
 	"headcourse/lab/standin"
 )
 
-// zonesOfServers is in how many zones the servers are: one can be evacuated, and the other
-// serves on.
-const zonesOfServers = 2
+// serverZones is the number of zones of the servers: if one is evacuated, the other still
+// serves.
+const serverZones = 2
 
-// Figures of cold servers.
-const leastCold, mostCold = 500 * time.Millisecond, 3 * time.Second
+// Range of the time for which servers are cold.
+const minColdTime, maxColdTime = 500 * time.Millisecond, 3 * time.Second
 
-// evacuateZone evacuates a zone for a while. It is not checked beside other troubles: daemons
-// that are cut off cannot observe it.
+// evacuateZone evacuates a zone for a while. The evacuation is not checked during other
+// faults: a daemon that is cut off from the store can't observe it.
 func evacuateZone(s *soak) func() {
-	zone := standin.Zone(s.random.IntN(zonesOfServers))
+	zone := standin.Zone(s.random.IntN(serverZones))
 	s.platform.Evacuate(zone, 0)
 	return func() { s.platform.TakeBack(zone) }
 }
 
-// coolServers turns some servers cold.
-func coolServers(s *soak) func() {
-	for _, one := range s.someServers() {
-		one.Cool(s.between(leastCold, mostCold))
+// makeServersCold makes some servers cold.
+func makeServersCold(s *soak) func() {
+	for _, server := range s.randomServers() {
+		server.Cool(s.randomDuration(minColdTime, maxColdTime))
 	}
 	return nil
 }
 
-// calmEvacuation is how long a zone is evacuated when the faults are over.
-const calmEvacuation = 2 * standin.EvacuateTime
+// checkedEvacuationTime is the length of the evacuation that is checked after the faults.
+const checkedEvacuationTime = 2 * standin.EvacuateTime
 
-// checkEvacuation evacuates a zone while nothing else happens, and returns which daemon does not
-// serve meanwhile, or afterwards by servers that have turned cold. The stand-in notes requests
-// to the zone.
+// checkEvacuation evacuates a zone without other faults. It returns the daemons that do not
+// serve during the evacuation, or afterwards with servers that are cold. The stand-in records
+// requests to the evacuated zone as violations.
 func (s *soak) checkEvacuation() []string {
-	zone := standin.Zone(s.random.IntN(zonesOfServers))
+	zone := standin.Zone(s.random.IntN(serverZones))
 	s.platform.Evacuate(zone, standin.EvacuateTime)
-	time.Sleep(calmEvacuation)
-	broken := s.await("an evacuation of " + zone)
-	for _, one := range s.platform.Servers(standin.ServicePlain) {
-		one.Cool(leastCold)
+	time.Sleep(checkedEvacuationTime)
+	failures := s.awaitServing("an evacuation of " + zone)
+	for _, server := range s.platform.Servers(standin.ServicePlain) {
+		server.Cool(minColdTime)
 	}
 	s.platform.TakeBack(zone)
-	return append(broken, s.await("the return of "+zone)...)
+	return append(failures, s.awaitServing("the return of "+zone)...)
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -13,107 +13,107 @@
 	"headcourse/lab/standin"
 )
 
-// fault brings about one trouble and returns what ends it; nil where nothing is
-// to be ended. Its name is for the log.
+// fault is one kind of fault. begin injects it and returns the function that ends it, or nil
+// if nothing has to be ended; name is for the log.
 type fault struct {
 	name  string
 	begin func(s *soak) (end func())
 }
 
-// faults is the table of all troubles. A row is added at its end: seeds that are kept draw from
-// the rows that there were when they were found.
+// faults is the table of all faults. New rows go at its end: the seeds in soak/seeds.txt draw
+// from the rows that existed when they were found.
 var faults = []fault{
 	{
-		name:  "store of a daemon harmed",
-		begin: harmStore,
+		name:  "connections of a daemon to the store disturbed",
+		begin: disturbStoreConnections,
 	},
 	{
-		name:  "clients of a daemon harmed",
-		begin: harmClients,
+		name:  "connections of a daemon's clients disturbed",
+		begin: disturbClientConnections,
 	},
 	{
-		name:  "backend server harmed",
-		begin: harmServer,
+		name:  "connections to a backend server disturbed",
+		begin: disturbServerConnections,
 	},
 	{
-		name:  "open connections to the store silent for good",
-		begin: strandStore,
+		name:  "open connections of a daemon to the store blackholed",
+		begin: blackholeStoreConnections,
 	},
 	{
-		name:  "open connections to a backend server silent for good",
-		begin: strandServer,
+		name:  "open connections to a backend server blackholed",
+		begin: blackholeServerConnections,
 	},
 	{
 		name:  "daemon stopped by SIGTERM",
-		begin: signalOne(unix.SIGTERM),
+		begin: signalRandomDaemon(unix.SIGTERM),
 	},
 	{
 		name:  "daemon killed",
-		begin: signalOne(unix.SIGKILL),
+		begin: signalRandomDaemon(unix.SIGKILL),
 	},
 	{
-		name:  "daemon told that settings changed",
-		begin: signalOne(unix.SIGHUP),
+		name:  "daemon reloads settings on SIGHUP",
+		begin: signalRandomDaemon(unix.SIGHUP),
 	},
 	{
 		name:  "daemon paused",
-		begin: pauseOne,
+		begin: pauseDaemon,
 	},
 	{
 		name:  "all daemons killed",
-		begin: killAll,
+		begin: killAllDaemons,
 	},
 	{
 		name:  "store refuses all",
-		begin: storeFault(standin.Refusing),
+		begin: injectStoreFault(standin.Refusing),
 	},
 	{
-		name:  "store is silent",
-		begin: storeFault(standin.Silent),
+		name:  "store is unresponsive",
+		begin: injectStoreFault(standin.Silent),
 	},
 	{
 		name:  "answers to writes are lost",
-		begin: storeFault(standin.Lossy),
+		begin: injectStoreFault(standin.Lossy),
 	},
 	{
-		name:  "store forgets its history",
-		begin: forget,
+		name:  "store drops its history",
+		begin: dropStoreHistory,
 	},
 	{
-		name:  "member of a group dies",
+		name:  "member of a group is killed",
 		begin: killMember,
 	},
 	{
-		name:  "member of a group starts again under its ID",
+		name:  "member of a group restarts under its ID",
 		begin: restartMember,
 	},
 	{
 		name:  "plain server leaves",
-		begin: replacePlain,
+		begin: replacePlainServer,
 	},
 	{
-		name:  "server is in a bad mood",
-		begin: badMood,
+		name:  "server misbehaves",
+		begin: misbehave,
 	},
 	{
-		name:  "servers turn requests away and ask for pauses",
-		begin: askForPauses,
+		name:  "servers reject requests and request pauses",
+		begin: requestPauses,
 	},
 	{
-		name:  "plain server leaves and says so in its answers alone",
-		begin: leaveByAnswers,
+		name:  "plain server leaves and announces it in its answers only",
+		begin: leaveInAnswersOnly,
 	},
 	{
 		name:  "keys change",
-		begin: changeKeys,
+		begin: rotateKeys,
 	},
 	{
-		name:  "request that crashes its servers comes again and again",
-		begin: crashServers,
+		name:  "request that crashes its servers is repeated",
+		begin: sendCrashingRequests,
 	},
 	{
 		name:  "servers name limits",
-		begin: nameLimits,
+		begin: setLimits,
 	},
 	{
 		name:  "store restored from an older copy",
@@ -124,54 +124,53 @@
 		begin: evacuateZone,
 	},
 	{
-		name:  "servers turn cold",
-		begin: coolServers,
+		name:  "servers become cold",
+		begin: makeServersCold,
 	},
 }
 
-// Times between and of troubles.
+// Range of the times between faults and of their durations.
 const (
-	leastGap, mostGap       = 150 * time.Millisecond, 1100 * time.Millisecond
-	leastLength, mostLength = 200 * time.Millisecond, 2500 * time.Millisecond
+	minFaultGap, maxFaultGap           = 150 * time.Millisecond, 1100 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 200 * time.Millisecond, 2500 * time.Millisecond
 )
 
-// between draws a time.
-func (s *soak) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+// randomDuration returns a duration from minimum up to, not including, maximum.
+func (s *soak) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
-// disturb brings about troubles until a time. They come in series and overlap;
-// each ends by itself.
-func (s *soak) disturb(until time.Time) {
+// injectFaults injects random faults until a time. Faults overlap, and each ends by itself.
+func (s *soak) injectFaults(until time.Time) {
 	for time.Now().Before(until) {
-		time.Sleep(s.between(leastGap, mostGap))
+		time.Sleep(s.randomDuration(minFaultGap, maxFaultGap))
 		chosen := s.faults[s.random.IntN(len(s.faults))]
-		length := s.between(leastLength, mostLength)
+		duration := s.randomDuration(minFaultDuration, maxFaultDuration)
 		end := chosen.begin(s)
-		s.say("%s (%s)", chosen.name, length.Round(time.Millisecond))
+		s.logf("%s (%s)", chosen.name, duration.Round(time.Millisecond))
 		if end != nil {
-			time.AfterFunc(length, end)
+			time.AfterFunc(duration, end)
 		}
 	}
-	time.Sleep(mostLength)
+	time.Sleep(maxFaultDuration)
 }
 
-// healAll ends whatever harm is left.
-func (s *soak) healAll() {
+// clearFaults ends all faults that are still active.
+func (s *soak) clearFaults() {
 	for _, timer := range s.timers {
 		timer.Stop()
 	}
 	s.platform.Store.SetFault(standin.Well)
-	for _, one := range s.daemons {
-		one.store.Set(proxy.None)
-		one.entry.Set(proxy.None)
-		s.signal(one, unix.SIGCONT)
+	for _, d := range s.daemons {
+		d.storeProxy.Set(proxy.None)
+		d.clientProxy.Set(proxy.None)
+		s.signalDaemon(d, unix.SIGCONT)
 	}
-	s.serversMutex.Lock()
-	for _, one := range s.servers {
-		one.Set(proxy.None)
+	s.serverProxiesMutex.Lock()
+	for _, serverProxy := range s.serverProxies {
+		serverProxy.Set(proxy.None)
 	}
-	s.serversMutex.Unlock()
+	s.serverProxiesMutex.Unlock()
 	for _, service := range []string{standin.ServicePlain, standin.ServiceModel} {
 		for _, server := range s.platform.Servers(service) {
 			server.SetMood(standin.Good)
@@ -180,145 +179,146 @@
 	}
 }
 
-// harm draws a harm of connections.
-func (s *soak) harm() proxy.Harm {
+// randomProxyFault returns a random fault of connections.
+func (s *soak) randomProxyFault() proxy.Harm {
 	return proxy.Harm(1 + s.random.IntN(int(proxy.Reset)))
 }
 
-// anyDaemon draws a daemon.
-func (s *soak) anyDaemon() *daemon {
+// randomDaemon returns a random daemon.
+func (s *soak) randomDaemon() *daemon {
 	return s.daemons[s.random.IntN(len(s.daemons))]
 }
 
-// heal returns what ends the harm of a proxy.
-func heal(harmed *proxy.Proxy) func() {
-	return func() { harmed.Set(proxy.None) }
+// clearProxyFault returns a function that ends the fault of a proxy.
+func clearProxyFault(disturbed *proxy.Proxy) func() {
+	return func() { disturbed.Set(proxy.None) }
 }
 
-// harmStore harms a daemon's connections to the store.
-func harmStore(s *soak) func() {
-	one := s.anyDaemon()
-	one.store.Set(s.harm())
-	return heal(one.store)
+// disturbStoreConnections injects a fault into a daemon's connections to the store.
+func disturbStoreConnections(s *soak) func() {
+	d := s.randomDaemon()
+	d.storeProxy.Set(s.randomProxyFault())
+	return clearProxyFault(d.storeProxy)
 }
 
-// harmClients harms the connections of a daemon's clients.
-func harmClients(s *soak) func() {
-	one := s.anyDaemon()
-	one.entry.Set(s.harm())
-	return heal(one.entry)
+// disturbClientConnections injects a fault into the connections of a daemon's clients.
+func disturbClientConnections(s *soak) func() {
+	d := s.randomDaemon()
+	d.clientProxy.Set(s.randomProxyFault())
+	return clearProxyFault(d.clientProxy)
 }
 
-// harmServer harms all connections to a backend server.
-func harmServer(s *soak) func() {
-	harmed := s.anyServer()
-	if harmed == nil {
+// disturbServerConnections injects a fault into all connections to a backend server.
+func disturbServerConnections(s *soak) func() {
+	disturbed := s.randomServerProxy()
+	if disturbed == nil {
 		return nil
 	}
-	harmed.Set(s.harm())
-	end := s.beginExcuse(nil)
+	disturbed.Set(s.randomProxyFault())
+	end := s.beginExemption(nil)
 	return func() {
-		harmed.Set(proxy.None)
+		disturbed.Set(proxy.None)
 		end()
 	}
 }
 
-// strandStore silences the open connections of a daemon to the store for good.
-func strandStore(s *soak) func() {
-	s.anyDaemon().store.Strand()
+// blackholeStoreConnections drops all further bytes of a daemon's open connections to the
+// store and keeps the connections open.
+func blackholeStoreConnections(s *soak) func() {
+	s.randomDaemon().storeProxy.Strand()
 	return nil
 }
 
-// strandServer silences the open connections to a backend server for good.
-func strandServer(s *soak) func() {
-	if harmed := s.anyServer(); harmed != nil {
-		harmed.Strand()
-		s.excuse(nil, killTime)
+// blackholeServerConnections drops all further bytes of the open connections to a backend
+// server and keeps the connections open.
+func blackholeServerConnections(s *soak) func() {
+	if serverProxy := s.randomServerProxy(); serverProxy != nil {
+		serverProxy.Strand()
+		s.exempt(nil, killExemption)
 	}
 	return nil
 }
 
-// anyServer draws the proxy before a server of the models; nil where there is none.
-func (s *soak) anyServer() *proxy.Proxy {
+// randomServerProxy returns the proxy of a random server of the models, or nil if there is
+// none.
+func (s *soak) randomServerProxy() *proxy.Proxy {
 	servers := s.platform.Servers(standin.ServiceModel)
 	if len(servers) == 0 {
 		return nil
 	}
-	s.serversMutex.Lock()
-	defer s.serversMutex.Unlock()
-	return s.servers[servers[s.random.IntN(len(servers))].Address()]
+	s.serverProxiesMutex.Lock()
+	defer s.serverProxiesMutex.Unlock()
+	return s.serverProxies[servers[s.random.IntN(len(servers))].Address()]
 }
 
-// signal sends a signal to the process of a daemon that the script has started,
-// by the id that it left.
-func (s *soak) signal(one *daemon, signal unix.Signal) {
-	content, err := os.ReadFile(filepath.Join(s.options.Dir, one.name+".pid"))
+// signalDaemon sends a signal to the process of a daemon, whose ID the script wrote to a file.
+func (s *soak) signalDaemon(d *daemon, signal unix.Signal) {
+	content, err := os.ReadFile(filepath.Join(s.options.Dir, d.name+".pid"))
 	if err != nil {
-		return // it is being started
+		return // the script is starting the daemon
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(content)))
 	if err != nil || pid <= 1 {
 		return
 	}
-	// The process may have ended since.
+	// The error is ignored: the process may have ended since.
 	_ = unix.Kill(pid, signal)
 }
 
-// signalOne sends a signal to one daemon.
-func signalOne(signal unix.Signal) func(s *soak) func() {
+// signalRandomDaemon returns a fault that sends a signal to a random daemon.
+func signalRandomDaemon(signal unix.Signal) func(s *soak) func() {
 	return func(s *soak) func() {
-		one := s.anyDaemon()
-		s.excuse(one, stopTime)
-		s.signal(one, signal)
+		d := s.randomDaemon()
+		s.exempt(d, stopExemption)
+		s.signalDaemon(d, signal)
 		return nil
 	}
 }
 
-// pauseOne pauses a daemon for a while.
-func pauseOne(s *soak) func() {
-	one := s.anyDaemon()
-	end := s.beginExcuse(one)
-	s.signal(one, unix.SIGSTOP)
+// pauseDaemon stops the process of a random daemon for a while.
+func pauseDaemon(s *soak) func() {
+	d := s.randomDaemon()
+	end := s.beginExemption(d)
+	s.signalDaemon(d, unix.SIGSTOP)
 	return func() {
-		s.signal(one, unix.SIGCONT)
+		s.signalDaemon(d, unix.SIGCONT)
 		end()
 	}
 }
 
-// killAll kills all daemons at once.
-func killAll(s *soak) func() {
-	s.excuse(nil, killTime)
-	for _, one := range s.daemons {
-		s.signal(one, unix.SIGKILL)
+// killAllDaemons kills all daemons at once.
+func killAllDaemons(s *soak) func() {
+	s.exempt(nil, killExemption)
+	for _, d := range s.daemons {
+		s.signalDaemon(d, unix.SIGKILL)
 	}
 	return nil
 }
 
-// storeFault gives the store a fault for a while.
-func storeFault(fault standin.Fault) func(s *soak) func() {
+// injectStoreFault returns a fault that makes the store misbehave for a while.
+func injectStoreFault(fault standin.Fault) func(s *soak) func() {
 	return func(s *soak) func() {
 		s.platform.Store.SetFault(fault)
 		return func() { s.platform.Store.SetFault(standin.Well) }
 	}
 }
 
-// forget has the store forget its history.
-func forget(s *soak) func() {
+// dropStoreHistory makes the store drop its history of changes.
+func dropStoreHistory(s *soak) func() {
 	s.platform.Store.Forget()
 	return nil
 }
 
-// killMember kills a member of an open group, and starts an empty server in its
-// domain.
+// killMember kills a member of an open group, and starts an empty server in its domain.
 func killMember(s *soak) func() {
-	if member := s.anyMember(); member != nil {
-		s.replace(member, (*standin.Server).Kill)
+	if member := s.randomMember(); member != nil {
+		s.replaceServer(member, (*standin.Server).Kill)
 	}
 	return nil
 }
 
-// anyMember draws a member of an open group; nil where there is none.
-func (s *soak) anyMember() *standin.Server {
+// randomMember returns a random member of an open group, or nil if there is none.
+func (s *soak) randomMember() *standin.Server {
 	model := []string{standin.ModelLarge, standin.ModelSmall}[s.random.IntN(2)]
 	heads := s.platform.Heads(model)
 	if len(heads) == 0 {
@@ -328,44 +328,44 @@
 	return members[s.random.IntN(len(members))]
 }
 
-// restartMember has a member of an open group crash and start again under its ID.
+// restartMember makes a member of an open group crash and restart under its ID.
 func restartMember(s *soak) func() {
-	member := s.anyMember()
+	member := s.randomMember()
 	if member == nil {
 		return nil
 	}
 	if err := member.Restart(); err != nil {
-		s.say("server was not started again: %v", err)
+		s.logf("server not restarted: %v", err)
 	}
 	return nil
 }
 
-// replacePlain has a plain server leave, and starts another.
-func replacePlain(s *soak) func() {
+// replacePlainServer makes a plain server leave, and starts a replacement.
+func replacePlainServer(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
-	s.replace(servers[s.random.IntN(len(servers))], (*standin.Server).Leave)
+	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).Leave)
 	return nil
 }
 
-// replace starts a server like another, which then ends.
-func (s *soak) replace(former *standin.Server, end func(*standin.Server)) {
+// replaceServer starts an empty server like the former one, and then ends the former one.
+func (s *soak) replaceServer(former *standin.Server, end func(*standin.Server)) {
 	if err := s.platform.StartLike(former); err != nil {
-		s.say("no server could be started: %v", err)
+		s.logf("server not started: %v", err)
 		return
 	}
 	end(former)
 }
 
-// badMood gives a server a mood for a while.
-func badMood(s *soak) func() {
+// misbehave makes a random server misbehave in one way for a while.
+func misbehave(s *soak) func() {
 	servers := append(s.platform.Servers(standin.ServicePlain), s.platform.Servers(standin.ServiceModel)...)
-	one := servers[s.random.IntN(len(servers))]
-	one.SetMood(standin.Mood(1 + s.random.IntN(int(standin.Extra))))
-	return func() { one.SetMood(standin.Good) }
+	server := servers[s.random.IntN(len(servers))]
+	server.SetMood(standin.Mood(1 + s.random.IntN(int(standin.Extra))))
+	return func() { server.SetMood(standin.Good) }
 }
 
-// changeKeys withdraws the key in use and gives out another.
-func changeKeys(s *soak) func() {
-	s.changeKeys()
+// rotateKeys withdraws the key in force and issues another.
+func rotateKeys(s *soak) func() {
+	s.rotateKeys()
 	return nil
 }
--- a/lab/soak/limits.go
+++ b/lab/soak/limits.go
@@ -7,47 +7,48 @@
 	"headcourse/lab/standin"
 )
 
-// Limits that servers name, in requests a second, and for how long: they count from three
-// seconds on, and are checked over four.
+// Range of the limits that servers announce, in requests per second, and of the time for which
+// they announce them: requests count from three seconds after the first announcement, and are
+// checked over windows of four seconds.
 const (
-	leastLimit, mostLimit         = 0.3, 20.0
-	leastLimitTime, mostLimitTime = 6 * time.Second, 12 * time.Second
+	minLimit, maxLimit         = 0.3, 20.0
+	minLimitTime, maxLimitTime = 6 * time.Second, 12 * time.Second
 )
 
-// limitSteps is how many limits a server names one after the other where they change.
+// limitSteps is the number of limits that a server announces one after the other.
 const limitSteps = 6
 
-// nameLimits has some servers of a service name limits: one, half or all of them, each the same
-// or its own, steady, falling or rising.
-func nameLimits(s *soak) func() {
-	chosen := s.someServers()
+// setLimits makes some servers of a service announce limits: one, half or all of them, the
+// same limit or one of its own each, which stays, falls or rises.
+func setLimits(s *soak) func() {
+	chosen := s.randomServers()
 	isSame := s.random.IntN(2) == 0
-	limit := s.anyLimit()
-	// factor is by how much each limit differs from the one before.
+	limit := s.randomLimit()
+	// factor is the ratio of each limit to the one before.
 	factor := []float64{1, 0.6, 1.6}[s.random.IntN(3)]
-	length := s.between(leastLimitTime, mostLimitTime)
-	for _, one := range chosen {
+	duration := s.randomDuration(minLimitTime, maxLimitTime)
+	for _, server := range chosen {
 		if !isSame {
-			limit = s.anyLimit()
+			limit = s.randomLimit()
 		}
-		one.NameLimit(limit)
+		server.NameLimit(limit)
 		for step := 1; step < limitSteps; step++ {
-			later := min(max(leastLimit, limit*math.Pow(factor, float64(step))), mostLimit)
-			s.later(length*time.Duration(step)/limitSteps, func() { one.ChangeLimit(later) })
+			nextLimit := min(max(minLimit, limit*math.Pow(factor, float64(step))), maxLimit)
+			s.schedule(duration*time.Duration(step)/limitSteps, func() { server.ChangeLimit(nextLimit) })
 		}
-		s.later(length, one.EndLimit)
+		s.schedule(duration, server.EndLimit)
 	}
 	return nil
 }
 
-// later has something happen later, unless the faults are over before that.
-func (s *soak) later(after time.Duration, happen func()) {
-	s.timers = append(s.timers, time.AfterFunc(after, happen))
+// schedule runs an action after a delay, unless the faults end before that.
+func (s *soak) schedule(delay time.Duration, action func()) {
+	s.timers = append(s.timers, time.AfterFunc(delay, action))
 }
 
-// someThatServe draws the plain servers or the heads of a model, one or all of them: the other
-// members of groups get no requests.
-func (s *soak) someThatServe() []*standin.Server {
+// randomServingServers returns the plain servers or the heads of one model, one or all of
+// them. Members of groups that are not heads receive no requests.
+func (s *soak) randomServingServers() []*standin.Server {
 	serving := [][]*standin.Server{
 		s.platform.Servers(standin.ServicePlain),
 		s.platform.Heads(standin.ModelSmall),
@@ -59,13 +60,13 @@
 	return serving
 }
 
-// anyLimit draws a limit, small ones as often as large ones.
-func (s *soak) anyLimit() float64 {
-	return leastLimit * math.Pow(mostLimit/leastLimit, s.random.Float64())
+// randomLimit returns a random limit, uniform on a logarithmic scale.
+func (s *soak) randomLimit() float64 {
+	return minLimit * math.Pow(maxLimit/minLimit, s.random.Float64())
 }
 
-// someServers draws one, half or all of the servers of a service.
-func (s *soak) someServers() []*standin.Server {
+// randomServers returns one, half or all of the servers of a random service.
+func (s *soak) randomServers() []*standin.Server {
 	service := []string{standin.ServicePlain, standin.ServiceModel}[s.random.IntN(2)]
 	servers := s.platform.Servers(service)
 	switch s.random.IntN(3) {
@@ -78,29 +79,30 @@
 	}
 }
 
-// calmLimitTime is how long servers name limits when the faults are over: longer than the time
-// after which requests count, and a window of the check.
-const calmLimitTime = 9 * time.Second
+// checkedLimitTime is how long servers announce limits after the faults: longer than the time
+// from which requests count plus one window of the check.
+const checkedLimitTime = 9 * time.Second
 
-// checkLimits has some servers name limits while nothing else happens, since troubles excuse
-// daemons for most of the time, and returns what must not be: that no daemon was told, or that
-// one does not serve again when the limits are over. The stand-in notes requests beyond them.
+// checkLimits makes some servers announce limits without other faults, since faults exempt
+// daemons from the check for most of the time. It returns a failure if no daemon received a
+// limit, or if a daemon does not serve after the limits end. The stand-in records requests
+// beyond the limits as violations.
 func (s *soak) checkLimits() []string {
 	before := s.platform.DirectiveCounts()
-	chosen := s.someThatServe()
-	limit := s.anyLimit()
-	for _, one := range chosen {
-		one.NameLimit(limit)
+	chosen := s.randomServingServers()
+	limit := s.randomLimit()
+	for _, server := range chosen {
+		server.NameLimit(limit)
 	}
-	time.Sleep(calmLimitTime)
-	for _, one := range chosen {
-		one.EndLimit()
+	time.Sleep(checkedLimitTime)
+	for _, server := range chosen {
+		server.EndLimit()
 	}
 	after := s.platform.DirectiveCounts()
-	s.say("%d servers named %.2f a second, the first %s: %d requests of daemons that had been told", len(chosen), limit, chosen[0].ID(), after.Limited-before.Limited)
-	broken := s.await("the end of limits")
+	s.logf("%d servers named %.2f a second, the first %s: %d requests of daemons that had been told", len(chosen), limit, chosen[0].ID(), after.Limited-before.Limited)
+	failures := s.awaitServing("the end of limits")
 	if after.Limits == before.Limits {
-		broken = append(broken, "no daemon was told of a limit")
+		failures = append(failures, "no daemon was told of a limit")
 	}
-	return broken
+	return failures
 }
--- a/lab/soak/restores.go
+++ b/lab/soak/restores.go
@@ -7,43 +7,45 @@
 	"headcourse/lab/standin"
 )
 
-// Figures of restores of the store. Copies are taken again and again, and the last of them are
-// kept.
+// Snapshots and restores of the store. The soak takes snapshots at an interval and keeps the
+// newest.
 const (
-	copyEvery  = 500 * time.Millisecond
-	keptCopies = 20
-	// leastAway and mostAway are how long the store is away, longestRewrite how long it takes
-	// until operators and servers have written again: less than three heartbeats.
-	leastAway, mostAway = 100 * time.Millisecond, 2500 * time.Millisecond
-	longestRewrite      = 800 * time.Millisecond
+	snapshotInterval = 500 * time.Millisecond
+	maxSnapshots     = 20
+	// minOutage and maxOutage bound how long the store is unavailable before a restore.
+	// maxRewriteDelay is the time within which operators and servers repeat their writes: less
+	// than three heartbeats.
+	minOutage, maxOutage = 100 * time.Millisecond, 2500 * time.Millisecond
+	maxRewriteDelay      = 800 * time.Millisecond
 )
 
-// copies are the last copies of the store, the newest first.
-type copies struct {
-	mutex sync.Mutex
-	kept  []standin.Snapshot
+// snapshots holds the last snapshots of the store.
+type snapshots struct {
+	mutex       sync.Mutex
+	newestFirst []standin.Snapshot
 }
 
-// add adds a copy.
-func (c *copies) add(one standin.Snapshot) {
+// add adds a snapshot and drops the oldest one beyond maxSnapshots.
+func (c *snapshots) add(snapshot standin.Snapshot) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.kept = append([]standin.Snapshot{one}, c.kept[:min(len(c.kept), keptCopies-1)]...)
+	c.newestFirst = append([]standin.Snapshot{snapshot}, c.newestFirst[:min(len(c.newestFirst), maxSnapshots-1)]...)
 }
 
-// older returns a copy by how many there are after it, or the oldest.
-func (c *copies) older(number int) standin.Snapshot {
+// at returns the snapshot with the index, where 0 is the newest, or the oldest one if there
+// are fewer.
+func (c *snapshots) at(index int) standin.Snapshot {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.kept[min(number, len(c.kept)-1)]
+	return c.newestFirst[min(index, len(c.newestFirst)-1)]
 }
 
-// copyStore takes a copy of the store now and then, until done is closed.
-func (s *soak) copyStore(done <-chan struct{}) {
-	ticker := time.NewTicker(copyEvery)
+// takeSnapshots takes a snapshot of the store at each snapshotInterval until done is closed.
+func (s *soak) takeSnapshots(done <-chan struct{}) {
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	for {
-		s.copies.add(s.platform.Store.Snapshot())
+		s.snapshots.add(s.platform.Store.Snapshot())
 		select {
 		case <-done:
 			return
@@ -52,43 +54,43 @@
 	}
 }
 
-// restoreStore takes the store away for a moment, in one of the ways in which it can be, and
-// restores it from an older copy; now and then it is restored once more soon after.
+// restoreStore makes the store unavailable in one of several ways and then restores it from a
+// snapshot. In one of four cases it restores the newest snapshot right afterwards.
 func restoreStore(s *soak) func() {
 	s.platform.Store.SetFault([]standin.Fault{
 		standin.Refusing,
 		standin.Silent,
 		standin.Late,
 	}[s.random.IntN(3)])
-	how := standin.Restoring{
-		RewriteWithin: s.between(0, longestRewrite),
+	options := standin.Restoring{
+		RewriteWithin: s.randomDuration(0, maxRewriteDelay),
 		IsClockKept:   s.random.IntN(2) == 0,
 	}
-	age, isTwice := s.random.IntN(keptCopies), s.random.IntN(4) == 0
-	s.later(s.between(leastAway, mostAway), func() {
-		s.restore(age, how)
+	index, isTwice := s.random.IntN(maxSnapshots), s.random.IntN(4) == 0
+	s.schedule(s.randomDuration(minOutage, maxOutage), func() {
+		s.restore(index, options)
 		if isTwice {
-			s.restore(0, how)
+			s.restore(0, options)
 		}
 	})
 	return nil
 }
 
-// restore restores the store from a copy.
-func (s *soak) restore(age int, how standin.Restoring) {
-	s.platform.Store.Restore(s.copies.older(age), how)
+// restore restores the store from a snapshot.
+func (s *soak) restore(index int, options standin.Restoring) {
+	s.platform.Store.Restore(s.snapshots.at(index), options)
 	s.platform.Store.SetFault(standin.Well)
-	s.say("store restored from copy %d, rewritten within %s, its clock kept: %t", age, how.RewriteWithin, how.IsClockKept)
+	s.logf("store restored from copy %d, rewritten within %s, its clock kept: %t", index, options.RewriteWithin, options.IsClockKept)
 }
 
-// checkRestore restores the store from its oldest copy while nothing else happens, right after
-// keys were changed, and returns which daemon does not serve again.
+// checkRestore rotates the keys and at once restores the store from its oldest snapshot,
+// without other faults. It returns the daemons that do not serve afterwards.
 func (s *soak) checkRestore() []string {
-	s.changeKeys()
+	s.rotateKeys()
 	s.platform.Store.SetFault(standin.Refusing)
-	time.Sleep(leastAway)
-	s.restore(keptCopies, standin.Restoring{
-		RewriteWithin: longestRewrite,
+	time.Sleep(minOutage)
+	s.restore(maxSnapshots, standin.Restoring{
+		RewriteWithin: maxRewriteDelay,
 	})
-	return s.await("a restore of the store")
+	return s.awaitServing("a restore of the store")
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,11 +1,12 @@
-// Package soak plays random faults against real daemons in processes of their
-// own and checks, while it runs, what clients and backend servers see.
+// Package soak injects random faults into real daemons, each in a process of its own, and
+// checks meanwhile what clients and backend servers observe.
 //
-// It starts no process: a script (soak/run) starts the daemons that it lists,
-// starts each again when it ends, and leaves their process ids in files. The
-// soak holds the stand-in of the platform, a proxy before the store of each
-// daemon, before each daemon's clients and before each backend server, and
-// clients that keep using open connections. All of its choices come from a seed.
+// It starts no process: the script soak/run starts the daemons that the soak lists, restarts
+// each that ends, and writes their process IDs to files. The soak runs the stand-in of the
+// platform, a proxy before the store and the clients of each daemon and before each backend
+// server, and clients that reuse their connections. The seed determines which faults it
+// injects, but not the ports of daemons nor the moments at which lost writes are repeated
+// after a restore.
 package soak
 
 import (
@@ -25,200 +26,201 @@
 	"headcourse/lab/standin"
 )
 
-// Options are what a soak is played with.
+// Options are the settings of a soak.
 type Options struct {
 	Seed    uint64
 	Length  time.Duration
 	Daemons int
-	// Faults is how many rows of the table of faults are drawn from; 0: all.
+	// Faults is the number of rows of the fault table to draw from; 0 means all.
 	Faults int
-	// Dir takes settings files and process ids.
+	// Dir is the folder for settings files and process IDs.
 	Dir string
 	Out io.Writer
 }
 
-// Times of a soak.
+// Times of a soak, and its number of clients.
 const (
-	// patience bounds the wait for everything to work, at the start and after the faults.
-	patience = 60 * time.Second
-	// clientPause is the time between two requests of a client.
-	clientPause = 15 * time.Millisecond
-	// clientsOfDaemon is how many clients each daemon has.
-	clientsOfDaemon = 4
+	// servingTimeout limits the wait until every daemon serves, at the start and after the
+	// faults.
+	servingTimeout = 60 * time.Second
+	// clientInterval is the time between two requests of a client.
+	clientInterval = 15 * time.Millisecond
+	// clientsPerDaemon is the number of clients of each daemon.
+	clientsPerDaemon = 4
 )
 
-// daemon is one daemon that the script runs.
+// daemon is a daemon that the script runs, and the proxies before its store and its clients.
 type daemon struct {
-	name    string
-	clients int
-	store   *proxy.Proxy
-	entry   *proxy.Proxy
+	name        string
+	clientPort  int
+	storeProxy  *proxy.Proxy
+	clientProxy *proxy.Proxy
 }
 
-// soak is one play.
+// soak is one run.
 type soak struct {
 	options  Options
 	random   *rand.Rand
 	platform *standin.Platform
 	faults   []fault
 	daemons  []*daemon
-	// servers are the proxies before backend servers, by their addresses; servers that
-	// crash start again at any time.
-	serversMutex sync.Mutex
-	servers      map[string]*proxy.Proxy
-	// ports are those that daemons were given.
-	ports map[int]bool
-	keys  keyring
-	tally tally
-	// timers are what is still to happen while there are faults.
+	// serverProxies are the proxies before backend servers, by their addresses. The mutex is
+	// needed because crashed servers restart at any time.
+	serverProxiesMutex sync.Mutex
+	serverProxies      map[string]*proxy.Proxy
+	// usedPorts are the ports that were assigned to daemons.
+	usedPorts map[int]bool
+	keys      keyring
+	outcomes  outcomeCounter
+	// timers are the pending actions of faults; they stop when the faults end.
 	timers []*time.Timer
-	// crashing are the paths of the requests that crash servers, in the order in which
-	// they came first; crashers are what sends them.
-	crashing []string
-	crashers sync.WaitGroup
-	copies   copies
+	// crashingPaths are the paths of the requests that crash servers, in the order of their
+	// first use; crashingSenders are the goroutines that send them.
+	crashingPaths   []string
+	crashingSenders sync.WaitGroup
+	snapshots       snapshots
 }
 
-// Play plays a soak and returns what must not have happened.
+// Play runs a soak and returns the violations and failures that it found.
 func Play(options Options) ([]string, error) {
 	s := &soak{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, options.Seed)),
-		faults:  faults,
-		servers: map[string]*proxy.Proxy{},
-		ports:   map[int]bool{},
-		tally: tally{
+		options:       options,
+		random:        rand.New(rand.NewPCG(options.Seed, options.Seed)),
+		faults:        faults,
+		serverProxies: map[string]*proxy.Proxy{},
+		usedPorts:     map[int]bool{},
+		outcomes: outcomeCounter{
 			counts: map[string]int{},
 		},
 	}
 	if options.Faults > len(faults) {
-		return nil, errors.Errorf("play soak: %d faults asked for, there are %d", options.Faults, len(faults))
+		return nil, errors.Errorf("run soak: %d faults requested, but the table has %d", options.Faults, len(faults))
 	}
 	if options.Faults > 0 {
 		s.faults = faults[:options.Faults]
 	}
-	if err := s.prepare(); err != nil {
+	if err := s.setUp(); err != nil {
 		return nil, err
 	}
 	defer s.platform.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if broken := s.await("start"); len(broken) > 0 {
-		return broken, nil
+	if failures := s.awaitServing("start"); len(failures) > 0 {
+		return failures, nil
 	}
-	s.say("all daemons serve")
-	copied := make(chan struct{})
-	var copier sync.WaitGroup
-	copier.Go(func() { s.copyStore(copied) })
+	s.logf("all daemons serve")
+	stopSnapshots := make(chan struct{})
+	var snapshotTaker sync.WaitGroup
+	snapshotTaker.Go(func() { s.takeSnapshots(stopSnapshots) })
 	var clients sync.WaitGroup
 	for i := range s.daemons {
-		for range clientsOfDaemon {
+		for range clientsPerDaemon {
 			clients.Go(func() { s.runClient(ctx, i) })
 		}
 	}
-	s.disturb(time.Now().Add(options.Length))
-	s.healAll()
-	broken := s.await("recovery")
-	broken = append(broken, s.checkCrashing()...)
-	broken = append(broken, s.checkLimits()...)
-	broken = append(broken, s.checkEvacuation()...)
-	broken = append(broken, s.checkRestore()...)
-	close(copied)
-	copier.Wait()
+	s.injectFaults(time.Now().Add(options.Length))
+	s.clearFaults()
+	failures := s.awaitServing("recovery")
+	failures = append(failures, s.checkCrashingRequests()...)
+	failures = append(failures, s.checkLimits()...)
+	failures = append(failures, s.checkEvacuation()...)
+	failures = append(failures, s.checkRestore()...)
+	close(stopSnapshots)
+	snapshotTaker.Wait()
 	stop()
 	clients.Wait()
-	s.say("%s", s.tally.String())
+	s.logf("%s", s.outcomes.String())
 	counts := s.platform.DirectiveCounts()
-	s.say("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.Pauses, counts.InPause, counts.Leaves)
-	s.say("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.Limits, counts.Limited)
-	return append(broken, s.platform.Violations()...), nil
+	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.Pauses, counts.InPause, counts.Leaves)
+	s.logf("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.Limits, counts.Limited)
+	return append(failures, s.platform.Violations()...), nil
 }
 
-// say writes a line of what happens, with the time since the start.
-func (s *soak) say(format string, values ...any) {
-	// Nobody is told more by a failure to write it.
+// logf writes a line with the seed to the log.
+func (s *soak) logf(format string, values ...any) {
+	// The error is ignored: there is no other place to report it.
 	_, _ = fmt.Fprintf(s.options.Out, "soak %d: %s\n", s.options.Seed, fmt.Sprintf(format, values...))
 }
 
-// prepare starts the stand-in and the proxies, and writes the settings of the
-// daemons.
-func (s *soak) prepare() error {
+// setUp starts the stand-in and the proxies, and writes the settings of the daemons.
+func (s *soak) setUp() error {
 	var err error
 	s.platform, err = standin.Start(s.options.Dir, standin.Size{
 		Domains:   2,
 		PerDomain: 8,
 		Plain:     3,
-		Zones:     zonesOfServers,
-		Lead:      s.proxyFor,
+		Zones:     serverZones,
+		Lead:      s.addServerProxy,
 	})
 	if err != nil {
 		return err
 	}
-	s.keys.withdraw = map[string]time.Time{}
+	s.keys.withdrawnAt = map[string]time.Time{}
 	for i := range s.options.Daemons {
 		if err = s.addDaemon(fmt.Sprintf("front-%d", i)); err != nil {
 			return err
 		}
 	}
-	const readable = 0o600
-	listed := ""
-	for _, one := range s.daemons {
-		listed += one.name + "\n"
+	const fileMode = 0o600
+	names := ""
+	for _, d := range s.daemons {
+		names += d.name + "\n"
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(s.options.Dir, "daemons"), []byte(listed), readable), "list daemons")
+	return errors.Wrap(os.WriteFile(filepath.Join(s.options.Dir, "daemons"), []byte(names), fileMode), "write the list of daemons")
 }
 
-// proxyFor puts a proxy before a backend server.
-func (s *soak) proxyFor(address string) (string, error) {
-	made, err := proxy.Listen(address)
+// addServerProxy starts a proxy before a backend server and returns its address.
+func (s *soak) addServerProxy(address string) (string, error) {
+	serverProxy, err := proxy.Listen(address)
 	if err != nil {
 		return "", err
 	}
-	s.serversMutex.Lock()
-	defer s.serversMutex.Unlock()
-	s.servers[made.Address()] = made
-	return made.Address(), nil
+	s.serverProxiesMutex.Lock()
+	defer s.serverProxiesMutex.Unlock()
+	s.serverProxies[serverProxy.Address()] = serverProxy
+	return serverProxy.Address(), nil
 }
 
-// addDaemon writes the settings of a daemon, whose store and clients are led
-// through proxies.
+// addDaemon writes the settings of a daemon that reaches the store, and is reached by its
+// clients, through proxies.
 func (s *soak) addDaemon(name string) error {
 	ports, err := s.freePorts()
 	if err != nil {
 		return err
 	}
-	store, err := proxy.Listen(s.platform.Store.Address())
+	storeProxy, err := proxy.Listen(s.platform.Store.Address())
 	if err != nil {
 		return err
 	}
-	entry, err := proxy.Listen(fmt.Sprintf("127.0.0.1:%d", ports[0]))
+	clientProxy, err := proxy.Listen(fmt.Sprintf("127.0.0.1:%d", ports[0]))
 	if err != nil {
 		return err
 	}
-	if _, err = s.platform.WriteSettingsFor(name, store.Address(), ports[0], ports[1], ports[2]); err != nil {
+	if _, err = s.platform.WriteSettingsFor(name, storeProxy.Address(), ports[0], ports[1], ports[2]); err != nil {
 		return err
 	}
 	s.daemons = append(s.daemons, &daemon{
-		name:    name,
-		clients: ports[0],
-		store:   store,
-		entry:   entry,
+		name:        name,
+		clientPort:  ports[0],
+		storeProxy:  storeProxy,
+		clientProxy: clientProxy,
 	})
 	return nil
 }
 
-// Ports of daemons. They are below those that the system gives to connections: a daemon keeps
-// its ports over its restarts, and while it is down a connection must not get one of them.
-const firstPort, lastPort = 12000, 30000
+// Ports of daemons. They are below the range from which the system assigns ports to
+// connections: a daemon keeps its ports over restarts, and no connection may take one while
+// the daemon is down.
+const minPort, maxPort = 12000, 30000
 
-// freePorts returns three ports that are free now and no other daemon has been given.
+// freePorts returns three ports that are free now and not assigned to another daemon.
 func (s *soak) freePorts() ([3]int, error) {
 	var ports [3]int
-	const tries = 1000
+	const attempts = 1000
 	found := 0
-	for range tries {
-		port := firstPort + rand.IntN(lastPort-firstPort)
-		if s.ports[port] {
+	for range attempts {
+		port := minPort + rand.IntN(maxPort-minPort)
+		if s.usedPorts[port] {
 			continue
 		}
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
@@ -226,13 +228,13 @@
 			continue
 		}
 		if err = listener.Close(); err != nil {
-			return ports, errors.Wrapf(err, "free port %d", port)
+			return ports, errors.Wrapf(err, "release port %d", port)
 		}
-		s.ports[port] = true
+		s.usedPorts[port] = true
 		ports[found] = port
 		if found++; found == len(ports) {
 			return ports, nil
 		}
 	}
-	return ports, errors.Errorf("find free ports from %d to %d: %d of %d in %d tries", firstPort, lastPort, found, len(ports), tries)
+	return ports, errors.Errorf("find free ports from %d to %d: found %d of %d in %d attempts", minPort, maxPort, found, len(ports), attempts)
 }
