--- a/lab/fleetlog/fleetlog.go
+++ b/lab/fleetlog/fleetlog.go
@@ -1,9 +1,9 @@
-// Package fleetlog reads what many daemons of one fleet wrote to their logs, and works out what
-// grows with the fleet: the calls to the store by table and start of a daemon, how long a
-// configuration takes to reach all daemons, and how long they take to be ready after a start.
+// Package fleetlog reads the logs of many daemons of one fleet and computes what grows with
+// the fleet: the calls to the store by table and start of a daemon, the time until a
+// configuration reaches all daemons, and the time from a start until daemons are ready.
 //
-// A line is a time in seconds, the daemon's name, and the JSON line that the daemon wrote. Lines of
-// another form are passed over.
+// A line holds a time in seconds, the daemon's name, and the JSON line that the daemon logged.
+// Other lines are skipped.
 package fleetlog
 
 import (
@@ -19,29 +19,29 @@
 	"github.com/pkg/errors"
 )
 
-// Messages of the daemons that count.
+// Log messages that are evaluated.
 const (
-	messageStarted = "daemon: started"
-	messageFigures = "daemon: figures"
-	messageReady   = "daemon: readiness changed"
-	messageConfig  = "configuration: taken"
-	messageRelays  = "daemons: relays chosen"
+	messageStarted  = "daemon: started"
+	messageCounters = "daemon: figures"
+	messageReady    = "daemon: readiness changed"
+	messageConfig   = "configuration: taken"
+	messageRelays   = "daemons: relays chosen"
 )
 
-// storeCalls begins the names of counters of calls to the store.
-const storeCalls = "store_calls."
+// storeCallsPrefix is the prefix of the counters of calls to the store.
+const storeCallsPrefix = "store_calls."
 
-// Role is what a daemon does for others.
+// Role is the part of a daemon in the fleet.
 type Role string
 
-// The roles that a log tells of.
+// Relay daemons read the store for others; all other daemons have the role Traffic.
 const (
 	Relay   Role = "relay"
 	Traffic Role = "traffic"
 )
 
-// Spread is when something reached the first, the middle and the last daemon, in seconds of the
-// log's time.
+// Spread is when an event happened on the first, the median and the last daemon, in seconds of
+// the log's clock.
 type Spread struct {
 	Daemons int
 	First   float64
@@ -49,7 +49,7 @@
 	Last    float64
 }
 
-// Calls is how often the daemons of a role called the store, in one of their starts.
+// Calls counts the calls to the store by the daemons of one role, in one of their starts.
 type Calls struct {
 	// Start is the number of the start, from 1.
 	Start   int
@@ -59,18 +59,18 @@
 	Count   int64
 }
 
-// Summary is what the logs tell.
+// Summary is the result of reading the logs.
 type Summary struct {
-	// Calls are ordered by start, role and number.
+	// Calls are ordered by start, role and descending count.
 	Calls []Calls
-	// Configurations is when each version was taken, by version; Ready when daemons became
-	// ready, by the number of their start.
+	// Configurations is when daemons applied each configuration, by version. Ready is when
+	// daemons became ready, by the number of their start.
 	Configurations map[int64]Spread
 	Ready          map[int]Spread
 }
 
-// line is the part of a daemon's line that is read.
-type line struct {
+// logLine holds the fields of a daemon's JSON line that are evaluated.
+type logLine struct {
 	Message       string           `json:"msg"`
 	Counters      map[string]int64 `json:"counters"`
 	IsReady       bool             `json:"is_ready"`
@@ -78,99 +78,100 @@
 	ConfigVersion int64            `json:"config_version"`
 }
 
-// life is one start of a daemon.
-type life struct {
+// processRun identifies one start of a daemon.
+type processRun struct {
 	daemon string
 	start  int
 }
 
-// reader gathers what lines tell.
-type reader struct {
-	starts   map[string]int
-	counters map[life]map[string]int64
-	isRelay  map[string]bool
-	ready    map[life]float64
-	configs  map[int64]map[life]float64
+// collector accumulates the contents of log lines.
+type collector struct {
+	startCounts     map[string]int
+	counters        map[processRun]map[string]int64
+	isRelay         map[string]bool
+	readyAt         map[processRun]float64
+	configAppliedAt map[int64]map[processRun]float64
 }
 
-// longestLine bounds one line of a log.
-const longestLine = 4 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 4 << 20
 
-// Read reads logs. It fails where they cannot be read.
+// Read reads logs and summarises them. It fails if the reader fails or a line is longer than
+// maxLineBytes.
 func Read(logs io.Reader) (Summary, error) {
-	r := reader{
-		starts:   map[string]int{},
-		counters: map[life]map[string]int64{},
-		isRelay:  map[string]bool{},
-		ready:    map[life]float64{},
-		configs:  map[int64]map[life]float64{},
+	c := collector{
+		startCounts:     map[string]int{},
+		counters:        map[processRun]map[string]int64{},
+		isRelay:         map[string]bool{},
+		readyAt:         map[processRun]float64{},
+		configAppliedAt: map[int64]map[processRun]float64{},
 	}
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		r.take(scanner.Text())
+		c.addLine(scanner.Text())
 	}
 	if err := scanner.Err(); err != nil {
 		return Summary{}, errors.Wrap(err, "read logs")
 	}
-	return r.summary(), nil
+	return c.summary(), nil
 }
 
-// take takes one line.
-func (r *reader) take(text string) {
-	at, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
+// addLine evaluates one line; lines of another form are skipped.
+func (c *collector) addLine(text string) {
+	timestamp, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	daemon, encoded, _ := strings.Cut(rest, " ")
-	seconds, err := strconv.ParseFloat(at, 64)
-	var read line
-	if err != nil || json.Unmarshal([]byte(encoded), &read) != nil {
+	seconds, err := strconv.ParseFloat(timestamp, 64)
+	var parsed logLine
+	if err != nil || json.Unmarshal([]byte(encoded), &parsed) != nil {
 		return
 	}
-	if read.Message == messageStarted {
-		r.starts[daemon]++
+	if parsed.Message == messageStarted {
+		c.startCounts[daemon]++
 	}
-	one := life{
+	run := processRun{
 		daemon: daemon,
-		start:  r.starts[daemon],
+		start:  c.startCounts[daemon],
 	}
-	switch read.Message {
-	case messageFigures:
-		r.counters[one] = read.Counters
+	switch parsed.Message {
+	case messageCounters:
+		c.counters[run] = parsed.Counters
 	case messageRelays:
-		r.isRelay[daemon] = read.IsRelay
+		c.isRelay[daemon] = parsed.IsRelay
 	case messageReady:
-		if _, wasReady := r.ready[one]; read.IsReady && !wasReady {
-			r.ready[one] = seconds
+		if _, wasReady := c.readyAt[run]; parsed.IsReady && !wasReady {
+			c.readyAt[run] = seconds
 		}
 	case messageConfig:
-		if r.configs[read.ConfigVersion] == nil {
-			r.configs[read.ConfigVersion] = map[life]float64{}
+		if c.configAppliedAt[parsed.ConfigVersion] == nil {
+			c.configAppliedAt[parsed.ConfigVersion] = map[processRun]float64{}
 		}
-		r.configs[read.ConfigVersion][one] = seconds
+		c.configAppliedAt[parsed.ConfigVersion][run] = seconds
 	}
 }
 
-// summary returns what the lines told.
-func (r *reader) summary() Summary {
+// summary returns the summary of all lines.
+func (c *collector) summary() Summary {
 	summary := Summary{
-		Calls:          r.calls(),
+		Calls:          c.calls(),
 		Configurations: map[int64]Spread{},
 		Ready:          map[int]Spread{},
 	}
-	for version, times := range r.configs {
-		summary.Configurations[version] = spreadOf(slices.Collect(maps.Values(times)))
+	for version, times := range c.configAppliedAt {
+		summary.Configurations[version] = newSpread(slices.Collect(maps.Values(times)))
 	}
 	byStart := map[int][]float64{}
-	for one, at := range r.ready {
-		byStart[one.start] = append(byStart[one.start], at)
+	for run, seconds := range c.readyAt {
+		byStart[run.start] = append(byStart[run.start], seconds)
 	}
 	for start, times := range byStart {
-		summary.Ready[start] = spreadOf(times)
+		summary.Ready[start] = newSpread(times)
 	}
 	return summary
 }
 
-// spreadOf returns the spread of times, of which there is one at least.
-func spreadOf(times []float64) Spread {
+// newSpread returns the spread of times, of which there must be at least one.
+func newSpread(times []float64) Spread {
 	slices.Sort(times)
 	const half = 2
 	return Spread{
@@ -181,21 +182,21 @@
 	}
 }
 
-// calls adds up the last counters of each start.
-func (r *reader) calls() []Calls {
+// calls adds up the last counters of each start, by role and call.
+func (c *collector) calls() []Calls {
 	sums := map[Calls]Calls{}
-	for one, counters := range r.counters {
+	for run, counters := range c.counters {
 		role := Traffic
-		if r.isRelay[one.daemon] {
+		if c.isRelay[run.daemon] {
 			role = Relay
 		}
 		for name, count := range counters {
-			call, isCall := strings.CutPrefix(name, storeCalls)
+			call, isCall := strings.CutPrefix(name, storeCallsPrefix)
 			if !isCall || count == 0 {
 				continue
 			}
 			key := Calls{
-				Start: one.start,
+				Start: run.start,
 				Role:  role,
 				Call:  call,
 			}
--- a/lab/fleetlog/fleetlog_test.go
+++ b/lab/fleetlog/fleetlog_test.go
@@ -9,7 +9,7 @@
 	"headcourse/lab/fleetlog"
 )
 
-// logs are lines of two daemons, one of which starts again.
+// logs are the lines of two daemons, one of which starts twice.
 const logs = `a line of something else
   -3.0 front-a {"msg":"daemon: started"}
   -2.9 front-b {"msg":"daemon: started"}
@@ -28,7 +28,7 @@
    9.1 front-b no JSON
 `
 
-func TestSummaryOfLogs(t *testing.T) {
+func TestReadSummarisesCallsAndTimes(t *testing.T) {
 	summary, err := fleetlog.Read(strings.NewReader(logs))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, summary.Calls, qt.DeepEquals, []fleetlog.Calls{
@@ -66,7 +66,7 @@
 	qt.Assert(t, summary.Ready[2].First, qt.Equals, 3.4)
 }
 
-func TestNothingIsReadOfNothing(t *testing.T) {
+func TestReadOfEmptyLogReturnsNoCalls(t *testing.T) {
 	summary, err := fleetlog.Read(strings.NewReader(""))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, summary.Calls, qt.HasLen, 0)
