--- a/lab/proxy/proxy.go
+++ b/lab/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy passes TCP connections on over the loopback address and harms
-// them on demand: it delays, resets, silences, or cuts them one way. It stands
-// between real processes, so that faults come from outside of them.
+// Package proxy forwards TCP connections over the loopback address and injects faults into
+// them: it delays, resets or blackholes connections, or drops the bytes of one direction. It
+// runs between real processes, so that they need no code for faults.
 package proxy
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// Harm is what is done to the connections of a proxy.
+// Harm is the fault that a proxy injects into its connections.
 type Harm int
 
-// The harms. Silence drops bytes both ways and keeps connections open; CutThere
-// drops those to the server, CutBack those from it; Reset ends all connections
-// and refuses new ones with a reset; Delay holds bytes up.
+// Silence drops the bytes of both directions and keeps connections open. CutThere drops
+// the bytes to the server, CutBack those from it. Reset resets all connections, also
+// new ones. Delay holds bytes back for addedDelay.
 const (
 	None Harm = iota
 	Delay
@@ -26,91 +26,93 @@
 	Reset
 )
 
-// String returns the harm as it stands in logs.
-func (h Harm) String() string {
-	return [...]string{"none", "delay", "silence", "cut_there", "cut_back", "reset"}[h]
+// String returns the name of the fault in logs.
+func (f Harm) String() string {
+	return [...]string{"none", "delay", "silence", "cut_there", "cut_back", "reset"}[f]
 }
 
-// Figures of a proxy.
+// Parameters of forwarding.
 const (
-	// delayTime is how long Delay holds bytes up, each way.
-	delayTime = 120 * time.Millisecond
-	// chunk is how much is copied at once.
-	chunk = 16 << 10
+	// addedDelay is the time for which Delay holds bytes back, in each direction.
+	addedDelay = 120 * time.Millisecond
+	// bufferBytes is the number of bytes that are copied at once.
+	bufferBytes = 16 << 10
 )
 
-// Proxy is one listening address that leads to another. Use Listen.
+// Proxy listens on one address and forwards connections to another. Use Listen.
 type Proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mutex sync.Mutex
-	harm  Harm
+	fault Harm
 	conns map[net.Conn]struct{}
-	// strandings counts the calls of Strand; connections that were open at one are
-	// silent from then on.
-	strandings int
+	// generation counts the calls of Strand; connections of earlier
+	// generations are blackholed.
+	generation int
 }
 
-// Listen leads a free port of the loopback address to IP:port.
-func Listen(to string) (*Proxy, error) {
+// Listen forwards connections from a free port of the loopback address to the target, an
+// IP:port.
+func Listen(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen for a proxy to %s", to)
+		return nil, errors.Wrapf(err, "listen for a proxy to %s", target)
 	}
 	p := &Proxy{
 		listener: listener,
-		to:       to,
+		target:   target,
 		conns:    map[net.Conn]struct{}{},
 	}
-	go p.accept()
+	go p.acceptConnections()
 	return p, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the proxy listens on.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Set changes the harm from now on. Connections that lost bytes are reset when
-// the harm ends: a stream of bytes with a hole is none.
-func (p *Proxy) Set(harm Harm) {
+// Set changes the fault from now on. Connections that lost bytes are reset when the fault
+// ends, since a byte stream with a gap is corrupt.
+func (p *Proxy) Set(fault Harm) {
 	p.mutex.Lock()
-	former := p.harm
-	p.harm = harm
+	former := p.fault
+	p.fault = fault
 	p.mutex.Unlock()
-	if former != harm && (former == Silence || former == CutThere || former == CutBack || harm == Reset) {
+	if former != fault && (former == Silence || former == CutThere || former == CutBack || fault == Reset) {
 		p.resetAll()
 	}
 }
 
-// Strand silences the connections that are open now for good: they stay open, and no
-// byte passes any more, whatever harm is set. Connections made later are well.
+// Strand blackholes the connections that are open now: they stay open, but
+// no more bytes pass, whatever fault is set. Connections that are opened later are not
+// affected.
 func (p *Proxy) Strand() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.strandings++
+	p.generation++
 }
 
-// isStranded tells whether a connection was silenced for good since it was made, when
-// there had been so many strandings.
-func (p *Proxy) isStranded(strandings int) bool {
+// isBlackholed reports whether Strand was called since a connection of the
+// generation was opened.
+func (p *Proxy) isBlackholed(generation int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.strandings != strandings
+	return p.generation != generation
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.resetAll()
 }
 
-// current returns the harm in force.
-func (p *Proxy) current() Harm {
+// currentFault returns the fault that is set.
+func (p *Proxy) currentFault() Harm {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.harm
+	return p.fault
 }
 
 // resetAll resets all connections.
@@ -123,61 +125,61 @@
 	p.conns = map[net.Conn]struct{}{}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// A connection that is closed already needs no reset.
+		// The error is ignored: a closed connection needs no reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// accept takes connections until the listener is closed.
-func (p *Proxy) accept() {
+// acceptConnections accepts connections until the listener is closed.
+func (p *Proxy) acceptConnections() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.pass(near)
+		go p.forward(client)
 	}
 }
 
-// pass passes one connection on.
-func (p *Proxy) pass(near net.Conn) {
-	if p.current() == Reset {
-		reset(near)
+// forward forwards one connection until it ends.
+func (p *Proxy) forward(client net.Conn) {
+	if p.currentFault() == Reset {
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	p.mutex.Lock()
-	p.conns[near] = struct{}{}
-	p.conns[far] = struct{}{}
-	strandings := p.strandings
+	p.conns[client] = struct{}{}
+	p.conns[server] = struct{}{}
+	generation := p.generation
 	p.mutex.Unlock()
-	go p.copy(far, near, CutThere, strandings)
-	p.copy(near, far, CutBack, strandings)
+	go p.copy(server, client, CutThere, generation)
+	p.copy(client, server, CutBack, generation)
 	p.mutex.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mutex.Unlock()
 }
 
-// copy copies one way until it ends; cut is the harm that drops this way, strandings
-// how many there were when the connection was made.
-func (p *Proxy) copy(to, from net.Conn, cut Harm, strandings int) {
-	buffer := make([]byte, chunk)
+// copy copies one direction until it ends. dropFault is the fault that drops this direction;
+// generation is that of the connection.
+func (p *Proxy) copy(to, from net.Conn, dropFault Harm, generation int) {
+	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		harm := p.current()
-		if harm == Delay {
-			time.Sleep(delayTime)
+		fault := p.currentFault()
+		if fault == Delay {
+			time.Sleep(addedDelay)
 		}
-		isDropped := harm == Silence || harm == cut || p.isStranded(strandings)
+		isDropped := fault == Silence || fault == dropFault || p.isBlackholed(generation)
 		if n > 0 && !isDropped {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
