--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -1,10 +1,10 @@
-// Package fault lets a stand-in misbehave on request while it runs.
+// Package fault injects faults into a running stand-in.
 //
-// A Switch sits before a stand-in's handler. It is set by POST /lab/faults or
-// by the process that embeds the stand-in, for example {"slow_ms":400} or
-// {"lose_answers":true}. "Down" refuses before anything is done; "dark" drops
-// the connection before anything is done; "lose_answers" does the work and
-// then drops the connection, so that the caller cannot know.
+// A Switch wraps the handler of a stand-in. Its faults are set by POST /lab/faults, for
+// example {"slow_ms":400} or {"lose_answers":true}, or by the process that embeds the
+// stand-in. "down" answers 503 before the request is processed. "dark" closes the connection
+// before the request is processed. "lose_answers" processes the request and then closes the
+// connection, so that the caller can't tell whether it was processed.
 package fault
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Faults is what is wrong with a stand-in now. The zero value is nothing.
+// Faults are the active faults of a stand-in. The zero value has none.
 type Faults struct {
 	Down        bool `json:"down"`
 	Dark        bool `json:"dark"`
@@ -32,7 +32,7 @@
 	resumed chan struct{}
 }
 
-// Set replaces the faults. Clearing Paused lets held requests go on.
+// Set replaces the faults. Clearing Paused releases the requests that wait.
 func (s *Switch) Set(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -53,7 +53,7 @@
 	return s.faults
 }
 
-// WaitWhilePaused returns when the stand-in is not paused.
+// WaitWhilePaused returns as soon as the stand-in is not paused.
 func (s *Switch) WaitWhilePaused() {
 	s.mutex.Lock()
 	resumed := s.resumed
@@ -63,7 +63,7 @@
 	}
 }
 
-// Wrap returns the handler behind the switch.
+// Wrap returns a handler that applies the faults to next.
 func (s *Switch) Wrap(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/lab/faults" {
@@ -75,19 +75,19 @@
 		time.Sleep(time.Duration(faults.SlowMS) * time.Millisecond)
 		switch {
 		case faults.Dark:
-			drop(ctx)
+			dropConnection(ctx)
 		case faults.Down:
 			ctx.Error("down", fasthttp.StatusServiceUnavailable)
 		default:
 			next(ctx)
 			if s.Get().LoseAnswers {
-				drop(ctx)
+				dropConnection(ctx)
 			}
 		}
 	}
 }
 
-// serveFaults reads and sets the faults over HTTP.
+// serveFaults returns the faults and, on POST, sets them first.
 func (s *Switch) serveFaults(ctx *fasthttp.RequestCtx) {
 	if ctx.IsPost() {
 		var faults Faults
@@ -105,8 +105,8 @@
 	ctx.SetBody(body)
 }
 
-// drop closes the connection without an answer.
-func drop(ctx *fasthttp.RequestCtx) {
+// dropConnection closes the connection without an answer.
+func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(conn net.Conn) {
 		_ = conn.Close()
