--- a/lab/server/server.go
+++ b/lab/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs the HTTP side of one stand-in on one address, and lets
-// it be killed and started again there.
+// Package server runs the HTTP server of a stand-in on one address, which can be killed and
+// restarted on that address.
 package server
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Server is one stand-in's listener. Use Start.
+// Server is the HTTP server of one stand-in. Use Start.
 type Server struct {
 	handler  fasthttp.RequestHandler
 	mutex    sync.Mutex
@@ -19,7 +19,7 @@
 	conns    map[net.Conn]struct{}
 }
 
-// Start listens on address, where port 0 picks a free one, and serves.
+// Start listens on address and serves; port 0 chooses a free port.
 func Start(address string, handler fasthttp.RequestHandler) (*Server, error) {
 	server := &Server{
 		handler: handler,
@@ -28,14 +28,14 @@
 	return server, server.Revive()
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the server listens on.
 func (s *Server) Address() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.address
 }
 
-// Kill closes the listener and cuts every connection, as a dead process would.
+// Kill closes the listener and all connections, as the end of the process would.
 func (s *Server) Kill() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,15 +64,15 @@
 	s.address = listener.Addr().String()
 	s.listener = listener
 	s.conns = map[net.Conn]struct{}{}
-	inner := &fasthttp.Server{
+	httpServer := &fasthttp.Server{
 		Handler:               s.handler,
 		NoDefaultServerHeader: true,
 		StreamRequestBody:     false,
 		MaxRequestBodySize:    64 << 20,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	go func() {
-		_ = inner.Serve(&tracked{
+		_ = httpServer.Serve(&trackingListener{
 			Listener: listener,
 			server:   s,
 		})
@@ -80,20 +80,20 @@
 	return nil
 }
 
-// silent drops the library's log of cut connections.
-type silent struct{}
+// discardLogger discards the library's log lines about closed connections.
+type discardLogger struct{}
 
-// Printf drops the line.
-func (silent) Printf(string, ...any) {}
+// Printf discards the line.
+func (discardLogger) Printf(string, ...any) {}
 
-// tracked is a listener whose connections Kill can cut.
-type tracked struct {
+// trackingListener registers its connections with the server, so that Kill can close them.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept accepts a connection and keeps track of it.
-func (t *tracked) Accept() (net.Conn, error) {
+// Accept accepts and registers a connection.
+func (t *trackingListener) Accept() (net.Conn, error) {
 	conn, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	}, nil
 }
 
-// trackedConn forgets itself when closed.
+// trackedConn is removed from the server's connections when it is closed.
 type trackedConn struct {
 	net.Conn
 	server *Server
