--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform runs all stand-ins of one deployment in one process: the
-// table service, the VM list, the weight store, and a backend server for each
-// VM. Each listens on an address of its own, so that daemons in other
-// processes can use it too.
+// Package platform runs the stand-ins of one deployment in one process: the table service, the
+// VM list, the weight store, and a backend server for each VM. The table service, the VM list
+// and each backend server listen on addresses of their own, so that daemons in other processes
+// can use them.
 package platform
 
 import (
@@ -19,29 +19,31 @@
 	"headcourse/lab/weightstore"
 )
 
-// Settings are the properties of the stand-ins.
+// Settings configures the stand-ins.
 type Settings struct {
 	VMs []vm.VM
-	// TableAddress and VMListAddress are IP:port; empty picks a free port of
-	// the loopback.
+	// TableAddress and VMListAddress are IP:port; empty means a free port of the loopback
+	// address.
 	TableAddress  string
 	VMListAddress string
-	// ListLag is how late the VM list shows changes.
+	// ListLag is the delay until a change shows in the VM list.
 	ListLag time.Duration
-	// Slots, LoadTime, FirstToken and EachToken are those of every engine.
+	// Slots is the number of requests that an engine runs at once. LoadTime, FirstToken
+	// and EachToken are the times that it takes to load a model, to answer with the first
+	// token, and for each further token.
 	Slots      int
 	LoadTime   time.Duration
 	FirstToken time.Duration
 	EachToken  time.Duration
-	// ServiceTime is how long plain services take.
+	// ServiceTime is the time that a plain service takes for a request.
 	ServiceTime time.Duration
-	// LoadsPerSecond is the weight store's rate, with LoadBurst at once.
+	// LoadsPerSecond and LoadBurst are the rate and the burst of loads from the weight store.
 	LoadsPerSecond float64
 	LoadBurst      int
 }
 
-// anyPort is an address with a free port of the loopback.
-const anyPort = "127.0.0.1:0"
+// anyLoopbackPort makes a listener choose a free port of the loopback address.
+const anyLoopbackPort = "127.0.0.1:0"
 
 // Platform is a running set of stand-ins. Use Start.
 type Platform struct {
@@ -58,57 +60,57 @@
 
 // Start starts the stand-ins.
 func Start(settings Settings) (*Platform, error) {
-	started := &Platform{
+	p := &Platform{
 		Table:       &tablestore.Memory{},
 		TableFaults: &fault.Switch{},
 		Engines:     map[string]*engine.Engine{},
 		Services:    map[string]*plainservice.Service{},
 	}
 	weights := weightstore.New(settings.LoadsPerSecond, settings.LoadBurst)
-	for _, listed := range settings.VMs {
-		if err := started.startVM(settings, listed, weights); err != nil {
-			started.Stop()
+	for _, listedVM := range settings.VMs {
+		if err := p.startVM(settings, listedVM, weights); err != nil {
+			p.Stop()
 			return nil, err
 		}
 	}
-	started.List = vmlist.New(settings.ListLag, started.VMs)
+	p.List = vmlist.New(settings.ListLag, p.VMs)
 	var err error
-	started.table, err = server.Start(orAny(settings.TableAddress), started.TableFaults.Wrap(tablestore.Handler(started.Table)))
+	p.table, err = server.Start(addressOrAnyPort(settings.TableAddress), p.TableFaults.Wrap(tablestore.Handler(p.Table)))
 	if err == nil {
-		started.vmList, err = server.Start(orAny(settings.VMListAddress), vmlist.Handler(started.List))
+		p.vmList, err = server.Start(addressOrAnyPort(settings.VMListAddress), vmlist.Handler(p.List))
 	}
 	if err != nil {
-		started.Stop()
+		p.Stop()
 		return nil, errors.Wrap(err, "start platform")
 	}
-	return started, nil
+	return p, nil
 }
 
-// orAny returns the address, or one with a free port.
-func orAny(address string) string {
+// addressOrAnyPort returns the address, or anyLoopbackPort if it is empty.
+func addressOrAnyPort(address string) string {
 	if address == "" {
-		return anyPort
+		return anyLoopbackPort
 	}
 	return address
 }
 
 // startVM starts the backend server of one VM.
-func (p *Platform) startVM(settings Settings, listed vm.VM, weights *weightstore.Store) error {
-	address := orAny(listed.Address)
-	if listed.Service != "" {
-		running, err := plainservice.Start(listed.ID, address, settings.ServiceTime)
+func (p *Platform) startVM(settings Settings, listedVM vm.VM, weights *weightstore.Store) error {
+	address := addressOrAnyPort(listedVM.Address)
+	if listedVM.Service != "" {
+		running, err := plainservice.Start(listedVM.ID, address, settings.ServiceTime)
 		if err != nil {
 			return err
 		}
-		p.Services[listed.ID] = running
-		listed.Address = running.Address()
-		p.VMs = append(p.VMs, listed)
+		p.Services[listedVM.ID] = running
+		listedVM.Address = running.Address()
+		p.VMs = append(p.VMs, listedVM)
 		return nil
 	}
 	running, err := engine.Start(engine.Settings{
-		VM:           listed.ID,
+		VM:           listedVM.ID,
 		Address:      address,
-		ChecksOrders: listed.ChecksOrders,
+		ChecksOrders: listedVM.ChecksOrders,
 		Slots:        settings.Slots,
 		LoadTime:     settings.LoadTime,
 		FirstToken:   settings.FirstToken,
@@ -118,9 +120,9 @@
 	if err != nil {
 		return err
 	}
-	p.Engines[listed.ID] = running
-	listed.Address = running.Address()
-	p.VMs = append(p.VMs, listed)
+	p.Engines[listedVM.ID] = running
+	listedVM.Address = running.Address()
+	p.VMs = append(p.VMs, listedVM)
 	return nil
 }
 
@@ -150,18 +152,18 @@
 	}
 }
 
-// Domain returns the engines of a fabric domain, by VM.
+// Domain returns the engines of a fabric domain, by VM ID.
 func (p *Platform) Domain(name string) map[string]*engine.Engine {
-	found := map[string]*engine.Engine{}
-	for _, listed := range p.VMs {
-		if listed.Domain == name {
-			found[listed.ID] = p.Engines[listed.ID]
+	engines := map[string]*engine.Engine{}
+	for _, listedVM := range p.VMs {
+		if listedVM.Domain == name {
+			engines[listedVM.ID] = p.Engines[listedVM.ID]
 		}
 	}
-	return found
+	return engines
 }
 
-// RunsOf returns how often engines ran a request, over all of them.
+// RunsOf returns how often the engines ran each request, by request ID.
 func (p *Platform) RunsOf() map[string]int {
 	runs := map[string]int{}
 	for _, running := range p.Engines {
@@ -172,7 +174,7 @@
 	return runs
 }
 
-// ServiceRuns returns how often plain services ran each request.
+// ServiceRuns returns how often the plain services ran each request, by request ID.
 func (p *Platform) ServiceRuns() map[string]int {
 	runs := map[string]int{}
 	for _, running := range p.Services {
