--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -95,7 +95,7 @@
 		plan.Notes = append(plan.Notes, Note{
 			Model:  model.Name,
 			What:   "number of groups changed",
-			Reason: fmt.Sprintf("target %d, live %d, planned %d, needed %.1f, minimum %.1f", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
+			Reason: fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
 		})
 	}
 }
