--- a/core/declaration/declaration.go
+++ b/core/declaration/declaration.go
@@ -1,13 +1,12 @@
-// Package declaration reads the YAML that operators keep in version control.
+// Package declaration parses, checks and compares the YAML files that operators
+// keep in version control.
 //
 // A declaration names the organisations with their limits, the operators, the
-// zones, the models with their replicas, and the plain services. It becomes
-// one numbered revision when it is applied. Every mistake is reported with the
-// file, the line and the field, for example:
+// zones, the models with their replicas, and the plain services. Applying it
+// creates a numbered revision. Each problem is reported with its file, line and
+// field, for example:
 //
 //	caudal-andino.yaml:14: models[0].vms_per_replica: must be 1 to 64
-//
-// Organisations and zones are the brief's words; the glossary maps them.
 package declaration
 
 import (
@@ -15,7 +14,7 @@
 	"time"
 )
 
-// Declaration is one deployment. Lists keep the order of the files.
+// Declaration describes one deployment. Lists keep the order of the files.
 type Declaration struct {
 	Deployment    string         `yaml:"deployment"    json:"deployment"`
 	Region        string         `yaml:"region"        json:"region"`
@@ -28,32 +27,33 @@
 	Services      []Service      `yaml:"services"      json:"services"`
 }
 
-// Weights are what the operator loses by each measure: by a second of one
-// group's downtime, and by a second of one stranded accelerator.
+// Weights are the costs to the operator of one second of downtime of a group, and
+// of one second of a stranded accelerator.
 type Weights struct {
 	GroupDowntime        float64 `yaml:"group_downtime"        json:"group_downtime"`
 	StrandedAccelerators float64 `yaml:"stranded_accelerators" json:"stranded_accelerators"`
 }
 
-// Limits bound how long requests wait and work.
+// Limits bound how long requests are queued and run, how long the answers of
+// idempotency keys are kept, and how many groups load at the same time.
 type Limits struct {
 	QueueWait Duration `yaml:"queue_wait" json:"queue_wait"`
 	Deadline  Duration `yaml:"deadline"   json:"deadline"`
 	KeepKeys  Duration `yaml:"keep_keys"  json:"keep_keys"`
-	// ParallelLoads is how many groups of one plan load at the same time, for
-	// the sake of the weight store.
+	// ParallelLoads is how many groups of one plan load at the same time. It
+	// limits the load on the weight store.
 	ParallelLoads int `yaml:"parallel_loads" json:"parallel_loads"`
 }
 
-// Zone is one availability zone. Site groups zones of one data centre.
+// Zone is one availability zone. Zones of one data centre have the same Site.
 type Zone struct {
 	Name   string `yaml:"name"   json:"name"`
 	Site   string `yaml:"site"   json:"site"`
 	Region string `yaml:"region" json:"region"`
 }
 
-// Organisation is one customer. KeyHashes are SHA-256 in hexadecimal; the keys
-// themselves are nowhere in the system.
+// Organisation sends requests under its keys. KeyHashes are SHA-256 hashes of the
+// keys in hexadecimal; the keys themselves are never stored.
 type Organisation struct {
 	Name              string   `yaml:"name"                json:"name"`
 	KeyHashes         []string `yaml:"key_hashes"          json:"key_hashes"`
@@ -63,14 +63,14 @@
 	RequestsPerSecond float64  `yaml:"requests_per_second" json:"requests_per_second"`
 }
 
-// Operator may state intents and confirm plans.
+// Operator may apply declarations, propose intents and confirm plans.
 type Operator struct {
 	Name      string   `yaml:"name"       json:"name"`
 	KeyHashes []string `yaml:"key_hashes" json:"key_hashes"`
 }
 
-// Model is served by replicas, each a serving group of VMsPerReplica VMs of
-// one fabric domain. Replicas maps a zone to the number of groups there.
+// Model is served by replicas. Each replica is a serving group of VMsPerReplica
+// VMs of one fabric domain. Replicas maps each zone to its number of groups.
 type Model struct {
 	Name          string         `yaml:"name"            json:"name"`
 	Version       string         `yaml:"version"         json:"version"`
@@ -81,14 +81,14 @@
 	Replicas      map[string]int `yaml:"replicas"        json:"replicas"`
 }
 
-// Service is a plain service; requests under Prefix go to its VMs.
+// Service is a plain service. Requests whose path is under Prefix go to its VMs.
 type Service struct {
 	Name          string     `yaml:"name"           json:"name"`
 	Prefix        string     `yaml:"prefix"         json:"prefix"`
 	NotRepeatable []Endpoint `yaml:"not_repeatable" json:"not_repeatable"`
 }
 
-// Endpoint names requests by method and by path prefix.
+// Endpoint selects requests by method and path prefix.
 type Endpoint struct {
 	Method string `yaml:"method" json:"method"`
 	Path   string `yaml:"path"   json:"path"`
@@ -97,7 +97,7 @@
 // Duration is a length of time written with its unit, such as 1.5s or 2m.
 type Duration string
 
-// Or returns the duration, or fallback where none was declared.
+// Or returns the duration, or fallback if none was declared.
 func (d Duration) Or(fallback time.Duration) time.Duration {
 	parsed, err := time.ParseDuration(string(d))
 	if err != nil {
@@ -106,13 +106,13 @@
 	return parsed
 }
 
-// Defaults of durations that a declaration leaves out.
+// Defaults of limits and load times that a declaration leaves out.
 const (
 	DefaultQueueWait = 10 * time.Second
 	DefaultDeadline  = 2 * time.Minute
 	DefaultKeepKeys  = time.Hour
 	DefaultLoadTime  = 30 * time.Second
-	// DefaultParallelLoads stands in for Limits.ParallelLoads of 0.
+	// DefaultParallelLoads replaces Limits.ParallelLoads of 0.
 	DefaultParallelLoads = 4
 )
 
@@ -124,7 +124,7 @@
 	return l.ParallelLoads
 }
 
-// Model returns the model of that name.
+// Model returns the model with the name, and whether it is declared.
 func (d Declaration) Model(name string) (Model, bool) {
 	for _, model := range d.Models {
 		if model.Name == name {
@@ -134,7 +134,8 @@
 	return Model{}, false
 }
 
-// ServiceFor returns the service with the longest prefix that path is under.
+// ServiceFor returns the service with the longest prefix that contains path, and
+// whether there is one.
 func (d Declaration) ServiceFor(path string) (Service, bool) {
 	var found Service
 	for _, service := range d.Services {
@@ -145,7 +146,7 @@
 	return found, found.Name != ""
 }
 
-// Repeatable tells whether a request to the service may be sent twice.
+// Repeatable reports whether a request to the service may be sent twice.
 func (s Service) Repeatable(method, path string) bool {
 	for _, endpoint := range s.NotRepeatable {
 		if endpoint.Method == method && isUnder(path, endpoint.Path) {
@@ -166,7 +167,7 @@
 	return names
 }
 
-// HasZone tells whether a zone is declared.
+// HasZone reports whether a zone is declared.
 func (d Declaration) HasZone(name string) bool {
 	for _, zone := range d.Zones {
 		if zone.Name == name {
@@ -176,7 +177,7 @@
 	return false
 }
 
-// isUnder tells whether path is prefix or lies below it.
+// isUnder reports whether path equals prefix or is below it.
 func isUnder(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
--- a/core/declaration/declaration_test.go
+++ b/core/declaration/declaration_test.go
@@ -9,8 +9,8 @@
 	"headcourse/lab/examples"
 )
 
-// FuzzParse checks that no input makes the parser panic, and that whatever is
-// accepted has no mistakes.
+// FuzzParse checks that no input makes Parse panic, and that every accepted
+// declaration passes Check.
 func FuzzParse(f *testing.F) {
 	for _, name := range examples.Names() {
 		deployment, err := examples.Load(name)
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestDiffNamesEntries(t *testing.T) {
+func TestDiffLabelsListEntriesByName(t *testing.T) {
 	deployment, err := examples.Load("caudal-andino")
 	qt.Assert(t, err, qt.IsNil)
 	from := deployment.Declaration
@@ -44,7 +44,7 @@
 	qt.Assert(t, declaration.Diff(from, from), qt.HasLen, 0)
 }
 
-func TestServiceOfTheLongestPrefix(t *testing.T) {
+func TestServiceForReturnsLongestPrefix(t *testing.T) {
 	declared := declaration.Declaration{
 		Services: []declaration.Service{{
 			Name:   "a",
--- a/core/declaration/diff.go
+++ b/core/declaration/diff.go
@@ -7,40 +7,41 @@
 )
 
 // Diff returns the fields in which two declarations differ, in the order of
-// their paths, each as "path: old → new". Entries of lists are named by their
-// name, so that an added organisation does not shift the others.
+// their paths, each as "path: old → new". Paths contain the names of list entries
+// instead of indexes, so that an added organisation does not change the paths of
+// the others.
 func Diff(from, to Declaration) []string {
-	old, fresh := map[string]string{}, map[string]string{}
-	flatten("", plain(from), old)
-	flatten("", plain(to), fresh)
-	paths := make([]string, 0, len(old)+len(fresh))
-	for path := range old {
+	oldLeaves, newLeaves := map[string]string{}, map[string]string{}
+	flatten("", toJSONValue(from), oldLeaves)
+	flatten("", toJSONValue(to), newLeaves)
+	paths := make([]string, 0, len(oldLeaves)+len(newLeaves))
+	for path := range oldLeaves {
 		paths = append(paths, path)
 	}
-	for path := range fresh {
-		if _, ok := old[path]; !ok {
+	for path := range newLeaves {
+		if _, ok := oldLeaves[path]; !ok {
 			paths = append(paths, path)
 		}
 	}
 	sort.Strings(paths)
 	var differences []string
 	for _, path := range paths {
-		was, wasThere := old[path]
-		is, isThere := fresh[path]
+		oldValue, inOld := oldLeaves[path]
+		newValue, inNew := newLeaves[path]
 		switch {
-		case !wasThere:
-			differences = append(differences, fmt.Sprintf("%s: added %s", path, is))
-		case !isThere:
-			differences = append(differences, fmt.Sprintf("%s: removed %s", path, was))
-		case was != is:
-			differences = append(differences, fmt.Sprintf("%s: %s → %s", path, was, is))
+		case !inOld:
+			differences = append(differences, fmt.Sprintf("%s: added %s", path, newValue))
+		case !inNew:
+			differences = append(differences, fmt.Sprintf("%s: removed %s", path, oldValue))
+		case oldValue != newValue:
+			differences = append(differences, fmt.Sprintf("%s: %s → %s", path, oldValue, newValue))
 		}
 	}
 	return differences
 }
 
-// plain returns a declaration as plain JSON values.
-func plain(declared Declaration) any {
+// toJSONValue converts a declaration to generic JSON values.
+func toJSONValue(declared Declaration) any {
 	encoded, err := json.Marshal(declared)
 	if err != nil {
 		return nil
@@ -52,16 +53,16 @@
 	return value
 }
 
-// flatten notes every leaf of a value under its path.
+// flatten adds every leaf of a value to leaves, by its path.
 func flatten(path string, value any, leaves map[string]string) {
 	switch typed := value.(type) {
 	case map[string]any:
-		for name, inner := range typed {
-			flatten(join(path, name), inner, leaves)
+		for name, child := range typed {
+			flatten(joinPath(path, name), child, leaves)
 		}
 	case []any:
-		for i, inner := range typed {
-			flatten(path+"["+nameOf(inner, i)+"]", inner, leaves)
+		for i, child := range typed {
+			flatten(path+"["+entryLabel(child, i)+"]", child, leaves)
 		}
 	case nil:
 	default:
@@ -69,16 +70,17 @@
 	}
 }
 
-// join puts a name behind a path.
-func join(path, name string) string {
+// joinPath appends a field name to a path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// nameOf returns the name of a list's entry, or its place.
-func nameOf(entry any, place int) string {
+// entryLabel returns what identifies a list entry in a path: the value of a scalar,
+// the name field of an object, or else the index.
+func entryLabel(entry any, index int) string {
 	fields, ok := entry.(map[string]any)
 	if !ok {
 		return fmt.Sprintf("%v", entry)
@@ -86,5 +88,5 @@
 	if name, isNamed := fields["name"].(string); isNamed {
 		return name
 	}
-	return fmt.Sprint(place)
+	return fmt.Sprint(index)
 }
--- a/core/declaration/parse.go
+++ b/core/declaration/parse.go
@@ -20,97 +20,99 @@
 	Content []byte
 }
 
-// Parse reads the files as one declaration and checks it. A top-level field
-// may stand in one file only. The error lists every mistake with its place.
+// Parse decodes the files as one declaration and checks it. Each top-level field
+// may be in one file only. The error lists every problem with its file and line.
 func Parse(files []File) (Declaration, error) {
 	var merged Declaration
-	origin := map[string]File{}
-	var mistakes []string
+	fileOfField := map[string]File{}
+	var messages []string
 	for _, file := range files {
-		if err := guard(file, func() error {
-			return parseInto(&merged, file, origin)
+		if err := recoverPanics(file, func() error {
+			return parseInto(&merged, file, fileOfField)
 		}); err != nil {
-			mistakes = append(mistakes, err.Error())
+			messages = append(messages, err.Error())
 		}
 	}
-	if len(mistakes) > 0 {
-		return Declaration{}, errors.New(strings.Join(mistakes, "\n"))
+	if len(messages) > 0 {
+		return Declaration{}, errors.New(strings.Join(messages, "\n"))
 	}
 	for _, problem := range merged.Check() {
-		mistakes = append(mistakes, locate(problem, origin))
+		messages = append(messages, formatProblem(problem, fileOfField))
 	}
-	if len(mistakes) > 0 {
-		return Declaration{}, errors.New(strings.Join(mistakes, "\n"))
+	if len(messages) > 0 {
+		return Declaration{}, errors.New(strings.Join(messages, "\n"))
 	}
 	return merged, nil
 }
 
-// guard runs work on a file. The YAML library panics on some malformed input;
-// that is the file's mistake like any other.
-func guard(file File, work func() error) (err error) {
-	if recovered := panics.Try(func() {
-		err = work()
-	}); recovered != nil {
-		return errors.Errorf("%s: cannot be read as YAML: %v", file.Name, recovered.Value)
+// recoverPanics runs parse and returns its panic as an error of the file: the YAML
+// library panics on some malformed input.
+func recoverPanics(file File, parse func() error) (err error) {
+	if caught := panics.Try(func() {
+		err = parse()
+	}); caught != nil {
+		return errors.Errorf("%s: cannot be read as YAML: %v", file.Name, caught.Value)
 	}
 	return err
 }
 
-// parseInto decodes one file into merged, and notes which fields it holds.
-func parseInto(merged *Declaration, file File, origin map[string]File) error {
+// parseInto decodes one file into merged, and records in fileOfField which
+// top-level fields it contains.
+func parseInto(merged *Declaration, file File, fileOfField map[string]File) error {
 	var fields map[string]any
 	if err := yaml.Unmarshal(file.Content, &fields); err != nil {
-		return atPlace(file, err)
+		return withPosition(file, err)
 	}
 	for _, field := range slices.Sorted(maps.Keys(fields)) {
-		if first, ok := origin[field]; ok {
-			return errors.Errorf("%s:%d: %s: stands already in %s", file.Name, lineOf(field, file), field, first.Name)
+		if first, ok := fileOfField[field]; ok {
+			return errors.Errorf("%s:%d: %s: stands already in %s", file.Name, lineOfField(field, file), field, first.Name)
 		}
-		origin[field] = file
+		fileOfField[field] = file
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(file.Content), yaml.DisallowUnknownField())
 	err := decoder.Decode(merged)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return atPlace(file, err)
+		return withPosition(file, err)
 	}
 	return nil
 }
 
-// atPlace puts the file before an error of the YAML library, whose message
-// begins with the line and column in brackets.
-func atPlace(file File, err error) error {
+// withPosition returns an error of the YAML library with file, line and column in
+// front. The library's message begins with line and column in brackets.
+func withPosition(file File, err error) error {
 	var line, column int
-	first, _, _ := strings.Cut(err.Error(), "\n")
-	if _, scanErr := fmt.Sscanf(first, "[%d:%d]", &line, &column); scanErr != nil {
-		return errors.Errorf("%s: %s", file.Name, first)
+	firstLine, _, _ := strings.Cut(err.Error(), "\n")
+	if _, scanErr := fmt.Sscanf(firstLine, "[%d:%d]", &line, &column); scanErr != nil {
+		return errors.Errorf("%s: %s", file.Name, firstLine)
 	}
-	_, text, _ := strings.Cut(first, "] ")
+	_, text, _ := strings.Cut(firstLine, "] ")
 	return errors.Errorf("%s:%d:%d: %s", file.Name, line, column, text)
 }
 
-// locate returns a problem with the file and line of its field.
-func locate(problem Problem, origin map[string]File) string {
-	top, _, _ := strings.Cut(problem.Field, ".")
-	top, _, _ = strings.Cut(top, "[")
-	file, ok := origin[top]
+// formatProblem returns the text of a problem with the file and line of its field.
+func formatProblem(problem Problem, fileOfField map[string]File) string {
+	topLevelField, _, _ := strings.Cut(problem.Field, ".")
+	topLevelField, _, _ = strings.Cut(topLevelField, "[")
+	file, ok := fileOfField[topLevelField]
 	if !ok {
 		return fmt.Sprintf("%s: %s", problem.Field, problem.Text)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", file.Name, lineOf(problem.Field, file), problem.Field, problem.Text)
+	return fmt.Sprintf("%s:%d: %s: %s", file.Name, lineOfField(problem.Field, file), problem.Field, problem.Text)
 }
 
-// lineOf returns the line of a field, or of the nearest field around it.
-func lineOf(field string, file File) int {
+// lineOfField returns the line of a field, or 1 if the file cannot be parsed.
+func lineOfField(field string, file File) int {
 	line := 1
-	_ = guard(file, func() error {
-		line = findLine(field, file)
+	_ = recoverPanics(file, func() error {
+		line = findLineOfField(field, file)
 		return nil
 	})
 	return line
 }
 
-// findLine looks for the line of a field in the parsed file.
-func findLine(field string, file File) int {
+// findLineOfField returns the line of a field, or of the closest enclosing field
+// that the file contains.
+func findLineOfField(field string, file File) int {
 	parsed, err := parser.ParseBytes(file.Content, 0)
 	if err != nil {
 		return 1
@@ -123,11 +125,11 @@
 				return node.GetToken().Position.Line
 			}
 		}
-		cut := strings.LastIndexAny(field, ".[")
-		if cut < 0 {
+		separator := strings.LastIndexAny(field, ".[")
+		if separator < 0 {
 			break
 		}
-		field = field[:cut]
+		field = field[:separator]
 	}
 	return 1
 }
