--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteReturnsLongestPrefixOfHost(t *testing.T) {
 	known := sample()
 	qt.Assert(t, known.Route("board.example", "/a/b/c/d").Name, qt.Equals, "long")
 	qt.Assert(t, known.Route("BOARD.example", "/a/x").Name, qt.Equals, "short")
@@ -47,7 +47,7 @@
 	qt.Assert(t, known.Route("nobody.example", "/a/"), qt.IsNil)
 }
 
-func TestKeysAndPublicRoutes(t *testing.T) {
+func TestPublicRouteNeedsNoKey(t *testing.T) {
 	known := sample()
 	qt.Assert(t, known.Organisation("k2").Name, qt.Equals, "water")
 	qt.Assert(t, known.Organisation("k3"), qt.IsNil)
@@ -55,7 +55,7 @@
 	qt.Assert(t, known.NeedsKey(known.Route("board.example", "/a/b/")), qt.IsFalse)
 }
 
-func TestWithoutOrganisationsNoKeyIsNeeded(t *testing.T) {
+func TestNoKeyNeededWithoutOrganisations(t *testing.T) {
 	known := config.New(config.Config{
 		Routes: []config.Route{
 			{
--- a/core/config/main_test.go
+++ b/core/config/main_test.go
@@ -6,7 +6,7 @@
 	"headcourse/lab/fuzz"
 )
 
-// TestMain fixes the seeds of what is drawn.
+// TestMain fixes the seeds of the property tests.
 func TestMain(m *testing.M) {
 	fuzz.Exit(m)
 }
--- a/core/config/room.go
+++ b/core/config/room.go
@@ -6,155 +6,161 @@
 	"headcourse/core/usage"
 )
 
-// How many groups a model needs, by how its engines work.
+// Sizing: how many groups a model needs, given the timings of its engines.
 //
-// A group works in passes: it reads up to a chunk of the prompts that wait, and then
-// writes a few tokens for all requests that write. A pass takes the longer the more
-// requests write, and the more is read, so that both add up: near the bound a little more
-// makes all of them wait. So the need is where a request that comes in the middle of a
-// pass, after those that came before it, still begins well within its goal, and where
-// chance does not fill the places.
+// A group works in passes. In each pass it first reads up to one chunk of the pending
+// prompts (prefill), and then generates a few tokens for every running request. A pass
+// gets longer with each running request and with each prompt token read. Both effects
+// add up, so that close to the limit a little more demand delays all requests.
+//
+// The model has enough groups if a request that arrives in the middle of a pass, behind
+// the prompts queued before it, still gets its first event well within its goal, and if
+// random bursts do not take all slots of a group.
 
-// Figures of a group's room.
 const (
-	// goalPart is the part of the goal within which the mean token's request is to begin.
-	// Prompts of up to four times the mean leave the other half to those that come badly.
-	goalPart = 0.53
-	// leastSpare is how many times longer than at an idle group the first event may take
-	// at least: where reading the prompt alone takes most of the goal, groups without end
-	// would not help.
-	leastSpare = 1.25
-	// fullPlaces is the part of the places that may be taken on the mean. Daemons spread
-	// requests evenly, but they come by chance: of 48 places 34, so that two standard
-	// deviations more still find one.
-	fullPlaces = 0.7
-	// mostPlaces and mostReading are the parts from which on chance alone makes requests
-	// wait for each other.
-	mostPlaces  = 0.88
-	mostReading = 0.95
-	// fullReading is the part of the time in which a group reads while it has room.
-	fullReading = 0.8
-	// halvings is how often the interval is halved in which the need lies.
-	halvings = 30
+	// firstEventGoalFraction is the part of the goal within which the expected first event
+	// must arrive. The expectation is over prompt tokens, not requests. The rest of the goal
+	// is a margin for requests that arrive at a bad moment, with prompts of up to four times
+	// the mean size.
+	firstEventGoalFraction = 0.53
+	// minIdleMultiple is the lower bound of the permitted time to the first event, as a multiple
+	// of that at an idle group. If reading the prompt alone takes most of the goal, no number
+	// of groups would meet a tighter bound.
+	minIdleMultiple = 1.25
+	// maxSlotsOnTime is the mean part of the slots that may be in use. Daemons spread requests
+	// evenly, but requests arrive at random: with 34 of 48 slots in use, a burst of two
+	// standard deviations still finds a free slot.
+	maxSlotsOnTime = 0.7
+	// maxSlotsStable and maxPrefillStable are the parts of the slots and of the prefill capacity
+	// in use above which random bursts alone make requests queue.
+	maxSlotsStable   = 0.88
+	maxPrefillStable = 0.95
+	// maxPrefillOnTime is the part of the prefill capacity that a group with spare capacity uses.
+	maxPrefillOnTime = 0.8
+	// bisectionSteps is the number of steps of the search for the number of groups.
+	bisectionSteps = 30
 )
 
-// load is how one group works that is asked a part of all.
-type load struct {
-	// isStable tells that it keeps up at all.
+// groupLoad is the expected load of one group.
+type groupLoad struct {
+	// isStable is false if the queue of the group grows without bound.
 	isStable bool
-	// places is the part of its places that are taken, reading the part of what it could
-	// read while it writes; first is the time to the first event.
-	places  float64
-	reading float64
-	first   time.Duration
+	// slots is the part of the slots in use, prefill the part of the prompt tokens that the
+	// group can read between generating tokens, firstEvent the time to the first event.
+	slots      float64
+	prefill    float64
+	firstEvent time.Duration
 }
 
-// isTold tells whether the operator told enough of the engine for Groups.
-func (e *Engine) isTold() bool {
+// hasTimings reports whether the configuration contains the timings that Groups needs.
+func (e *Engine) hasTimings() bool {
 	return e.Step > 0 && e.Capacity > 0
 }
 
-// Groups is how many groups of a model it takes, not rounded.
+// Groups are numbers of groups that a model needs, not rounded.
 type Groups struct {
-	// Least keep up with what is asked: with fewer, requests wait ever longer.
+	// Least is the number that keeps up with the demand: with fewer, queues grow.
 	Least float64
-	// InTime serve it in time.
+	// InTime is the number that serves the demand within its goals.
 	InTime float64
 }
 
-// Groups returns how many groups of a model it takes to serve what is asked; ok is false
-// where too little is told of the engine.
-func (e *Engine) Groups(model Model, asked usage.Rate) (groups Groups, ok bool) {
-	if !e.isTold() {
+// Groups returns how many groups of a model are needed for a demand; ok is false if the
+// configuration lacks timings of the engine.
+func (e *Engine) Groups(model Model, demand usage.Rate) (groups Groups, ok bool) {
+	if !e.hasTimings() {
 		return Groups{}, false
 	}
-	if asked.Prompt <= 0 && asked.Answer <= 0 {
+	if demand.Prompt <= 0 && demand.Answer <= 0 {
 		return Groups{}, true
 	}
 	return Groups{
-		Least: fewest(func(groups float64) bool {
-			return e.keepsUp(model, asked, groups)
+		Least: smallestSufficient(func(groups float64) bool {
+			return e.isStableWith(model, demand, groups)
 		}),
-		InTime: fewest(func(groups float64) bool {
-			return e.isInTime(model, asked, groups)
+		InTime: smallestSufficient(func(groups float64) bool {
+			return e.isOnTimeWith(model, demand, groups)
 		}),
 	}, true
 }
 
-// fewest returns the least number that is enough, where all larger ones are.
-func fewest(isEnough func(number float64) bool) float64 {
-	enough := 1.0
-	for !isEnough(enough) {
-		enough += enough
+// smallestSufficient returns the smallest sufficient number, by bisection. All numbers above a
+// sufficient one must be sufficient.
+func smallestSufficient(isSufficient func(number float64) bool) float64 {
+	upper := 1.0
+	for !isSufficient(upper) {
+		upper += upper
 	}
-	few := 0.0
-	for range halvings {
-		middle := (few + enough) / 2
-		if isEnough(middle) {
-			enough = middle
+	lower := 0.0
+	for range bisectionSteps {
+		middle := (lower + upper) / 2
+		if isSufficient(middle) {
+			upper = middle
 		} else {
-			few = middle
+			lower = middle
 		}
 	}
-	return enough
+	return upper
 }
 
-// keepsUp tells whether so many groups keep up with what is asked.
-func (e *Engine) keepsUp(model Model, asked usage.Rate, groups float64) bool {
-	one := e.loadOf(model, asked.Times(1/groups))
-	return one.isStable && one.places <= mostPlaces && one.reading <= mostReading
+// isStableWith reports whether a number of groups keeps up with the demand.
+func (e *Engine) isStableWith(model Model, demand usage.Rate, groups float64) bool {
+	load := e.estimateLoad(model, demand.Times(1/groups))
+	return load.isStable && load.slots <= maxSlotsStable && load.prefill <= maxPrefillStable
 }
 
-// isInTime tells whether so many groups serve what is asked in time.
-func (e *Engine) isInTime(model Model, asked usage.Rate, groups float64) bool {
-	one := e.loadOf(model, asked.Times(1/groups))
-	if !one.isStable || one.places > fullPlaces || one.reading > fullReading {
+// isOnTimeWith reports whether a number of groups serves the demand within its goals.
+func (e *Engine) isOnTimeWith(model Model, demand usage.Rate, groups float64) bool {
+	load := e.estimateLoad(model, demand.Times(1/groups))
+	if !load.isStable || load.slots > maxSlotsOnTime || load.prefill > maxPrefillOnTime {
 		return false
 	}
-	goal := asked.Goal()
-	idle := e.loadOf(model, asked.Times(tiny))
-	bound := max(time.Duration(goalPart*float64(goal)), time.Duration(leastSpare*float64(idle.first)))
-	return goal <= 0 || one.first <= bound
+	goal := demand.Goal()
+	idle := e.estimateLoad(model, demand.Times(epsilon))
+	maxFirstEvent := max(time.Duration(firstEventGoalFraction*float64(goal)), time.Duration(minIdleMultiple*float64(idle.firstEvent)))
+	return goal <= 0 || load.firstEvent <= maxFirstEvent
 }
 
-// tiny is the part of what is asked that an idle group would be asked.
-const tiny = 1e-6
+// epsilon is the part of the demand that stands for the load of an idle group, and the
+// smallest divisor of the queueing formula.
+const epsilon = 1e-6
 
-// loadOf returns how a group works that is asked so much.
-func (e *Engine) loadOf(model Model, asked usage.Rate) load {
-	pace := model.Pace
-	if pace <= 0 {
-		pace = 1
+// estimateLoad returns the expected load of one group that gets all of the demand.
+func (e *Engine) estimateLoad(model Model, demand usage.Rate) groupLoad {
+	timeFactor := model.Pace
+	if timeFactor <= 0 {
+		timeFactor = 1
 	}
-	stride := float64(max(1, e.TokensPerEvent))
-	step := pace * e.Step.Seconds()
-	stepPerRequest := pace * e.StepPerRequest.Seconds()
-	readTime := 0.0
+	tokensPerPass := float64(max(1, e.TokensPerEvent))
+	stepSeconds := timeFactor * e.Step.Seconds()
+	stepSecondsPerRequest := timeFactor * e.StepPerRequest.Seconds()
+	readSeconds := 0.0
 	if e.ReadPerSecond > 0 {
-		readTime = pace / e.ReadPerSecond
+		readSeconds = timeFactor / e.ReadPerSecond
 	}
-	left := 1 - asked.Prompt*readTime - asked.Answer*stepPerRequest
-	if left <= 0 {
-		return load{}
+	spareFraction := 1 - demand.Prompt*readSeconds - demand.Answer*stepSecondsPerRequest
+	if spareFraction <= 0 {
+		return groupLoad{}
 	}
-	pass := stride * step / left
-	writing := asked.Answer * pass / stride
-	steps := stride * (step + stepPerRequest*writing)
-	known := load{
+	passSeconds := tokensPerPass * stepSeconds / spareFraction
+	generating := demand.Answer * passSeconds / tokensPerPass
+	stepsSeconds := tokensPerPass * (stepSeconds + stepSecondsPerRequest*generating)
+	estimate := groupLoad{
 		isStable: true,
-		places:   writing / float64(e.Capacity),
+		slots:    generating / float64(e.Capacity),
 	}
-	first := pass/half + steps
-	if e.Chunk > 0 && asked.Prompt > 0 {
-		tokenTime := readTime + steps/float64(e.Chunk)
-		known.reading = asked.Prompt * tokenTime
-		first += asked.Typical() * tokenTime
-		// The mean wait in a queue with sizes that differ (Pollaczek and Khinchine).
-		first += asked.Squares * tokenTime * tokenTime / (half * max(tiny, 1-known.reading))
+	firstEventSeconds := passSeconds/half + stepsSeconds
+	if e.Chunk > 0 && demand.Prompt > 0 {
+		secondsPerPromptToken := readSeconds + stepsSeconds/float64(e.Chunk)
+		estimate.prefill = demand.Prompt * secondsPerPromptToken
+		firstEventSeconds += demand.Typical() * secondsPerPromptToken
+		// The mean wait in a queue with varying service times (Pollaczek-Khinchine formula).
+		firstEventSeconds += demand.Squares * secondsPerPromptToken * secondsPerPromptToken / (half * max(epsilon, 1-estimate.prefill))
 	}
-	known.first = time.Duration(first * float64(time.Second))
-	return known
+	estimate.firstEvent = time.Duration(firstEventSeconds * float64(time.Second))
+	return estimate
 }
 
-// half divides a pass, in the middle of which requests come on the mean.
+// half is the divisor for half a pass, the mean time until the next pass begins, and of
+// the Pollaczek-Khinchine formula.
 const half = 2
--- a/core/config/room_test.go
+++ b/core/config/room_test.go
@@ -12,8 +12,8 @@
 	"headcourse/core/usage"
 )
 
-// engine is how the engines of a user's deployment work that was traced: large groups of
-// twelve servers, small ones of six.
+// engine has the timings of a traced user deployment, with large groups of twelve servers
+// and small groups of six.
 var engine = &config.Engine{
 	Capacity:       48,
 	Step:           6450 * time.Microsecond,
@@ -23,7 +23,7 @@
 	TokensPerEvent: 5,
 }
 
-// large and small are its models.
+// large and small are the models of that deployment.
 var (
 	large = config.Model{
 		Name: "large",
@@ -37,9 +37,9 @@
 	}
 )
 
-// askedLarge is what callers asked of the large model on a quiet day: 24 narratives and 15
-// triages a second, with prompts of up to 5,880 tokens, to be answered within 0.4 s.
-func askedLarge() usage.Rate {
+// largeDemand is the demand for the large model on a quiet day: 24 narratives and 15
+// triages a second, with prompts of up to 5,880 tokens and a goal of 0.4 s.
+func largeDemand() usage.Rate {
 	goal := 400 * time.Millisecond
 	narratives := usage.Rate{
 		Requests: 24.1,
@@ -58,68 +58,68 @@
 	return narratives.Plus(triages)
 }
 
-// askedSmall is what was asked of the small one: 258 summaries a second within 0.3 s.
-func askedSmall() usage.Rate {
+// smallDemand is the demand for the small model: 258 summaries a second with a goal of 0.3 s.
+func smallDemand() usage.Rate {
 	return usage.Of(usage.Size{
 		Prompt: 714,
 		Answer: 148,
 	}, 300*time.Millisecond).Times(258)
 }
 
-// On that day no request of the large model was late with six groups, 15 in 100 with five
-// and 40 to 70 in 100 with three; with two, most were. The small one was never short with
-// nine and more.
-func TestNeedIsWhereRequestsWereInTime(t *testing.T) {
-	groups, ok := engine.Groups(large, askedLarge())
+// Compares the result with the traced day: no request of the large model was late with six
+// groups, 15 in 100 with five, 40 to 70 in 100 with three, and most with two. The small
+// model always had enough groups with nine and more.
+func TestGroupsNeededMatchTracedDay(t *testing.T) {
+	groups, ok := engine.Groups(large, largeDemand())
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, groups.InTime > 3.5 && groups.InTime < 5, qt.IsTrue, qt.Commentf("%v", groups))
 	qt.Assert(t, groups.Least > 2 && groups.Least < 3, qt.IsTrue, qt.Commentf("%v", groups))
-	groups, ok = engine.Groups(small, askedSmall())
+	groups, ok = engine.Groups(small, smallDemand())
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, groups.InTime > 7.5 && groups.InTime < 9.5, qt.IsTrue, qt.Commentf("%v", groups))
 	qt.Assert(t, groups.Least > 6 && groups.Least < groups.InTime, qt.IsTrue, qt.Commentf("%v", groups))
 }
 
-// A mean says nothing of the prompts that hold up all others.
+// Guards against sizing by the mean prompt alone: long prompts delay all other requests.
 func TestLongPromptsNeedMoreGroupsThanTheirMean(t *testing.T) {
-	asked := askedLarge()
-	even := asked
-	even.Squares = asked.Prompt * asked.Prompt / asked.Requests
-	differing, _ := engine.Groups(large, asked)
-	alike, _ := engine.Groups(large, even)
-	qt.Assert(t, differing.InTime > 1.1*alike.InTime, qt.IsTrue, qt.Commentf("%v, %v", differing, alike))
+	demand := largeDemand()
+	uniform := demand
+	uniform.Squares = demand.Prompt * demand.Prompt / demand.Requests
+	varied, _ := engine.Groups(large, demand)
+	same, _ := engine.Groups(large, uniform)
+	qt.Assert(t, varied.InTime > 1.1*same.InTime, qt.IsTrue, qt.Commentf("%v, %v", varied, same))
 }
 
-// Reading a prompt may take most of the goal at an idle group: more groups do not help.
-func TestGoalThatNoGroupMeetsNeedsNoGroupsWithoutEnd(t *testing.T) {
-	asked := askedLarge()
-	asked.Goals = asked.Prompt * 0.01
-	groups, ok := engine.Groups(large, asked)
+// Reading the prompt may exceed the goal even at an idle group. More groups do not help, so
+// their number must stay bounded.
+func TestUnreachableGoalNeedsBoundedNumberOfGroups(t *testing.T) {
+	demand := largeDemand()
+	demand.Goals = demand.Prompt * 0.01
+	groups, ok := engine.Groups(large, demand)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, groups.InTime < 12, qt.IsTrue, qt.Commentf("%v", groups))
 }
 
-func TestNothingAskedAndNothingTold(t *testing.T) {
+func TestNoDemandNeedsNoGroupsAndMissingTimingsGiveNoResult(t *testing.T) {
 	groups, ok := engine.Groups(large, usage.Rate{})
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, groups, qt.Equals, config.Groups{})
-	_, ok = (&config.Engine{}).Groups(large, askedLarge())
+	_, ok = (&config.Engine{}).Groups(large, largeDemand())
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// Whatever is asked, twice as much takes twice as many groups, and the least are never more
-// than those that serve in time.
-func TestNeedGrowsWithWhatIsAsked(t *testing.T) {
+// For every demand, twice the demand needs twice as many groups, and Least is at most InTime.
+func TestGroupsNeededAreProportionalToDemand(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		one := usage.Of(usage.Size{
 			Prompt: rapid.Float64Range(0, 8000).Draw(rt, "prompt"),
 			Answer: rapid.Float64Range(1, 500).Draw(rt, "answer"),
 		}, time.Duration(rapid.IntRange(0, 2000).Draw(rt, "goal"))*time.Millisecond)
-		asked := one.Times(rapid.Float64Range(0.1, 1000).Draw(rt, "requests"))
-		groups, _ := engine.Groups(large, asked)
-		double, _ := engine.Groups(large, asked.Times(2))
+		demand := one.Times(rapid.Float64Range(0.1, 1000).Draw(rt, "requests"))
+		groups, _ := engine.Groups(large, demand)
+		double, _ := engine.Groups(large, demand.Times(2))
 		if math.Abs(double.InTime-2*groups.InTime) > 1e-3*double.InTime {
-			rt.Fatalf("%v for %v, %v for twice as much", groups, asked, double)
+			rt.Fatalf("%v for %v, %v for twice as much", groups, demand, double)
 		}
 		if groups.Least > groups.InTime*1.001 {
 			rt.Fatalf("%v", groups)
