--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds what one daemon on an entry VM is told by its
-// surroundings: its addresses and the bounds that it must keep.
+// Package settings holds the settings of a daemon on an entry VM: its addresses
+// and the time and rate limits that it must keep.
 package settings
 
 import (
@@ -10,58 +10,59 @@
 	"github.com/pkg/errors"
 )
 
-// Settings are the settings of one daemon, checked by Check.
+// Settings are the settings of one daemon. Check validates them.
 type Settings struct {
-	// Name is the VM's name, the same after a restart.
+	// Name is the name of the VM, which does not change with a restart.
 	Name string
 	IP   string
 	Zone string
-	// Clients and Readiness are the IP:port to listen on; Store is the
-	// platform's table store.
+	// Clients and Readiness are the IP:port to listen on for clients and for
+	// readiness checks; Store is that of the platform's table store.
 	Clients   string
 	Readiness string
 	Store     string
-	// Relay is where other daemons may follow the store's tables.
+	// Relay is the IP:port at which other daemons can watch the store's tables.
 	Relay string
-	// Strength is how much the VM can carry, compared to others.
+	// Strength is the capacity of the VM relative to others.
 	Strength float64
-	// Metrics is where metrics are served; empty: nowhere.
+	// Metrics is the IP:port at which metrics are served; empty: not served.
 	Metrics string
-	// IsFirstStart tells that the whole system is started for the first time.
+	// IsFirstStart is set if the whole system is started for the first time.
 	IsFirstStart bool
 	// StopTime passes between SIGTERM and SIGKILL.
 	StopTime time.Duration
-	// ApplyWithin is when a new configuration must be in force.
+	// ApplyWithin is the time within which a new configuration must be in force.
 	ApplyWithin time.Duration
-	// RevokeWithin is when a withdrawn key must be dead everywhere.
+	// RevokeWithin is the time within which all daemons must reject a revoked key.
 	RevokeWithin time.Duration
-	// IsRevocationStrict tells that it must be so also where a daemon cannot hear of
-	// the withdrawal.
+	// IsRevocationStrict is set if this also holds for daemons that cannot learn of
+	// the revocation.
 	IsRevocationStrict bool
-	// DrainWithin is when a leaving server must get no new requests.
+	// DrainWithin is the time within which a draining server must get no new requests.
 	DrainWithin time.Duration
-	// HeartbeatInterval is the time between two heartbeats of a server.
+	// HeartbeatInterval is the heartbeat interval of the servers.
 	HeartbeatInterval time.Duration
-	// StallTime is how long a group without one of its members stands still
-	// before it breaks.
+	// StallTime is how long a group that lost a member stalls before it breaks.
 	StallTime time.Duration
-	// RetryShare of the requests plus RetryBurst may be sent again in any
-	// RetryWindow, over all daemons.
+	// In any RetryWindow, all daemons together may retry RetryShare of the requests
+	// and RetryBurst more.
 	RetryShare  float64
 	RetryBurst  float64
 	RetryWindow time.Duration
-	// LoadWindow and LoadExcess bound the loads of weights that may begin.
+	// LoadWindow and LoadExcess limit how many loads of weights may begin.
 	LoadWindow time.Duration
 	LoadExcess float64
-	// A cold server may get, in any second, ColdExcess times the requests that it bears and
-	// ColdSlack more, from all daemons; 0: as many as it bears.
+	// In any second, a cold server may get ColdExcess times the requests that it can serve
+	// and ColdSlack more, from all daemons together. With 0 for both it gets no more than it
+	// can serve.
 	ColdExcess float64
 	ColdSlack  float64
-	// EvacuateWithin is when an evacuated zone must get no more requests; 0: at once.
+	// EvacuateWithin is the time within which an evacuated zone must get no more requests;
+	// 0: at once.
 	EvacuateWithin time.Duration
 }
 
-// WithMetricsPort returns the settings with metrics served on a port of the VM's
+// WithMetricsPort returns the settings with metrics served at a port of the VM's IP
 // address; 0: not served.
 func (s Settings) WithMetricsPort(port int) Settings {
 	s.Metrics = ""
@@ -71,7 +72,7 @@
 	return s
 }
 
-// Check returns the first setting that cannot be used, by its name.
+// Check returns an error that names the first invalid setting, or nil.
 func (s Settings) Check() error {
 	if s.Name == "" {
 		return errors.New("check settings: the VM's name is missing")
@@ -128,9 +129,9 @@
 			value: s.DrainWithin,
 		},
 	}
-	for _, one := range times {
-		if one.value <= 0 {
-			return errors.Errorf("check settings: %s must be above 0, not %s", one.name, one.value)
+	for _, bound := range times {
+		if bound.value <= 0 {
+			return errors.Errorf("check settings: %s must be above 0, not %s", bound.name, bound.value)
 		}
 	}
 	return nil
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -9,8 +9,8 @@
 	"headcourse/core/settings"
 )
 
-// good returns settings that can be used.
-func good() settings.Settings {
+// validSettings returns settings that pass Check.
+func validSettings() settings.Settings {
 	return settings.Settings{
 		Name:         "front-a",
 		IP:           "10.2.3.4",
@@ -26,66 +26,66 @@
 	}
 }
 
-func TestGoodSettingsAreTaken(t *testing.T) {
-	qt.Assert(t, good().Check(), qt.IsNil)
+func TestValidSettingsPassCheck(t *testing.T) {
+	qt.Assert(t, validSettings().Check(), qt.IsNil)
 }
 
-func TestEachSettingThatCannotBeUsedIsNamed(t *testing.T) {
+func TestCheckNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(s *settings.Settings)
+		name       string
+		invalidate func(s *settings.Settings)
 	}{
 		{
-			name:  "the VM's name",
-			spoil: func(s *settings.Settings) { s.Name = "" },
+			name:       "the VM's name",
+			invalidate: func(s *settings.Settings) { s.Name = "" },
 		},
 		{
-			name:  "address for clients",
-			spoil: func(s *settings.Settings) { s.Clients = "" },
+			name:       "address for clients",
+			invalidate: func(s *settings.Settings) { s.Clients = "" },
 		},
 		{
-			name:  "address for readiness",
-			spoil: func(s *settings.Settings) { s.Readiness = "10.2.3.4" },
+			name:       "address for readiness",
+			invalidate: func(s *settings.Settings) { s.Readiness = "10.2.3.4" },
 		},
 		{
-			name:  "address for other daemons",
-			spoil: func(s *settings.Settings) { s.Relay = "front-a:9000" },
+			name:       "address for other daemons",
+			invalidate: func(s *settings.Settings) { s.Relay = "front-a:9000" },
 		},
 		{
-			name:  "address of the store",
-			spoil: func(s *settings.Settings) { s.Store = ":7000" },
+			name:       "address of the store",
+			invalidate: func(s *settings.Settings) { s.Store = ":7000" },
 		},
 		{
-			name:  "time to stop",
-			spoil: func(s *settings.Settings) { s.StopTime = 0 },
+			name:       "time to stop",
+			invalidate: func(s *settings.Settings) { s.StopTime = 0 },
 		},
 		{
-			name:  "time to apply configurations",
-			spoil: func(s *settings.Settings) { s.ApplyWithin = 0 },
+			name:       "time to apply configurations",
+			invalidate: func(s *settings.Settings) { s.ApplyWithin = 0 },
 		},
 		{
-			name:  "time to withdraw keys",
-			spoil: func(s *settings.Settings) { s.RevokeWithin = -time.Second },
+			name:       "time to withdraw keys",
+			invalidate: func(s *settings.Settings) { s.RevokeWithin = -time.Second },
 		},
 		{
-			name:  "window of the bound on retries",
-			spoil: func(s *settings.Settings) { s.RetryWindow = 0 },
+			name:       "window of the bound on retries",
+			invalidate: func(s *settings.Settings) { s.RetryWindow = 0 },
 		},
 		{
-			name:  "time to drain",
-			spoil: func(s *settings.Settings) { s.DrainWithin = 0 },
+			name:       "time to drain",
+			invalidate: func(s *settings.Settings) { s.DrainWithin = 0 },
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			spoiled := good()
-			c.spoil(&spoiled)
-			qt.Assert(t, spoiled.Check(), qt.ErrorMatches, "check settings: "+c.name+".*")
+			invalid := validSettings()
+			c.invalidate(&invalid)
+			qt.Assert(t, invalid.Check(), qt.ErrorMatches, "check settings: "+c.name+".*")
 		})
 	}
 }
 
-func TestMetricsAreServedOnAPortOfTheVM(t *testing.T) {
-	known := good()
+func TestWithMetricsPortUsesAddressOfVM(t *testing.T) {
+	known := validSettings()
 	served := known.WithMetricsPort(9100)
 	qt.Assert(t, served.Metrics, qt.Equals, "10.2.3.4:9100")
 	qt.Assert(t, known.Metrics, qt.Equals, "")
