--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,12 +1,14 @@
-// Package route chooses the serving group that takes a request.
+// Package route chooses the serving group that gets a request.
 //
-// Engines cache prompt prefixes, so requests that begin alike should meet in
-// one group; but one hot prefix must not sink that group. The prefix ranks the
-// groups by rendezvous hashing, the same at every daemon without a word
-// between them, and the request goes to the first group in that order that is
-// within Slack of the mean load. Engines' cache events, which come late and
-// with gaps, are not needed. Loads reported by engines lag, so what this
-// daemon has sent since the report is added.
+// Engines cache prompt prefixes, so requests with the same prefix should go to
+// the same group, but a hot prefix must not overload that group. Rendezvous
+// hashing ranks the groups by the prefix. The ranking is the same at every
+// daemon without any communication. The request goes to the first group in that
+// order whose load is at most Slack times the mean.
+//
+// This needs no cache events of the engines, which are late and incomplete. The
+// loads that engines report are stale, so the requests that this daemon has sent
+// since the report are added.
 package route
 
 import (
@@ -19,29 +21,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slack is how far above the mean load a group may be and still be given a
-// request because of its prefix.
+// Slack is the maximum load of a group, as a multiple of the mean, at which it still
+// gets requests because of their prefix.
 const Slack = 1.25
 
-// Candidate is a group that may take the request.
+// Candidate is a group that may get the request.
 type Candidate struct {
 	Group string
-	// Reported is the number of requests in flight that the engine reported
-	// at ReportedAt, and Slots how many it runs at once.
+	// Reported is the number of requests in flight that the engine reported at
+	// ReportedAt. Slots is how many requests it runs at the same time.
 	Reported   int
 	Slots      int
 	ReportedAt time.Time
 }
 
-// Tracker counts what this daemon has in flight at each group. It is safe for
-// concurrent use; the zero value is empty.
+// Tracker counts the requests that this daemon has in flight at each group. It is
+// safe for concurrent use; the zero value is empty.
 type Tracker struct {
 	mutex    sync.Mutex
 	inFlight map[string][]time.Time
 }
 
-// Begin notes a request sent to a group now, and returns what to call at its
-// end. Calling it again does nothing.
+// Begin records a request that is sent to a group now. The caller calls end when
+// the request has ended; further calls of end do nothing.
 func (t *Tracker) Begin(group string) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -55,15 +57,15 @@
 	})
 }
 
-// end forgets one request.
+// end removes one request that started at a time.
 func (t *Tracker) end(group string, started time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	times := t.inFlight[group]
-	for i, at := range times {
-		if at.Equal(started) {
-			times[i] = times[len(times)-1]
-			t.inFlight[group] = times[:len(times)-1]
+	startTimes := t.inFlight[group]
+	for i, startedAt := range startTimes {
+		if startedAt.Equal(started) {
+			startTimes[i] = startTimes[len(startTimes)-1]
+			t.inFlight[group] = startTimes[:len(startTimes)-1]
 			break
 		}
 	}
@@ -79,89 +81,91 @@
 	return len(t.inFlight[group])
 }
 
-// Load returns the load of a candidate as far as it is known: what the engine
-// reported, with what was sent since; at least what is in flight from here.
+// Load returns the estimated load of a candidate: what the engine reported plus
+// what this daemon has sent since, but at least what this daemon has in flight.
 func (t *Tracker) Load(candidate Candidate) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	times := t.inFlight[candidate.Group]
-	since := 0
-	for _, at := range times {
-		if at.After(candidate.ReportedAt) {
-			since++
+	startTimes := t.inFlight[candidate.Group]
+	sentSince := 0
+	for _, startedAt := range startTimes {
+		if startedAt.After(candidate.ReportedAt) {
+			sentSince++
 		}
 	}
-	return max(candidate.Reported+since, len(times))
+	return max(candidate.Reported+sentSince, len(startTimes))
 }
 
-// Policy picks one of the candidates, or none when all are full.
+// Policy picks one of the candidates, or none if all are full.
 type Policy interface {
 	Pick(prefix uint64, candidates []Candidate, load func(Candidate) int) (Candidate, bool)
 }
 
-// Affinity is the policy described above. The zero value works.
+// Affinity is the policy that the package comment describes. The zero value is ready
+// to use.
 type Affinity struct{}
 
-// Pick returns the first candidate in the prefix's order that is neither full
-// nor above the bound; where all are above it, the least loaded that has room.
+// Pick returns the first candidate in the order of the prefix that is neither full
+// nor above the maximum load. If there is none, it returns the least loaded
+// candidate that is not full.
 func (Affinity) Pick(prefix uint64, candidates []Candidate, load func(Candidate) int) (Candidate, bool) {
 	if len(candidates) == 0 {
 		return Candidate{}, false
 	}
-	ranked := rank(prefix, candidates)
+	ranked := rankCandidates(prefix, candidates)
 	loads := make([]int, len(ranked))
 	total := 0
 	for i, candidate := range ranked {
 		loads[i] = load(candidate)
 		total += loads[i]
 	}
-	bound := int(math.Ceil(Slack * float64(total+1) / float64(len(ranked))))
-	least := -1
+	maxLoad := int(math.Ceil(Slack * float64(total+1) / float64(len(ranked))))
+	leastLoaded := -1
 	for i, candidate := range ranked {
 		if loads[i] >= candidate.Slots {
 			continue
 		}
-		if loads[i]+1 <= bound {
+		if loads[i]+1 <= maxLoad {
 			return candidate, true
 		}
-		if least < 0 || loads[i] < loads[least] {
-			least = i
+		if leastLoaded < 0 || loads[i] < loads[leastLoaded] {
+			leastLoaded = i
 		}
 	}
-	if least < 0 {
+	if leastLoaded < 0 {
 		return Candidate{}, false
 	}
-	return ranked[least], true
+	return ranked[leastLoaded], true
 }
 
-// rank orders candidates by rendezvous hashing of the prefix.
-func rank(prefix uint64, candidates []Candidate) []Candidate {
+// rankCandidates orders candidates by rendezvous hashing of the prefix.
+func rankCandidates(prefix uint64, candidates []Candidate) []Candidate {
 	type scored struct {
 		score     uint64
 		candidate Candidate
 	}
-	all := make([]scored, len(candidates))
+	scoredCandidates := make([]scored, len(candidates))
 	for i, candidate := range candidates {
-		all[i] = scored{
-			score:     mix(prefix ^ xxhash.Sum64String(candidate.Group)),
+		scoredCandidates[i] = scored{
+			score:     mixBits(prefix ^ xxhash.Sum64String(candidate.Group)),
 			candidate: candidate,
 		}
 	}
-	sort.Slice(all, func(i, j int) bool {
-		if all[i].score != all[j].score {
-			return all[i].score > all[j].score
+	sort.Slice(scoredCandidates, func(i, j int) bool {
+		if scoredCandidates[i].score != scoredCandidates[j].score {
+			return scoredCandidates[i].score > scoredCandidates[j].score
 		}
-		return all[i].candidate.Group < all[j].candidate.Group
+		return scoredCandidates[i].candidate.Group < scoredCandidates[j].candidate.Group
 	})
-	ranked := make([]Candidate, len(all))
-	for i, one := range all {
-		ranked[i] = one.candidate
+	ranked := make([]Candidate, len(scoredCandidates))
+	for i, entry := range scoredCandidates {
+		ranked[i] = entry.candidate
 	}
 	return ranked
 }
 
-// mix spreads the bits of a hash (the finaliser of MurmurHash3, by Appleby).
-func mix(h uint64) uint64 {
+// mixBits mixes the bits of a hash (the finaliser of MurmurHash3, by Appleby).
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -170,8 +174,7 @@
 	return h
 }
 
-// Prefix returns the hash that requests with the same beginning share: of the
-// organisation and the first bytes of the prompt.
+// Prefix returns a hash of the organisation and the first 512 bytes of the prompt.
 func Prefix(organisation string, prompt []byte) uint64 {
 	const prefixBytes = 512
 	hash := xxhash.New()
@@ -181,12 +184,12 @@
 }
 
 // ----------------------------------------------------------------------------
-// Baselines that Affinity is measured against
+// Baselines that Affinity is compared with
 
-// LeastLoaded picks the least loaded candidate, the first of equals.
+// LeastLoaded picks the least loaded candidate; of equally loaded ones, the first.
 type LeastLoaded struct{}
 
-// Pick returns the least loaded candidate that has room.
+// Pick returns the least loaded candidate that is not full.
 func (LeastLoaded) Pick(_ uint64, candidates []Candidate, load func(Candidate) int) (Candidate, bool) {
 	best, bestLoad := -1, 0
 	for i, candidate := range candidates {
@@ -201,12 +204,13 @@
 	return candidates[best], true
 }
 
-// TwoChoices picks the less loaded of two candidates drawn at random.
+// TwoChoices picks the less loaded of two randomly chosen candidates.
 type TwoChoices struct {
 	Random *rand.Rand
 }
 
-// Pick returns the less loaded of two drawn candidates, or any that has room.
+// Pick returns the less loaded of two random candidates, or if that is full, the
+// least loaded one of all that are not.
 func (t TwoChoices) Pick(prefix uint64, candidates []Candidate, load func(Candidate) int) (Candidate, bool) {
 	if len(candidates) == 0 {
 		return Candidate{}, false
@@ -222,12 +226,12 @@
 	return LeastLoaded{}.Pick(prefix, candidates, load)
 }
 
-// RoundRobin picks each candidate in turn. The zero value works.
+// RoundRobin picks the candidates in turn. The zero value is ready to use.
 type RoundRobin struct {
 	next int
 }
 
-// Pick returns the next candidate that has room.
+// Pick returns the next candidate that is not full.
 func (r *RoundRobin) Pick(_ uint64, candidates []Candidate, load func(Candidate) int) (Candidate, bool) {
 	for range candidates {
 		candidate := candidates[r.next%len(candidates)]
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -11,7 +11,7 @@
 	"headcourse/core/route"
 )
 
-// candidates returns groups with slots.
+// candidates returns a number of groups with a number of slots each.
 func candidates(count, slots int) []route.Candidate {
 	made := make([]route.Candidate, count)
 	for i := range made {
@@ -23,9 +23,9 @@
 	return made
 }
 
-// TestHotPrefixDoesNotSinkOneGroup sends a thousand requests of one prefix: none
-// of ten groups may get much more than the mean.
-func TestHotPrefixDoesNotSinkOneGroup(t *testing.T) {
+// TestHotPrefixDoesNotOverloadOneGroup sends a thousand requests with one prefix. None
+// of the ten groups may get more than Slack times the mean.
+func TestHotPrefixDoesNotOverloadOneGroup(t *testing.T) {
 	groups := candidates(10, 1000)
 	loads := map[string]int{}
 	load := func(candidate route.Candidate) int {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestSamePrefixMeetsInOneGroup(t *testing.T) {
+func TestSamePrefixGoesToSameGroup(t *testing.T) {
 	groups := candidates(10, 10)
 	idle := func(route.Candidate) int {
 		return 0
@@ -57,7 +57,7 @@
 	qt.Assert(t, len(used), qt.Equals, 10)
 }
 
-func TestFullGroupsGetNothing(t *testing.T) {
+func TestFullGroupsAreNotPicked(t *testing.T) {
 	full := func(route.Candidate) int {
 		return 3
 	}
@@ -67,8 +67,9 @@
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// TestLoadAddsWhatWasSentSinceTheReport: the report does not know of it yet.
-func TestLoadAddsWhatWasSentSinceTheReport(t *testing.T) {
+// TestLoadAddsRequestsSentSinceReport guards against a load that misses the requests
+// sent after the engine's report.
+func TestLoadAddsRequestsSentSinceReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker route.Tracker
 		endFirst := tracker.Begin("g")
