--- a/core/request/request.go
+++ b/core/request/request.go
@@ -1,5 +1,5 @@
-// Package request names what a client asks, what a backend server answered,
-// and what may be said of it.
+// Package request holds the request of a client, the head of a backend server's
+// answer, and the reasons of refusals, retries and failures.
 package request
 
 import (
@@ -9,31 +9,33 @@
 	"headcourse/core/ratelimit"
 )
 
-// Request is one attempt of a client, copied from the connection.
+// Request is one request of a client, copied from the buffers of the connection.
 type Request struct {
-	// ID is the client's own id of the attempt; answers must carry it.
+	// ID is the request ID that the client chose; answers must have the same.
 	ID string
 	// Method, Target and Body go to the backend server unchanged. Target is the
-	// path with its query, as the client wrote it.
+	// path with its query, as the client sent it.
 	Method string
 	Target string
 	Host   string
 	Body   []byte
-	// Headers are those that are passed on, in the client's order.
+	// Headers are the forwarded headers, in the client's order.
 	Headers []Header
-	// Arrived is when the request was read; Wait is how long the client waits.
+	// Arrived is when the request was read; Wait is the timeout of the client.
 	Arrived time.Time
 	Wait    time.Duration
 	Key     string
-	// LastEvent is the id after which the client wants a stream to go on.
+	// LastEvent is the ID of the event after which the client wants to resume a
+	// stream; 0: none.
 	LastEvent int64
-	// Model is the model asked for; PromptTokens and MaxTokens its size.
+	// Model is the requested model; PromptTokens is the size of the prompt,
+	// MaxTokens the maximum size of the answer.
 	Model        string
 	PromptTokens int
 	MaxTokens    int
 }
 
-// Header is one header.
+// Header is one header field.
 type Header struct {
 	Name  string
 	Value string
@@ -49,24 +51,24 @@
 	return r.Target
 }
 
-// Cost returns how much work the request is for a model engine, in tokens
-// written: reading a prompt token costs about a tenth of writing one.
+// Cost returns the estimated work of a model engine for the request, in generated
+// tokens. Reading a prompt token costs about a tenth of generating a token.
 func (r *Request) Cost() float64 {
 	const (
-		readShare = 0.1
-		// base is the cost of a request of no known size.
-		base = 20
+		promptTokenCost = 0.1
+		// baseCost is the cost of a request of unknown size.
+		baseCost = 20
 	)
-	return base + readShare*float64(r.PromptTokens) + float64(r.MaxTokens)
+	return baseCost + promptTokenCost*float64(r.PromptTokens) + float64(r.MaxTokens)
 }
 
-// Attempt is what the system tells a backend server about one send.
+// Attempt is what a backend server is told about one attempt to run a request.
 type Attempt struct {
-	// Server is the ID of the start that must take the request; any other
+	// Server is the ID of the start that the request is meant for; any other start
 	// refuses it.
 	Server       string
 	Organisation string
-	// Left is the time that remains for the request.
+	// Left is the time until the deadline of the request.
 	Left      time.Duration
 	Priority  int
 	LastEvent int64
@@ -76,28 +78,28 @@
 type Answer struct {
 	Status  int
 	Headers []Header
-	// ID is the id of the request that the answer belongs to.
+	// ID is the ID of the request that the answer is for.
 	ID string
-	// Signed tells that the server signed the answer as its own.
+	// Signed is set if the answer has the server's signature.
 	Signed bool
-	// NotRun tells that the server did not run the request.
+	// NotRun is set if the server did not run the request.
 	NotRun bool
-	// Encoded tells that the body is not the plain one that was asked for.
+	// Encoded is set if the body has a content encoding, although none was requested.
 	Encoded bool
-	// KeepFor is how long the server keeps the connection; 0: not told. Close
-	// tells that it does not keep it.
+	// KeepFor is how long the server keeps the connection open; 0: unknown. Close is
+	// set if the server closes it.
 	KeepFor time.Duration
 	Close   bool
-	// Directive is what the server says about further requests.
+	// Directive is what the server asks for concerning further requests.
 	Directive directive.Directive
-	// Limit is what the server says it takes from all daemons together.
+	// Limit is the rate limit that the server states for all daemons together.
 	Limit ratelimit.Limit
-	// ColdFor is for how long the server says it stays cold; 0: it does not say so.
+	// ColdFor is how long the server stays cold, as it states; 0: not stated.
 	ColdFor time.Duration
 }
 
-// Reason names why a request was refused, sent again or ended early. Each has
-// a counter.
+// Reason is why a request was refused, retried or ended early. Each reason has a
+// counter.
 type Reason string
 
 // The reasons.
