--- a/core/eventstream/eventstream.go
+++ b/core/eventstream/eventstream.go
@@ -1,6 +1,6 @@
-// Package eventstream cuts the bytes of a server-sent event stream into whole
-// events. A backend server may stop in the middle of an event; only whole ones
-// may be passed on, since another server may have to go on after the last.
+// Package eventstream splits the bytes of a server-sent event stream into complete
+// events. A backend server may fail in the middle of an event. Only complete events
+// may be forwarded, since another server may have to resume after the last one.
 package eventstream
 
 import (
@@ -8,73 +8,73 @@
 	"strconv"
 )
 
-// Event is one whole event with its blank line. ID is 0 where it has none.
+// Event is one complete event, with the blank line that ends it. ID is 0 if it has none.
 type Event struct {
 	Raw []byte
 	ID  int64
 }
 
-// Splitter collects bytes and returns whole events. The zero value is empty.
+// Splitter buffers bytes and returns complete events. The zero value is empty.
 type Splitter struct {
 	pending []byte
-	scanned int
+	offset  int
 }
 
-// Marks of the format.
+// Delimiters and fields of the event stream format.
 var (
 	blankLine     = []byte("\n\n")
 	blankLineCRLF = []byte("\r\n\r\n")
 	idField       = []byte("id:")
 )
 
-// Write adds bytes that were read.
-func (s *Splitter) Write(read []byte) {
-	s.pending = append(s.pending, read...)
+// Write appends data to the buffer.
+func (s *Splitter) Write(data []byte) {
+	s.pending = append(s.pending, data...)
 }
 
-// Next returns the next whole event, or false until more bytes come. The event
+// Next returns the next complete event, or false if the buffer has none. The event
 // is valid until the next call of Write.
 func (s *Splitter) Next() (Event, bool) {
-	end := endOfEvent(s.pending[s.scanned:])
+	end := eventLength(s.pending[s.offset:])
 	if end < 0 {
-		s.pending = append(s.pending[:0], s.pending[s.scanned:]...)
-		s.scanned = 0
+		s.pending = append(s.pending[:0], s.pending[s.offset:]...)
+		s.offset = 0
 		return Event{}, false
 	}
-	raw := s.pending[s.scanned : s.scanned+end]
-	s.scanned += end
+	raw := s.pending[s.offset : s.offset+end]
+	s.offset += end
 	return Event{
 		Raw: raw,
-		ID:  idOf(raw),
+		ID:  parseID(raw),
 	}, true
 }
 
-// Rest returns the bytes after the last whole event.
+// Rest returns the bytes after the last event that Next returned.
 func (s *Splitter) Rest() []byte {
-	return s.pending[s.scanned:]
+	return s.pending[s.offset:]
 }
 
-// endOfEvent returns the length of the first whole event, or -1.
-func endOfEvent(b []byte) int {
-	end := bytes.Index(b, blankLine)
+// eventLength returns the length of the first complete event, or -1 if there is none.
+func eventLength(data []byte) int {
+	end := bytes.Index(data, blankLine)
 	if end >= 0 {
 		end += len(blankLine)
 	}
-	endCRLF := bytes.Index(b, blankLineCRLF)
+	endCRLF := bytes.Index(data, blankLineCRLF)
 	if endCRLF >= 0 && (end < 0 || endCRLF+len(blankLineCRLF) < end) {
 		end = endCRLF + len(blankLineCRLF)
 	}
 	return end
 }
 
-// idOf returns the number in an event's id field, or 0.
-func idOf(raw []byte) int64 {
+// parseID returns the number in the id field of an event, or 0 if there is none.
+func parseID(raw []byte) int64 {
 	for line := range bytes.Lines(raw) {
-		after, ok := bytes.CutPrefix(line, idField)
+		value, ok := bytes.CutPrefix(line, idField)
 		if !ok {
 			continue
 		}
-		id, err := strconv.ParseInt(string(bytes.TrimSpace(after)), 10, 64)
+		id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		if err == nil {
 			return id
 		}
--- a/core/eventstream/eventstream_test.go
+++ b/core/eventstream/eventstream_test.go
@@ -14,7 +14,7 @@
 	fuzz.Exit(m)
 }
 
-// split returns the events of some bytes written in pieces, and the rest.
+// split writes pieces to a Splitter and returns the events, their IDs and the rest.
 func split(pieces ...string) (events []string, ids []int64, rest string) {
 	var splitter eventstream.Splitter
 	for _, piece := range pieces {
@@ -31,14 +31,14 @@
 	return events, ids, string(splitter.Rest())
 }
 
-func TestOnlyWholeEventsAreReturned(t *testing.T) {
+func TestOnlyCompleteEventsAreReturned(t *testing.T) {
 	events, ids, rest := split("id: 1\ndata: a\n\nid: 2\nda", "ta: b\n", "\nid: 3\ndata")
 	qt.Assert(t, events, qt.DeepEquals, []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"})
 	qt.Assert(t, ids, qt.DeepEquals, []int64{1, 2})
 	qt.Assert(t, rest, qt.Equals, "id: 3\ndata")
 }
 
-func TestALineBeforeTheIDAndCRLF(t *testing.T) {
+func TestIDIsFoundAfterOtherFieldsAndWithCRLF(t *testing.T) {
 	_, ids, _ := split("weights: 4\nid: 7\ndata: x\n\n")
 	qt.Assert(t, ids, qt.DeepEquals, []int64{7})
 	events, ids, _ := split("id: 8\r\ndata: x\r\n\r\nid: 9\n\n")
@@ -46,7 +46,7 @@
 	qt.Assert(t, ids, qt.DeepEquals, []int64{8, 9})
 }
 
-func TestAnyPiecesGiveTheSameEvents(t *testing.T) {
+func TestEventsDoNotDependOnHowBytesAreSplit(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		whole := ""
 		count := rapid.IntRange(0, 6).Draw(rt, "events")
