--- a/core/idempotency/batcher.go
+++ b/core/idempotency/batcher.go
@@ -9,89 +9,90 @@
 	"headcourse/core/table"
 )
 
-// Figures of batching.
 const (
-	// batchWait is how long the first of a batch waits for others.
+	// batchWait is how long the first transaction of a batch waits for others.
 	batchWait = 15 * time.Millisecond
-	// batchSize is the most transactions of one batch.
-	batchSize = 64
-	// batchTimeout bounds the commit of a batch, settling included.
+	// maxBatchSize is the maximum number of transactions of one batch.
+	maxBatchSize = 64
+	// batchTimeout limits the commit of a batch, including the time that the store
+	// needs to settle a lost answer.
 	batchTimeout = 5 * time.Second
 )
 
-// Batcher puts many small transactions into one. A batch that conflicts is
-// committed one by one, so that one lost race does not lose the others'.
+// Batcher combines many small transactions into one. If a batch conflicts, its
+// transactions are committed one by one, so that one conflict does not fail the others.
 type Batcher struct {
 	store   table.Store
-	entries chan entry
+	pending chan pendingCommit
 }
 
-// entry is one transaction and where its outcome goes.
-type entry struct {
+// pendingCommit is one transaction and the channel for its result.
+type pendingCommit struct {
 	transaction table.Transaction
-	result      chan result
+	result      chan commitResult
 }
 
-// result is the outcome of a transaction.
-type result struct {
+// commitResult is the result of a transaction.
+type commitResult struct {
 	version uint64
 	err     error
 }
 
-// NewBatcher returns a batcher over a store that settles lost answers. Run has
-// to be running.
+// NewBatcher returns a batcher for a store that settles lost answers. Commit needs
+// Run to be running.
 func NewBatcher(store table.Store) *Batcher {
 	return &Batcher{
 		store:   store,
-		entries: make(chan entry),
+		pending: make(chan pendingCommit),
 	}
 }
 
-// Commit commits a transaction with others. If ctx ends first the outcome is
-// unknown to the caller.
+// Commit commits a transaction, together with others. If ctx ends first, the
+// error is table.ErrUnavailable if the transaction was not queued yet, and
+// table.ErrUnknown otherwise.
 func (b *Batcher) Commit(ctx context.Context, transaction table.Transaction) (uint64, error) {
-	one := entry{
+	queued := pendingCommit{
 		transaction: transaction,
-		result:      make(chan result, 1),
+		result:      make(chan commitResult, 1),
 	}
 	select {
-	case b.entries <- one:
+	case b.pending <- queued:
 	case <-ctx.Done():
 		return 0, table.ErrUnavailable
 	}
 	select {
-	case done := <-one.result:
-		return done.version, done.err
+	case committed := <-queued.result:
+		return committed.version, committed.err
 	case <-ctx.Done():
 		return 0, table.ErrUnknown
 	}
 }
 
-// Run gathers and commits batches until ctx ends.
+// Run collects and commits batches until ctx ends.
 func (b *Batcher) Run(ctx context.Context) {
 	for {
-		batch := b.gather(ctx)
+		batch := b.nextBatch(ctx)
 		if batch == nil {
 			return
 		}
-		go b.commit(batch)
+		go b.commitBatch(batch)
 	}
 }
 
-// gather returns the next batch, or nil when ctx has ended.
-func (b *Batcher) gather(ctx context.Context) []entry {
-	var batch []entry
+// nextBatch waits for the next batch. It returns nil when ctx has ended.
+func (b *Batcher) nextBatch(ctx context.Context) []pendingCommit {
+	var batch []pendingCommit
 	select {
-	case first := <-b.entries:
+	case first := <-b.pending:
 		batch = append(batch, first)
 	case <-ctx.Done():
 		return nil
 	}
 	timer := time.NewTimer(batchWait)
 	defer timer.Stop()
-	for len(batch) < batchSize {
+	for len(batch) < maxBatchSize {
 		select {
-		case next := <-b.entries:
+		case next := <-b.pending:
 			batch = append(batch, next)
 		case <-timer.C:
 			return batch
@@ -100,26 +101,26 @@
 	return batch
 }
 
-// commit commits a batch as one transaction, or each on its own.
-func (b *Batcher) commit(batch []entry) {
+// commitBatch commits a batch as one transaction if possible, else one by one.
+func (b *Batcher) commitBatch(batch []pendingCommit) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	if len(batch) == 1 || !areDistinct(batch) {
+	if len(batch) == 1 || !writeDistinctRows(batch) {
 		b.commitEach(ctx, batch)
 		return
 	}
-	var joint table.Transaction
-	for _, one := range batch {
-		joint.Conditions = append(joint.Conditions, one.transaction.Conditions...)
-		joint.Writes = append(joint.Writes, one.transaction.Writes...)
+	var combined table.Transaction
+	for _, queued := range batch {
+		combined.Conditions = append(combined.Conditions, queued.transaction.Conditions...)
+		combined.Writes = append(combined.Writes, queued.transaction.Writes...)
 	}
-	version, err := b.store.Commit(ctx, joint)
+	version, err := b.store.Commit(ctx, combined)
 	if errors.Is(err, table.ErrConflict) {
 		b.commitEach(ctx, batch)
 		return
 	}
-	for _, one := range batch {
-		one.result <- result{
+	for _, queued := range batch {
+		queued.result <- commitResult{
 			version: version,
 			err:     err,
 		}
@@ -127,21 +128,21 @@
 }
 
 // commitEach commits the transactions of a batch one by one.
-func (b *Batcher) commitEach(ctx context.Context, batch []entry) {
-	for _, one := range batch {
-		version, err := b.store.Commit(ctx, one.transaction)
-		one.result <- result{
+func (b *Batcher) commitEach(ctx context.Context, batch []pendingCommit) {
+	for _, queued := range batch {
+		version, err := b.store.Commit(ctx, queued.transaction)
+		queued.result <- commitResult{
 			version: version,
 			err:     err,
 		}
 	}
 }
 
-// areDistinct tells whether no two transactions write the same row.
-func areDistinct(batch []entry) bool {
+// writeDistinctRows reports whether no row is written more than once in a batch.
+func writeDistinctRows(batch []pendingCommit) bool {
 	seen := map[string]bool{}
-	for _, one := range batch {
-		for _, write := range one.transaction.Writes {
+	for _, queued := range batch {
+		for _, write := range queued.transaction.Writes {
 			if seen[write.Key] {
 				return false
 			}
--- a/core/idempotency/idempotency.go
+++ b/core/idempotency/idempotency.go
@@ -1,11 +1,11 @@
-// Package idempotency makes a caller's request run at most once, whichever
-// daemons it is sent to and however often.
+// Package idempotency ensures that a caller's request with an idempotency key runs
+// at most once, no matter how often and to which daemons it is sent.
 //
-// A request with an Idempotency-Key is claimed in the table before it is sent
-// to a backend server, by a transaction that only the first can win. Its claim
-// row then keeps the answer, or says that none is known. Claims of many
-// requests share one transaction (Batcher), for the store's sake; while the
-// store is down such requests are refused as not run.
+// Before a daemon sends such a request to a backend server, it claims the key in
+// the table, by a conditional transaction that succeeds for one daemon only. The
+// claim row later stores the answer, or records that the outcome is unknown. The
+// claims of many requests share one transaction (Batcher) to limit the load on the
+// store. While the store is unavailable, requests with a key are refused as not run.
 package idempotency
 
 import (
@@ -20,17 +20,17 @@
 	"headcourse/core/table"
 )
 
-// KeyPrefix begins the key of every claim row.
+// KeyPrefix is the prefix of the keys of claim rows.
 const KeyPrefix = "key/"
 
-// State is where a claimed request is.
+// State is the state of a claimed request.
 type State string
 
-// The states.
+// The states of a claimed request.
 const (
 	Running State = "running"
 	Done    State = "done"
-	// Lost says that the request may have run and its answer is not known.
+	// Lost means that the request may have run and that its answer is unknown.
 	Lost State = "lost"
 )
 
@@ -38,25 +38,26 @@
 type Claim struct {
 	State    State  `json:"state"`
 	BodyHash string `json:"body_hash"`
-	// Daemon is who claimed it, Request under which request id.
+	// Daemon is the ID of the daemon that claimed the key, Request the ID of the
+	// request.
 	Daemon  string    `json:"daemon"`
 	Request string    `json:"request"`
 	Expires time.Time `json:"expires"`
 	Answer  Answer    `json:"answer,omitzero"`
 }
 
-// Answer is a whole answer as it is kept.
+// Answer is the stored answer of a request.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
-// MaxKept is the size up to which an answer is kept, in bytes.
+// MaxKept is the maximum size, in bytes, of the body of a stored answer.
 const MaxKept = 64 << 10
 
-// Name is what a claim is for. Keys of one organisation and route do not meet
-// those of others.
+// Name identifies a claim. The same key of another organisation or route is another
+// claim.
 type Name struct {
 	Organisation string
 	Route        string
@@ -69,14 +70,14 @@
 	return KeyPrefix + n.Organisation + "/" + hex.EncodeToString(sum[:])
 }
 
-// HashBody returns the hash by which bodies are compared.
+// HashBody returns the hash of a request body that claims are compared by.
 func HashBody(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Judge says what a request meets that finds a claim in place: the answer that
-// is kept, or a refusal. isAlive tells whether a daemon is in the roster.
+// Judge returns the result of a request whose key is claimed already: the stored
+// answer, or a refusal. isAlive reports whether a daemon is in the roster.
 func (c Claim) Judge(bodyHash string, isAlive func(daemon string) bool) (Answer, *outcome.Failure) {
 	switch {
 	case c.BodyHash != bodyHash:
@@ -84,15 +85,15 @@
 	case c.State == Done:
 		return c.Answer, nil
 	case c.State == Running && isAlive(c.Daemon):
-		return Answer{}, mayRun(outcome.ReasonKeyInProgress)
+		return Answer{}, unknownOutcome(outcome.ReasonKeyInProgress)
 	default:
-		return Answer{}, mayRun(outcome.ReasonKeyOutcomeUnknown)
+		return Answer{}, unknownOutcome(outcome.ReasonKeyOutcomeUnknown)
 	}
 }
 
-// mayRun returns the failure of a request that this attempt did not run, but
-// that an earlier one with its key may have run or be running.
-func mayRun(reason outcome.Reason) *outcome.Failure {
+// unknownOutcome returns the failure of a request that this attempt did not run, but
+// that an earlier attempt with its key may have run or may be running.
+func unknownOutcome(reason outcome.Reason) *outcome.Failure {
 	return &outcome.Failure{
 		Outcome: outcome.Unknown,
 		Reason:  reason,
@@ -100,38 +101,38 @@
 	}
 }
 
-// Keeper claims keys in a store. Store must settle lost answers.
+// Keeper claims idempotency keys in a store. Store must settle lost answers.
 type Keeper struct {
 	Store table.Store
-	// Commit commits one transaction, perhaps together with others.
+	// Commit commits one transaction, possibly in a batch.
 	Commit  func(ctx context.Context, transaction table.Transaction) (uint64, error)
 	IsAlive func(daemon string) bool
 }
 
-// Held is a claim that was won.
+// Held is a claim that this daemon has made.
 type Held struct {
 	key     string
 	version uint64
 	claim   Claim
 }
 
-// Take claims a name. It returns the claim won; or the answer that is kept of
-// an earlier request; or the refusal.
+// Take claims a key. It returns either the claim made, or the stored answer of an
+// earlier request, or a refusal.
 func (k *Keeper) Take(ctx context.Context, name Name, claim Claim) (*Held, *Answer, *outcome.Failure) {
 	key := name.RowKey()
 	version := uint64(0)
 	for {
 		row, err := k.Store.Read(ctx, key)
 		if err != nil {
-			return nil, nil, refuseStore(err)
+			return nil, nil, storeUnavailable(err)
 		}
 		if row.Version != 0 && !row.Deleted {
-			var found Claim
-			if err = row.Decode(&found); err != nil {
-				return nil, nil, refuseStore(err)
+			var existing Claim
+			if err = row.Decode(&existing); err != nil {
+				return nil, nil, storeUnavailable(err)
 			}
-			if time.Now().Before(found.Expires) {
-				answer, refusal := found.Judge(claim.BodyHash, k.IsAlive)
+			if time.Now().Before(existing.Expires) {
+				answer, refusal := existing.Judge(claim.BodyHash, k.IsAlive)
 				if refusal != nil {
 					return nil, nil, refusal
 				}
@@ -139,33 +140,34 @@
 			}
 			version = row.Version
 		}
-		take := table.Transaction{}
-		take = take.WithCondition(key, version)
-		take = take.WithWrite(table.Put(key, claim))
-		landed, err := k.Commit(ctx, take)
+		insert := table.Transaction{}
+		insert = insert.WithCondition(key, version)
+		insert = insert.WithWrite(table.Put(key, claim))
+		committed, err := k.Commit(ctx, insert)
 		if err == nil {
 			return &Held{
 				key:     key,
-				version: landed,
+				version: committed,
 				claim:   claim,
 			}, nil, nil
 		}
 		if !errors.Is(err, table.ErrConflict) || ctx.Err() != nil {
-			return nil, nil, refuseStore(err)
+			return nil, nil, storeUnavailable(err)
 		}
 	}
 }
 
-// refuseStore returns the refusal of a request whose claim could not be made.
-// Nothing was handed to a backend server, so it certainly did not run.
-func refuseStore(err error) *outcome.Failure {
+// storeUnavailable returns the refusal of a request whose key could not be claimed.
+// The request was not sent to a backend server, so it did not run.
+func storeUnavailable(err error) *outcome.Failure {
 	refusal := outcome.Refuse(outcome.ReasonKeyStoreDown, "claim idempotency key")
 	refusal.Peer = "table service"
 	refusal.Cause = err
 	return refusal
 }
 
-// Finish keeps the answer of a request that ran.
+// Finish stores the answer of a request that ran. An answer larger than MaxKept is
+// not stored; the claim becomes Lost.
 func (k *Keeper) Finish(ctx context.Context, held *Held, answer Answer) error {
 	claim := held.claim
 	claim.State = Done
@@ -177,14 +179,14 @@
 	return k.write(ctx, held, table.Put(held.key, claim))
 }
 
-// Lose says that a request may have run to an unknown end.
+// Lose records that the outcome of a request is unknown.
 func (k *Keeper) Lose(ctx context.Context, held *Held) error {
 	claim := held.claim
 	claim.State = Lost
 	return k.write(ctx, held, table.Put(held.key, claim))
 }
 
-// Free gives up the claim of a request that certainly did not run.
+// Free releases the claim of a request that did not run.
 func (k *Keeper) Free(ctx context.Context, held *Held) error {
 	return k.write(ctx, held, table.Write{
 		Key:    held.key,
@@ -192,7 +194,7 @@
 	})
 }
 
-// write changes a claim row that is held.
+// write changes the claim row if it is still as it was when it was claimed.
 func (k *Keeper) write(ctx context.Context, held *Held, write table.Write) error {
 	change := table.Transaction{}
 	change = change.WithCondition(held.key, held.version)
@@ -201,7 +203,7 @@
 	return errors.Wrapf(err, "write claim %q at the table service", held.key)
 }
 
-// IsExpired tells whether a claim row has been kept for as long as declared.
+// IsExpired reports whether the retention time of a claim row is over.
 func IsExpired(row table.Row) bool {
 	var claim Claim
 	return row.Decode(&claim) == nil && time.Now().After(claim.Expires)
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -20,44 +20,44 @@
 	os.Exit(fuzz.Main(m))
 }
 
-// world is daemons that get requests with few keys, and a backend server.
-type world struct {
+// simulation simulates daemons that get requests with few keys, and a backend server.
+type simulation struct {
 	rt      *rapid.T
 	store   *tablestore.Flaky
 	alive   map[string]bool
 	daemons []string
-	born    int
-	// runs and answers are what the backend server did, by key.
+	started int
+	// runs is how often the backend server ran a key, answers its answers, by key.
 	runs    map[string]int
 	answers map[string]string
 }
 
 // addDaemon starts a daemon.
-func (w *world) addDaemon() {
-	w.born++
-	id := fmt.Sprintf("daemon-%d", w.born)
-	w.daemons = append(w.daemons, id)
-	w.alive[id] = true
+func (s *simulation) addDaemon() {
+	s.started++
+	id := fmt.Sprintf("daemon-%d", s.started)
+	s.daemons = append(s.daemons, id)
+	s.alive[id] = true
 }
 
-// crash replaces a daemon.
-func (w *world) crash(index int) {
-	delete(w.alive, w.daemons[index])
-	w.daemons = append(w.daemons[:index], w.daemons[index+1:]...)
-	w.addDaemon()
+// crash replaces a daemon by a new one.
+func (s *simulation) crash(index int) {
+	delete(s.alive, s.daemons[index])
+	s.daemons = append(s.daemons[:index], s.daemons[index+1:]...)
+	s.addDaemon()
 }
 
-// request sends one keyed request through one daemon, which may crash at any
-// point, and checks what the caller is told.
-func (w *world) request(index int, key, body string) {
+// request sends one request with a key through one daemon, which may crash at any
+// point, and checks the result that the caller gets.
+func (s *simulation) request(index int, key, body string) {
 	settling := &table.Settling{
-		Store: w.store,
+		Store: s.store,
 	}
 	keeper := idempotency.Keeper{
 		Store:  settling,
 		Commit: settling.Commit,
 		IsAlive: func(daemon string) bool {
-			return w.alive[daemon]
+			return s.alive[daemon]
 		},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
@@ -69,59 +69,59 @@
 	}, idempotency.Claim{
 		State:    idempotency.Running,
 		BodyHash: idempotency.HashBody([]byte(body)),
-		Daemon:   w.daemons[index],
+		Daemon:   s.daemons[index],
 		Expires:  time.Now().Add(time.Hour),
 	})
 	switch {
 	case refusal != nil:
 		if refusal.Outcome == outcome.Ran {
-			w.rt.Fatalf("key %s: refused as %s", key, refusal)
+			s.rt.Fatalf("key %s: refused as %s", key, refusal)
 		}
 	case kept != nil:
-		if string(kept.Body) != w.answers[key] {
-			w.rt.Fatalf("key %s: kept %q, first answer was %q", key, kept.Body, w.answers[key])
+		if string(kept.Body) != s.answers[key] {
+			s.rt.Fatalf("key %s: kept %q, first answer was %q", key, kept.Body, s.answers[key])
 		}
 	default:
-		w.run(index, key, body, &keeper, held)
+		s.execute(index, key, body, &keeper, held)
 	}
 }
 
-// run runs a claimed request.
-func (w *world) run(index int, key, body string, keeper *idempotency.Keeper, held *idempotency.Held) {
+// execute runs a claimed request, and draws how it ends.
+func (s *simulation) execute(index int, key, body string, keeper *idempotency.Keeper, held *idempotency.Held) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	what := rapid.SampledFrom([]string{"run", "run", "run", "crash before", "crash after", "refused", "lost"}).Draw(w.rt, "what")
-	if what == "crash before" {
-		w.crash(index)
+	event := rapid.SampledFrom([]string{"run", "run", "run", "crash before", "crash after", "refused", "lost"}).Draw(s.rt, "what")
+	if event == "crash before" {
+		s.crash(index)
 		return
 	}
-	if what == "refused" {
+	if event == "refused" {
 		_ = keeper.Free(ctx, held)
 		return
 	}
-	w.runs[key]++
-	if w.runs[key] > 1 {
-		w.rt.Fatalf("key %s ran %d times", key, w.runs[key])
+	s.runs[key]++
+	if s.runs[key] > 1 {
+		s.rt.Fatalf("key %s ran %d times", key, s.runs[key])
 	}
-	w.answers[key] = fmt.Sprintf("answer to %s %s", key, body)
-	switch what {
+	s.answers[key] = fmt.Sprintf("answer to %s %s", key, body)
+	switch event {
 	case "crash after":
-		w.crash(index)
+		s.crash(index)
 	case "lost":
 		_ = keeper.Lose(ctx, held)
 	default:
 		_ = keeper.Finish(ctx, held, idempotency.Answer{
 			Status: 200,
-			Body:   []byte(w.answers[key]),
+			Body:   []byte(s.answers[key]),
 		})
 	}
 }
 
 // TestKeyRunsAtMostOnce sends requests with few keys through several daemons
-// that crash, over a store that loses answers and lets commits arrive late.
+// that crash, with a store that loses answers and delays commits.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
-		w := &world{
+		s := &simulation{
 			rt:      rt,
 			alive:   map[string]bool{},
 			runs:    map[string]int{},
@@ -134,30 +134,30 @@
 			},
 		}
 		for range 3 {
-			w.addDaemon()
+			s.addDaemon()
 		}
 		isNested := false
-		w.store.Between = func() {
+		s.store.Between = func() {
 			if isNested || !rapid.Bool().Draw(rt, "meanwhile") {
 				return
 			}
 			isNested = true
-			w.request(len(w.daemons)-1, "k0", "body 0")
+			s.request(len(s.daemons)-1, "k0", "body 0")
 			isNested = false
 		}
 		for range 40 {
-			index := rapid.IntRange(0, len(w.daemons)-1).Draw(rt, "daemon")
+			index := rapid.IntRange(0, len(s.daemons)-1).Draw(rt, "daemon")
 			if rapid.IntRange(0, 9).Draw(rt, "crash") == 0 {
-				w.crash(index)
+				s.crash(index)
 				continue
 			}
 			key := fmt.Sprintf("k%d", rapid.IntRange(0, 3).Draw(rt, "key"))
-			w.request(index, key, fmt.Sprintf("body %d", rapid.IntRange(0, 1).Draw(rt, "body")))
+			s.request(index, key, fmt.Sprintf("body %d", rapid.IntRange(0, 1).Draw(rt, "body")))
 		}
 	})
 }
 
-func TestAnotherBodyIsRefused(t *testing.T) {
+func TestReusedKeyWithOtherBodyIsRefused(t *testing.T) {
 	claim := idempotency.Claim{
 		State:    idempotency.Done,
 		BodyHash: idempotency.HashBody([]byte("x")),
@@ -170,9 +170,10 @@
 	}
 }
 
-// TestRunningRequestIsNotSaidNotToRun: the caller that asks again must not
+// TestKeyOfRunningRequestYieldsUnknownOutcome guards against a retry being answered with
+// not_run while the first request with the key may still run. The caller would
 // conclude that its leak report was not filed.
-func TestRunningRequestIsNotSaidNotToRun(t *testing.T) {
+func TestKeyOfRunningRequestYieldsUnknownOutcome(t *testing.T) {
 	claim := idempotency.Claim{
 		State:    idempotency.Running,
 		BodyHash: idempotency.HashBody([]byte("x")),
