--- a/core/revocation/revocation.go
+++ b/core/revocation/revocation.go
@@ -1,39 +1,43 @@
-// Package revocation decides what a daemon may still do by a configuration that it
-// cannot confirm any more, because the store and all relays are out of reach.
+// Package revocation decides how a daemon may use a configuration that it can no longer
+// confirm, because it reaches neither the store nor a relay.
 //
-// A view that is young enough is current: every key withdrawn for longer than the
-// bound is dead in it, and what it does not hold does not exist. The operator chooses
-// what holds beyond that. Where withdrawal is strict, no key is accepted any more: a
-// withdrawn one must die within the bound wherever the daemon is. Where it is not,
-// keys of the last good configuration are served on, since an outage of the store
-// would otherwise be an outage for every caller: the eight seconds of one outage cost
-// a third of that day's answers. A key or a route that such a view does not hold is
-// never denied: it may have been added since.
+// A configuration that was confirmed recently enough is current: it lacks every key that
+// was revoked longer ago than the bound, and keys or routes that it lacks do not exist.
+// The operator chooses what happens with an older one:
+//   - If revocation is strict, no key is accepted, since every daemon must reject a revoked
+//     key within the bound.
+//   - Otherwise the keys of the last known configuration are still accepted. Rejecting
+//     them would turn an outage of the store into an outage for every caller: one outage of
+//     eight seconds cost a third of that day's answers.
+//
+// A key or route that an older configuration lacks is never rejected as unknown, since it
+// may have been added in the meantime.
 package revocation
 
 import "time"
 
-// Margin is kept away from the bound: a store that drops its history may tell nothing
-// for a second before it says so, and an answer takes up to 0.2 s to come.
+// Margin is subtracted from the bound: a store that drops its history may report no change
+// for up to a second before it reports the drop, and an answer takes up to 0.2 s.
 const Margin = 1200 * time.Millisecond
 
-// Policy says how old a configuration may be. The zero value is not strict and takes
-// no view for current.
+// Policy determines how old a configuration may be. The zero value is not strict, and
+// regards no configuration as current.
 type Policy struct {
-	// IsStrict tells that a withdrawn key must be dead within the bound everywhere,
-	// also where nothing can be heard of the withdrawal.
+	// IsStrict is set if a revoked key must be rejected within the bound by every daemon,
+	// also by one that cannot learn of the revocation.
 	IsStrict bool
-	// Within is the bound.
+	// Within is the bound: the time within which daemons must reject a revoked key.
 	Within time.Duration
 }
 
-// IsCurrent tells whether a view confirmed age ago shows all that has been in force for
-// longer than the bound. Routes and keys that it does not hold may be denied.
+// IsCurrent reports whether a configuration that was confirmed age ago contains every change
+// that is older than the bound. Routes and keys that it lacks may then be rejected.
 func (p Policy) IsCurrent(age time.Duration) bool {
 	return age < p.Within-Margin
 }
 
-// MayAccept tells whether keys of a view confirmed age ago may be accepted.
+// MayAccept reports whether keys of a configuration that was confirmed age ago may be
+// accepted.
 func (p Policy) MayAccept(age time.Duration) bool {
 	return !p.IsStrict || p.IsCurrent(age)
 }
--- a/core/revocation/revocation_test.go
+++ b/core/revocation/revocation_test.go
@@ -11,7 +11,7 @@
 
 const within = 5 * time.Second
 
-func TestStrictWithdrawalEndsKeysBeforeTheBound(t *testing.T) {
+func TestStrictPolicyRejectsKeysBeforeBound(t *testing.T) {
 	policy := revocation.Policy{
 		IsStrict: true,
 		Within:   within,
@@ -21,12 +21,12 @@
 	qt.Assert(t, policy.MayAccept(time.Hour), qt.IsFalse)
 }
 
-func TestOtherwiseTheLastGoodConfigurationIsServedOn(t *testing.T) {
+func TestLenientPolicyAcceptsKeysOfStaleConfiguration(t *testing.T) {
 	policy := revocation.Policy{
 		Within: within,
 	}
 	qt.Assert(t, policy.MayAccept(time.Hour), qt.IsTrue)
-	// But it is not current, so nothing is denied by it.
+	// It is not current, so no key or route is rejected as unknown.
 	qt.Assert(t, policy.IsCurrent(time.Hour), qt.IsFalse)
 	qt.Assert(t, policy.IsCurrent(time.Second), qt.IsTrue)
 }
