--- a/io/caller/answer.go
+++ b/io/caller/answer.go
@@ -14,12 +14,12 @@
 	"headcourse/io/engine"
 )
 
-// statusClientGone is the status noted for callers that went away; none of
-// them reads it.
+// statusClientGone is the status of requests whose caller has disconnected. No caller
+// receives it.
 const statusClientGone = 499
 
-// statuses maps reasons to HTTP statuses; others are 502.
-var statuses = map[outcome.Reason]int{
+// statusByReason maps reasons to HTTP statuses. Other reasons have status 502.
+var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonBadRequest:        fiber.StatusBadRequest,
 	outcome.ReasonUnauthorised:      fiber.StatusUnauthorized,
 	outcome.ReasonUnknownModel:      fiber.StatusNotFound,
@@ -43,12 +43,12 @@
 	outcome.ReasonKeyStoreDown:      fiber.StatusServiceUnavailable,
 }
 
-// errorBody is the body of an error, in the form that callers' clients know.
+// errorBody is the body of an error, in the format that callers' client libraries expect.
 type errorBody struct {
 	Error errorInfo `json:"error"`
 }
 
-// errorInfo says what became of the request and why.
+// errorInfo is the outcome of a failed request and its reason.
 type errorInfo struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
@@ -57,8 +57,8 @@
 	RequestID string `json:"request_id,omitempty"`
 }
 
-// errorOf returns the body of a failure. Peers' addresses stay in the log.
-func errorOf(requestID string, failure *outcome.Failure) errorBody {
+// newErrorBody returns the error body of a failure. Addresses of peers are logged only.
+func newErrorBody(requestID string, failure *outcome.Failure) errorBody {
 	message := failure.Step + ": " + string(failure.Reason)
 	for _, known := range outcome.Reasons {
 		if known.Reason == failure.Reason {
@@ -76,14 +76,14 @@
 	}
 }
 
-// refuse answers with a failure.
-func (s *Server) refuse(c fiber.Ctx, requestID string, failure *outcome.Failure) error {
+// sendFailure answers a request with a failure.
+func (s *Server) sendFailure(c fiber.Ctx, requestID string, failure *outcome.Failure) error {
 	s.count(counterRefusal + string(failure.Reason))
 	s.count(counterOutcome + failure.Outcome.String())
 	if failure.Outcome == outcome.Unknown {
 		s.log.Warn("callers: outcome unknown", zap.String("request", requestID), zap.Error(failure))
 	}
-	status, ok := statuses[failure.Reason]
+	status, ok := statusByReason[failure.Reason]
 	if !ok {
 		status = fiber.StatusBadGateway
 	}
@@ -92,11 +92,11 @@
 	}
 	c.Set(headerOutcome, failure.Outcome.String())
 	c.Set(headerRequestID, requestID)
-	return c.Status(status).JSON(errorOf(requestID, failure))
+	return c.Status(status).JSON(newErrorBody(requestID, failure))
 }
 
-// answer gives a whole answer.
-func (s *Server) answer(c fiber.Ctx, requestID string, reply engine.Reply) error {
+// sendAnswer answers a request with a reply that is not streamed.
+func (s *Server) sendAnswer(c fiber.Ctx, requestID string, reply engine.Reply) error {
 	s.count(counterOutcome + outcome.Ran.String())
 	c.Set(headerOutcome, outcome.Ran.String())
 	c.Set(headerRequestID, requestID)
@@ -104,23 +104,22 @@
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
-// handleError answers requests that the HTTP library itself refuses. Its text
-// may quote the request with its key, so that only errors of known text are
-// passed on.
+// handleError answers requests that the HTTP library itself refuses. The library's
+// error may quote the request and its key, so the answer has a fixed text instead.
 func (s *Server) handleError(c fiber.Ctx, err error) error {
 	status, text := fiber.StatusBadRequest, "malformed HTTP request"
-	var known *fiber.Error
-	if errors.As(err, &known) && known.Code != fiber.StatusBadRequest {
-		status, text = known.Code, fiber.NewError(known.Code).Message
+	var httpError *fiber.Error
+	if errors.As(err, &httpError) && httpError.Code != fiber.StatusBadRequest {
+		status, text = httpError.Code, fiber.NewError(httpError.Code).Message
 	}
 	s.count(counterRefusal + string(outcome.ReasonBadRequest))
 	c.Set(headerOutcome, outcome.NotRun.String())
-	return c.Status(status).JSON(errorOf("", badRequest(text)))
+	return c.Status(status).JSON(newErrorBody("", badRequest(text)))
 }
 
-// encodeError returns a failure as the event that ends a broken stream.
-func encodeError(requestID string, failure *outcome.Failure) []byte {
-	body, err := json.Marshal(errorOf(requestID, failure))
+// encodeErrorEvent returns the event that ends a stream with a failure.
+func encodeErrorEvent(requestID string, failure *outcome.Failure) []byte {
+	body, err := json.Marshal(newErrorBody(requestID, failure))
 	if err != nil {
 		return nil
 	}
--- a/io/caller/job.go
+++ b/io/caller/job.go
@@ -31,41 +31,43 @@
 	headerRetryAfter  = "Retry-After"
 )
 
-// maxKey bounds the length of an idempotency key.
-const maxKey = 255
+// maxKeyLength is the maximum length of an idempotency key, in bytes.
+const maxKeyLength = 255
 
-// job is one request on its way. All of it is copied from the HTTP library's
-// buffers.
+// job is one request that is being served. Its contents are copies, since the HTTP
+// library reuses its buffers.
 type job struct {
 	id           string
 	organisation declaration.Organisation
 	call         engine.Call
-	// model or service is set.
-	model   string
-	service string
-	prefix  uint64
-	// repeatable tells that the request may be run twice.
+	// model is set for completions, service for requests to plain services.
+	model      string
+	service    string
+	prefixHash uint64
+	// repeatable is set if the request may run more than once.
 	repeatable bool
 	key        string
 	priority   int
-	// mayHaveRun tells that an earlier try ended in an unknown outcome, so that
-	// whatever comes after it, the job cannot be said not to have run.
+	// mayHaveRun is set once an attempt ended with an unknown outcome. The job then
+	// can no longer be reported as not run, whatever later attempts return.
 	mayHaveRun bool
-	// tries counts how often the job was begun.
-	tries  int
-	ctx    context.Context
-	cancel context.CancelFunc
-	// isGone tells that the caller went away.
-	isGone atomic.Bool
-	// server is the backend server that was given the request, for cancelling.
-	server atomic.Pointer[string]
-	held   *idempotency.Held
-	// endSlot and endPlace give back what was taken.
-	endSlot  func()
-	endPlace func()
-	// endWatch ends the watch for the job's deadline.
-	endWatch func() bool
-	done     func()
+	// attempts is the number of attempts so far.
+	attempts int
+	ctx      context.Context
+	cancel   context.CancelFunc
+	// isCallerGone is set when the caller has disconnected.
+	isCallerGone atomic.Bool
+	// assignedAddress is the address of the backend server that the request is
+	// assigned to; cancelWork needs it.
+	assignedAddress atomic.Pointer[string]
+	claim           *idempotency.Held
+	// releaseSlot releases the slot at the backend server, releaseQueuePlace the
+	// place in the queue.
+	releaseSlot       func()
+	releaseQueuePlace func()
+	// stopDeadlineWatch stops the function that cancels the work at the deadline.
+	stopDeadlineWatch func() bool
+	onFinish          func()
 }
 
 // authenticate returns the organisation that the key belongs to.
@@ -86,47 +88,49 @@
 	return declaration.Organisation{}, outcome.Refuse(outcome.ReasonUnauthorised, "authenticate")
 }
 
-// newJob copies a request and checks what all requests have in common.
+// newJob copies a request, authenticates it, and reads the headers that all kinds
+// of requests share.
 func (s *Server) newJob(c fiber.Ctx) (*job, *outcome.Failure) {
-	made := &job{
+	j := &job{
 		id:         uuid.NewString(),
 		repeatable: true,
 		key:        strings.Clone(c.Get(headerIdempotency)),
 	}
 	if refusal := s.readiness(); refusal != nil {
-		return made, refusal
+		return j, refusal
 	}
 	organisation, refusal := s.authenticate(c)
 	if refusal != nil {
-		return made, refusal
+		return j, refusal
 	}
-	made.organisation = organisation
-	made.call = engine.Call{
+	j.organisation = organisation
+	j.call = engine.Call{
 		Method:         strings.Clone(c.Method()),
 		Path:           strings.Clone(c.Path()),
 		Query:          append([]byte(nil), c.Request().URI().QueryString()...),
 		ContentType:    strings.Clone(c.Get(fiber.HeaderContentType)),
 		Body:           append([]byte(nil), c.Body()...),
-		RequestID:      made.id,
-		IdempotencyKey: made.key,
+		RequestID:      j.id,
+		IdempotencyKey: j.key,
 	}
-	if made.key != "" {
-		made.repeatable = false
+	if j.key != "" {
+		j.repeatable = false
 	}
-	if len(made.key) > maxKey {
-		return made, badRequest(headerIdempotency + ": at most 255 characters")
+	if len(j.key) > maxKeyLength {
+		return j, badRequest(headerIdempotency + ": at most 255 characters")
 	}
-	return made, s.readLimits(c, made)
+	return j, s.readPriorityAndDeadline(c, j)
 }
 
-// readLimits reads priority and deadline.
-func (s *Server) readLimits(c fiber.Ctx, made *job) *outcome.Failure {
+// readPriorityAndDeadline reads the headers of priority and deadline. The deadline is
+// at most the declared one.
+func (s *Server) readPriorityAndDeadline(c fiber.Ctx, j *job) *outcome.Failure {
 	if text := c.Get(headerPriority); text != "" {
 		priority, err := strconv.Atoi(text)
 		if err != nil || priority < 0 || priority > 9 {
 			return badRequest(headerPriority + ": must be 0 to 9")
 		}
-		made.priority = priority
+		j.priority = priority
 	}
 	limits := s.source.Snapshot().Declaration().Limits
 	deadline := limits.Deadline.Or(declaration.DefaultDeadline)
@@ -137,63 +141,64 @@
 		}
 		deadline = min(deadline, time.Duration(ms)*time.Millisecond)
 	}
-	made.ctx, made.cancel = context.WithTimeout(context.Background(), deadline)
+	j.ctx, j.cancel = context.WithTimeout(context.Background(), deadline)
 	return nil
 }
 
-// badRequest returns a refusal that says what is wrong.
+// badRequest returns the refusal of an invalid request. The text names the field and
+// what is wrong with it.
 func badRequest(text string) *outcome.Failure {
 	refusal := outcome.Refuse(outcome.ReasonBadRequest, text)
 	return refusal
 }
 
-// completion is what is read of a completion's body.
+// completion contains the fields of a completion request that are read here.
 type completion struct {
 	Model    string            `json:"model"`
 	Stream   bool              `json:"stream"`
 	Messages []json.RawMessage `json:"messages"`
 }
 
-// readCompletion reads the body of a completion.
-func (s *Server) readCompletion(made *job) *outcome.Failure {
-	var body completion
-	if err := json.Unmarshal(made.call.Body, &body); err != nil {
+// readCompletion parses and checks the body of a completion request.
+func (s *Server) readCompletion(j *job) *outcome.Failure {
+	var parsed completion
+	if err := json.Unmarshal(j.call.Body, &parsed); err != nil {
 		return badRequest("body: " + err.Error())
 	}
-	if body.Model == "" {
+	if parsed.Model == "" {
 		return badRequest("body: model: must be set")
 	}
-	if len(body.Messages) == 0 {
+	if len(parsed.Messages) == 0 {
 		return badRequest("body: messages: must hold at least one message")
 	}
-	if _, ok := s.source.Snapshot().Declaration().Model(body.Model); !ok {
+	if _, ok := s.source.Snapshot().Declaration().Model(parsed.Model); !ok {
 		return outcome.Refuse(outcome.ReasonUnknownModel, "read body")
 	}
-	made.model = body.Model
-	made.call.Stream = body.Stream
+	j.model = parsed.Model
+	j.call.Stream = parsed.Stream
 	var prompt []byte
-	for _, message := range body.Messages {
+	for _, message := range parsed.Messages {
 		prompt = append(prompt, message...)
 	}
-	made.prefix = route.Prefix(made.organisation.Name, prompt)
+	j.prefixHash = route.Prefix(j.organisation.Name, prompt)
 	return nil
 }
 
-// finish gives back everything that a job took. It may be called repeatedly.
+// finish releases everything that a job holds. It may be called repeatedly.
 func (j *job) finish() {
-	if j.endSlot != nil {
-		j.endSlot()
+	if j.releaseSlot != nil {
+		j.releaseSlot()
 	}
-	if j.endPlace != nil {
-		j.endPlace()
+	if j.releaseQueuePlace != nil {
+		j.releaseQueuePlace()
 	}
-	if j.endWatch != nil {
-		j.endWatch()
+	if j.stopDeadlineWatch != nil {
+		j.stopDeadlineWatch()
 	}
 	if j.cancel != nil {
 		j.cancel()
 	}
-	if j.done != nil {
-		j.done()
+	if j.onFinish != nil {
+		j.onFinish()
 	}
 }
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -16,97 +16,99 @@
 	"headcourse/io/engine"
 )
 
-// relay passes a stream of server-sent events on to the caller, whole events
-// at a time. It knows the position of the last event passed on, so that a
-// stream whose connection breaks is taken up again at the engine that runs it.
-// A stream that cannot be taken up ends with an error event, without [DONE],
-// and without the end that HTTP gives a whole body.
+// relay forwards a stream of server-sent events to the caller, in complete events
+// only. It records the position of the last event, so that a stream whose connection
+// breaks can be resumed at the engine that runs it. A stream that cannot be resumed
+// ends with an error event, without [DONE] and without the last chunk that ends a
+// complete HTTP body.
 type relay struct {
 	server  *Server
 	job     *job
 	stream  *engine.Stream
 	address string
-	// buffer is read into; pending holds bytes read that do not make up a whole event yet; ready
-	// holds whole events not passed on yet.
-	buffer   []byte
-	pending  []byte
-	ready    []byte
-	position int
-	isWhole  bool
-	// failure ends the stream once ready has been passed on.
-	failure *outcome.Failure
-	resumes int
-	kept    []byte
-	isEnded bool
+	// buffer is the read buffer. pending holds the bytes of an incomplete event, ready the
+	// complete events that are not forwarded yet.
+	buffer     []byte
+	pending    []byte
+	ready      []byte
+	position   int
+	isComplete bool
+	// failure ends the stream once ready is empty.
+	failure  *outcome.Failure
+	resumes  int
+	recorded []byte
+	isClosed bool
 }
 
-// Figures of a relay.
 const (
-	relayBuffer = 4096
-	// maxResumes bounds how often one stream is taken up again.
+	// relayBufferSize is in bytes.
+	relayBufferSize = 4096
+	// maxResumes is how often one stream may be resumed.
 	maxResumes = 3
-	resumeWait = 200 * time.Millisecond
-	// maxEvent bounds one event.
-	maxEvent = 1 << 20
+	// resumeDelay is the time between two attempts to resume a stream.
+	resumeDelay = 200 * time.Millisecond
+	// maxEventSize is the maximum size of one event, in bytes.
+	maxEventSize = 1 << 20
 )
 
-// Marks of server-sent events.
+// Delimiters and fields of server-sent events.
 var (
 	eventEnd  = []byte("\n\n")
 	idField   = []byte("id:")
 	doneEvent = []byte("data: [DONE]")
 )
 
-// startRelay waits for the first event and then begins the answer. Until the
-// first event nothing has been said to the caller, so that the job can still
-// be sent again.
-func (s *Server) startRelay(c fiber.Ctx, made *job, reply engine.Reply) error {
-	started := s.newRelay(made, reply)
-	for started.fill() && len(started.ready) == 0 && started.failure == nil {
+// startRelay waits for the first event and then starts the answer. As nothing has
+// been sent to the caller before the first event, a stream that breaks earlier can
+// still be retried.
+func (s *Server) startRelay(c fiber.Ctx, j *job, reply engine.Reply) error {
+	r := s.newRelay(j, reply)
+	for r.fill() && len(r.ready) == 0 && r.failure == nil {
 		continue
 	}
-	if started.failure != nil && started.position == 0 {
-		started.stream.Close()
-		s.endPlaces(made)
-		return s.startAgain(c, made, started.failure)
+	if r.failure != nil && r.position == 0 {
+		r.stream.Close()
+		s.releasePlaces(j)
+		return s.resendBrokenStream(c, j, r.failure)
 	}
-	// At its deadline, or when its caller goes away, the engine is told to stop.
-	made.endWatch = context.AfterFunc(made.ctx, func() {
-		s.cancelWork(made)
+	// The engine's work is cancelled at the deadline, or when the caller disconnects.
+	j.stopDeadlineWatch = context.AfterFunc(j.ctx, func() {
+		s.cancelWork(j)
 	})
-	c.Set(headerRequestID, made.id)
-	// No outcome yet: the stream's own end tells it, [DONE] or an error event.
+	c.Set(headerRequestID, j.id)
+	// The outcome header is not set: the stream ends with [DONE] or with an error
+	// event that contains the outcome.
 	c.Set(fiber.HeaderContentType, reply.ContentType)
 	c.Set(fiber.HeaderCacheControl, "no-cache")
-	c.RequestCtx().Response.SetBodyStream(started, -1)
+	c.RequestCtx().Response.SetBodyStream(r, -1)
 	return nil
 }
 
-// startAgain sends a job again whose stream broke before its first event, or
-// gives its failure.
-func (s *Server) startAgain(c fiber.Ctx, made *job, failure *outcome.Failure) error {
+// resendBrokenStream retries a job whose stream broke before its first event, or
+// answers with the failure if no retry is allowed.
+func (s *Server) resendBrokenStream(c fiber.Ctx, j *job, failure *outcome.Failure) error {
 	var reply engine.Reply
-	if s.mayRetry(made, failure) {
-		reply, failure = s.attempt(made)
+	if s.mayRetry(j, failure) {
+		reply, failure = s.sendWithRetries(j)
 	}
-	return s.conclude(c, made, reply, failure)
+	return s.respond(c, j, reply, failure)
 }
 
-// newRelay returns the relay of a reply.
-func (s *Server) newRelay(made *job, reply engine.Reply) *relay {
+// newRelay returns a relay for the stream of a reply.
+func (s *Server) newRelay(j *job, reply engine.Reply) *relay {
 	return &relay{
 		server:  s,
-		job:     made,
+		job:     j,
 		stream:  reply.Stream,
-		address: made.call.Address,
+		address: j.call.Address,
 	}
 }
 
-// Read returns the next whole events. Its error ends the caller's connection
-// unless it is io.EOF, which it is only after [DONE].
+// Read returns bytes of the next complete events. It returns io.EOF only after
+// [DONE]; any other error makes the HTTP library close the caller's connection.
 func (r *relay) Read(target []byte) (int, error) {
 	for len(r.ready) == 0 {
-		if r.isWhole {
+		if r.isComplete {
 			return 0, io.EOF
 		}
 		if r.failure != nil {
@@ -119,52 +121,52 @@
 	return n, nil
 }
 
-// fill reads from the engine once, and tells whether there can be more.
+// fill reads from the engine once, and reports whether there may be more to read.
 func (r *relay) fill() bool {
 	if r.buffer == nil {
-		r.buffer = make([]byte, relayBuffer)
+		r.buffer = make([]byte, relayBufferSize)
 	}
 	n, err := r.stream.Read(r.buffer)
-	r.take(r.buffer[:n])
-	if r.isWhole {
+	r.splitEvents(r.buffer[:n])
+	if r.isComplete {
 		return false
 	}
-	if err != nil || r.job.ctx.Err() != nil || len(r.pending) > maxEvent {
-		r.recover(err)
+	if err != nil || r.job.ctx.Err() != nil || len(r.pending) > maxEventSize {
+		r.resumeOrFail(err)
 	}
 	return r.failure == nil
 }
 
-// take moves whole events from the bytes read to ready.
-func (r *relay) take(read []byte) {
-	r.pending = append(r.pending, read...)
-	for !r.isWhole {
+// splitEvents appends data to pending, and moves complete events to ready.
+func (r *relay) splitEvents(data []byte) {
+	r.pending = append(r.pending, data...)
+	for !r.isComplete {
 		end := bytes.Index(r.pending, eventEnd)
 		if end < 0 {
 			return
 		}
 		event := r.pending[:end+len(eventEnd)]
-		if r.isNext(event) {
+		if r.acceptEvent(event) {
 			r.ready = append(r.ready, event...)
-			r.keep(event)
+			r.recordEvent(event)
 		}
 		r.pending = r.pending[len(event):]
 	}
 }
 
-// isNext notes the position of an event, and tells whether it was not passed
-// on before: an engine may send again what it sent already.
-func (r *relay) isNext(event []byte) bool {
+// acceptEvent records the position of an event, and reports whether the event is new:
+// a resumed engine may repeat events.
+func (r *relay) acceptEvent(event []byte) bool {
 	if bytes.HasPrefix(event, doneEvent) {
-		r.isWhole = true
+		r.isComplete = true
 		return true
 	}
 	for line := range bytes.Lines(event) {
-		after, ok := bytes.CutPrefix(line, idField)
+		value, ok := bytes.CutPrefix(line, idField)
 		if !ok {
 			continue
 		}
-		position, err := strconv.Atoi(string(bytes.TrimSpace(after)))
+		position, err := strconv.Atoi(string(bytes.TrimSpace(value)))
 		if err != nil {
 			return true
 		}
@@ -176,15 +178,15 @@
 	return true
 }
 
-// keep gathers the answer of a job whose key was claimed.
-func (r *relay) keep(event []byte) {
-	if r.job.held != nil && len(r.kept) <= idempotency.MaxKept {
-		r.kept = append(r.kept, event...)
+// recordEvent appends an event to the answer to be stored, if the job has a claimed key.
+func (r *relay) recordEvent(event []byte) {
+	if r.job.claim != nil && len(r.recorded) <= idempotency.MaxKept {
+		r.recorded = append(r.recorded, event...)
 	}
 }
 
-// recover takes the stream up again after a break, or ends it with a failure.
-func (r *relay) recover(cause error) {
+// resumeOrFail resumes the stream after its connection broke, or ends it with a failure.
+func (r *relay) resumeOrFail(cause error) {
 	r.pending = nil
 	for r.job.ctx.Err() == nil && r.resumes < maxResumes && r.position > 0 {
 		r.resumes++
@@ -199,12 +201,12 @@
 		if errors.Is(err, engine.ErrNoStream) {
 			break
 		}
-		time.Sleep(resumeWait)
+		time.Sleep(resumeDelay)
 	}
 	r.fail(cause)
 }
 
-// fail ends the stream: with an error event if some of it was passed on.
+// fail ends the stream. If events were forwarded already, it ends with an error event.
 func (r *relay) fail(cause error) {
 	r.failure = &outcome.Failure{
 		Outcome: outcome.Unknown,
@@ -214,56 +216,56 @@
 		Cause:   cause,
 	}
 	if r.job.ctx.Err() != nil {
-		r.failure = r.server.endedDuring(r.job)
+		r.failure = r.server.endedAfterSend(r.job)
 		r.server.cancelWork(r.job)
 	}
 	if r.position > 0 {
-		r.ready = append(r.ready, encodeError(r.job.id, r.failure)...)
+		r.ready = append(r.ready, encodeErrorEvent(r.job.id, r.failure)...)
 	}
 }
 
-// Close is called by the HTTP library when the answer has been written, or
-// could not be.
+// Close ends the relay. The HTTP library calls it when the answer has been written
+// or writing has failed.
 func (r *relay) Close() error {
-	if r.isEnded {
+	if r.isClosed {
 		return nil
 	}
-	r.isEnded = true
+	r.isClosed = true
 	r.stream.Close()
 	switch {
-	case r.isWhole && len(r.ready) == 0:
+	case r.isComplete && len(r.ready) == 0:
 		r.server.count(counterOutcome + outcome.Ran.String())
-		r.server.keepAnswer(r.job, idempotency.Answer{
+		r.server.storeAnswer(r.job, idempotency.Answer{
 			Status:      fiber.StatusOK,
 			ContentType: "text/event-stream",
-			Body:        r.kept,
+			Body:        r.recorded,
 		})
-	case r.isWhole:
-		// The engine ended, but the caller went away before it had all of it.
+	case r.isComplete:
+		// The engine finished, but the caller disconnected before it got all events.
 		r.server.count(counterRefusal + string(outcome.ReasonCallerGone))
-		r.server.keepAnswer(r.job, idempotency.Answer{
+		r.server.storeAnswer(r.job, idempotency.Answer{
 			Status:      fiber.StatusOK,
 			ContentType: "text/event-stream",
-			Body:        r.kept,
+			Body:        r.recorded,
 		})
 	default:
-		r.endBroken()
+		r.closeIncomplete()
 	}
 	r.job.finish()
 	return nil
 }
 
-// endBroken counts and settles a stream that did not end whole.
-func (r *relay) endBroken() {
+// closeIncomplete counts an incomplete stream and settles its claim.
+func (r *relay) closeIncomplete() {
 	if r.failure == nil {
-		// Writing to the caller failed before the engine ended.
-		r.job.isGone.Store(true)
+		// Writing to the caller failed before the engine finished.
+		r.job.isCallerGone.Store(true)
 		r.job.cancel()
-		r.failure = r.server.endedDuring(r.job)
+		r.failure = r.server.endedAfterSend(r.job)
 		r.server.cancelWork(r.job)
 	}
 	r.server.count(counterRefusal + string(r.failure.Reason))
 	r.server.count(counterOutcome + outcome.Unknown.String())
-	r.server.settleFailure(r.job, r.failure)
+	r.server.settleFailedClaim(r.job, r.failure)
 	r.server.log.Warn("callers: stream not whole", zap.String("request", r.job.id), zap.Int("position", r.position), zap.Error(r.failure))
 }
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -20,109 +20,110 @@
 	"headcourse/io/engine"
 )
 
-// maxTries bounds how often one request is sent.
-const maxTries = 3
+// maxAttempts is the maximum number of attempts for one request.
+const maxAttempts = 3
 
-// handleCompletion serves a chat completion.
+// handleCompletion serves chat completions.
 func (s *Server) handleCompletion(c fiber.Ctx) error {
-	made, refusal := s.newJob(c)
+	j, refusal := s.newJob(c)
 	if refusal == nil {
-		refusal = s.readCompletion(made)
+		refusal = s.readCompletion(j)
 	}
-	return s.run(c, made, refusal)
+	return s.runJob(c, j, refusal)
 }
 
-// handleService serves a request to a plain service.
+// handleService serves requests to plain services.
 func (s *Server) handleService(c fiber.Ctx) error {
-	made, refusal := s.newJob(c)
+	j, refusal := s.newJob(c)
 	if refusal == nil {
-		refusal = s.readService(c, made)
+		refusal = s.readService(c, j)
 	}
-	return s.run(c, made, refusal)
+	return s.runJob(c, j, refusal)
 }
 
-// readService finds the service that a request is for.
-func (s *Server) readService(c fiber.Ctx, made *job) *outcome.Failure {
-	service, ok := s.source.Snapshot().Declaration().ServiceFor(made.call.Path)
+// readService sets the service that a request is for, and whether it is repeatable.
+func (s *Server) readService(c fiber.Ctx, j *job) *outcome.Failure {
+	service, ok := s.source.Snapshot().Declaration().ServiceFor(j.call.Path)
 	if !ok {
 		return outcome.Refuse(outcome.ReasonUnknownRoute, "find service")
 	}
-	made.service = service.Name
-	isSafe := made.call.Method != fiber.MethodPost && made.call.Method != fiber.MethodPatch
-	made.repeatable = made.repeatable && isSafe && service.Repeatable(made.call.Method, made.call.Path)
+	j.service = service.Name
+	isSafe := j.call.Method != fiber.MethodPost && j.call.Method != fiber.MethodPatch
+	j.repeatable = j.repeatable && isSafe && service.Repeatable(j.call.Method, j.call.Path)
 	if accept := c.Get(fiber.HeaderAccept); accept != "" {
-		made.call.Headers = append(made.call.Headers, [2]string{fiber.HeaderAccept, string([]byte(accept))})
+		j.call.Headers = append(j.call.Headers, [2]string{fiber.HeaderAccept, string([]byte(accept))})
 	}
 	return nil
 }
 
-// run serves a job to its end, or gives its refusal.
-func (s *Server) run(c fiber.Ctx, made *job, refusal *outcome.Failure) error {
-	s.open.Add(1)
-	forget := s.gone.Watch(c.RequestCtx().Conn(), func() {
-		made.isGone.Store(true)
-		if made.cancel != nil {
-			made.cancel()
+// runJob serves a job until it is answered, or answers with its refusal.
+func (s *Server) runJob(c fiber.Ctx, j *job, refusal *outcome.Failure) error {
+	s.openCount.Add(1)
+	unwatch := s.disconnects.Watch(c.RequestCtx().Conn(), func() {
+		j.isCallerGone.Store(true)
+		if j.cancel != nil {
+			j.cancel()
 		}
-		s.cancelWork(made)
+		s.cancelWork(j)
 	})
-	made.done = sync.OnceFunc(func() {
-		forget()
-		s.open.Add(-1)
+	j.onFinish = sync.OnceFunc(func() {
+		unwatch()
+		s.openCount.Add(-1)
 	})
 	if refusal != nil {
-		made.finish()
-		return s.refuse(c, made.id, refusal)
+		j.finish()
+		return s.sendFailure(c, j.id, refusal)
 	}
 	s.budget.Earn()
-	reply, failure := s.attempt(made)
-	return s.conclude(c, made, reply, failure)
+	reply, failure := s.sendWithRetries(j)
+	return s.respond(c, j, reply, failure)
 }
 
-// conclude gives the caller what became of a job.
-func (s *Server) conclude(c fiber.Ctx, made *job, reply engine.Reply, failure *outcome.Failure) error {
+// respond sends the result of a job to the caller.
+func (s *Server) respond(c fiber.Ctx, j *job, reply engine.Reply, failure *outcome.Failure) error {
 	if failure != nil {
-		if made.mayHaveRun {
+		if j.mayHaveRun {
 			failure.Outcome = outcome.Unknown
 		}
-		s.settleFailure(made, failure)
-		made.finish()
-		return s.refuse(c, made.id, failure)
+		s.settleFailedClaim(j, failure)
+		j.finish()
+		return s.sendFailure(c, j.id, failure)
 	}
 	if reply.Stream != nil {
-		return s.startRelay(c, made, reply)
+		return s.startRelay(c, j, reply)
 	}
-	s.keepAnswer(made, idempotency.Answer{
+	s.storeAnswer(j, idempotency.Answer{
 		Status:      reply.Status,
 		ContentType: reply.ContentType,
 		Body:        reply.Body,
 	})
-	made.finish()
-	return s.answer(c, made.id, reply)
+	j.finish()
+	return s.sendAnswer(c, j.id, reply)
 }
 
-// attempt sends a job until it is answered, it fails, or no retry is allowed.
-func (s *Server) attempt(made *job) (engine.Reply, *outcome.Failure) {
+// sendWithRetries sends a job, and retries it as long as it fails and mayRetry allows.
+func (s *Server) sendWithRetries(j *job) (engine.Reply, *outcome.Failure) {
 	for {
-		reply, failure := s.attemptOnce(made)
-		if failure == nil || !s.mayRetry(made, failure) {
+		reply, failure := s.attemptSend(j)
+		if failure == nil || !s.mayRetry(j, failure) {
 			return reply, failure
 		}
 	}
 }
 
-// mayRetry tells whether a failed job may be sent again: it was not run, or it
-// may be run twice; and the budget allows. The retry is counted.
-func (s *Server) mayRetry(made *job, failure *outcome.Failure) bool {
+// mayRetry reports whether a failed job may be retried: it was not run or is
+// repeatable, it has attempts left, and the retry budget is not spent. It counts
+// the retry.
+func (s *Server) mayRetry(j *job, failure *outcome.Failure) bool {
 	switch failure.Reason {
 	case outcome.ReasonConnect, outcome.ReasonEngineRefused, outcome.ReasonEngineBusy, outcome.ReasonConnectionLost:
 	default:
 		return false
 	}
-	if failure.Outcome != outcome.NotRun && !made.repeatable {
+	if failure.Outcome != outcome.NotRun && !j.repeatable {
 		return false
 	}
-	if made.tries >= maxTries || made.ctx.Err() != nil {
+	if j.attempts >= maxAttempts || j.ctx.Err() != nil {
 		return false
 	}
 	if !s.budget.Spend() {
@@ -130,74 +131,76 @@
 		return false
 	}
 	s.count(counterRetry + string(failure.Reason))
-	s.log.Debug("callers: trying again", zap.String("request", made.id), zap.Error(failure))
+	s.log.Debug("callers: request retried", zap.String("request", j.id), zap.Error(failure))
 	if failure.Outcome != outcome.NotRun {
-		made.mayHaveRun = true
-		s.cancelWork(made)
+		j.mayHaveRun = true
+		s.cancelWork(j)
 	}
 	return true
 }
 
-// attemptOnce waits for a place, claims the key, and sends the job.
-func (s *Server) attemptOnce(made *job) (engine.Reply, *outcome.Failure) {
-	made.tries++
-	if refusal := s.admit(made); refusal != nil {
+// attemptSend makes one attempt: it waits for a slot at a backend server, claims
+// the idempotency key, and sends the job.
+func (s *Server) attemptSend(j *job) (engine.Reply, *outcome.Failure) {
+	j.attempts++
+	if refusal := s.admit(j); refusal != nil {
 		return engine.Reply{}, refusal
 	}
-	if kept, refusal := s.claim(made); refusal != nil || kept != nil {
-		s.endPlaces(made)
+	if stored, refusal := s.claimKey(j); refusal != nil || stored != nil {
+		s.releasePlaces(j)
 		if refusal != nil {
 			return engine.Reply{}, refusal
 		}
 		s.count(counterReplay)
 		return engine.Reply{
-			Status:      kept.Status,
-			ContentType: kept.ContentType,
-			Body:        kept.Body,
+			Status:      stored.Status,
+			ContentType: stored.ContentType,
+			Body:        stored.Body,
 		}, nil
 	}
-	made.call.Once = !made.repeatable
-	reply, failure := s.send(made)
+	j.call.Once = !j.repeatable
+	reply, failure := s.send(j)
 	if failure != nil {
-		s.endPlaces(made)
-		s.noteRefusal(made, failure)
+		s.releasePlaces(j)
+		s.recordRefusal(j, failure)
 	}
 	return reply, failure
 }
 
-// noteRefusal remembers that a group was just found not to serve. Its word is
-// newer than the evidence that it was whole, which is then no longer believed.
-func (s *Server) noteRefusal(made *job, failure *outcome.Failure) {
+// recordRefusal marks the evidence of a group as disproved after the group refused a
+// request or could not be reached. The refusal is newer than the evidence that the
+// group is whole.
+func (s *Server) recordRefusal(j *job, failure *outcome.Failure) {
 	isRefused := failure.Reason == outcome.ReasonEngineRefused || failure.Reason == outcome.ReasonConnect
-	if isRefused && made.call.Group != "" {
-		evidence, _ := s.source.Snapshot().Book.Newest(made.call.Group)
-		s.refused.Store(made.call.Group, evidence.At)
+	if isRefused && j.call.Group != "" {
+		evidence, _ := s.source.Snapshot().Book.Newest(j.call.Group)
+		s.refusedEvidence.Store(j.call.Group, evidence.At)
 	}
 }
 
-// endPlaces gives back a job's place at a backend server and in the queue.
-func (s *Server) endPlaces(made *job) {
-	made.endSlot()
-	made.endPlace()
+// releasePlaces releases a job's slot at the backend server and its place in the queue.
+func (s *Server) releasePlaces(j *job) {
+	j.releaseSlot()
+	j.releaseQueuePlace()
 }
 
-// sent is the outcome of a send.
-type sent struct {
+// sendResult is the result of sending a job.
+type sendResult struct {
 	reply engine.Reply
 	err   error
 }
 
-// send hands the job over and waits for the answer, or for its deadline, or
-// for the caller to go away. It never waits longer than that.
-func (s *Server) send(made *job) (engine.Reply, *outcome.Failure) {
-	if made.ctx.Err() != nil {
-		return engine.Reply{}, s.endedBefore(made)
+// send sends the job to its backend server. It waits for the answer, but no longer
+// than until the deadline, or until the caller disconnects.
+func (s *Server) send(j *job) (engine.Reply, *outcome.Failure) {
+	if j.ctx.Err() != nil {
+		return engine.Reply{}, s.endedBeforeSend(j)
 	}
-	call := made.call
-	results := make(chan sent, 1)
+	call := j.call
+	results := make(chan sendResult, 1)
 	go func() {
 		reply, err := s.source.Engines().Send(call)
-		results <- sent{
+		results <- sendResult{
 			reply: reply,
 			err:   err,
 		}
@@ -208,115 +211,117 @@
 			return engine.Reply{}, outcome.FailureOf(result.err)
 		}
 		return result.reply, nil
-	case <-made.ctx.Done():
-		s.cancelWork(made)
-		go discard(results)
-		return engine.Reply{}, s.endedDuring(made)
+	case <-j.ctx.Done():
+		s.cancelWork(j)
+		go discardResult(results)
+		return engine.Reply{}, s.endedAfterSend(j)
 	}
 }
 
-// discard closes the answer that nobody waits for any more.
-func discard(results <-chan sent) {
+// discardResult closes the stream of an answer that arrives too late.
+func discardResult(results <-chan sendResult) {
 	result := <-results
 	if result.reply.Stream != nil {
 		result.reply.Stream.Close()
 	}
 }
 
-// endedBefore returns the failure of a job that ended before it was sent.
-func (s *Server) endedBefore(made *job) *outcome.Failure {
-	if made.isGone.Load() {
+// endedBeforeSend returns the failure of a job that ended before it was sent.
+func (s *Server) endedBeforeSend(j *job) *outcome.Failure {
+	if j.isCallerGone.Load() {
 		return outcome.Refuse(outcome.ReasonCallerGone, "send request")
 	}
 	return outcome.Refuse(outcome.ReasonQueueDeadline, "send request")
 }
 
-// endedDuring returns the failure of a job that ended while it was run.
-func (s *Server) endedDuring(made *job) *outcome.Failure {
+// endedAfterSend returns the failure of a job that ended after it was sent.
+func (s *Server) endedAfterSend(j *job) *outcome.Failure {
 	reason := outcome.ReasonDeadline
-	if made.isGone.Load() {
+	if j.isCallerGone.Load() {
 		reason = outcome.ReasonCallerGone
 	}
 	return &outcome.Failure{
 		Outcome: outcome.Unknown,
 		Reason:  reason,
 		Step:    "wait for answer",
-		Peer:    made.call.Address,
+		Peer:    j.call.Address,
 	}
 }
 
-// cancelWork tells the engine that nobody waits for the answer any more.
-func (s *Server) cancelWork(made *job) {
-	if address := made.server.Load(); address != nil && made.model != "" {
-		go s.source.Engines().Cancel(*address, made.id)
+// cancelWork cancels the job at its engine, in the background. Plain services cannot
+// cancel.
+func (s *Server) cancelWork(j *job) {
+	if address := j.assignedAddress.Load(); address != nil && j.model != "" {
+		go s.source.Engines().Cancel(*address, j.id)
 	}
 }
 
 // ----------------------------------------------------------------------------
 // Admission and routing
 
-// admit waits until the job has a place at a backend server.
-func (s *Server) admit(made *job) *outcome.Failure {
+// admit waits in the queue until the job has a slot at a backend server.
+func (s *Server) admit(j *job) *outcome.Failure {
 	snapshot := s.source.Snapshot()
-	if refusal := s.hopeless(made); refusal != nil {
+	if refusal := s.refuseUnservable(j); refusal != nil {
 		return refusal
 	}
 	wait := snapshot.Declaration().Limits.QueueWait.Or(declaration.DefaultQueueWait)
-	ctx, cancel := context.WithTimeout(made.ctx, wait)
+	ctx, cancel := context.WithTimeout(j.ctx, wait)
 	defer cancel()
 	release, refusal := s.queue.Admit(ctx, admission.Request{
-		Organisation: made.organisation,
-		Pool:         made.model + "/" + made.service,
-		Priority:     made.priority,
+		Organisation: j.organisation,
+		Pool:         j.model + "/" + j.service,
+		Priority:     j.priority,
 		Daemons:      snapshot.Daemons,
 		Try: func() bool {
-			return s.choose(made)
+			return s.pickBackend(j)
 		},
 	})
 	if refusal != nil {
-		if made.isGone.Load() {
+		if j.isCallerGone.Load() {
 			refusal.Reason = outcome.ReasonCallerGone
 		}
 		return refusal
 	}
-	made.endPlace = release
+	j.releaseQueuePlace = release
 	return nil
 }
 
-// hopeless refuses a job at once when nothing can take it: there is no whole
-// group, or no live server, and waiting in a queue would only hide that.
-func (s *Server) hopeless(made *job) *outcome.Failure {
+// refuseUnservable refuses a job at once if no group of its model is whole or no server
+// of its service is live. Queueing it would only hide that.
+func (s *Server) refuseUnservable(j *job) *outcome.Failure {
 	snapshot := s.source.Snapshot()
-	if made.model != "" && len(s.believed(snapshot, made.model)) == 0 {
+	if j.model != "" && len(s.eligibleGroups(snapshot, j.model)) == 0 {
 		return outcome.Refuse(outcome.ReasonNoGroup, "choose group")
 	}
-	if made.service != "" && len(snapshot.Servers(made.service, time.Now())) == 0 {
+	if j.service != "" && len(snapshot.Servers(j.service, time.Now())) == 0 {
 		return outcome.Refuse(outcome.ReasonNoServer, "choose server")
 	}
 	return nil
 }
 
-// believed returns the groups of a model that may take a request, but for those
-// that have themselves disproved the evidence that they are whole.
-func (s *Server) believed(snapshot *control.Snapshot, model string) []group.Record {
+// eligibleGroups returns the groups of a model that may get a request, without those
+// whose newest evidence was disproved by a refusal.
+func (s *Server) eligibleGroups(snapshot *control.Snapshot, model string) []group.Record {
 	groups := snapshot.Serveable(model, time.Now())
 	return slices.DeleteFunc(groups, func(record group.Record) bool {
 		evidence, _ := snapshot.Book.Newest(record.Name)
-		disproved, ok := s.refused.Load(record.Name)
+		disproved, ok := s.refusedEvidence.Load(record.Name)
 		return ok && disproved == evidence.At
 	})
 }
 
-// choose picks a backend server for a job and takes a place there.
-func (s *Server) choose(made *job) bool {
-	if made.service != "" {
-		return s.chooseServer(made)
+// pickBackend assigns a job to a backend server with a free slot. It returns false if
+// there is none.
+func (s *Server) pickBackend(j *job) bool {
+	if j.service != "" {
+		return s.pickServer(j)
 	}
 	snapshot := s.source.Snapshot()
 	if time.Now().After(snapshot.ServeUntil) {
 		return false
 	}
-	groups := s.believed(snapshot, made.model)
+	groups := s.eligibleGroups(snapshot, j.model)
 	candidates := make([]route.Candidate, len(groups))
 	for i, record := range groups {
 		evidence, _ := snapshot.Book.Newest(record.Name)
@@ -327,33 +332,34 @@
 			ReportedAt: evidence.At,
 		}
 	}
-	picked, ok := s.policy.Pick(made.prefix, candidates, s.tracker.Load)
+	picked, ok := s.policy.Pick(j.prefixHash, candidates, s.tracker.Load)
 	if !ok {
 		return false
 	}
 	for _, record := range groups {
 		if record.Name == picked.Group {
-			made.call.Group = record.Name
-			made.call.Generation = record.Generation
-			s.assign(made, record.Name, record.Leader())
+			j.call.Group = record.Name
+			j.call.Generation = record.Generation
+			s.assign(j, record.Name, record.Leader())
 		}
 	}
 	return true
 }
 
-// assign notes where a job goes and takes a place there.
-func (s *Server) assign(made *job, name, address string) {
-	made.call.Address = address
-	made.server.Store(&address)
-	made.endSlot = s.tracker.Begin(name)
+// assign assigns a job to a backend server and takes a slot there.
+func (s *Server) assign(j *job, name, address string) {
+	j.call.Address = address
+	j.assignedAddress.Store(&address)
+	j.releaseSlot = s.tracker.Begin(name)
 }
 
-// serverSlots bounds what one daemon has in flight at one plain server.
-const serverSlots = 256
+// maxInFlightPerServer is the maximum number of requests that one daemon has in flight
+// at one server of a plain service.
+const maxInFlightPerServer = 256
 
-// chooseServer picks the less loaded of two servers chosen at random.
-func (s *Server) chooseServer(made *job) bool {
-	servers := s.source.Snapshot().Servers(made.service, time.Now())
+// pickServer assigns a job to the less loaded of two randomly chosen servers.
+func (s *Server) pickServer(j *job) bool {
+	servers := s.source.Snapshot().Servers(j.service, time.Now())
 	if len(servers) == 0 {
 		return false
 	}
@@ -362,76 +368,78 @@
 	if s.tracker.InFlight(second.ID) < s.tracker.InFlight(first.ID) {
 		first = second
 	}
-	if s.tracker.InFlight(first.ID) >= serverSlots {
+	if s.tracker.InFlight(first.ID) >= maxInFlightPerServer {
 		return false
 	}
-	s.assign(made, first.ID, first.Address)
+	s.assign(j, first.ID, first.Address)
 	return true
 }
 
 // ----------------------------------------------------------------------------
 // Idempotency keys
 
-// Times of claims.
 const (
+	// claimTimeout limits claiming a key, finishTimeout updating a claim.
 	claimTimeout  = 4 * time.Second
 	finishTimeout = 10 * time.Second
 )
 
-// claim claims a job's key, once. It returns an answer that is kept already.
-func (s *Server) claim(made *job) (*idempotency.Answer, *outcome.Failure) {
-	if made.key == "" || made.held != nil {
+// claimKey claims the key of a job, unless it has none or has claimed it already. It
+// returns the stored answer if an earlier request with the key ran.
+func (s *Server) claimKey(j *job) (*idempotency.Answer, *outcome.Failure) {
+	if j.key == "" || j.claim != nil {
 		return nil, nil
 	}
-	keep := s.source.Snapshot().Declaration().Limits.KeepKeys.Or(declaration.DefaultKeepKeys)
-	ctx, cancel := context.WithTimeout(made.ctx, claimTimeout)
+	retention := s.source.Snapshot().Declaration().Limits.KeepKeys.Or(declaration.DefaultKeepKeys)
+	ctx, cancel := context.WithTimeout(j.ctx, claimTimeout)
 	defer cancel()
-	held, kept, refusal := s.keeper.Take(ctx, idempotency.Name{
-		Organisation: made.organisation.Name,
-		Route:        made.call.Method + " " + made.call.Path,
-		Key:          made.key,
+	claim, stored, refusal := s.claims.Take(ctx, idempotency.Name{
+		Organisation: j.organisation.Name,
+		Route:        j.call.Method + " " + j.call.Path,
+		Key:          j.key,
 	}, idempotency.Claim{
 		State:    idempotency.Running,
-		BodyHash: idempotency.HashBody(made.call.Body),
+		BodyHash: idempotency.HashBody(j.call.Body),
 		Daemon:   s.source.ID(),
-		Request:  made.id,
-		Expires:  time.Now().Add(keep),
+		Request:  j.id,
+		Expires:  time.Now().Add(retention),
 	})
-	made.held = held
-	return kept, refusal
+	j.claim = claim
+	return stored, refusal
 }
 
-// keepAnswer keeps the answer of a job whose key was claimed. The caller does
-// not wait for the store; a stopping daemon does.
-func (s *Server) keepAnswer(made *job, answer idempotency.Answer) {
-	s.settle(made, func(ctx context.Context, held *idempotency.Held) error {
-		return s.keeper.Finish(ctx, held, answer)
+// storeAnswer stores the answer of a job that has a claimed key. The caller does not
+// wait for the store, but a stopping daemon does.
+func (s *Server) storeAnswer(j *job, answer idempotency.Answer) {
+	s.settleClaim(j, func(ctx context.Context, claim *idempotency.Held) error {
+		return s.claims.Finish(ctx, claim, answer)
 	})
 }
 
-// settleFailure frees or marks the claim of a job that failed.
-func (s *Server) settleFailure(made *job, failure *outcome.Failure) {
+// settleFailedClaim releases the claim of a job that did not run, or marks the outcome as
+// unknown.
+func (s *Server) settleFailedClaim(j *job, failure *outcome.Failure) {
 	if failure.Outcome == outcome.NotRun {
-		s.settle(made, s.keeper.Free)
+		s.settleClaim(j, s.claims.Free)
 		return
 	}
-	s.settle(made, s.keeper.Lose)
+	s.settleClaim(j, s.claims.Lose)
 }
 
-// settle writes the end of a claim, in the background.
-func (s *Server) settle(made *job, write func(ctx context.Context, held *idempotency.Held) error) {
-	held := made.held
-	if held == nil {
+// settleClaim updates the claim row of a job with write, in the background.
+func (s *Server) settleClaim(j *job, write func(ctx context.Context, claim *idempotency.Held) error) {
+	claim := j.claim
+	if claim == nil {
 		return
 	}
-	made.held = nil
-	s.open.Add(1)
+	j.claim = nil
+	s.openCount.Add(1)
 	go func() {
-		defer s.open.Add(-1)
+		defer s.openCount.Add(-1)
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
-		if err := write(ctx, held); err != nil {
-			s.log.Warn("callers: claim not settled", zap.String("request", made.id), zap.Error(err))
+		if err := write(ctx, claim); err != nil {
+			s.log.Warn("callers: idempotency claim not updated", zap.String("request", j.id), zap.Error(err))
 		}
 	}()
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -1,11 +1,10 @@
-// Package caller speaks to callers: HTTP with the chat-completions form that
-// their clients already know, server-sent events for streams, and plain
+// Package caller is the HTTP server for callers. It serves the chat-completions API
+// that their client libraries know, with server-sent events for streams, and plain
 // services under their declared prefixes.
 //
-// Every answer says what became of the request, in the header
-// X-Headcourse-Outcome and, on errors, in the body: ran, not_run or unknown.
-// Whatever a request brings is copied before anything else sees it, since the
-// HTTP library uses its buffers again.
+// Every answer states the outcome of the request: ran, not_run or unknown. It is in
+// the header X-Headcourse-Outcome and, for errors, in the body. Requests are copied
+// before they are used, since the HTTP library reuses its buffers.
 package caller
 
 import (
@@ -31,7 +30,7 @@
 	"headcourse/io/tcp"
 )
 
-// Source is what the callers' side needs of the daemon.
+// Source is the part of the daemon that this package uses.
 type Source interface {
 	ID() string
 	Snapshot() *control.Snapshot
@@ -41,41 +40,42 @@
 	IsAlive(daemon string) bool
 }
 
-// Server serves callers. Use Listen.
+// Server serves callers. Create it with Listen.
 type Server struct {
-	source   Source
-	log      *zap.Logger
-	registry metrics.Registry
-	app      *fiber.App
-	listener net.Listener
-	queue    admission.Queue
-	tracker  route.Tracker
-	policy   route.Policy
-	budget   retry.Budget
-	keeper   idempotency.Keeper
-	gone     tcp.Watcher
-	// conns holds the open connections; refused holds, by group, the time of the
-	// evidence that the group itself has disproved.
-	conns   tcp.Conns
-	refused sync.Map
+	source      Source
+	log         *zap.Logger
+	registry    metrics.Registry
+	app         *fiber.App
+	listener    net.Listener
+	queue       admission.Queue
+	tracker     route.Tracker
+	policy      route.Policy
+	budget      retry.Budget
+	claims      idempotency.Keeper
+	disconnects tcp.Watcher
+	// conns holds the open connections. refusedEvidence holds, by group, the time of the
+	// evidence that a refusal of the group has disproved.
+	conns           tcp.Conns
+	refusedEvidence sync.Map
 
 	stop context.CancelFunc
-	// unready is told to the balancer; leaving refuses requests.
-	unready atomic.Bool
-	leaving atomic.Bool
-	closed  atomic.Bool
-	// open counts requests in flight and answers being kept.
-	open atomic.Int64
+	// isUnready fails the readiness check; isLeaving refuses new requests.
+	isUnready atomic.Bool
+	isLeaving atomic.Bool
+	isClosed  atomic.Bool
+	// openCount is the number of requests in flight and of claims being updated.
+	openCount atomic.Int64
 }
 
-// Figures of the HTTP server.
+// Limits of the HTTP server.
 const (
-	bodyLimit       = 16 << 20
-	readTimeout     = 30 * time.Second
-	keepAliveWindow = 2 * time.Minute
+	// maxBodySize is in bytes.
+	maxBodySize = 16 << 20
+	readTimeout = 30 * time.Second
+	idleTimeout = 2 * time.Minute
 )
 
-// Listen serves callers at IP:port, where port 0 picks a free one.
+// Listen starts a server at IP:port. Port 0 chooses a free port.
 func Listen(address string, source Source, registry metrics.Registry, log *zap.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -89,7 +89,7 @@
 		registry: registry,
 		listener: listener,
 		policy:   route.Affinity{},
-		keeper: idempotency.Keeper{
+		claims: idempotency.Keeper{
 			Store:   source.Store(),
 			Commit:  batcher.Commit,
 			IsAlive: source.IsAlive,
@@ -97,27 +97,27 @@
 		stop: stop,
 	}
 	go batcher.Run(ctx)
-	go server.gone.Run(ctx)
+	go server.disconnects.Run(ctx)
 	source.OnChange(server.queue.Wake)
 	server.app = fiber.New(fiber.Config{
 		AppName:                  "headcourse",
 		Immutable:                true,
-		BodyLimit:                bodyLimit,
+		BodyLimit:                maxBodySize,
 		ReadTimeout:              readTimeout,
-		IdleTimeout:              keepAliveWindow,
+		IdleTimeout:              idleTimeout,
 		StreamRequestBody:        false,
 		DisableDefaultDate:       true,
 		DisableHeaderNormalizing: false,
 		ErrorHandler:             server.handleError,
 	})
 	server.app.Server().ConnState = server.conns.Note
-	server.routes()
+	server.registerRoutes()
 	go server.serve()
 	return server, nil
 }
 
-// routes registers the paths.
-func (s *Server) routes() {
+// registerRoutes registers the handlers.
+func (s *Server) registerRoutes() {
 	s.app.Get("/health/ready", s.handleReady)
 	s.app.Get("/health/live", func(c fiber.Ctx) error {
 		return c.SendString("live\n")
@@ -132,27 +132,28 @@
 	err := s.app.Listener(s.listener, fiber.ListenConfig{
 		DisableStartupMessage: true,
 	})
-	if err != nil && !s.closed.Load() {
-		s.log.Error("callers: server ended", zap.Error(err))
+	if err != nil && !s.isClosed.Load() {
+		s.log.Error("callers: HTTP server failed", zap.Error(err))
 	}
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the server listens on.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Unready makes the health check tell the balancer to send no more.
+// Unready makes the readiness check fail, so that the load balancer sends no more
+// requests.
 func (s *Server) Unready() {
-	s.unready.Store(true)
+	s.isUnready.Store(true)
 }
 
-// Close refuses new requests, waits for those in flight until ctx ends, and
-// closes. It returns an error if some were cut off.
+// Close refuses new requests, waits for those in flight until ctx ends, and closes
+// the server. It returns an error if some requests were still in flight.
 func (s *Server) Close(ctx context.Context) error {
-	s.leaving.Store(true)
-	s.closed.Store(true)
-	err := s.awaitIdle(ctx)
+	s.isLeaving.Store(true)
+	s.isClosed.Store(true)
+	err := s.waitUntilIdle(ctx)
 	s.stop()
 	shutdownErr := s.app.ShutdownWithTimeout(time.Second)
 	if err == nil && shutdownErr != nil && !errors.Is(shutdownErr, context.DeadlineExceeded) {
@@ -161,32 +162,33 @@
 	return err
 }
 
-// idlePoll is the time between two looks at whether all answers are finished.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is how often waitUntilIdle checks whether requests are in flight.
+const idlePollInterval = 20 * time.Millisecond
 
-// awaitIdle waits until nothing is in flight, or returns an error when ctx ends.
-func (s *Server) awaitIdle(ctx context.Context) error {
-	for s.open.Load() > 0 {
+// waitUntilIdle waits until no request is in flight. It returns an error if ctx ends
+// before.
+func (s *Server) waitUntilIdle(ctx context.Context) error {
+	for s.openCount.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("stop callers' server: %d answers were still in flight", s.open.Load())
-		case <-time.After(idlePoll):
+			return errors.Errorf("stop callers' server: %d answers were still in flight", s.openCount.Load())
+		case <-time.After(idlePollInterval):
 		}
 	}
 	return nil
 }
 
-// Kill closes at once, as a crash would.
+// Kill closes the server and its connections at once, as a crash would.
 func (s *Server) Kill() {
-	s.closed.Store(true)
+	s.isClosed.Store(true)
 	s.stop()
 	_ = s.listener.Close()
 	s.conns.CloseAll()
 }
 
-// handleReady tells the balancer whether to send requests here.
+// handleReady serves the readiness check of the load balancer.
 func (s *Server) handleReady(c fiber.Ctx) error {
-	if s.unready.Load() {
+	if s.isUnready.Load() {
 		return c.Status(fiber.StatusServiceUnavailable).SendString(string(outcome.ReasonLeaving) + "\n")
 	}
 	if !s.source.Snapshot().Warm {
@@ -198,11 +200,11 @@
 	return c.SendString("ready\n")
 }
 
-// readiness returns why this daemon does not serve; nil when it does.
+// readiness returns the reason why this daemon serves no requests, or nil if it does.
 func (s *Server) readiness() *outcome.Failure {
 	snapshot := s.source.Snapshot()
 	switch {
-	case s.leaving.Load():
+	case s.isLeaving.Load():
 		return outcome.Refuse(outcome.ReasonLeaving, "check readiness")
 	case snapshot.Configuration.Revision == 0:
 		return outcome.Refuse(outcome.ReasonNotConfigured, "check readiness")
@@ -213,7 +215,7 @@
 	}
 }
 
-// modelList is the answer to /v1/models.
+// modelList is the body of the answer to /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelInfo `json:"data"`
@@ -229,7 +231,7 @@
 // handleModels lists the declared models.
 func (s *Server) handleModels(c fiber.Ctx) error {
 	if _, refusal := s.authenticate(c); refusal != nil {
-		return s.refuse(c, "", refusal)
+		return s.sendFailure(c, "", refusal)
 	}
 	list := modelList{
 		Object: "list",
@@ -246,12 +248,13 @@
 	return c.JSON(list)
 }
 
-// count adds one to a counter.
+// count increments a counter.
 func (s *Server) count(name string) {
 	metrics.GetOrRegisterCounter(name, s.registry).Inc(1)
 }
 
-// Names of counters; each is followed by a reason or an outcome.
+// Names of counters. Those that end with a full stop are prefixes of a reason or an
+// outcome.
 const (
 	counterRefusal = "refusal."
 	counterRetry   = "retry."
--- a/io/caller/site_test.go
+++ b/io/caller/site_test.go
@@ -28,45 +28,44 @@
 	"headcourse/lab/tablestore"
 )
 
-// key is the key of the organisation "org".
+// key is the API key of the organisation "org".
 const key = "org-key-0123456789"
 
-// site is a callers' server whose daemon is a fake: the snapshot is what the
-// test says.
-type site struct {
-	server   *caller.Server
-	snapshot atomic.Pointer[control.Snapshot]
-	engines  *engine.Client
-	store    table.Store
-	registry metrics.Registry
-	id       string
-	client   *http1.Client
-	mutex    sync.Mutex
-	changed  []func()
+// testServer is a server for callers with a fake daemon, whose snapshot the test sets.
+type testServer struct {
+	server    *caller.Server
+	snapshot  atomic.Pointer[control.Snapshot]
+	engines   *engine.Client
+	store     table.Store
+	registry  metrics.Registry
+	id        string
+	client    *http1.Client
+	mutex     sync.Mutex
+	listeners []func()
 }
 
-// ID, Snapshot, Engines, Store, OnChange and IsAlive make the site a Source.
-func (s *site) ID() string                  { return s.id }
-func (s *site) Snapshot() *control.Snapshot { return s.snapshot.Load() }
-func (s *site) Engines() *engine.Client     { return s.engines }
-func (s *site) Store() table.Store          { return s.store }
-func (s *site) IsAlive(daemon string) bool  { return daemon == s.id }
+// ID, Snapshot, Engines, Store, OnChange and IsAlive implement caller.Source.
+func (s *testServer) ID() string                  { return s.id }
+func (s *testServer) Snapshot() *control.Snapshot { return s.snapshot.Load() }
+func (s *testServer) Engines() *engine.Client     { return s.engines }
+func (s *testServer) Store() table.Store          { return s.store }
+func (s *testServer) IsAlive(daemon string) bool  { return daemon == s.id }
 
-// OnChange registers what Wake calls.
-func (s *site) OnChange(changed func()) {
+// OnChange registers a listener.
+func (s *testServer) OnChange(changed func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changed = append(s.changed, changed)
+	s.listeners = append(s.listeners, changed)
 }
 
-// start starts a site before engine groups and plain servers at addresses,
-// with a store of its own where store is nil.
-func start(t *testing.T, engines, servers []string, store table.Store) *site {
+// startTestServer starts a server with one group per address in engines and one plain
+// server per address in servers. If store is nil, the server gets a store of its own.
+func startTestServer(t *testing.T, engines, servers []string, store table.Store) *testServer {
 	t.Helper()
 	if store == nil {
 		store = &tablestore.Memory{}
 	}
-	made := &site{
+	started := &testServer{
 		id:       "daemon-1",
 		engines:  engine.New(2 * time.Second),
 		registry: metrics.NewRegistry(),
@@ -75,21 +74,21 @@
 			Store: store,
 		},
 	}
-	snapshot := snapshotOf(engines, servers)
-	made.snapshot.Store(&snapshot)
-	server, err := caller.Listen("127.0.0.1:0", made, made.registry, zap.NewNop())
+	snapshot := healthySnapshot(engines, servers)
+	started.snapshot.Store(&snapshot)
+	server, err := caller.Listen("127.0.0.1:0", started, started.registry, zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
-	made.server = server
+	started.server = server
 	t.Cleanup(server.Kill)
-	return made
+	return started
 }
 
-// snapshotOf returns a snapshot in which every group and server is well.
-func snapshotOf(engines, servers []string) control.Snapshot {
+// healthySnapshot returns a snapshot in which every group is whole and every server live.
+func healthySnapshot(engines, servers []string) control.Snapshot {
 	sum := sha256.Sum256([]byte(key))
-	forever := time.Now().Add(time.Hour)
+	inOneHour := time.Now().Add(time.Hour)
 	snapshot := control.Snapshot{
-		ServeUntil: forever,
+		ServeUntil: inOneHour,
 		Daemons:    1,
 		Warm:       true,
 		Configuration: plan.Configuration{
@@ -135,7 +134,7 @@
 			Group:      name,
 			Generation: 1,
 			Whole:      true,
-			At:         forever,
+			At:         inOneHour,
 			Slots:      100,
 		})
 	}
@@ -150,37 +149,37 @@
 		evidence = append(evidence, presence.Evidence{
 			Group: control.ServerEvidence(id),
 			Whole: true,
-			At:    forever,
+			At:    inOneHour,
 		})
 	}
 	snapshot.Book = snapshot.Book.WithEvidence(evidence...)
 	return snapshot
 }
 
-// answer is what a caller got.
-type answer struct {
-	status  int
-	outcome string
-	retry   string
-	body    []byte
+// callResult is the answer that a caller gets.
+type callResult struct {
+	status     int
+	outcome    string
+	retryAfter string
+	body       []byte
 }
 
-// code returns the reason in an error body.
-func (a answer) code() string {
-	var said struct {
+// reason returns the reason in an error body.
+func (r callResult) reason() string {
+	var parsed struct {
 		Error struct {
 			Code    string `json:"code"`
 			Outcome string `json:"outcome"`
 		} `json:"error"`
 	}
-	if json.Unmarshal(a.body, &said) != nil {
+	if json.Unmarshal(r.body, &parsed) != nil {
 		return ""
 	}
-	return said.Error.Code
+	return parsed.Error.Code
 }
 
-// call sends one request to the site.
-func (s *site) call(t *testing.T, method, path, body string, headers ...[2]string) answer {
+// call sends one request to the server.
+func (s *testServer) call(t *testing.T, method, path, body string, headers ...[2]string) callResult {
 	t.Helper()
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -195,25 +194,25 @@
 	request.SetBodyString(body)
 	err := s.client.Do(s.server.Address(), request, response, true, false)
 	qt.Check(t, err, qt.IsNil)
-	return answer{
-		status:  response.StatusCode(),
-		outcome: string(response.Header.Peek("X-Headcourse-Outcome")),
-		retry:   string(response.Header.Peek("Retry-After")),
-		body:    append([]byte(nil), response.Body()...),
+	return callResult{
+		status:     response.StatusCode(),
+		outcome:    string(response.Header.Peek("X-Headcourse-Outcome")),
+		retryAfter: string(response.Header.Peek("Retry-After")),
+		body:       append([]byte(nil), response.Body()...),
 	}
 }
 
-// await waits until a condition holds; a test that never gets there ends with
-// the test's own timeout.
-func await(condition func() bool) {
+// waitUntil waits until a condition holds. If it never does, the test's own timeout
+// ends the test.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// closeSite closes a site's server and returns the error.
-func (s *site) close(bound time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+// close closes the server and returns the error.
+func (s *testServer) close(timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.server.Close(ctx)
 }
