--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -12,18 +12,18 @@
 	"headcourse/io/http1"
 )
 
-// Client asks a daemon on an operator's behalf. Use NewClient.
+// Client sends an operator's requests to a daemon. Create it with NewClient.
 type Client struct {
 	address string
 	key     string
 	http    *http1.Client
 }
 
-// ErrNoAnswer marks errors after which it is not known whether the daemon
-// carried the request out.
+// ErrNoAnswer marks errors after which it is unknown whether the daemon has executed
+// the request.
 var ErrNoAnswer = errors.New("no answer from the daemon")
 
-// NewClient returns a client of the daemon at IP:port.
+// NewClient returns a client for the daemon at IP:port.
 func NewClient(address, key string) *Client {
 	return &Client{
 		address: address,
@@ -35,7 +35,7 @@
 	}
 }
 
-// call sends a request with body as JSON, if not nil, and reads the reply into
+// call sends a request, with body as JSON if it is not nil, and decodes the reply into
 // target.
 func (c *Client) call(method, path string, body, target any) error {
 	request := fasthttp.AcquireRequest()
@@ -54,8 +54,8 @@
 		request.SetBody(encoded)
 	}
 	if err := c.http.Do(c.address, request, response, true, false); err != nil {
-		var failed *http1.Error
-		if errors.As(err, &failed) && failed.Sent {
+		var httpErr *http1.Error
+		if errors.As(err, &httpErr) && httpErr.Sent {
 			return errors.Wrap(ErrNoAnswer, err.Error())
 		}
 		return err
@@ -66,7 +66,7 @@
 	return errors.Wrapf(json.Unmarshal(response.Body(), target), "decode answer of %s", c.address)
 }
 
-// replyError returns the error that a daemon answered with.
+// replyError returns the error of an answer whose status is not 200.
 func replyError(response *fasthttp.Response) error {
 	var reply errorReply
 	if json.Unmarshal(response.Body(), &reply) != nil || reply.Error == "" {
@@ -87,25 +87,25 @@
 	return reply, err
 }
 
-// Diff compares a declaration with the one in force.
+// Diff compares a declaration with the one in force, without applying it.
 func (c *Client) Diff(request ApplyRequest) (reply DiffReply, err error) {
 	err = c.call(fasthttp.MethodPost, pathDiff, request, &reply)
 	return reply, err
 }
 
-// Propose plans an intent.
+// Propose creates a plan for an intent.
 func (c *Client) Propose(intent plan.Intent) (reply PlanReply, err error) {
 	err = c.call(fasthttp.MethodPost, pathPlans, intent, &reply)
 	return reply, err
 }
 
-// Plans lists all plans.
+// Plans returns all plans.
 func (c *Client) Plans() (plans []plan.Plan, err error) {
 	err = c.call(fasthttp.MethodGet, pathPlans, nil, &plans)
 	return plans, err
 }
 
-// Plan shows one plan.
+// Plan returns one plan.
 func (c *Client) Plan(id string) (reply PlanReply, err error) {
 	err = c.call(fasthttp.MethodGet, pathPlans+"/"+url.PathEscape(id), nil, &reply)
 	return reply, err
@@ -122,19 +122,19 @@
 	return reply, err
 }
 
-// Status shows what the daemon knows of the fleet.
+// Status returns the state of the fleet as the daemon knows it.
 func (c *Client) Status() (status Status, err error) {
 	err = c.call(fasthttp.MethodGet, pathStatus, nil, &status)
 	return status, err
 }
 
-// Groups shows the groups.
+// Groups returns the state of all groups.
 func (c *Client) Groups() (groups []GroupStatus, err error) {
 	err = c.call(fasthttp.MethodGet, pathGroups, nil, &groups)
 	return groups, err
 }
 
-// Counters shows the daemon's counters.
+// Counters returns the daemon's counters.
 func (c *Client) Counters() (counters Counters, err error) {
 	err = c.call(fasthttp.MethodGet, pathCounters, nil, &counters)
 	return counters, err
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -18,30 +18,30 @@
 	"headcourse/core/table"
 )
 
-// refusal is an error that is the operator's to correct.
-type refusal struct {
+// invalidRequestError is an error that the operator can correct.
+type invalidRequestError struct {
 	cause error
 }
 
-// Error returns the cause's text.
-func (r refusal) Error() string {
+// Error returns the text of the cause.
+func (r invalidRequestError) Error() string {
 	return r.cause.Error()
 }
 
-// Refuse marks an error as the operator's to correct.
+// Refuse marks an error as one that the operator can correct.
 func Refuse(cause error) error {
-	return refusal{
+	return invalidRequestError{
 		cause: cause,
 	}
 }
 
-// IsRefused tells whether an error is the operator's to correct.
+// IsRefused reports whether an error was marked by Refuse.
 func IsRefused(err error) bool {
-	var found refusal
-	return errors.As(err, &found)
+	var invalid invalidRequestError
+	return errors.As(err, &invalid)
 }
 
-// Fleet is what operators can ask of a daemon.
+// Fleet executes the requests of operators.
 type Fleet interface {
 	Apply(ctx context.Context, operator string, declared declaration.Declaration, from uint64) (ApplyReply, error)
 	Diff(ctx context.Context, declared declaration.Declaration) (DiffReply, error)
@@ -55,7 +55,7 @@
 	Declaration() declaration.Declaration
 }
 
-// Server answers operators. Use Listen.
+// Server serves operators. Create it with Listen.
 type Server struct {
 	fleet         Fleet
 	bootstrapHash string
@@ -64,12 +64,12 @@
 	listener      net.Listener
 }
 
-// requestTimeout bounds one operator's request; it is longer than it takes for
-// a configuration to be accepted.
+// requestTimeout limits one request. It is longer than a configuration needs to be
+// accepted.
 const requestTimeout = 20 * time.Second
 
-// Listen answers operators at IP:port, where port 0 picks a free one.
-// bootstrapHash is the key's hash of who may apply the first declaration.
+// Listen starts a server at IP:port. Port 0 chooses a free port. bootstrapHash is the hash
+// of the key that is valid until a declaration names operators.
 func Listen(address, bootstrapHash string, fleet Fleet, log *zap.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -95,41 +95,41 @@
 	return server, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the server listens on.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Server) Close() {
 	_ = s.app.ShutdownWithTimeout(time.Second)
 	_ = s.listener.Close()
 }
 
-// operation is one operator's request: it returns what is answered as JSON.
+// operation executes a request of an operator. Its result is the JSON body of the answer.
 type operation func(ctx context.Context, c fiber.Ctx, operator string) (any, error)
 
-// routes registers the paths.
+// routes registers the handlers.
 func (s *Server) routes() {
-	s.app.Post(pathApply, s.serve(s.apply))
-	s.app.Post(pathDiff, s.serve(s.diff))
-	s.app.Post(pathPlans, s.serve(s.propose))
-	s.app.Get(pathPlans, s.serve(s.plans))
-	s.app.Get(pathPlans+"/:id", s.serve(s.plan))
-	s.app.Post(pathPlans+"/:id/:change", s.serve(s.change))
-	s.app.Get(pathStatus, s.serve(func(context.Context, fiber.Ctx, string) (any, error) {
+	s.app.Post(pathApply, s.handler(s.apply))
+	s.app.Post(pathDiff, s.handler(s.diff))
+	s.app.Post(pathPlans, s.handler(s.propose))
+	s.app.Get(pathPlans, s.handler(s.plans))
+	s.app.Get(pathPlans+"/:id", s.handler(s.plan))
+	s.app.Post(pathPlans+"/:id/:change", s.handler(s.change))
+	s.app.Get(pathStatus, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
 		return s.fleet.Status(), nil
 	}))
-	s.app.Get(pathGroups, s.serve(func(context.Context, fiber.Ctx, string) (any, error) {
+	s.app.Get(pathGroups, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
 		return s.fleet.Groups(), nil
 	}))
-	s.app.Get(pathCounters, s.serve(func(context.Context, fiber.Ctx, string) (any, error) {
+	s.app.Get(pathCounters, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
 		return s.fleet.Counters(), nil
 	}))
 }
 
-// serve returns the handler of an operation for operators that are known.
-func (s *Server) serve(run operation) fiber.Handler {
+// handler returns the HTTP handler of an operation. It authenticates the operator first.
+func (s *Server) handler(run operation) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		operator, ok := s.authenticate(c)
 		if !ok {
@@ -155,7 +155,8 @@
 	}
 }
 
-// authenticate returns the operator whose key the request has.
+// authenticate returns the name of the operator whose key the request has. The bootstrap
+// key is valid only while no operators are declared.
 func (s *Server) authenticate(c fiber.Ctx) (string, bool) {
 	key, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !ok || key == "" {
@@ -188,7 +189,7 @@
 	return s.fleet.Apply(ctx, operator, declared, request.From)
 }
 
-// diff compares a declaration with the one in force.
+// diff compares a declaration with the one in force, without applying it.
 func (s *Server) diff(ctx context.Context, c fiber.Ctx, _ string) (any, error) {
 	var request ApplyRequest
 	if err := c.Bind().JSON(&request); err != nil {
@@ -201,17 +202,17 @@
 	return s.fleet.Diff(ctx, declared)
 }
 
-// propose plans an intent.
+// propose creates a plan for an intent.
 func (s *Server) propose(ctx context.Context, c fiber.Ctx, operator string) (any, error) {
 	var intent plan.Intent
 	if err := c.Bind().JSON(&intent); err != nil {
 		return nil, Refuse(err)
 	}
-	return replyWith(s.fleet.Propose(ctx, operator, intent))
+	return planReply(s.fleet.Propose(ctx, operator, intent))
 }
 
-// replyWith adds the prediction to a plan.
-func replyWith(made plan.Plan, err error) (any, error) {
+// planReply returns the reply with a plan and its predicted costs, or the error.
+func planReply(made plan.Plan, err error) (any, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -223,12 +224,12 @@
 	}, nil
 }
 
-// plans lists all plans.
+// plans returns all plans.
 func (s *Server) plans(ctx context.Context, _ fiber.Ctx, _ string) (any, error) {
 	return s.fleet.Plans(ctx)
 }
 
-// plan shows one plan.
+// plan returns one plan.
 func (s *Server) plan(ctx context.Context, c fiber.Ctx, _ string) (any, error) {
 	all, err := s.fleet.Plans(ctx)
 	if err != nil {
@@ -236,7 +237,7 @@
 	}
 	for _, one := range all {
 		if one.ID == c.Params("id") {
-			return replyWith(one, nil)
+			return planReply(one, nil)
 		}
 	}
 	return nil, Refuse(errors.Errorf("plan %q does not exist", c.Params("id")))
@@ -249,7 +250,7 @@
 func (s *Server) change(ctx context.Context, c fiber.Ctx, operator string) (any, error) {
 	id, change := c.Params("id"), c.Params("change")
 	if change == changeConfirm {
-		return replyWith(s.fleet.Confirm(ctx, operator, id))
+		return planReply(s.fleet.Confirm(ctx, operator, id))
 	}
-	return replyWith(s.fleet.Change(ctx, operator, id, plan.Change(change)))
+	return planReply(s.fleet.Change(ctx, operator, id, plan.Change(change)))
 }
--- a/io/operator/types.go
+++ b/io/operator/types.go
@@ -1,6 +1,5 @@
-// Package operator speaks to operators: the server side of the commands that
-// change and show the fleet, and the client that the command line uses. Any
-// daemon answers for the whole fleet.
+// Package operator is the HTTP API for operators: the server in each daemon, and the
+// client that the command line uses. Any daemon answers for the whole fleet.
 package operator
 
 import (
@@ -9,7 +8,7 @@
 	"headcourse/core/plan"
 )
 
-// Paths of the operators' interface.
+// Paths of the API.
 const (
 	pathApply    = "/operator/apply"
 	pathDiff     = "/operator/diff"
@@ -19,15 +18,16 @@
 	pathCounters = "/operator/counters"
 )
 
-// ApplyRequest brings the files of a declaration. From, where not 0, is the
+// ApplyRequest contains the files of a declaration. If From is not 0, it is the
 // revision that the operator has reviewed the change against.
 type ApplyRequest struct {
 	Files []declaration.File `json:"files"`
 	From  uint64             `json:"from"`
 }
 
-// ApplyReply says which revision the declaration became. Accepted tells that a
-// majority of the daemons hold it; from then on it never reverts.
+// ApplyReply contains the revision of the applied declaration. Accepted is set if a
+// majority of the daemons hold it; an accepted revision is never reverted. Holders is
+// the number of daemons that hold it, out of Daemons.
 type ApplyReply struct {
 	Revision uint64 `json:"revision"`
 	Accepted bool   `json:"accepted"`
@@ -42,14 +42,14 @@
 	Differences []string `json:"differences"`
 }
 
-// PlanReply is a plan with its prediction.
+// PlanReply is a plan with its predicted costs.
 type PlanReply struct {
 	Plan            plan.Plan `json:"plan"`
 	DowntimeSeconds float64   `json:"downtime_seconds"`
 	StrandedSeconds float64   `json:"stranded_seconds"`
 }
 
-// Status is what a daemon knows of the fleet.
+// Status is the state of the fleet as one daemon knows it. StoreAge is in seconds.
 type Status struct {
 	Daemon   string         `json:"daemon"`
 	Revision uint64         `json:"revision"`
@@ -61,8 +61,9 @@
 	Zones    []ZoneStatus   `json:"zones"`
 }
 
-// DaemonStatus is what is known of one daemon. HoldsRevision tells that it
-// holds the revision in force here.
+// DaemonStatus is the state of one daemon. HeardAge is the age of its last report in
+// seconds. HoldsRevision is set if it holds the revision in force at the daemon that
+// answers.
 type DaemonStatus struct {
 	ID            string  `json:"id"`
 	Zone          string  `json:"zone"`
@@ -70,13 +71,13 @@
 	HoldsRevision bool    `json:"holds_revision"`
 }
 
-// LeaseStatus is one shard of control.
+// LeaseStatus is the lease of one control shard.
 type LeaseStatus struct {
 	Shard  int    `json:"shard"`
 	Holder string `json:"holder"`
 }
 
-// ZoneStatus sums up one zone.
+// ZoneStatus is a summary of one zone.
 type ZoneStatus struct {
 	Zone         string `json:"zone"`
 	Closed       bool   `json:"closed"`
@@ -89,7 +90,8 @@
 	Stranded     int    `json:"stranded_accelerators"`
 }
 
-// GroupStatus is one group and whether it may be given requests now.
+// GroupStatus is the state of one group. Serveable is set if it may get requests now.
+// Age is the age of the evidence in seconds.
 type GroupStatus struct {
 	Record    group.Record `json:"record"`
 	Serveable bool         `json:"serveable"`
@@ -97,12 +99,12 @@
 	Age       float64      `json:"evidence_age_seconds"`
 }
 
-// Counters are the counters of one daemon.
+// Counters are the counters of one daemon, by name.
 type Counters map[string]int64
 
-// errorReply is the body of an error.
+// errorReply is the body of an answer with an error.
 type errorReply struct {
 	Error string `json:"error"`
-	// Unknown tells that the change may have been made, or may be made later.
+	// Unknown is set if the change may have been made, or may be made later.
 	Unknown bool `json:"unknown,omitempty"`
 }
