--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -10,34 +10,35 @@
 	"headcourse/core/presence"
 )
 
-// Reports and evidence are most of what daemons tell each other, many times a
-// minute. They are packed as unsigned varints: a report is name, configuration
-// version and age; evidence is name, generation, whole (0 or 1), age, requests
-// in flight, and slots. Names are numbers that a conversation agrees on; ages
-// are in units of ageUnit, rounded up, so that nothing looks younger than it is.
-
-// ageUnit is the unit of ages.
-const ageUnit = 10 * time.Millisecond
-
-// tellUntil is the age past which reports and evidence are not passed on.
-const tellUntil = 12 * time.Second
-
-// errTruncated reports packed data that ends too early or names a number that
-// was never given.
-var errTruncated = errors.New("packed reports or evidence are malformed")
-
-// teller packs what one daemon tells another, each entry only when it is newer
-// than what was told before. The zero value is a new conversation.
-type teller struct {
-	numbers map[string]int
-	told    map[int]time.Time
+// Daemons exchange reports and evidence many times a minute, and these are most of
+// their traffic. They are encoded as unsigned varints. A report consists of name,
+// configuration version and age. Evidence consists of name, generation, whole (0 or
+// 1), age, requests in flight, and slots. Each session replaces names by numbers.
+// Ages are in units of ageResolution and rounded up, so that an observation never
+// appears to be more recent than it is.
+
+// ageResolution is the unit of encoded ages.
+const ageResolution = 10 * time.Millisecond
+
+// maxSentAge is the maximum age of reports and evidence that are sent.
+const maxSentAge = 12 * time.Second
+
+// errMalformed means that encoded data is truncated, or contains the number of an
+// unknown name.
+var errMalformed = errors.New("packed reports or evidence are malformed")
+
+// encoder encodes the answers of one session. It omits observations that are not newer
+// than those sent before in the session. The zero value is for a new session.
+type encoder struct {
+	numbers  map[string]int
+	lastSent map[int]time.Time
 }
 
-// pack returns an answer in its wire form.
-func (t *teller) pack(answer Answer, now time.Time) pullReply {
-	if t.numbers == nil {
-		t.numbers = map[string]int{}
-		t.told = map[int]time.Time{}
+// encode returns the wire form of an answer.
+func (e *encoder) encode(answer Answer, now time.Time) pullReply {
+	if e.numbers == nil {
+		e.numbers = map[string]int{}
+		e.lastSent = map[int]time.Time{}
 	}
 	reply := pullReply{
 		Incarnation: answer.Incarnation,
@@ -47,113 +48,115 @@
 		Names:       map[int]string{},
 	}
 	for _, report := range answer.Reports {
-		if number, isNews := t.news("d/"+report.Daemon, report.At, now, reply.Names); isNews {
-			reply.Reports = appendNumbers(reply.Reports, uint64(number), report.ConfigVersion, ageOf(report.At, now))
+		if number, shouldSend := e.assignNumber("d/"+report.Daemon, report.At, now, reply.Names); shouldSend {
+			reply.Reports = appendNumbers(reply.Reports, uint64(number), report.ConfigVersion, encodeAge(report.At, now))
 		}
 	}
-	for _, one := range answer.Evidence {
-		if number, isNews := t.news("g/"+one.Group, one.At, now, reply.Names); isNews {
+	for _, observed := range answer.Evidence {
+		if number, shouldSend := e.assignNumber("g/"+observed.Group, observed.At, now, reply.Names); shouldSend {
 			whole := uint64(0)
-			if one.Whole {
+			if observed.Whole {
 				whole = 1
 			}
-			reply.Evidence = appendNumbers(reply.Evidence, uint64(number), one.Generation, whole, ageOf(one.At, now), uint64(one.InFlight), uint64(one.Slots))
+			reply.Evidence = appendNumbers(reply.Evidence, uint64(number), observed.Generation, whole, encodeAge(observed.At, now), uint64(observed.InFlight), uint64(observed.Slots))
 		}
 	}
 	return reply
 }
 
-// news returns the number of a name, and whether what is dated at is to be told.
-// A name that is new to the conversation is added to names.
-func (t *teller) news(name string, at, now time.Time, names map[int]string) (number int, isNews bool) {
-	number, ok := t.numbers[name]
-	if ok && !at.After(t.told[number]) || now.Sub(at) > tellUntil {
+// assignNumber returns the number of a name, and whether an observation made at a time
+// must be sent: it is not too old, and newer than the last one sent. A name that is new
+// to the session gets a number and is added to names.
+func (e *encoder) assignNumber(name string, at, now time.Time, names map[int]string) (number int, shouldSend bool) {
+	number, ok := e.numbers[name]
+	if ok && !at.After(e.lastSent[number]) || now.Sub(at) > maxSentAge {
 		return number, false
 	}
 	if !ok {
-		number = len(t.numbers) + 1
-		t.numbers[name] = number
+		number = len(e.numbers) + 1
+		e.numbers[name] = number
 		names[number] = name
 	}
-	t.told[number] = at
+	e.lastSent[number] = at
 	return number, true
 }
 
-// ageOf returns the age in units, rounded up.
-func ageOf(at, now time.Time) uint64 {
-	return uint64(max(0, now.Sub(at))/ageUnit) + 1
+// encodeAge returns the age in units of ageResolution, rounded up.
+func encodeAge(at, now time.Time) uint64 {
+	return uint64(max(0, now.Sub(at))/ageResolution) + 1
 }
 
-// appendNumbers appends numbers as varints.
-func appendNumbers(packed []byte, numbers ...uint64) []byte {
+// appendNumbers appends numbers to data as varints.
+func appendNumbers(data []byte, numbers ...uint64) []byte {
 	for _, number := range numbers {
-		packed = binary.AppendUvarint(packed, number)
+		data = binary.AppendUvarint(data, number)
 	}
-	return packed
+	return data
 }
 
-// takeNumbers reads numbers and returns what is left.
-func takeNumbers(packed []byte, numbers []uint64) ([]byte, error) {
+// readNumbers decodes varints from data into numbers, and returns the rest of data.
+func readNumbers(data []byte, numbers []uint64) ([]byte, error) {
 	for i := range numbers {
-		number, size := binary.Uvarint(packed)
+		number, size := binary.Uvarint(data)
 		if size <= 0 {
-			return nil, errTruncated
+			return nil, errMalformed
 		}
 		numbers[i] = number
-		packed = packed[size:]
+		data = data[size:]
 	}
-	return packed, nil
+	return data, nil
 }
 
-// nameOf returns the name of a number, without the prefix that tells daemons
-// from groups.
-func nameOf(names map[int]string, number uint64) (string, error) {
+// lookupName returns the name with a number, without the prefix that distinguishes
+// daemons from groups.
+func lookupName(names map[int]string, number uint64) (string, error) {
 	const prefixSize = 2
 	if number > uint64(len(names)) || len(names[int(number)]) < prefixSize {
-		return "", errTruncated
+		return "", errMalformed
 	}
 	return names[int(number)][prefixSize:], nil
 }
 
-// dated returns the time that an age means, counted from when it was asked for.
-func dated(asked time.Time, age uint64) time.Time {
-	return asked.Add(-time.Duration(min(age, uint64(time.Hour/ageUnit))) * ageUnit)
+// observationTime returns the time of an observation: its age before the time at which
+// the request was sent.
+func observationTime(requestedAt time.Time, age uint64) time.Time {
+	return requestedAt.Add(-time.Duration(min(age, uint64(time.Hour/ageResolution))) * ageResolution)
 }
 
-// unpackReports reads packed reports.
-func unpackReports(packed []byte, names map[int]string, asked time.Time) ([]contact.Report, error) {
+// decodeReports decodes reports.
+func decodeReports(data []byte, names map[int]string, requestedAt time.Time) ([]contact.Report, error) {
 	var reports []contact.Report
 	numbers := make([]uint64, 3)
-	for len(packed) > 0 {
-		rest, err := takeNumbers(packed, numbers)
+	for len(data) > 0 {
+		rest, err := readNumbers(data, numbers)
 		if err != nil {
 			return nil, err
 		}
-		packed = rest
-		daemon, err := nameOf(names, numbers[0])
+		data = rest
+		daemon, err := lookupName(names, numbers[0])
 		if err != nil {
 			return nil, err
 		}
 		reports = append(reports, contact.Report{
 			Daemon:        daemon,
 			ConfigVersion: numbers[1],
-			At:            dated(asked, numbers[2]),
+			At:            observationTime(requestedAt, numbers[2]),
 		})
 	}
 	return reports, nil
 }
 
-// unpackEvidence reads packed evidence.
-func unpackEvidence(packed []byte, names map[int]string, asked time.Time) ([]presence.Evidence, error) {
+// decodeEvidence decodes evidence.
+func decodeEvidence(data []byte, names map[int]string, requestedAt time.Time) ([]presence.Evidence, error) {
 	var evidence []presence.Evidence
 	numbers := make([]uint64, 6)
-	for len(packed) > 0 {
-		rest, err := takeNumbers(packed, numbers)
+	for len(data) > 0 {
+		rest, err := readNumbers(data, numbers)
 		if err != nil {
 			return nil, err
 		}
-		packed = rest
-		group, err := nameOf(names, numbers[0])
+		data = rest
+		group, err := lookupName(names, numbers[0])
 		if err != nil {
 			return nil, err
 		}
@@ -161,7 +164,7 @@
 			Group:      group,
 			Generation: numbers[1],
 			Whole:      numbers[2] == 1,
-			At:         dated(asked, numbers[3]),
+			At:         observationTime(requestedAt, numbers[3]),
 			InFlight:   int(min(numbers[4], maxCount)),
 			Slots:      int(min(numbers[5], maxCount)),
 		})
@@ -169,5 +172,5 @@
 	return evidence, nil
 }
 
-// maxCount bounds counts that another daemon sends.
+// maxCount limits the counts that another daemon sends.
 const maxCount = 1 << 30
--- a/io/peer/codec_internal_test.go
+++ b/io/peer/codec_internal_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzUnpack checks that nothing a peer sends makes a daemon panic, or believe
-// that something was observed after it asked.
+// FuzzUnpack checks that no data of a peer makes a daemon panic, or yields an observation
+// that is more recent than the request.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 1, 0, 0}, []byte{1, 5, 9})
 	f.Add([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1}, []byte{})
@@ -15,16 +15,16 @@
 		2: "",
 	}
 	f.Fuzz(func(t *testing.T, evidence, reports []byte) {
-		asked := time.Now()
-		found, _ := unpackEvidence(evidence, names, asked)
+		requestedAt := time.Now()
+		found, _ := decodeEvidence(evidence, names, requestedAt)
 		for _, one := range found {
-			if one.At.After(asked) || one.Slots < 0 || one.InFlight < 0 {
+			if one.At.After(requestedAt) || one.Slots < 0 || one.InFlight < 0 {
 				t.Fatalf("unpacked %+v", one)
 			}
 		}
-		told, _ := unpackReports(reports, names, asked)
-		for _, one := range told {
-			if one.At.After(asked) {
+		decoded, _ := decodeReports(reports, names, requestedAt)
+		for _, one := range decoded {
+			if one.At.After(requestedAt) {
 				t.Fatalf("unpacked %+v", one)
 			}
 		}
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -1,9 +1,9 @@
-// Package peer is the conversation between daemons: JSON-RPC 2.0 over TCP.
+// Package peer is the protocol between daemons: JSON-RPC 2.0 over TCP.
 //
-// A daemon learns by pulling. It asks another for what changed since it last
-// asked, and dates whatever it gets from the moment it asked, less the age
-// that the other states. So a reply held up on its way makes its content look
-// older, never younger.
+// Each daemon pulls from others the changes since its last pull. The time of an
+// observation is the time at which the request was sent, minus the age that the
+// answer states. A delayed answer thus makes observations appear older, never more
+// recent.
 package peer
 
 import (
@@ -29,29 +29,30 @@
 	methodPull  = "pull"
 )
 
-// Times of a conversation.
 const (
 	connectTimeout = 500 * time.Millisecond
-	callTimeout    = 1500 * time.Millisecond
+	// callTimeout limits a pull, including the time to connect.
+	callTimeout = 1500 * time.Millisecond
 )
 
-// Hello opens a conversation.
+// Hello opens a session. Daemon is the ID of the daemon that sends it.
 type Hello struct {
 	Key    string `json:"key"`
 	Daemon string `json:"daemon"`
 }
 
-// PullRequest asks for rows after a position in the log of the daemon that is
-// asked. Incarnation names that log; another one begins at 0. Full asks for all
-// that the daemon has heard, not only for what it has observed itself.
+// PullRequest requests the rows after a position in the log of another daemon.
+// Incarnation identifies the log; a log with another incarnation is read from position
+// 0. Full requests everything that the other daemon knows, not only its own
+// observations.
 type PullRequest struct {
 	Incarnation string `json:"incarnation"`
 	Position    int    `json:"position"`
 	Full        bool   `json:"full,omitempty"`
 }
 
-// Answer is what a daemon has to say to a pull. More tells that rows were left
-// out; then the reports do not count as heard.
+// Answer is the answer to a pull. More is set if further rows were omitted; the reports
+// must not be used then.
 type Answer struct {
 	Incarnation string
 	Position    int
@@ -61,9 +62,9 @@
 	Evidence    []presence.Evidence
 }
 
-// pullReply is the wire form of an Answer. Names gives the names that Reports
-// and Evidence refer to by number and that were not given before in this
-// conversation; the rest is packed by codec.
+// pullReply is the wire form of an Answer. Reports and Evidence are encoded as
+// described at ageResolution. Names contains, by number, the names that the session
+// uses for the first time.
 type pullReply struct {
 	Incarnation string         `json:"incarnation"`
 	Position    int            `json:"position"`
@@ -77,26 +78,26 @@
 // ----------------------------------------------------------------------------
 // Traffic counters
 
-// Traffic counts the bytes of all conversations of a daemon.
+// Traffic counts the bytes of all sessions of a daemon.
 type Traffic struct {
 	Read    atomic.Int64
 	Written atomic.Int64
 }
 
-// countedConn counts bytes.
+// countedConn is a connection that counts bytes.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read counts what is read.
+// Read reads and counts the bytes.
 func (c *countedConn) Read(target []byte) (int, error) {
 	n, err := c.Conn.Read(target)
 	c.traffic.Read.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is written.
+// Write writes and counts the bytes.
 func (c *countedConn) Write(source []byte) (int, error) {
 	n, err := c.Conn.Write(source)
 	c.traffic.Written.Add(int64(n))
@@ -104,38 +105,37 @@
 }
 
 // ----------------------------------------------------------------------------
-// Asking
+// Client
 
-// Client keeps one conversation with each daemon that it asks. Use NewClient.
+// Client pulls from other daemons, over one session with each. Create it with NewClient.
 type Client struct {
-	hello   Hello
-	traffic *Traffic
-	mutex   sync.Mutex
-	talks   map[string]*talk
+	hello    Hello
+	traffic  *Traffic
+	mutex    sync.Mutex
+	sessions map[string]*session
 }
 
-// talk is a conversation with one daemon, and the names it has given.
-type talk struct {
+// session is a connection to one daemon, with the names that the daemon has numbered.
+type session struct {
 	conn  *jsonrpc2.Conn
 	names map[int]string
 }
 
-// NewClient returns a client that introduces itself with hello.
+// NewClient returns a client that opens its sessions with hello.
 func NewClient(hello Hello, traffic *Traffic) *Client {
 	return &Client{
-		hello:   hello,
-		traffic: traffic,
-		talks:   map[string]*talk{},
+		hello:    hello,
+		traffic:  traffic,
+		sessions: map[string]*session{},
 	}
 }
 
-// Pull asks the daemon at IP:port. Reports and evidence are dated from the
-// moment it asked.
+// Pull sends a request to the daemon at IP:port.
 func (c *Client) Pull(ctx context.Context, address string, request PullRequest) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := time.Now()
-	current, err := c.talk(ctx, address)
+	requestedAt := time.Now()
+	current, err := c.openSession(ctx, address)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -144,23 +144,23 @@
 		c.drop(address, current)
 		return Answer{}, errors.Wrapf(err, "pull from %s", address)
 	}
-	answer, err := current.unpack(reply, asked)
+	answer, err := current.decode(reply, requestedAt)
 	if err != nil {
 		c.drop(address, current)
 	}
 	return answer, errors.Wrapf(err, "pull from %s", address)
 }
 
-// unpack turns a reply into an answer.
-func (t *talk) unpack(reply pullReply, asked time.Time) (Answer, error) {
+// decode returns the answer in a reply to a request that was sent at requestedAt.
+func (s *session) decode(reply pullReply, requestedAt time.Time) (Answer, error) {
 	for number, name := range reply.Names {
-		t.names[number] = name
+		s.names[number] = name
 	}
-	reports, err := unpackReports(reply.Reports, t.names, asked)
+	reports, err := decodeReports(reply.Reports, s.names, requestedAt)
 	if err != nil {
 		return Answer{}, err
 	}
-	evidence, err := unpackEvidence(reply.Evidence, t.names, asked)
+	evidence, err := decodeEvidence(reply.Evidence, s.names, requestedAt)
 	return Answer{
 		Incarnation: reply.Incarnation,
 		Position:    reply.Position,
@@ -171,10 +171,10 @@
 	}, err
 }
 
-// talk returns the conversation with a daemon, begun anew where there is none.
-func (c *Client) talk(ctx context.Context, address string) (*talk, error) {
+// openSession returns the session with a daemon, and opens one if there is none.
+func (c *Client) openSession(ctx context.Context, address string) (*session, error) {
 	c.mutex.Lock()
-	known := c.talks[address]
+	known := c.sessions[address]
 	c.mutex.Unlock()
 	if known != nil {
 		return known, nil
@@ -187,49 +187,49 @@
 		Conn:    raw,
 		traffic: c.traffic,
 	}, jsonrpc2.VarintObjectCodec{})
-	opened := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, silentHandler{}, silence())
+	opened := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, ignoringHandler{}, discardLog())
 	if err = opened.Call(ctx, methodHello, c.hello, nil); err != nil {
 		_ = opened.Close()
-		return nil, errors.Wrapf(err, "say hello to peer %s", address)
+		return nil, errors.Wrapf(err, "send hello to peer %s", address)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	begun := &talk{
+	created := &session{
 		conn:  opened,
 		names: map[int]string{},
 	}
-	c.talks[address] = begun
-	return begun, nil
+	c.sessions[address] = created
+	return created, nil
 }
 
-// drop ends a conversation that failed.
-func (c *Client) drop(address string, failed *talk) {
+// drop closes a session that failed.
+func (c *Client) drop(address string, failed *session) {
 	c.mutex.Lock()
-	if c.talks[address] == failed {
-		delete(c.talks, address)
+	if c.sessions[address] == failed {
+		delete(c.sessions, address)
 	}
 	c.mutex.Unlock()
 	_ = failed.conn.Close()
 }
 
-// Close ends all conversations.
+// Close closes all sessions.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for address, current := range c.talks {
+	for address, current := range c.sessions {
 		_ = current.conn.Close()
-		delete(c.talks, address)
+		delete(c.sessions, address)
 	}
 }
 
-// silence keeps the library from writing to the standard log; what matters of a
-// conversation's end is seen by whoever asked.
-func silence() jsonrpc2.ConnOpt {
+// discardLog keeps the library from writing to the standard log. Callers get the errors
+// that matter.
+func discardLog() jsonrpc2.ConnOpt {
 	return jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 }
 
-// silentHandler answers nothing: the asked daemon asks nothing back.
-type silentHandler struct{}
+// ignoringHandler ignores requests: the server side of a session sends none.
+type ignoringHandler struct{}
 
-// Handle drops the request.
-func (silentHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+// Handle ignores the request.
+func (ignoringHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -14,20 +14,20 @@
 	"headcourse/io/peer"
 )
 
-// answerer answers every pull with what the test says.
-type answerer struct {
+// fixedHandler answers every pull with a fixed answer.
+type fixedHandler struct {
 	answer peer.Answer
 }
 
 // AnswerPull returns the answer.
-func (a *answerer) AnswerPull(context.Context, peer.PullRequest) (peer.Answer, error) {
+func (a *fixedHandler) AnswerPull(context.Context, peer.PullRequest) (peer.Answer, error) {
 	return a.answer, nil
 }
 
 const peerKey = "test-peer-key-0123456789"
 
-// talk starts a server and a client with a key.
-func talk(t *testing.T, key string, source peer.Answerer) (pull func() (peer.Answer, error), traffic *peer.Traffic) {
+// connect starts a server, and a client with a key.
+func connect(t *testing.T, key string, source peer.Answerer) (pull func() (peer.Answer, error), traffic *peer.Traffic) {
 	t.Helper()
 	traffic = &peer.Traffic{}
 	server, err := peer.Listen("127.0.0.1:0", peerKey, source, &peer.Traffic{})
@@ -43,10 +43,11 @@
 	}, traffic
 }
 
-// TestPullCarriesEverything: what arrives is what was said, and never younger.
-func TestPullCarriesEverything(t *testing.T) {
+// TestPullReturnsWholeAnswer checks that the decoded answer is the one sent, and that no
+// observation appears more recent than it is.
+func TestPullReturnsWholeAnswer(t *testing.T) {
 	now := time.Now()
-	source := &answerer{
+	source := &fixedHandler{
 		answer: peer.Answer{
 			Incarnation: "one",
 			Position:    7,
@@ -73,7 +74,7 @@
 			}},
 		},
 	}
-	pull, _ := talk(t, peerKey, source)
+	pull, _ := connect(t, peerKey, source)
 	got, err := pull()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got.Incarnation, qt.Equals, "one")
@@ -91,18 +92,18 @@
 	qt.Assert(t, got.Evidence[1].Whole, qt.IsFalse)
 }
 
-// TestOnlyNewsIsToldAgain: the same observation is not told twice in one
-// conversation, a newer one is, and one too old never.
-func TestOnlyNewsIsToldAgain(t *testing.T) {
-	source := &answerer{}
-	say := func(at time.Time) {
+// TestObservationIsSentAgainOnlyIfNewer checks that a session sends the same observation once,
+// a newer one again, and one that is too old never.
+func TestObservationIsSentAgainOnlyIfNewer(t *testing.T) {
+	source := &fixedHandler{}
+	setObservedAt := func(at time.Time) {
 		source.answer.Evidence = []presence.Evidence{{
 			Group: "g",
 			Whole: true,
 			At:    at,
 		}}
 	}
-	pull, _ := talk(t, peerKey, source)
+	pull, _ := connect(t, peerKey, source)
 	seen := time.Now()
 	for _, step := range []struct {
 		at       time.Time
@@ -120,18 +121,18 @@
 		at:       seen.Add(-time.Minute),
 		expected: 0,
 	}} {
-		say(step.at)
+		setObservedAt(step.at)
 		got, err := pull()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got.Evidence, qt.HasLen, step.expected)
 	}
 }
 
-// TestNamesAreToldOnce: what the tenth pull costs does not depend on how long
-// the names are.
-func TestNamesAreToldOnce(t *testing.T) {
-	source := &answerer{}
-	pull, traffic := talk(t, peerKey, source)
+// TestNamesAreSentOncePerConnection checks that the size of a later answer does not depend on
+// the length of the names.
+func TestNamesAreSentOncePerConnection(t *testing.T) {
+	source := &fixedHandler{}
+	pull, traffic := connect(t, peerKey, source)
 	cost := func() int64 {
 		source.answer.Evidence = nil
 		for number := range 100 {
@@ -150,8 +151,8 @@
 	qt.Assert(t, cost() < 100*12+200, qt.IsTrue)
 }
 
-func TestStrangersAreRefused(t *testing.T) {
-	pull, _ := talk(t, "another-key-0123456789", &answerer{})
+func TestWrongPeerKeyIsRefused(t *testing.T) {
+	pull, _ := connect(t, "another-key-0123456789", &fixedHandler{})
 	_, err := pull()
 	qt.Assert(t, err, qt.ErrorMatches, ".*wrong peer key.*")
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -12,12 +12,12 @@
 	"headcourse/io/rpc"
 )
 
-// Answerer answers pulls.
+// Answerer answers the pulls of other daemons.
 type Answerer interface {
 	AnswerPull(ctx context.Context, request PullRequest) (Answer, error)
 }
 
-// Server answers other daemons. Use Listen.
+// Server serves other daemons. Create it with Listen.
 type Server struct {
 	*rpc.Listener
 	key      string
@@ -25,15 +25,15 @@
 	traffic  *Traffic
 }
 
-// Listen answers daemons that know the key, at IP:port, where port 0 picks a
-// free one.
+// Listen starts a server at IP:port for daemons that know the key. Port 0 chooses a
+// free port.
 func Listen(address, key string, answerer Answerer, traffic *Traffic) (*Server, error) {
 	server := &Server{
 		key:      key,
 		answerer: answerer,
 		traffic:  traffic,
 	}
-	listener, err := rpc.Listen(address, server.talk)
+	listener, err := rpc.Listen(address, server.newSession)
 	if err != nil {
 		return nil, err
 	}
@@ -41,33 +41,33 @@
 	return server, nil
 }
 
-// talk begins a conversation; its requests are answered one by one.
-func (s *Server) talk(raw net.Conn) *jsonrpc2.Conn {
+// newSession starts a session on a new connection. Its requests are handled one by one.
+func (s *Server) newSession(raw net.Conn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(&countedConn{
 		Conn:    raw,
 		traffic: s.traffic,
 	}, jsonrpc2.VarintObjectCodec{})
-	talk := &conversation{
+	created := &serverSession{
 		server: s,
 	}
-	return jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(talk.handle), silence())
+	return jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(created.handle), discardLog())
 }
 
-// conversation is one daemon's connection; its requests come one by one.
-type conversation struct {
+// serverSession is the state of a session with another daemon.
+type serverSession struct {
 	server    *Server
 	isTrusted bool
-	teller    teller
+	encoder   encoder
 }
 
-// Codes of refusals.
+// Error codes of this protocol.
 const (
 	codeUntrusted = -32001
 	codeFailed    = -32002
 )
 
 // handle answers one request.
-func (c *conversation) handle(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
+func (s *serverSession) handle(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
 	if request.Params == nil {
 		return nil, refuse(jsonrpc2.CodeInvalidParams, "no params")
 	}
@@ -77,35 +77,35 @@
 		if err := json.Unmarshal(*request.Params, &hello); err != nil {
 			return nil, refuse(jsonrpc2.CodeInvalidParams, err.Error())
 		}
-		c.isTrusted = subtle.ConstantTimeCompare([]byte(hello.Key), []byte(c.server.key)) == 1
-		if !c.isTrusted {
+		s.isTrusted = subtle.ConstantTimeCompare([]byte(hello.Key), []byte(s.server.key)) == 1
+		if !s.isTrusted {
 			return nil, refuse(codeUntrusted, "wrong peer key")
 		}
 		return struct{}{}, nil
 	case methodPull:
-		return c.handlePull(ctx, *request.Params)
+		return s.handlePull(ctx, *request.Params)
 	default:
 		return nil, refuse(jsonrpc2.CodeMethodNotFound, request.Method)
 	}
 }
 
-// handlePull answers a pull of a trusted daemon.
-func (c *conversation) handlePull(ctx context.Context, params json.RawMessage) (any, error) {
-	if !c.isTrusted {
+// handlePull answers a pull if the daemon has sent the peer key.
+func (s *serverSession) handlePull(ctx context.Context, params json.RawMessage) (any, error) {
+	if !s.isTrusted {
 		return nil, refuse(codeUntrusted, "say hello first")
 	}
 	var pull PullRequest
 	if err := json.Unmarshal(params, &pull); err != nil {
 		return nil, refuse(jsonrpc2.CodeInvalidParams, err.Error())
 	}
-	answer, err := c.server.answerer.AnswerPull(ctx, pull)
+	answer, err := s.server.answerer.AnswerPull(ctx, pull)
 	if err != nil {
 		return nil, refuse(codeFailed, err.Error())
 	}
-	return c.teller.pack(answer, time.Now()), nil
+	return s.encoder.encode(answer, time.Now()), nil
 }
 
-// refuse returns an error in the protocol's form.
+// refuse returns a JSON-RPC error.
 func refuse(code int64, text string) error {
 	return &jsonrpc2.Error{
 		Code:    code,
