--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -1,10 +1,10 @@
-// Package engine speaks to backend servers: the model engines of serving
-// groups, and plain services. It sends orders and probes, hands over callers'
+// Package engine is the client for backend servers: the model engines of serving
+// groups, and the servers of plain services. It sends orders, probes and callers'
 // requests, and resumes and cancels streams.
 //
-// Every failure of a request comes with its outcome. A connection that could
-// not be made, and an answer that says so, mean that the request did not run;
-// whatever breaks after that is unknown.
+// Every failure of a request has an outcome. If the connection could not be made, or
+// the answer states it, the request did not run. After any other failure the outcome
+// is unknown.
 package engine
 
 import (
@@ -21,36 +21,35 @@
 	"headcourse/io/http1"
 )
 
-// Client speaks to all backend servers. Use New.
+// Client is the client for all backend servers. Create it with New.
 type Client struct {
-	// streams bounds the silence of a backend server; whole does not, since an
-	// answer that comes as a whole may be long in the making.
-	streams http1.Client
-	whole   http1.Client
-	control http1.Client
+	// streaming limits the time between two reads of an answer; buffered has a much
+	// longer limit, since an answer that is not streamed may take long to compute.
+	streaming http1.Client
+	buffered  http1.Client
+	control   http1.Client
 }
 
-// Times of the client.
 const (
 	connectTimeout = time.Second
-	// probeTimeout bounds a probe; it is far below presence.MaxAge.
+	// probeTimeout limits a probe; it is far below presence.MaxAge.
 	probeTimeout = 600 * time.Millisecond
-	// wholeTimeout bounds the wait for an answer that is not streamed, beyond
-	// any caller's deadline.
-	wholeTimeout = 15 * time.Minute
+	// bufferedTimeout limits the wait for an answer that is not streamed. It is longer
+	// than any caller's deadline.
+	bufferedTimeout = 15 * time.Minute
 )
 
-// New returns a client for which idle bounds the silence of a backend
-// server within a streamed answer.
-func New(idle time.Duration) *Client {
+// New returns a client. A streamed answer fails if the backend server sends nothing
+// for maxSilence.
+func New(maxSilence time.Duration) *Client {
 	return &Client{
-		streams: http1.Client{
+		streaming: http1.Client{
 			ConnectTimeout: connectTimeout,
-			IdleTimeout:    idle,
+			IdleTimeout:    maxSilence,
 		},
-		whole: http1.Client{
+		buffered: http1.Client{
 			ConnectTimeout: connectTimeout,
-			IdleTimeout:    wholeTimeout,
+			IdleTimeout:    bufferedTimeout,
 		},
 		control: http1.Client{
 			ConnectTimeout: probeTimeout,
@@ -62,13 +61,13 @@
 // ----------------------------------------------------------------------------
 // Control
 
-// Probe asks a backend server for its state. isRefused tells that its machine
-// said that nothing listens there.
+// Probe returns the state of a backend server. isRefused is set if its VM refused the
+// connection, so that nothing listens at the address.
 func (c *Client) Probe(address string) (state order.State, isRefused bool, err error) {
 	status, answer, err := c.control.JSON(address, "/state", nil)
 	if err != nil {
-		var failed *http1.Error
-		isRefused = errors.As(err, &failed) && failed.Refused
+		var httpErr *http1.Error
+		isRefused = errors.As(err, &httpErr) && httpErr.Refused
 		return state, isRefused, errors.Wrap(err, "probe")
 	}
 	if status != fasthttp.StatusOK {
@@ -78,8 +77,8 @@
 	return state, false, errors.Wrapf(err, "probe %s", address)
 }
 
-// Order sends an order. Its answer may be lost; what became of it is read from
-// the next probe, never assumed.
+// Order sends an order. As the answer may be lost, the result of the order must be
+// read from the next probe.
 func (c *Client) Order(address string, sent order.Order) error {
 	body, err := json.Marshal(sent)
 	if err != nil {
@@ -96,10 +95,10 @@
 }
 
 // ----------------------------------------------------------------------------
-// Traffic
+// Requests of callers
 
-// Call is one request to a backend server. Header fields are copied by the
-// client, never kept.
+// Call is one request to a backend server. The client copies header fields and does
+// not retain them.
 type Call struct {
 	Address     string
 	Method      string
@@ -111,17 +110,17 @@
 	// Group and Generation are empty for plain services.
 	Group      string
 	Generation uint64
-	// IdempotencyKey is passed on for backend servers that know it.
+	// IdempotencyKey is forwarded to backend servers, which may support it.
 	IdempotencyKey string
-	// Headers are further header fields to pass on.
+	// Headers are further header fields to forward.
 	Headers [][2]string
-	// Once asks that the request be sent over a fresh connection.
+	// Once makes the client send the request over a new connection.
 	Once bool
-	// Stream asks for the head of the answer only.
+	// Stream makes Send return after the head of the answer.
 	Stream bool
 }
 
-// Reply is an answer: whole in Body, or as it comes from Stream.
+// Reply is an answer, with its body either in Body or in Stream.
 type Reply struct {
 	Status      int
 	ContentType string
@@ -129,7 +128,7 @@
 	Stream      *Stream
 }
 
-// Stream is an answer being read. Close must be called.
+// Stream is a streamed answer. Close must be called.
 type Stream struct {
 	request  *fasthttp.Request
 	response *fasthttp.Response
@@ -141,26 +140,27 @@
 	return s.body.Read(target)
 }
 
-// Close gives the stream up; a connection not read to its end is closed.
+// Close closes the stream. Its connection is closed too unless the answer was read to
+// the end.
 func (s *Stream) Close() {
 	_ = s.response.CloseBodyStream()
 	fasthttp.ReleaseResponse(s.response)
 	fasthttp.ReleaseRequest(s.request)
 }
 
-// Send hands a request over. Its error is a *outcome.Failure.
+// Send sends a request and returns the answer. Its error is a *outcome.Failure.
 func (c *Client) Send(call Call) (Reply, error) {
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
-	fill(request, call)
-	client := &c.whole
+	writeCall(request, call)
+	client := &c.buffered
 	if call.Stream {
-		client = &c.streams
+		client = &c.streaming
 	}
 	if err := client.Do(call.Address, request, response, call.Once, call.Stream); err != nil {
 		fasthttp.ReleaseRequest(request)
 		fasthttp.ReleaseResponse(response)
-		return Reply{}, failureOf(call, err)
+		return Reply{}, exchangeFailure(call, err)
 	}
 	reply := Reply{
 		Status:      response.StatusCode(),
@@ -175,21 +175,21 @@
 		reply.Stream = stream
 		return reply, nil
 	}
-	body, err := readWhole(call, response)
+	body, err := readBody(call, response)
 	stream.Close()
 	if err != nil {
-		return Reply{}, failureOf(call, &http1.Error{
+		return Reply{}, exchangeFailure(call, &http1.Error{
 			Peer:  call.Address,
 			Sent:  true,
 			Cause: err,
 		})
 	}
 	reply.Body = body
-	return reply, refusalOf(call, reply)
+	return reply, refusalIn(call, reply)
 }
 
-// fill writes a call into a request.
-func fill(request *fasthttp.Request, call Call) {
+// writeCall sets the fields of an HTTP request from a call.
+func writeCall(request *fasthttp.Request, call Call) {
 	request.SetRequestURI(call.Path)
 	request.URI().SetQueryStringBytes(call.Query)
 	request.Header.SetMethod(call.Method)
@@ -210,16 +210,16 @@
 	request.SetBodyRaw(call.Body)
 }
 
-// readWhole returns a copy of the whole body.
-func readWhole(call Call, response *fasthttp.Response) ([]byte, error) {
+// readBody returns a copy of the body.
+func readBody(call Call, response *fasthttp.Response) ([]byte, error) {
 	if !call.Stream {
 		return append([]byte(nil), response.Body()...), nil
 	}
 	return io.ReadAll(response.BodyStream())
 }
 
-// failureOf returns the outcome of a failed exchange.
-func failureOf(call Call, err error) *outcome.Failure {
+// exchangeFailure returns the failure of an exchange that ended with an error.
+func exchangeFailure(call Call, err error) *outcome.Failure {
 	failure := &outcome.Failure{
 		Outcome: outcome.Unknown,
 		Reason:  outcome.ReasonConnectionLost,
@@ -227,28 +227,28 @@
 		Peer:    call.Address,
 		Cause:   err,
 	}
-	var failed *http1.Error
-	if errors.As(err, &failed) && !failed.Sent {
+	var httpErr *http1.Error
+	if errors.As(err, &httpErr) && !httpErr.Sent {
 		failure.Outcome = outcome.NotRun
 		failure.Reason = outcome.ReasonConnect
 	}
 	return failure
 }
 
-// refusal is the body by which an engine says that it ran nothing.
+// refusal is the body of an answer in which an engine refuses a request.
 type refusal struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
 }
 
-// refusalOf returns the failure of an answer in which an engine says that it
-// ran nothing; nil for every other answer.
-func refusalOf(call Call, reply Reply) error {
+// refusalIn returns the failure if an engine has refused the request without running
+// it, and nil for every other answer.
+func refusalIn(call Call, reply Reply) error {
 	if call.Group == "" || reply.Status < fasthttp.StatusBadRequest {
 		return nil
 	}
-	var said refusal
-	if json.Unmarshal(reply.Body, &said) != nil || said.Outcome != outcome.NotRun.String() {
+	var parsed refusal
+	if json.Unmarshal(reply.Body, &parsed) != nil || parsed.Outcome != outcome.NotRun.String() {
 		return nil
 	}
 	reason := outcome.ReasonEngineRefused
@@ -263,20 +263,20 @@
 		Reason:  reason,
 		Step:    "send request",
 		Peer:    call.Address,
-		Cause:   errors.New(said.Reason),
+		Cause:   errors.New(parsed.Reason),
 	}
 }
 
-// ErrNoStream reports that the engine does not have the stream any more.
+// ErrNoStream means that the engine no longer has the stream.
 var ErrNoStream = errors.New("the engine does not have the stream")
 
-// Resume takes a stream up again after a position, at the engine that runs it.
+// Resume resumes a stream after a position, at the engine that runs it.
 func (c *Client) Resume(address, requestID string, position int) (*Stream, error) {
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
 	request.SetRequestURI("/v1/streams/" + requestID)
 	request.Header.Set("Last-Event-ID", strconv.Itoa(position))
-	err := c.streams.Do(address, request, response, true, true)
+	err := c.streaming.Do(address, request, response, true, true)
 	if err == nil && response.StatusCode() != fasthttp.StatusOK {
 		err = errors.Errorf("status %d", response.StatusCode())
 		if response.StatusCode() == fasthttp.StatusNotFound {
@@ -296,8 +296,8 @@
 	}, nil
 }
 
-// Cancel ends the work on a request. It is best effort: an engine that does
-// not hear of it works for nobody.
+// Cancel cancels a request at an engine. It is best effort: if the message is lost,
+// the engine completes an answer that nobody reads.
 func (c *Client) Cancel(address, requestID string) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
