--- a/io/rpc/rpc.go
+++ b/io/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc listens for other daemons that speak JSON-RPC over TCP and keeps
-// their conversations until they end, or it is closed. What is said in a
-// conversation is up to whoever listens.
+// Package rpc accepts the JSON-RPC connections of other daemons over TCP and tracks
+// them until they end or the listener is closed. The user of the package handles
+// the requests.
 package rpc
 
 import (
@@ -11,40 +11,40 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Listener takes conversations. Use Listen.
+// Listener accepts connections. Create it with Listen.
 type Listener struct {
 	listener net.Listener
-	talk     func(raw net.Conn) *jsonrpc2.Conn
+	open     func(raw net.Conn) *jsonrpc2.Conn
 
 	mutex    sync.Mutex
 	conns    map[*jsonrpc2.Conn]struct{}
 	isClosed bool
 }
 
-// Listen takes conversations at IP:port, where port 0 picks a free one. talk
-// begins one on a new connection.
-func Listen(address string, talk func(raw net.Conn) *jsonrpc2.Conn) (*Listener, error) {
+// Listen accepts connections at IP:port. Port 0 chooses a free port. open starts
+// JSON-RPC on a new connection.
+func Listen(address string, open func(raw net.Conn) *jsonrpc2.Conn) (*Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for daemons on %s", address)
 	}
 	l := &Listener{
 		listener: listener,
-		talk:     talk,
+		open:     open,
 		conns:    map[*jsonrpc2.Conn]struct{}{},
 	}
 	go l.accept()
 	return l, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the listener uses.
 func (l *Listener) Address() string {
 	return l.listener.Addr().String()
 }
 
-// Close ends all conversations and takes no more.
+// Close closes all connections and accepts no more.
 func (l *Listener) Close() {
-	// A listener that is closed already needs nothing more.
+	// The only error means that the listener is closed already.
 	_ = l.listener.Close()
 	l.mutex.Lock()
 	l.isClosed = true
@@ -56,19 +56,19 @@
 	}
 }
 
-// accept takes conversations until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (l *Listener) accept() {
 	for {
 		raw, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.keep(l.talk(raw))
+		l.track(l.open(raw))
 	}
 }
 
-// keep keeps a conversation until it ends.
-func (l *Listener) keep(conn *jsonrpc2.Conn) {
+// track holds a connection until it ends, so that Close can close it.
+func (l *Listener) track(conn *jsonrpc2.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.isClosed {
