--- a/io/tablestore/tablestore.go
+++ b/io/tablestore/tablestore.go
@@ -1,5 +1,5 @@
-// Package tablestore speaks to the platform's table service, as JSON over
-// HTTP. It is the one place to change for another transport of that service.
+// Package tablestore is the client for the platform's table service, which uses JSON
+// over HTTP. A change of the transport needs changes in this package only.
 package tablestore
 
 import (
@@ -15,19 +15,19 @@
 	"headcourse/io/http1"
 )
 
-// Client implements table.Store. Use New.
+// Client implements table.Store. Create it with New.
 type Client struct {
 	address string
 	http    *http1.Client
 }
 
-// Times of the client. They are well below a lease's term.
+// The timeouts are well below the term of a lease.
 const (
 	connectTimeout = 500 * time.Millisecond
 	idleTimeout    = 2 * time.Second
 )
 
-// New returns a client of the service at IP:port.
+// New returns a client for the service at IP:port.
 func New(address string) *Client {
 	return &Client{
 		address: address,
@@ -38,22 +38,23 @@
 	}
 }
 
-// commitReply is the answer to a commit that landed.
+// commitReply is the answer to a successful commit.
 type commitReply struct {
 	Version uint64 `json:"version"`
 }
 
-// Commit commits a transaction. An exchange that broke off after something was
-// sent is ErrUnknown; a refusal and a failed connection are ErrUnavailable.
+// Commit commits a transaction. The error is table.ErrUnavailable if the connection
+// failed or the service refused the commit, and table.ErrUnknown if the exchange failed
+// after something was sent.
 func (c *Client) Commit(_ context.Context, transaction table.Transaction) (uint64, error) {
 	body, err := json.Marshal(transaction)
 	if err != nil {
 		return 0, errors.Wrap(table.ErrUnavailable, err.Error())
 	}
 	status, answer, err := c.http.JSON(c.address, "/commit", body)
-	var failed *http1.Error
+	var httpErr *http1.Error
 	switch {
-	case errors.As(err, &failed) && !failed.Sent:
+	case errors.As(err, &httpErr) && !httpErr.Sent:
 		return 0, errors.Wrapf(table.ErrUnavailable, "commit: %s", err)
 	case err != nil:
 		return 0, errors.Wrapf(table.ErrUnknown, "commit: %s", err)
@@ -71,7 +72,7 @@
 	return reply.Version, nil
 }
 
-// Read returns a row; one never written has version 0.
+// Read returns a row. A row that was never written has version 0.
 func (c *Client) Read(_ context.Context, key string) (table.Row, error) {
 	var row table.Row
 	err := c.query("/read?key="+url.QueryEscape(key), nil, &row)
@@ -89,7 +90,7 @@
 	return result, errors.Wrapf(err, "scan rows after %d", request.After)
 }
 
-// query asks something that changes nothing.
+// query sends a request that changes nothing, and decodes the answer into target.
 func (c *Client) query(path string, body []byte, target any) error {
 	status, answer, err := c.http.JSON(c.address, path, body)
 	if err != nil {
