--- a/io/vmlist/vmlist.go
+++ b/io/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist reads the platform's list of live and leaving VMs, as JSON
-// over HTTP.
+// Package vmlist is the client for the platform's list of live and leaving VMs, which
+// uses JSON over HTTP.
 package vmlist
 
 import (
@@ -13,13 +13,13 @@
 	"headcourse/io/http1"
 )
 
-// Client reads the list. Use New.
+// Client reads the list of VMs. Create it with New.
 type Client struct {
 	address string
 	http    *http1.Client
 }
 
-// New returns a client of the list at IP:port.
+// New returns a client for the list service at IP:port.
 func New(address string) *Client {
 	return &Client{
 		address: address,
@@ -30,7 +30,7 @@
 	}
 }
 
-// VMs returns the list.
+// VMs returns the list of VMs.
 func (c *Client) VMs() ([]vm.VM, error) {
 	status, answer, err := c.http.JSON(c.address, "/vms", nil)
 	if err != nil {
