--- a/io/kernel/kernel.go
+++ b/io/kernel/kernel.go
@@ -1,4 +1,4 @@
-// Package kernel asks the kernel for what the runtime does not tell.
+// Package kernel reads values from the kernel that the Go runtime does not provide.
 package kernel
 
 import (
@@ -8,56 +8,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// Figures of a Sleep.
 const (
-	// drift is how far the time of day may move against the steady clock before the
-	// kernel is asked: clocks are corrected by less than 1 ms in a second.
-	drift = 5 * time.Millisecond
-	// askEvery is when it is asked in any case: a clock that is set back by just as much
-	// as the machine slept shows no drift.
-	askEvery = time.Second
+	// maxClockDrift is how far the wall clock may drift from the monotonic clock before the
+	// kernel is queried. Regular corrections of clocks are below 1 ms per second.
+	maxClockDrift = 5 * time.Millisecond
+	// maxQueryInterval is the time after which the kernel is queried even without a drift: a
+	// wall clock that is set back by exactly the time of a suspension shows none.
+	maxQueryInterval = time.Second
 )
 
-// Sleep measures for how long the machine has been suspended. The kernel is asked when the
-// time of day has moved against the steady clock, which it does in each sleep, so a question
-// costs two readings of clocks that need no call of the kernel. The zero value works and is
-// safe for concurrent use.
+// Sleep measures how long the VM has been suspended in total. A suspension makes the wall
+// clock drift from the monotonic clock, and only then is the kernel queried. Most calls
+// therefore read just these two clocks, which needs no system call. The zero value is ready
+// to use and safe for concurrent use.
 type Sleep struct {
 	mutex     sync.Mutex
-	asked     time.Time
+	queriedAt time.Time
 	suspended time.Duration
 }
 
-// Suspended returns for how long the machine has been suspended since it was started.
+// Suspended returns how long the VM has been suspended since it was started.
 func (s *Sleep) Suspended() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	steady := now.Sub(s.asked)
-	// Without its steady reading, the same time is the time of day.
-	day := now.Round(0).Sub(s.asked.Round(0))
-	if !s.asked.IsZero() && steady < askEvery && (day-steady).Abs() < drift {
+	monotonic := now.Sub(s.queriedAt)
+	// Round(0) strips the monotonic reading, so that Sub compares wall clocks.
+	wallClock := now.Round(0).Sub(s.queriedAt.Round(0))
+	if !s.queriedAt.IsZero() && monotonic < maxQueryInterval && (wallClock-monotonic).Abs() < maxClockDrift {
 		return s.suspended
 	}
-	s.asked = now
-	if suspended, err := ask(); err == nil {
-		// Each answer is a little too small; the largest is nearest.
+	s.queriedAt = now
+	if suspended, err := querySuspended(); err == nil {
+		// Each result is slightly too small, so the largest is the most accurate.
 		s.suspended = max(s.suspended, suspended)
 	}
 	return s.suspended
 }
 
-// ask returns by how much the clock that counts suspended time is at least ahead of the
-// steady one, as clock_gettime(2) tells. The process may lose its turn between two readings,
-// for tens of milliseconds on a small VM, so the steady clock is read last: time that went by
-// in between must not count as sleep.
-func ask() (time.Duration, error) {
-	var boot, steady unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
+// querySuspended returns a lower bound of the time that the VM has been suspended: the
+// difference of the clocks CLOCK_BOOTTIME, which counts suspended time, and CLOCK_MONOTONIC,
+// which does not. The process may be descheduled between the two readings, for tens of
+// milliseconds on a small VM. The monotonic clock is read last, so that this time is not
+// counted as suspended.
+func querySuspended() (time.Duration, error) {
+	var bootTime, monotonic unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime); err != nil {
 		return 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, err
 	}
-	return max(0, time.Duration(boot.Nano()-steady.Nano())), nil
+	return max(0, time.Duration(bootTime.Nano()-monotonic.Nano())), nil
 }
--- a/io/kernel/kernel_test.go
+++ b/io/kernel/kernel_test.go
@@ -8,7 +8,7 @@
 	"headcourse/io/kernel"
 )
 
-func TestSuspendedTimeNeverShrinks(t *testing.T) {
+func TestSuspendedTimeNeverDecreases(t *testing.T) {
 	var sleep kernel.Sleep
 	former := sleep.Suspended()
 	qt.Assert(t, former >= 0, qt.IsTrue)
