--- a/core/declaration/declaration.go
+++ b/core/declaration/declaration.go
@@ -137,13 +137,13 @@
 // ServiceFor returns the service with the longest prefix that contains path, and
 // whether there is one.
 func (d Declaration) ServiceFor(path string) (Service, bool) {
-	var found Service
+	var longest Service
 	for _, service := range d.Services {
-		if isUnder(path, service.Prefix) && len(service.Prefix) > len(found.Prefix) {
-			found = service
+		if isUnder(path, service.Prefix) && len(service.Prefix) > len(longest.Prefix) {
+			longest = service
 		}
 	}
-	return found, found.Name != ""
+	return longest, longest.Name != ""
 }
 
 // Repeatable reports whether a request to the service may be sent twice.
