--- a/core/config/config.go
+++ b/core/config/config.go
@@ -33,9 +33,9 @@
 	Organisations []Organisation
 	Limits        Limits
 
-	hosts    map[string][]*Route
-	services map[string]*Service
-	keys     map[string]*Organisation
+	routesByHost       map[string][]*Route
+	servicesByName     map[string]*Service
+	organisationsByKey map[string]*Organisation
 }
 
 // Route assigns the requests of one host and path prefix to services.
@@ -160,25 +160,25 @@
 // New returns the configuration with its lookup tables.
 func New(parsed Config) *Config {
 	indexed := &parsed
-	indexed.hosts = map[string][]*Route{}
-	indexed.services = map[string]*Service{}
-	indexed.keys = map[string]*Organisation{}
+	indexed.routesByHost = map[string][]*Route{}
+	indexed.servicesByName = map[string]*Service{}
+	indexed.organisationsByKey = map[string]*Organisation{}
 	for i := range indexed.Routes {
 		route := &indexed.Routes[i]
 		host := strings.ToLower(route.Host)
-		indexed.hosts[host] = append(indexed.hosts[host], route)
+		indexed.routesByHost[host] = append(indexed.routesByHost[host], route)
 	}
-	for _, routes := range indexed.hosts {
+	for _, routes := range indexed.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool {
 			return len(routes[i].Prefix) > len(routes[j].Prefix)
 		})
 	}
 	for i := range indexed.Services {
-		indexed.services[indexed.Services[i].Name] = &indexed.Services[i]
+		indexed.servicesByName[indexed.Services[i].Name] = &indexed.Services[i]
 	}
 	for i := range indexed.Organisations {
 		for _, key := range indexed.Organisations[i].Keys {
-			indexed.keys[key] = &indexed.Organisations[i]
+			indexed.organisationsByKey[key] = &indexed.Organisations[i]
 		}
 	}
 	return indexed
@@ -188,7 +188,7 @@
 // It returns nil if there is none.
 func (c *Config) Route(host, path string) *Route {
 	host = strings.ToLower(host)
-	for _, route := range c.hosts[host] {
+	for _, route := range c.routesByHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -198,7 +198,7 @@
 
 // Service returns a service by its name, or nil.
 func (c *Config) Service(name string) *Service {
-	return c.services[name]
+	return c.servicesByName[name]
 }
 
 // NeedsKey reports whether requests of a route must carry a key.
@@ -208,7 +208,7 @@
 
 // Organisation returns the organisation that has a key, or nil.
 func (c *Config) Organisation(key string) *Organisation {
-	return c.keys[key]
+	return c.organisationsByKey[key]
 }
 
 // Model returns a model of the engine by its name, and whether it exists.
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -40,23 +40,23 @@
 }
 
 func TestRouteReturnsLongestPrefixOfHost(t *testing.T) {
-	known := sample()
-	qt.Assert(t, known.Route("board.example", "/a/b/c/d").Name, qt.Equals, "long")
-	qt.Assert(t, known.Route("BOARD.example", "/a/x").Name, qt.Equals, "short")
-	qt.Assert(t, known.Route("board.example", "/b/"), qt.IsNil)
-	qt.Assert(t, known.Route("nobody.example", "/a/"), qt.IsNil)
+	parsed := sample()
+	qt.Assert(t, parsed.Route("board.example", "/a/b/c/d").Name, qt.Equals, "long")
+	qt.Assert(t, parsed.Route("BOARD.example", "/a/x").Name, qt.Equals, "short")
+	qt.Assert(t, parsed.Route("board.example", "/b/"), qt.IsNil)
+	qt.Assert(t, parsed.Route("nobody.example", "/a/"), qt.IsNil)
 }
 
 func TestPublicRouteNeedsNoKey(t *testing.T) {
-	known := sample()
-	qt.Assert(t, known.Organisation("k2").Name, qt.Equals, "water")
-	qt.Assert(t, known.Organisation("k3"), qt.IsNil)
-	qt.Assert(t, known.NeedsKey(known.Route("board.example", "/a/x")), qt.IsTrue)
-	qt.Assert(t, known.NeedsKey(known.Route("board.example", "/a/b/")), qt.IsFalse)
+	parsed := sample()
+	qt.Assert(t, parsed.Organisation("k2").Name, qt.Equals, "water")
+	qt.Assert(t, parsed.Organisation("k3"), qt.IsNil)
+	qt.Assert(t, parsed.NeedsKey(parsed.Route("board.example", "/a/x")), qt.IsTrue)
+	qt.Assert(t, parsed.NeedsKey(parsed.Route("board.example", "/a/b/")), qt.IsFalse)
 }
 
 func TestNoKeyNeededWithoutOrganisations(t *testing.T) {
-	known := config.New(config.Config{
+	parsed := config.New(config.Config{
 		Routes: []config.Route{
 			{
 				Host:   "h",
@@ -64,7 +64,7 @@
 			},
 		},
 	})
-	qt.Assert(t, known.NeedsKey(known.Route("h", "/")), qt.IsFalse)
+	qt.Assert(t, parsed.NeedsKey(parsed.Route("h", "/")), qt.IsFalse)
 }
 
 func TestOnlySafeAndResumableRequestsAreRepeatable(t *testing.T) {
--- a/core/config/sizing.go
+++ b/core/config/sizing.go
@@ -18,10 +18,9 @@
 // random bursts do not take all slots of a group.
 
 const (
-	// firstEventGoalFraction is the part of the goal within which the expected first event
-	// must arrive. The expectation is over prompt tokens, not requests. The rest of the goal
-	// is a margin for requests that arrive at a bad moment, with prompts of up to four times
-	// the mean size.
+	// firstEventGoalFraction is the part of the goal within which the first event is expected
+	// for the request that the mean prompt token belongs to. With prompts of up to four times
+	// the mean size, the rest of the goal is a margin for requests that arrive at a bad moment.
 	firstEventGoalFraction = 0.53
 	// minIdleMultiple is the lower bound of the permitted time to the first event, as a multiple
 	// of that at an idle group. If reading the prompt alone takes most of the goal, no number
@@ -35,7 +34,8 @@
 	// in use above which random bursts alone make requests queue.
 	maxSlotsStable   = 0.88
 	maxPrefillStable = 0.95
-	// maxPrefillOnTime is the part of the prefill capacity that a group with spare capacity uses.
+	// maxPrefillOnTime is the maximum part of the prefill capacity that may be in use for a
+	// group to have spare capacity.
 	maxPrefillOnTime = 0.8
 	// bisectionSteps is the number of steps of the search for the number of groups.
 	bisectionSteps = 30
@@ -45,8 +45,8 @@
 type groupLoad struct {
 	// isStable is false if the queue of the group grows without bound.
 	isStable bool
-	// slots is the part of the slots in use, prefill the part of the prompt tokens that the
-	// group can read between generating tokens, firstEvent the time to the first event.
+	// slots is the part of the slots in use. prefill is the part of the prefill capacity in
+	// use, while tokens are generated too. firstEvent is the time to the first event.
 	slots      float64
 	prefill    float64
 	firstEvent time.Duration
