--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -247,27 +247,27 @@
 		if removed, isRemoved := v.removed[server.ID]; isRemoved && removed.server.Born >= server.Born {
 			continue
 		}
-		if known, isKnown := v.servers[server.ID]; isKnown {
-			server = server.withNewerState(known)
+		if current, isPresent := v.servers[server.ID]; isPresent {
+			server = server.withNewerState(current)
 		}
 		reconciled = append(reconciled, server)
 	}
 	return reconciled
 }
 
-// withNewerState returns the server of a restored entry, with the parts of known that are
+// withNewerState returns the server of a restored entry, with the parts of current that are
 // newer.
-func (s Server) withNewerState(known Server) Server {
+func (s Server) withNewerState(current Server) Server {
 	switch {
-	case known.Born > s.Born:
-		return known
-	case known.Born < s.Born:
+	case current.Born > s.Born:
+		return current
+	case current.Born < s.Born:
 		return s
 	}
-	s.Draining = s.Draining || known.Draining
-	if s.Membership.State != NoGroup && known.Membership.Epoch > s.Membership.Epoch {
-		s.Membership = known.Membership
-		s.Models = known.Models
+	s.Draining = s.Draining || current.Draining
+	if s.Membership.State != NoGroup && current.Membership.Epoch > s.Membership.Epoch {
+		s.Membership = current.Membership
+		s.Models = current.Models
 	}
 	return s
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -37,23 +37,23 @@
 
 // changes returns the changes that add servers.
 func changes(servers ...fleet.Server) []fleet.Change {
-	var all []fleet.Change
+	var result []fleet.Change
 	for _, server := range servers {
-		all = append(all, fleet.Change{
+		result = append(result, fleet.Change{
 			ID:     server.ID,
 			Server: server,
 		})
 	}
-	return all
+	return result
 }
 
 // ids returns the IDs of servers.
 func ids(servers []fleet.Server) []string {
-	var all []string
+	var result []string
 	for _, server := range servers {
-		all = append(all, server.ID)
+		result = append(result, server.ID)
 	}
-	return all
+	return result
 }
 
 func TestOnlyHeadsOfOpenGroupsOfModelServe(t *testing.T) {
@@ -110,21 +110,21 @@
 // requests after that bound.
 func TestGraceDependsOnDrainBoundAndHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quick := fleet.Grace{
+		shortBounds := fleet.Grace{
 			DrainWithin: time.Second,
 			Heartbeat:   500 * time.Millisecond,
 		}
-		var none fleet.Outage
-		qt.Assert(t, time.Until(none.LostUntil(quick)), qt.Equals, 400*time.Millisecond)
-		qt.Assert(t, time.Until(none.LostUntil(typicalGrace)), qt.Equals, 800*time.Millisecond)
-		qt.Assert(t, time.Until(none.LostUntil(fleet.Grace{})), qt.Equals, 800*time.Millisecond)
+		var noOutage fleet.Outage
+		qt.Assert(t, time.Until(noOutage.LostUntil(shortBounds)), qt.Equals, 400*time.Millisecond)
+		qt.Assert(t, time.Until(noOutage.LostUntil(typicalGrace)), qt.Equals, 800*time.Millisecond)
+		qt.Assert(t, time.Until(noOutage.LostUntil(fleet.Grace{})), qt.Equals, 800*time.Millisecond)
 		// With more frequent heartbeats entries expire in a shorter outage.
 		now := time.Now()
 		outage := fleet.Outage{
 			Began: now.Add(-time.Second),
 			Ended: now,
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(quick)) > 2*time.Second, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.LostUntil(shortBounds)) > 2*time.Second, qt.IsTrue)
 		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) < time.Second, qt.IsTrue)
 	})
 }
@@ -187,21 +187,21 @@
 // Guards against a draining server that gets requests again because a restored table has
 // its older entry.
 func TestReconciledKeepsNewerStateThanRestoredTable(t *testing.T) {
-	leaving, gone, moved, restarting := plainServer("a"), plainServer("b"), engineMember("c", 0, fleet.Open), plainServer("d")
+	leaving, removed, regrouped, restarting := plainServer("a"), plainServer("b"), engineMember("c", 0, fleet.Open), plainServer("d")
 	restarting.Born = 1
-	view := fleet.View{}.WithAll(9, []fleet.Server{leaving, gone, moved, restarting}, time.Now())
-	later := moved
-	later.Membership.Epoch = 8
+	view := fleet.View{}.WithAll(9, []fleet.Server{leaving, removed, regrouped, restarting}, time.Now())
+	newerEpoch := regrouped
+	newerEpoch.Membership.Epoch = 8
 	drained := leaving
 	drained.Draining = true
-	second := restarting
-	second.Born = 2
-	view = view.WithChanges(12, append(changes(drained, later, second), fleet.Change{
+	restarted := restarting
+	restarted.Born = 2
+	view = view.WithChanges(12, append(changes(drained, newerEpoch, restarted), fleet.Change{
 		ID:   "b",
 		Gone: true,
 	}), time.Now())
 
-	reconciled := view.Reconciled([]fleet.Server{leaving, gone, moved, restarting, plainServer("e")})
+	reconciled := view.Reconciled([]fleet.Server{leaving, removed, regrouped, restarting, plainServer("e")})
 	qt.Assert(t, ids(reconciled), qt.DeepEquals, []string{"a", "c", "d", "e"})
 	qt.Assert(t, reconciled[0].Draining, qt.IsTrue)
 	qt.Assert(t, reconciled[1].Membership.Epoch, qt.Equals, int64(8))
@@ -211,10 +211,10 @@
 // Guards against newer entries of a restored table being ignored in favour of the view.
 func TestReconciledAcceptsNewerStateOfRestoredTable(t *testing.T) {
 	view := fleet.View{}.WithAll(9, []fleet.Server{plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")}, time.Now())
-	leaving, left, third := plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")
+	leaving, ungrouped, restarted := plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")
 	leaving.Draining = true
-	left.Membership = fleet.Membership{}
-	third.Born = 3
-	read := []fleet.Server{leaving, left, third}
+	ungrouped.Membership = fleet.Membership{}
+	restarted.Born = 3
+	read := []fleet.Server{leaving, ungrouped, restarted}
 	qt.Assert(t, view.Reconciled(read), qt.DeepEquals, read)
 }
--- a/core/fleet/index.go
+++ b/core/fleet/index.go
@@ -10,7 +10,7 @@
 // iterate over all servers, of which there may be thousands. The zero value is not
 // built yet.
 type index struct {
-	once sync.Once
+	buildOnce sync.Once
 	// sorted holds all servers with an entry, ordered by ID.
 	sorted []Server
 	// drainingGroups holds the groups that have a draining member.
@@ -38,7 +38,7 @@
 	if built == nil {
 		built = &index{}
 	}
-	built.once.Do(func() {
+	built.buildOnce.Do(func() {
 		built.build(v.servers)
 	})
 	return built
