--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -85,9 +85,9 @@
 }
 
 func TestWithMetricsPortUsesAddressOfVM(t *testing.T) {
-	known := validSettings()
-	served := known.WithMetricsPort(9100)
+	original := validSettings()
+	served := original.WithMetricsPort(9100)
 	qt.Assert(t, served.Metrics, qt.Equals, "10.2.3.4:9100")
-	qt.Assert(t, known.Metrics, qt.Equals, "")
+	qt.Assert(t, original.Metrics, qt.Equals, "")
 	qt.Assert(t, served.WithMetricsPort(0).Metrics, qt.Equals, "")
 }
