--- a/core/route/route.go
+++ b/core/route/route.go
@@ -140,13 +140,13 @@
 
 // rankCandidates orders candidates by rendezvous hashing of the prefix.
 func rankCandidates(prefix uint64, candidates []Candidate) []Candidate {
-	type scored struct {
+	type scoredCandidate struct {
 		score     uint64
 		candidate Candidate
 	}
-	scoredCandidates := make([]scored, len(candidates))
+	scoredCandidates := make([]scoredCandidate, len(candidates))
 	for i, candidate := range candidates {
-		scoredCandidates[i] = scored{
+		scoredCandidates[i] = scoredCandidate{
 			score:     mixBits(prefix ^ xxhash.Sum64String(candidate.Group)),
 			candidate: candidate,
 		}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -13,14 +13,14 @@
 
 // candidates returns a number of groups with a number of slots each.
 func candidates(count, slots int) []route.Candidate {
-	made := make([]route.Candidate, count)
-	for i := range made {
-		made[i] = route.Candidate{
+	result := make([]route.Candidate, count)
+	for i := range result {
+		result[i] = route.Candidate{
 			Group: fmt.Sprintf("g%d", i),
 			Slots: slots,
 		}
 	}
-	return made
+	return result
 }
 
 // TestHotPrefixDoesNotOverloadOneGroup sends a thousand requests with one prefix. None
