--- a/core/eventstream/eventstream_test.go
+++ b/core/eventstream/eventstream_test.go
@@ -48,24 +48,24 @@
 
 func TestEventsDoNotDependOnHowBytesAreSplit(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
-		whole := ""
+		stream := ""
 		count := rapid.IntRange(0, 6).Draw(rt, "events")
 		for i := range count {
-			whole += "id: " + string(rune('1'+i)) + "\ndata: " + rapid.StringMatching(`[a-z]{0,12}`).Draw(rt, "data") + "\n\n"
+			stream += "id: " + string(rune('1'+i)) + "\ndata: " + rapid.StringMatching(`[a-z]{0,12}`).Draw(rt, "data") + "\n\n"
 		}
 		var pieces []string
-		for left := whole; left != ""; {
-			n := rapid.IntRange(1, len(left)).Draw(rt, "piece")
-			pieces = append(pieces, left[:n])
-			left = left[n:]
+		for remaining := stream; remaining != ""; {
+			n := rapid.IntRange(1, len(remaining)).Draw(rt, "piece")
+			pieces = append(pieces, remaining[:n])
+			remaining = remaining[n:]
 		}
 		events, _, rest := split(pieces...)
 		joined := ""
 		for _, event := range events {
 			joined += event
 		}
-		if joined != whole || rest != "" || len(events) != count {
-			rt.Fatalf("%q in pieces %q gave %q and %q", whole, pieces, events, rest)
+		if joined != stream || rest != "" || len(events) != count {
+			rt.Fatalf("%q in pieces %q gave %q and %q", stream, pieces, events, rest)
 		}
 	})
 }
