--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -62,7 +62,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	held, kept, refusal := keeper.Take(ctx, idempotency.Name{
+	held, stored, refusal := keeper.Take(ctx, idempotency.Name{
 		Organisation: "org",
 		Route:        "POST /x",
 		Key:          key,
@@ -77,9 +77,9 @@
 		if refusal.Outcome == outcome.Ran {
 			s.rt.Fatalf("key %s: refused as %s", key, refusal)
 		}
-	case kept != nil:
-		if string(kept.Body) != s.answers[key] {
-			s.rt.Fatalf("key %s: kept %q, first answer was %q", key, kept.Body, s.answers[key])
+	case stored != nil:
+		if string(stored.Body) != s.answers[key] {
+			s.rt.Fatalf("key %s: kept %q, first answer was %q", key, stored.Body, s.answers[key])
 		}
 	default:
 		s.execute(index, key, body, &keeper, held)
