--- a/io/caller/answer.go
+++ b/io/caller/answer.go
@@ -14,9 +14,9 @@
 	"headcourse/io/engine"
 )
 
-// statusClientGone is the status of requests whose caller has disconnected. No caller
+// statusClientClosedRequest is the status of requests whose caller has disconnected. No caller
 // receives it.
-const statusClientGone = 499
+const statusClientClosedRequest = 499
 
 // statusByReason maps reasons to HTTP statuses. Other reasons have status 502.
 var statusByReason = map[outcome.Reason]int{
@@ -30,7 +30,7 @@
 	outcome.ReasonRateLimit:         fiber.StatusTooManyRequests,
 	outcome.ReasonQueueFull:         fiber.StatusTooManyRequests,
 	outcome.ReasonQueueDeadline:     fiber.StatusServiceUnavailable,
-	outcome.ReasonCallerGone:        statusClientGone,
+	outcome.ReasonCallerGone:        statusClientClosedRequest,
 	outcome.ReasonNoGroup:           fiber.StatusServiceUnavailable,
 	outcome.ReasonNoServer:          fiber.StatusServiceUnavailable,
 	outcome.ReasonConnect:           fiber.StatusServiceUnavailable,
@@ -60,9 +60,9 @@
 // newErrorBody returns the error body of a failure. Addresses of peers are logged only.
 func newErrorBody(requestID string, failure *outcome.Failure) errorBody {
 	message := failure.Step + ": " + string(failure.Reason)
-	for _, known := range outcome.Reasons {
-		if known.Reason == failure.Reason {
-			message = failure.Step + ": " + known.Meaning
+	for _, entry := range outcome.Reasons {
+		if entry.Reason == failure.Reason {
+			message = failure.Step + ": " + entry.Meaning
 		}
 	}
 	return errorBody{
--- a/io/caller/job.go
+++ b/io/caller/job.go
@@ -31,23 +31,23 @@
 	headerRetryAfter  = "Retry-After"
 )
 
-// maxKeyLength is the maximum length of an idempotency key, in bytes.
-const maxKeyLength = 255
+// maxIdempotencyKeyLength is the maximum length of an idempotency key, in bytes.
+const maxIdempotencyKeyLength = 255
 
 // job is one request that is being served. Its contents are copies, since the HTTP
 // library reuses its buffers.
 type job struct {
 	id           string
 	organisation declaration.Organisation
-	call         engine.Call
+	request      engine.Call
 	// model is set for completions, service for requests to plain services.
 	model      string
 	service    string
 	prefixHash uint64
 	// repeatable is set if the request may run more than once.
-	repeatable bool
-	key        string
-	priority   int
+	repeatable     bool
+	idempotencyKey string
+	priority       int
 	// mayHaveRun is set once an attempt ended with an unknown outcome. The job then
 	// can no longer be reported as not run, whatever later attempts return.
 	mayHaveRun bool
@@ -79,8 +79,8 @@
 	sum := sha256.Sum256([]byte(key))
 	hash := hex.EncodeToString(sum[:])
 	for _, organisation := range s.source.Snapshot().Declaration().Organisations {
-		for _, known := range organisation.KeyHashes {
-			if known == hash {
+		for _, keyHash := range organisation.KeyHashes {
+			if keyHash == hash {
 				return organisation, nil
 			}
 		}
@@ -92,9 +92,9 @@
 // of requests share.
 func (s *Server) newJob(c fiber.Ctx) (*job, *outcome.Failure) {
 	j := &job{
-		id:         uuid.NewString(),
-		repeatable: true,
-		key:        strings.Clone(c.Get(headerIdempotency)),
+		id:             uuid.NewString(),
+		repeatable:     true,
+		idempotencyKey: strings.Clone(c.Get(headerIdempotency)),
 	}
 	if refusal := s.readiness(); refusal != nil {
 		return j, refusal
@@ -104,19 +104,19 @@
 		return j, refusal
 	}
 	j.organisation = organisation
-	j.call = engine.Call{
+	j.request = engine.Call{
 		Method:         strings.Clone(c.Method()),
 		Path:           strings.Clone(c.Path()),
 		Query:          append([]byte(nil), c.Request().URI().QueryString()...),
 		ContentType:    strings.Clone(c.Get(fiber.HeaderContentType)),
 		Body:           append([]byte(nil), c.Body()...),
 		RequestID:      j.id,
-		IdempotencyKey: j.key,
+		IdempotencyKey: j.idempotencyKey,
 	}
-	if j.key != "" {
+	if j.idempotencyKey != "" {
 		j.repeatable = false
 	}
-	if len(j.key) > maxKeyLength {
+	if len(j.idempotencyKey) > maxIdempotencyKeyLength {
 		return j, badRequest(headerIdempotency + ": at most 255 characters")
 	}
 	return j, s.readPriorityAndDeadline(c, j)
@@ -162,7 +162,7 @@
 // readCompletion parses and checks the body of a completion request.
 func (s *Server) readCompletion(j *job) *outcome.Failure {
 	var parsed completion
-	if err := json.Unmarshal(j.call.Body, &parsed); err != nil {
+	if err := json.Unmarshal(j.request.Body, &parsed); err != nil {
 		return badRequest("body: " + err.Error())
 	}
 	if parsed.Model == "" {
@@ -175,7 +175,7 @@
 		return outcome.Refuse(outcome.ReasonUnknownModel, "read body")
 	}
 	j.model = parsed.Model
-	j.call.Stream = parsed.Stream
+	j.request.Stream = parsed.Stream
 	var prompt []byte
 	for _, message := range parsed.Messages {
 		prompt = append(prompt, message...)
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -100,7 +100,7 @@
 		server:  s,
 		job:     j,
 		stream:  reply.Stream,
-		address: j.call.Address,
+		address: j.request.Address,
 	}
 }
 
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -43,15 +43,15 @@
 
 // readService sets the service that a request is for, and whether it is repeatable.
 func (s *Server) readService(c fiber.Ctx, j *job) *outcome.Failure {
-	service, ok := s.source.Snapshot().Declaration().ServiceFor(j.call.Path)
+	service, ok := s.source.Snapshot().Declaration().ServiceFor(j.request.Path)
 	if !ok {
 		return outcome.Refuse(outcome.ReasonUnknownRoute, "find service")
 	}
 	j.service = service.Name
-	isSafe := j.call.Method != fiber.MethodPost && j.call.Method != fiber.MethodPatch
-	j.repeatable = j.repeatable && isSafe && service.Repeatable(j.call.Method, j.call.Path)
+	isSafe := j.request.Method != fiber.MethodPost && j.request.Method != fiber.MethodPatch
+	j.repeatable = j.repeatable && isSafe && service.Repeatable(j.request.Method, j.request.Path)
 	if accept := c.Get(fiber.HeaderAccept); accept != "" {
-		j.call.Headers = append(j.call.Headers, [2]string{fiber.HeaderAccept, string([]byte(accept))})
+		j.request.Headers = append(j.request.Headers, [2]string{fiber.HeaderAccept, string([]byte(accept))})
 	}
 	return nil
 }
@@ -158,7 +158,7 @@
 			Body:        stored.Body,
 		}, nil
 	}
-	j.call.Once = !j.repeatable
+	j.request.Once = !j.repeatable
 	reply, failure := s.send(j)
 	if failure != nil {
 		s.releasePlaces(j)
@@ -172,9 +172,9 @@
 // group is whole.
 func (s *Server) recordRefusal(j *job, failure *outcome.Failure) {
 	isRefused := failure.Reason == outcome.ReasonEngineRefused || failure.Reason == outcome.ReasonConnect
-	if isRefused && j.call.Group != "" {
-		evidence, _ := s.source.Snapshot().Book.Newest(j.call.Group)
-		s.refusedEvidence.Store(j.call.Group, evidence.At)
+	if isRefused && j.request.Group != "" {
+		evidence, _ := s.source.Snapshot().Book.Newest(j.request.Group)
+		s.refusedEvidence.Store(j.request.Group, evidence.At)
 	}
 }
 
@@ -196,7 +196,7 @@
 	if j.ctx.Err() != nil {
 		return engine.Reply{}, s.endedBeforeSend(j)
 	}
-	call := j.call
+	call := j.request
 	results := make(chan sendResult, 1)
 	go func() {
 		reply, err := s.source.Engines().Send(call)
@@ -244,7 +244,7 @@
 		Outcome: outcome.Unknown,
 		Reason:  reason,
 		Step:    "wait for answer",
-		Peer:    j.call.Address,
+		Peer:    j.request.Address,
 	}
 }
 
@@ -338,8 +338,8 @@
 	}
 	for _, record := range groups {
 		if record.Name == picked.Group {
-			j.call.Group = record.Name
-			j.call.Generation = record.Generation
+			j.request.Group = record.Name
+			j.request.Generation = record.Generation
 			s.assign(j, record.Name, record.Leader())
 		}
 	}
@@ -348,7 +348,7 @@
 
 // assign assigns a job to a backend server and takes a slot there.
 func (s *Server) assign(j *job, name, address string) {
-	j.call.Address = address
+	j.request.Address = address
 	j.assignedAddress.Store(&address)
 	j.releaseSlot = s.tracker.Begin(name)
 }
@@ -387,7 +387,7 @@
 // claimKey claims the key of a job, unless it has none or has claimed it already. It
 // returns the stored answer if an earlier request with the key ran.
 func (s *Server) claimKey(j *job) (*idempotency.Answer, *outcome.Failure) {
-	if j.key == "" || j.claim != nil {
+	if j.idempotencyKey == "" || j.claim != nil {
 		return nil, nil
 	}
 	retention := s.source.Snapshot().Declaration().Limits.KeepKeys.Or(declaration.DefaultKeepKeys)
@@ -395,11 +395,11 @@
 	defer cancel()
 	claim, stored, refusal := s.claims.Take(ctx, idempotency.Name{
 		Organisation: j.organisation.Name,
-		Route:        j.call.Method + " " + j.call.Path,
-		Key:          j.key,
+		Route:        j.request.Method + " " + j.request.Path,
+		Key:          j.idempotencyKey,
 	}, idempotency.Claim{
 		State:    idempotency.Running,
-		BodyHash: idempotency.HashBody(j.call.Body),
+		BodyHash: idempotency.HashBody(j.request.Body),
 		Daemon:   s.source.ID(),
 		Request:  j.id,
 		Expires:  time.Now().Add(retention),
