--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -166,8 +166,8 @@
 	hash := hex.EncodeToString(sum[:])
 	declared := s.fleet.Declaration()
 	for _, operator := range declared.Operators {
-		for _, known := range operator.KeyHashes {
-			if subtle.ConstantTimeCompare([]byte(known), []byte(hash)) == 1 {
+		for _, keyHash := range operator.KeyHashes {
+			if subtle.ConstantTimeCompare([]byte(keyHash), []byte(hash)) == 1 {
 				return operator.Name, true
 			}
 		}
@@ -212,13 +212,13 @@
 }
 
 // planReply returns the reply with a plan and its predicted costs, or the error.
-func planReply(made plan.Plan, err error) (any, error) {
+func planReply(proposal plan.Plan, err error) (any, error) {
 	if err != nil {
 		return nil, err
 	}
-	downtime, stranded := made.Predicted()
+	downtime, stranded := proposal.Predicted()
 	return PlanReply{
-		Plan:            made,
+		Plan:            proposal,
 		DowntimeSeconds: downtime,
 		StrandedSeconds: stranded,
 	}, nil
@@ -235,9 +235,9 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, one := range all {
-		if one.ID == c.Params("id") {
-			return planReply(one, nil)
+	for _, candidate := range all {
+		if candidate.ID == c.Params("id") {
+			return planReply(candidate, nil)
 		}
 	}
 	return nil, Refuse(errors.Errorf("plan %q does not exist", c.Params("id")))
--- a/io/operator/types.go
+++ b/io/operator/types.go
@@ -49,7 +49,8 @@
 	StrandedSeconds float64   `json:"stranded_seconds"`
 }
 
-// Status is the state of the fleet as one daemon knows it. StoreAge is in seconds.
+// Status is the state of the fleet as one daemon knows it. StoreAge is the time since the
+// last answer of the store, in seconds.
 type Status struct {
 	Daemon   string         `json:"daemon"`
 	Revision uint64         `json:"revision"`
