--- a/io/peer/codec_internal_test.go
+++ b/io/peer/codec_internal_test.go
@@ -16,16 +16,16 @@
 	}
 	f.Fuzz(func(t *testing.T, evidence, reports []byte) {
 		requestedAt := time.Now()
-		found, _ := decodeEvidence(evidence, names, requestedAt)
-		for _, one := range found {
-			if one.At.After(requestedAt) || one.Slots < 0 || one.InFlight < 0 {
-				t.Fatalf("unpacked %+v", one)
+		observed, _ := decodeEvidence(evidence, names, requestedAt)
+		for _, item := range observed {
+			if item.At.After(requestedAt) || item.Slots < 0 || item.InFlight < 0 {
+				t.Fatalf("unpacked %+v", item)
 			}
 		}
 		decoded, _ := decodeReports(reports, names, requestedAt)
-		for _, one := range decoded {
-			if one.At.After(requestedAt) {
-				t.Fatalf("unpacked %+v", one)
+		for _, item := range decoded {
+			if item.At.After(requestedAt) {
+				t.Fatalf("unpacked %+v", item)
 			}
 		}
 	})
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -62,7 +62,7 @@
 	Evidence    []presence.Evidence
 }
 
-// pullReply is the wire form of an Answer. Reports and Evidence are encoded as
+// pullReply is the wire form of type Answer. Reports and Evidence are encoded as
 // described at ageResolution. Names contains, by number, the names that the session
 // uses for the first time.
 type pullReply struct {
@@ -84,21 +84,21 @@
 	Written atomic.Int64
 }
 
-// countedConn is a connection that counts bytes.
-type countedConn struct {
+// countingConn is a connection that counts bytes.
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
 // Read reads and counts the bytes.
-func (c *countedConn) Read(target []byte) (int, error) {
+func (c *countingConn) Read(target []byte) (int, error) {
 	n, err := c.Conn.Read(target)
 	c.traffic.Read.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts the bytes.
-func (c *countedConn) Write(source []byte) (int, error) {
+func (c *countingConn) Write(source []byte) (int, error) {
 	n, err := c.Conn.Write(source)
 	c.traffic.Written.Add(int64(n))
 	return n, err
@@ -141,12 +141,12 @@
 	}
 	var reply pullReply
 	if err = current.conn.Call(ctx, methodPull, request, &reply); err != nil {
-		c.drop(address, current)
+		c.closeSession(address, current)
 		return Answer{}, errors.Wrapf(err, "pull from %s", address)
 	}
 	answer, err := current.decode(reply, requestedAt)
 	if err != nil {
-		c.drop(address, current)
+		c.closeSession(address, current)
 	}
 	return answer, errors.Wrapf(err, "pull from %s", address)
 }
@@ -174,16 +174,16 @@
 // openSession returns the session with a daemon, and opens one if there is none.
 func (c *Client) openSession(ctx context.Context, address string) (*session, error) {
 	c.mutex.Lock()
-	known := c.sessions[address]
+	existing := c.sessions[address]
 	c.mutex.Unlock()
-	if known != nil {
-		return known, nil
+	if existing != nil {
+		return existing, nil
 	}
 	raw, err := net.DialTimeout("tcp", address, connectTimeout)
 	if err != nil {
 		return nil, errors.Wrapf(err, "connect to peer %s", address)
 	}
-	stream := jsonrpc2.NewBufferedStream(&countedConn{
+	stream := jsonrpc2.NewBufferedStream(&countingConn{
 		Conn:    raw,
 		traffic: c.traffic,
 	}, jsonrpc2.VarintObjectCodec{})
@@ -202,8 +202,8 @@
 	return created, nil
 }
 
-// drop closes a session that failed.
-func (c *Client) drop(address string, failed *session) {
+// closeSession closes a session that failed.
+func (c *Client) closeSession(address string, failed *session) {
 	c.mutex.Lock()
 	if c.sessions[address] == failed {
 		delete(c.sessions, address)
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -43,7 +43,7 @@
 
 // newSession starts a session on a new connection. Its requests are handled one by one.
 func (s *Server) newSession(raw net.Conn) *jsonrpc2.Conn {
-	stream := jsonrpc2.NewBufferedStream(&countedConn{
+	stream := jsonrpc2.NewBufferedStream(&countingConn{
 		Conn:    raw,
 		traffic: s.traffic,
 	}, jsonrpc2.VarintObjectCodec{})
@@ -69,44 +69,44 @@
 // handle answers one request.
 func (s *serverSession) handle(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
 	if request.Params == nil {
-		return nil, refuse(jsonrpc2.CodeInvalidParams, "no params")
+		return nil, newError(jsonrpc2.CodeInvalidParams, "no params")
 	}
 	switch request.Method {
 	case methodHello:
 		var hello Hello
 		if err := json.Unmarshal(*request.Params, &hello); err != nil {
-			return nil, refuse(jsonrpc2.CodeInvalidParams, err.Error())
+			return nil, newError(jsonrpc2.CodeInvalidParams, err.Error())
 		}
 		s.isTrusted = subtle.ConstantTimeCompare([]byte(hello.Key), []byte(s.server.key)) == 1
 		if !s.isTrusted {
-			return nil, refuse(codeUntrusted, "wrong peer key")
+			return nil, newError(codeUntrusted, "wrong peer key")
 		}
 		return struct{}{}, nil
 	case methodPull:
 		return s.handlePull(ctx, *request.Params)
 	default:
-		return nil, refuse(jsonrpc2.CodeMethodNotFound, request.Method)
+		return nil, newError(jsonrpc2.CodeMethodNotFound, request.Method)
 	}
 }
 
 // handlePull answers a pull if the daemon has sent the peer key.
 func (s *serverSession) handlePull(ctx context.Context, params json.RawMessage) (any, error) {
 	if !s.isTrusted {
-		return nil, refuse(codeUntrusted, "say hello first")
+		return nil, newError(codeUntrusted, "say hello first")
 	}
 	var pull PullRequest
 	if err := json.Unmarshal(params, &pull); err != nil {
-		return nil, refuse(jsonrpc2.CodeInvalidParams, err.Error())
+		return nil, newError(jsonrpc2.CodeInvalidParams, err.Error())
 	}
 	answer, err := s.server.answerer.AnswerPull(ctx, pull)
 	if err != nil {
-		return nil, refuse(codeFailed, err.Error())
+		return nil, newError(codeFailed, err.Error())
 	}
 	return s.encoder.encode(answer, time.Now()), nil
 }
 
-// refuse returns a JSON-RPC error.
-func refuse(code int64, text string) error {
+// newError returns a JSON-RPC error.
+func newError(code int64, text string) error {
 	return &jsonrpc2.Error{
 		Code:    code,
 		Message: text,
