--- a/io/kernel/kernel_test.go
+++ b/io/kernel/kernel_test.go
@@ -10,12 +10,12 @@
 
 func TestSuspendedTimeNeverDecreases(t *testing.T) {
 	var sleep kernel.Sleep
-	former := sleep.Suspended()
-	qt.Assert(t, former >= 0, qt.IsTrue)
+	previous := sleep.Suspended()
+	qt.Assert(t, previous >= 0, qt.IsTrue)
 	for range 1000 {
 		next := sleep.Suspended()
-		qt.Assert(t, next >= former, qt.IsTrue)
-		former = next
+		qt.Assert(t, next >= previous, qt.IsTrue)
+		previous = next
 	}
 }
 
