--- /dev/null
+++ b/core/config/sizing.go
@@ -0,0 +1,166 @@
+package config
+
+import (
+	"time"
+
+	"headcourse/core/usage"
+)
+
+// Sizing: how many groups a model needs, given the timings of its engines.
+//
+// A group works in passes. In each pass it first reads up to one chunk of the pending
+// prompts (prefill), and then generates a few tokens for every running request. A pass
+// gets longer with each running request and with each prompt token read. Both effects
+// add up, so that close to the limit a little more demand delays all requests.
+//
+// The model has enough groups if a request that arrives in the middle of a pass, behind
+// the prompts queued before it, still gets its first event well within its goal, and if
+// random bursts do not take all slots of a group.
+
+const (
+	// firstEventGoalFraction is the part of the goal within which the first event is expected
+	// for the request that the mean prompt token belongs to. With prompts of up to four times
+	// the mean size, the rest of the goal is a margin for requests that arrive at a bad moment.
+	firstEventGoalFraction = 0.53
+	// minIdleMultiple is the lower bound of the permitted time to the first event, as a multiple
+	// of that at an idle group. If reading the prompt alone takes most of the goal, no number
+	// of groups would meet a tighter bound.
+	minIdleMultiple = 1.25
+	// maxSlotsOnTime is the mean part of the slots that may be in use. Daemons spread requests
+	// evenly, but requests arrive at random: with 34 of 48 slots in use, a burst of two
+	// standard deviations still finds a free slot.
+	maxSlotsOnTime = 0.7
+	// maxSlotsStable and maxPrefillStable are the parts of the slots and of the prefill capacity
+	// in use above which random bursts alone make requests queue.
+	maxSlotsStable   = 0.88
+	maxPrefillStable = 0.95
+	// maxPrefillOnTime is the maximum part of the prefill capacity that may be in use for a
+	// group to have spare capacity.
+	maxPrefillOnTime = 0.8
+	// bisectionSteps is the number of steps of the search for the number of groups.
+	bisectionSteps = 30
+)
+
+// groupLoad is the expected load of one group.
+type groupLoad struct {
+	// isStable is false if the queue of the group grows without bound.
+	isStable bool
+	// slots is the part of the slots in use. prefill is the part of the prefill capacity in
+	// use, while tokens are generated too. firstEvent is the time to the first event.
+	slots      float64
+	prefill    float64
+	firstEvent time.Duration
+}
+
+// hasTimings reports whether the configuration contains the timings that Groups needs.
+func (e *Engine) hasTimings() bool {
+	return e.Step > 0 && e.Capacity > 0
+}
+
+// Groups are numbers of groups that a model needs, not rounded.
+type Groups struct {
+	// Least is the number that keeps up with the demand: with fewer, queues grow.
+	Least float64
+	// InTime is the number that serves the demand within its goals.
+	InTime float64
+}
+
+// Groups returns how many groups of a model are needed for a demand; ok is false if the
+// configuration lacks timings of the engine.
+func (e *Engine) Groups(model Model, demand usage.Rate) (groups Groups, ok bool) {
+	if !e.hasTimings() {
+		return Groups{}, false
+	}
+	if demand.Prompt <= 0 && demand.Answer <= 0 {
+		return Groups{}, true
+	}
+	return Groups{
+		Least: smallestSufficient(func(groups float64) bool {
+			return e.isStableWith(model, demand, groups)
+		}),
+		InTime: smallestSufficient(func(groups float64) bool {
+			return e.isOnTimeWith(model, demand, groups)
+		}),
+	}, true
+}
+
+// smallestSufficient returns the smallest sufficient number, by bisection. All numbers above a
+// sufficient one must be sufficient.
+func smallestSufficient(isSufficient func(number float64) bool) float64 {
+	upper := 1.0
+	for !isSufficient(upper) {
+		upper += upper
+	}
+	lower := 0.0
+	for range bisectionSteps {
+		middle := (lower + upper) / 2
+		if isSufficient(middle) {
+			upper = middle
+		} else {
+			lower = middle
+		}
+	}
+	return upper
+}
+
+// isStableWith reports whether a number of groups keeps up with the demand.
+func (e *Engine) isStableWith(model Model, demand usage.Rate, groups float64) bool {
+	load := e.estimateLoad(model, demand.Times(1/groups))
+	return load.isStable && load.slots <= maxSlotsStable && load.prefill <= maxPrefillStable
+}
+
+// isOnTimeWith reports whether a number of groups serves the demand within its goals.
+func (e *Engine) isOnTimeWith(model Model, demand usage.Rate, groups float64) bool {
+	load := e.estimateLoad(model, demand.Times(1/groups))
+	if !load.isStable || load.slots > maxSlotsOnTime || load.prefill > maxPrefillOnTime {
+		return false
+	}
+	goal := demand.Goal()
+	idle := e.estimateLoad(model, demand.Times(epsilon))
+	maxFirstEvent := max(time.Duration(firstEventGoalFraction*float64(goal)), time.Duration(minIdleMultiple*float64(idle.firstEvent)))
+	return goal <= 0 || load.firstEvent <= maxFirstEvent
+}
+
+// epsilon is the part of the demand that stands for the load of an idle group, and the
+// smallest divisor of the queueing formula.
+const epsilon = 1e-6
+
+// estimateLoad returns the expected load of one group that gets all of the demand.
+func (e *Engine) estimateLoad(model Model, demand usage.Rate) groupLoad {
+	timeFactor := model.Pace
+	if timeFactor <= 0 {
+		timeFactor = 1
+	}
+	tokensPerPass := float64(max(1, e.TokensPerEvent))
+	stepSeconds := timeFactor * e.Step.Seconds()
+	stepSecondsPerRequest := timeFactor * e.StepPerRequest.Seconds()
+	readSeconds := 0.0
+	if e.ReadPerSecond > 0 {
+		readSeconds = timeFactor / e.ReadPerSecond
+	}
+	spareFraction := 1 - demand.Prompt*readSeconds - demand.Answer*stepSecondsPerRequest
+	if spareFraction <= 0 {
+		return groupLoad{}
+	}
+	passSeconds := tokensPerPass * stepSeconds / spareFraction
+	generating := demand.Answer * passSeconds / tokensPerPass
+	stepsSeconds := tokensPerPass * (stepSeconds + stepSecondsPerRequest*generating)
+	estimate := groupLoad{
+		isStable: true,
+		slots:    generating / float64(e.Capacity),
+	}
+	firstEventSeconds := passSeconds/half + stepsSeconds
+	if e.Chunk > 0 && demand.Prompt > 0 {
+		secondsPerPromptToken := readSeconds + stepsSeconds/float64(e.Chunk)
+		estimate.prefill = demand.Prompt * secondsPerPromptToken
+		firstEventSeconds += demand.Typical() * secondsPerPromptToken
+		// The mean wait in a queue with varying service times (Pollaczek-Khinchine formula).
+		firstEventSeconds += demand.Squares * secondsPerPromptToken * secondsPerPromptToken / (half * max(epsilon, 1-estimate.prefill))
+	}
+	estimate.firstEvent = time.Duration(firstEventSeconds * float64(time.Second))
+	return estimate
+}
+
+// half is the divisor for half a pass, the mean time until the next pass begins, and of
+// the Pollaczek-Khinchine formula.
+const half = 2
--- a/io/peer/codec_internal_test.go
+++ b/io/peer/codec_internal_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzUnpack checks that nothing a peer sends makes a daemon panic, or believe
-// that something was observed after it asked.
+// FuzzUnpack checks that no data of a peer makes a daemon panic, or yields an observation
+// that is more recent than the request.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 1, 0, 0}, []byte{1, 5, 9})
 	f.Add([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1}, []byte{})
@@ -15,17 +15,17 @@
 		2: "",
 	}
 	f.Fuzz(func(t *testing.T, evidence, reports []byte) {
-		asked := time.Now()
-		found, _ := unpackEvidence(evidence, names, asked)
-		for _, one := range found {
-			if one.At.After(asked) || one.Slots < 0 || one.InFlight < 0 {
-				t.Fatalf("unpacked %+v", one)
+		requestedAt := time.Now()
+		observed, _ := decodeEvidence(evidence, names, requestedAt)
+		for _, item := range observed {
+			if item.At.After(requestedAt) || item.Slots < 0 || item.InFlight < 0 {
+				t.Fatalf("unpacked %+v", item)
 			}
 		}
-		told, _ := unpackReports(reports, names, asked)
-		for _, one := range told {
-			if one.At.After(asked) {
-				t.Fatalf("unpacked %+v", one)
+		decoded, _ := decodeReports(reports, names, requestedAt)
+		for _, item := range decoded {
+			if item.At.After(requestedAt) {
+				t.Fatalf("unpacked %+v", item)
 			}
 		}
 	})
