--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -1,20 +1,21 @@
-// Package leader decides which daemon may change groups.
+// Package leader elects the daemon that may change groups.
 //
-// One row of the platform's store is the lease. Its holder rewrites it before
-// its term ends, and every change that the holder makes carries the condition
-// that the row is as it wrote it last, so a holder that was paused past its term
-// changes nothing (a fencing token). Another daemon takes the lease when it has
-// seen the row unchanged for a whole term by its own clock; no two clocks are
-// compared. The holder counts its term from before it sent its last rewrite, so
-// it stops before anyone else can begin.
+// The lease is one row of the platform's store. Its holder rewrites the row before the term
+// ends. The row's version is a fencing token: every change by the holder is conditional on
+// the version that the holder wrote last, so a holder that was paused past its term cannot
+// change anything. Another daemon acquires the lease once it has observed the row unchanged
+// for a whole term on its own clock; clocks are never compared. The holder counts its term
+// from the time at which it sent its last rewrite, so it stops before a successor can
+// start.
 //
-// All daemons follow the row, most of them through relays, so waiting for the
-// lease costs no calls. An old view does no harm: taking the lease is conditional
-// on the version seen.
+// All daemons follow the row, most of them through relays, so waiting for the lease costs
+// no calls to the store. A stale view is safe, because acquiring the lease is conditional
+// on the observed version.
 //
-// A store that is restored from an older copy gives versions out again, so each era has a
-// row of its own: what depends on the row of a former era fails once that is removed. The
-// lease of a former era may hold for a term after the restore, and is waited for.
+// A store that is restored from an older copy reuses versions. Each era therefore has its
+// own lease row: a transaction that is conditional on the row of a former era fails once
+// that row is removed. The holder of a former era's lease may act for up to a term after
+// the restore, so daemons wait for that term before they acquire the new lease.
 package leader
 
 import (
@@ -31,240 +32,244 @@
 	"headcourse/core/rowstore"
 )
 
-// Where the lease stands.
+// Location of the lease row.
 const (
-	// Table is the table of the lease and keyPrefix the beginning of its row's key, which
-	// ends with the era.
+	// Table is the table that holds the lease. The row's key is keyPrefix followed by the
+	// era.
 	Table     = "control"
 	keyPrefix = "lease/"
 )
 
-// keyOf returns the key of the lease of an era.
-func keyOf(era int64) string {
+// leaseKey returns the key of the lease row of an era.
+func leaseKey(era int64) string {
 	return keyPrefix + strconv.FormatInt(era, 10)
 }
 
-// Times of the lease.
 const (
-	// Term is how long a lease holds after its last rewrite. It bounds how long
-	// groups go without repair when the leader dies.
+	// Term is how long a lease is valid after its last rewrite. It bounds how long groups
+	// go without repair when the leader dies.
 	Term = 2500 * time.Millisecond
-	// renewEvery leaves time for two lost rewrites within a term.
-	renewEvery = 800 * time.Millisecond
-	// lookEvery is the time between two looks at what is known of the row.
-	lookEvery = 50 * time.Millisecond
-	// stagger is how much later each daemon of the list tries than the one
-	// before it, so that they do not all try at once; laterStagger is the same for those
-	// after the first staggered ones, of whom mostly one lives.
-	stagger      = 60 * time.Millisecond
-	laterStagger = 15 * time.Millisecond
-	staggered    = 15
-	// ownAgain is the time between two tries for a lease that is this daemon's own: the
-	// store may turn it away alone for seconds.
-	ownAgain = 500 * time.Millisecond
-	// callTime bounds one call.
-	callTime = 900 * time.Millisecond
-	// safety is kept away from the end of the term: the time from a decision to
-	// its order.
-	safety = 300 * time.Millisecond
+	// renewInterval allows two lost rewrites within a term.
+	renewInterval = 800 * time.Millisecond
+	// pollInterval is the time between two checks of the observed lease row.
+	pollInterval = 50 * time.Millisecond
+	// rankStagger is how much later each daemon attempts to acquire the lease than the
+	// daemon ranked before it, so that attempts do not coincide. Daemons ranked after the
+	// first fullyStaggeredRanks are spaced by laterRankStagger, since an earlier daemon is
+	// usually alive.
+	rankStagger         = 60 * time.Millisecond
+	laterRankStagger    = 15 * time.Millisecond
+	fullyStaggeredRanks = 15
+	// ownLeaseRetryInterval is the time between two attempts to acquire a lease that this
+	// daemon already holds. The store may reject this daemon alone for seconds.
+	ownLeaseRetryInterval = 500 * time.Millisecond
+	// storeCallTimeout bounds one store call.
+	storeCallTimeout = 900 * time.Millisecond
+	// safetyMargin is subtracted from the term. It covers the time from a decision to the
+	// resulting order.
+	safetyMargin = 300 * time.Millisecond
 )
 
-// ErrLost reports that the lease is lost, or may be.
+// ErrLost reports that the lease is lost or may be lost.
 var ErrLost = errors.New("lease lost")
 
-// value is the lease row's value. Holder is empty when the lease is free.
-type value struct {
+// leaseValue is the value of the lease row. Holder is empty if the lease is free.
+type leaseValue struct {
 	Holder string `json:"holder"`
-	// Start tells two starts of one daemon apart; Count its rewrites.
+	// Start distinguishes two starts of the same daemon. Count is the number of writes.
 	Start string `json:"start"`
 	Count int64  `json:"count"`
 }
 
-// Elector takes part in the choice of the leader. Fields are set before Run.
+// Elector takes part in the election of the leader. Its fields are set before Run.
 type Elector struct {
 	Store rowstore.Store
-	// Name is the daemon's, the same after a restart; Start is new with each.
+	// Name identifies the daemon across restarts; Start is new at each start.
 	Name  string
 	Start string
-	// Rank returns the daemon's place among all: lower ones try earlier.
+	// Rank returns the daemon's position among all daemons. Lower ranks attempt to acquire
+	// the lease earlier.
 	Rank func() int
-	// Clock goes on while the machine is suspended.
+	// Clock also counts time during which the VM is suspended.
 	Clock boottime.Clock
-	// Changed is told when this daemon gains or loses the lease, and why.
+	// Changed is called with the reason when this daemon gains or loses the lease.
 	Changed func(isLeader bool, lease rowstore.Revision, reason string)
-	// IsAway, if set, tells that the store cannot be reached: then the lease is not tried
-	// for: all daemons would, for as long as an outage lasts.
+	// IsAway, if set, reports whether the store is unreachable. The lease is not attempted
+	// then; otherwise all daemons would retry throughout an outage.
 	IsAway func() bool
 
 	mutex sync.Mutex
-	// seen is the row's revision as last seen, since seenSince; version 0: there
-	// is none. holder is who holds it; isKnown that it was seen at all.
-	seen      rowstore.Revision
-	seenSince time.Time
-	holder    string
-	isKnown   bool
-	// former are keys of leases of former eras; restored is when this era was first seen,
-	// if it is known to follow another.
-	former   []string
-	restored time.Time
-	// failedAt is when a try last failed.
-	failedAt time.Time
-	// wasAway tells that the store was away when it was last time to try.
-	wasAway bool
+	// observed is the latest observed revision of the row and observedAt the time of that
+	// observation; version 0 means that there is no row. holder is the daemon in the row.
+	// hasSnapshot is set once the whole table was observed.
+	observed    rowstore.Revision
+	observedAt  time.Time
+	holder      string
+	hasSnapshot bool
+	// formerLeaseKeys are the keys of leases of former eras. restoredSince is when this era
+	// was first observed, or zero if no former era is known.
+	formerLeaseKeys []string
+	restoredSince   time.Time
+	// lastFailureAt is the time of the last failed attempt.
+	lastFailureAt time.Time
+	// wasUnavailable is set while the store was unreachable at the last check.
+	wasUnavailable bool
 }
 
-// See takes the rows of Table as a follower tells them, in an era; isWhole tells that they
-// are all there are.
-func (e *Elector) See(rows []rowstore.Row, era int64, isWhole bool) error {
+// See applies rows of Table that a follower received in an era. isSnapshot means that they
+// are the whole table.
+func (e *Elector) See(rows []rowstore.Row, era int64, isSnapshot bool) error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if isWhole && era >= e.seen.Era {
-		e.begin(rows, era)
+	if isSnapshot && era >= e.observed.Era {
+		e.beginEra(rows, era)
 	}
-	if era != e.seen.Era {
+	if era != e.observed.Era {
 		return nil
 	}
-	var failed error
+	var decodeErr error
 	for _, row := range rows {
-		if row.Key != keyOf(era) || row.Deleted || row.Version <= e.seen.Version {
+		if row.Key != leaseKey(era) || row.Deleted || row.Version <= e.observed.Version {
 			continue
 		}
-		held, err := decode(row.Value)
+		stored, err := decodeLease(row.Value)
 		if err != nil {
-			failed = err
+			decodeErr = err
 		}
-		e.seen.Version = row.Version
-		e.seenSince = time.Now()
-		e.holder = held.Holder
+		e.observed.Version = row.Version
+		e.observedAt = time.Now()
+		e.holder = stored.Holder
 	}
-	return failed
+	return decodeErr
 }
 
-// begin takes the whole table for the first time in an era. Whoever held the lease of the
-// former one may not know yet that it is over. The mutex is held.
-func (e *Elector) begin(rows []rowstore.Row, era int64) {
-	if e.isKnown && era == e.seen.Era {
+// beginEra applies the first snapshot of an era. The holder of the former era's lease may
+// not know yet that its era is over. The mutex is held.
+func (e *Elector) beginEra(rows []rowstore.Row, era int64) {
+	if e.hasSnapshot && era == e.observed.Era {
 		return
 	}
-	e.former = formerKeys(rows, era)
+	e.formerLeaseKeys = formerLeaseKeysOf(rows, era)
 	e.holder = ""
-	e.seenSince = time.Now()
-	if e.isKnown || len(e.former) > 0 {
-		e.holder = formerHolder
-		e.restored = e.seenSince
+	e.observedAt = time.Now()
+	if e.hasSnapshot || len(e.formerLeaseKeys) > 0 {
+		e.holder = formerEraHolder
+		e.restoredSince = e.observedAt
 	}
-	e.isKnown = true
-	e.seen = rowstore.Revision{
+	e.hasSnapshot = true
+	e.observed = rowstore.Revision{
 		Era: era,
 	}
 }
 
-// restoredAt returns when the era was first seen, if it is known to follow another.
-func (e *Elector) restoredAt() time.Time {
+// restoreTime returns when the era was first observed, or zero if no former era is known.
+func (e *Elector) restoreTime() time.Time {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.restored
+	return e.restoredSince
 }
 
-// formerKeys returns the keys of leases of other eras.
-func formerKeys(rows []rowstore.Row, era int64) []string {
-	var former []string
+// formerLeaseKeysOf returns the keys of lease rows of other eras.
+func formerLeaseKeysOf(rows []rowstore.Row, era int64) []string {
+	var keys []string
 	for _, row := range rows {
-		if strings.HasPrefix(row.Key, keyPrefix) && row.Key != keyOf(era) {
-			former = append(former, row.Key)
+		if strings.HasPrefix(row.Key, keyPrefix) && row.Key != leaseKey(era) {
+			keys = append(keys, row.Key)
 		}
 	}
-	return former
+	return keys
 }
 
-// formerHolder stands for whoever held the lease of a former era.
-const formerHolder = "\x01"
+// formerEraHolder stands for the unknown holder of a former era's lease.
+const formerEraHolder = "\x01"
 
-// unreadableHolder holds a lease that cannot be read: another writer has overwritten it. It
-// is taken when it was not rewritten for a term, as if its holder had gone; else nobody
-// would lead again.
+// unreadableHolder stands for the holder of a lease that cannot be decoded because another
+// writer has overwritten it. Such a lease expires when it is not rewritten for a term;
+// otherwise no daemon could become leader again.
 const unreadableHolder = "\x00"
 
-// decode decodes the lease's value.
-func decode(encoded []byte) (value, error) {
-	var held value
-	if err := json.Unmarshal(encoded, &held); err != nil {
-		return value{
+// decodeLease decodes the lease value. The holder is unreadableHolder on failure.
+func decodeLease(encoded []byte) (leaseValue, error) {
+	var stored leaseValue
+	if err := json.Unmarshal(encoded, &stored); err != nil {
+		return leaseValue{
 			Holder: unreadableHolder,
 		}, errors.Wrap(err, "decode lease")
 	}
-	return held, nil
+	return stored, nil
 }
 
-// mayTake returns the revision of the row on which taking the lease depends, and
-// whether it is time to try: it is free, was this daemon's own before a restart,
-// or was not rewritten for a term.
-func (e *Elector) mayTake() (rowstore.Revision, bool) {
+// mayAcquire reports whether this daemon may attempt to acquire the lease now: the lease is
+// free, was this daemon's own before a restart, or was not rewritten for a term. It returns
+// the revision of the row on which the attempt is conditional.
+func (e *Elector) mayAcquire() (rowstore.Revision, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.isKnown {
+	if !e.hasSnapshot {
 		return rowstore.Revision{}, false
 	}
 	if e.holder == e.Name {
-		return e.seen, time.Since(e.failedAt) >= ownAgain
+		return e.observed, time.Since(e.lastFailureAt) >= ownLeaseRetryInterval
 	}
-	if e.isAway() {
+	if e.isStoreUnavailable() {
 		return rowstore.Revision{}, false
 	}
-	wait := turnOf(e.Rank())
+	wait := acquireDelay(e.Rank())
 	if e.holder != "" {
 		wait += Term
 	}
-	return e.seen, time.Since(e.seenSince) >= wait
+	return e.observed, time.Since(e.observedAt) >= wait
 }
 
-// turnOf returns how much later than the first one a daemon of a rank tries.
-func turnOf(rank int) time.Duration {
-	early := min(rank, staggered)
-	return time.Duration(early)*stagger + time.Duration(rank-early)*laterStagger
+// acquireDelay returns how much later than rank 0 a daemon of the given rank attempts to
+// acquire the lease.
+func acquireDelay(rank int) time.Duration {
+	fullSteps := min(rank, fullyStaggeredRanks)
+	return time.Duration(fullSteps)*rankStagger + time.Duration(rank-fullSteps)*laterRankStagger
 }
 
-// isAway tells whether the store is away. At its return the lease counts as not
-// rewritten for a term, but no longer: daemons try one after the other. One of a former era
-// is waited for from when the new era was seen. The mutex is held.
-func (e *Elector) isAway() bool {
+// isStoreUnavailable reports whether the store is unreachable. When the store returns, the
+// lease counts as not rewritten for exactly one term, so that daemons attempt to acquire it
+// one after the other. For a lease of a former era the term counts from the first
+// observation of the new era. The mutex is held.
+func (e *Elector) isStoreUnavailable() bool {
 	if e.IsAway != nil && e.IsAway() {
-		e.wasAway = true
+		e.wasUnavailable = true
 		return true
 	}
-	if e.wasAway && e.holder != formerHolder {
-		e.wasAway = false
-		if long := time.Now().Add(-Term); e.seenSince.Before(long) {
-			e.seenSince = long
+	if e.wasUnavailable && e.holder != formerEraHolder {
+		e.wasUnavailable = false
+		if termAgo := time.Now().Add(-Term); e.observedAt.Before(termAgo) {
+			e.observedAt = termAgo
 		}
 	}
 	return false
 }
 
-// putOff waits for a whole turn again, after a try that failed.
-func (e *Elector) putOff() {
+// backOff restarts the waiting time after a failed attempt.
+func (e *Elector) backOff() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.seenSince = time.Now()
-	e.failedAt = e.seenSince
+	e.observedAt = time.Now()
+	e.lastFailureAt = e.observedAt
 }
 
-// Run calls lead whenever this daemon holds the lease, with a context that ends
-// with it, until ctx ends. Then it gives the lease up.
+// Run calls lead whenever this daemon holds the lease, with a context that ends with the
+// lease. It returns when ctx ends, after releasing the lease.
 func (e *Elector) Run(ctx context.Context, lead func(ctx context.Context, lease *Lease)) {
 	for ctx.Err() == nil {
-		lease := e.take(ctx)
+		lease := e.tryAcquire(ctx)
 		if lease == nil {
-			sleep(ctx, lookEvery)
+			sleep(ctx, pollInterval)
 			continue
 		}
 		e.Changed(true, lease.revision(), "taken")
-		e.serve(ctx, lease, lead)
+		e.leadUntilLost(ctx, lease, lead)
 	}
 }
 
-// serve leads until the lease is lost.
-func (e *Elector) serve(ctx context.Context, lease *Lease, lead func(ctx context.Context, lease *Lease)) {
+// leadUntilLost runs lead and renews the lease until it is lost or ctx ends.
+func (e *Elector) leadUntilLost(ctx context.Context, lease *Lease, lead func(ctx context.Context, lease *Lease)) {
 	leading, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
@@ -274,21 +279,21 @@
 	}()
 	reason := "stopped"
 	for leading.Err() == nil {
-		sleep(leading, renewEvery/4)
+		sleep(leading, renewInterval/4)
 		if !lease.Holds() {
-			reason = "its term ended"
+			reason = "the lease expired"
 			break
 		}
-		if e.era() != lease.revision().Era {
+		if e.latestEra() != lease.revision().Era {
 			reason = "the store was restored"
-			lease.lose()
+			lease.markLost()
 			break
 		}
-		if lease.age() < renewEvery {
+		if lease.sinceRenewal() < renewInterval {
 			continue
 		}
 		if _, err := lease.Commit(leading, nil, nil); errors.Is(err, ErrLost) {
-			reason = "another daemon holds it"
+			reason = "another daemon holds the lease"
 			break
 		}
 	}
@@ -300,14 +305,14 @@
 	e.Changed(false, lease.revision(), reason)
 }
 
-// era returns the newest era that was seen.
-func (e *Elector) era() int64 {
+// latestEra returns the newest observed era.
+func (e *Elector) latestEra() int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.seen.Era
+	return e.observed.Era
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -315,38 +320,39 @@
 	}
 }
 
-// take tries to take the lease if it is time. Those of former eras end with it.
-func (e *Elector) take(ctx context.Context) *Lease {
-	seen, isTime := e.mayTake()
-	if !isTime {
+// tryAcquire attempts to acquire the lease if this daemon may do so now. The transaction
+// also removes the leases of former eras.
+func (e *Elector) tryAcquire(ctx context.Context) *Lease {
+	observed, mayAcquire := e.mayAcquire()
+	if !mayAcquire {
 		return nil
 	}
 	lease := &Lease{
-		store:    e.Store,
-		holder:   e.Name,
-		start:    e.Start,
-		era:      seen.Era,
-		version:  seen.Version,
-		restored: e.restoredAt(),
-		clock:    e.Clock,
-		granted:  e.Clock.Now(),
+		store:      e.Store,
+		holder:     e.Name,
+		startID:    e.Start,
+		era:        observed.Era,
+		rowVersion: observed.Version,
+		restoredAt: e.restoreTime(),
+		clock:      e.Clock,
+		renewedAt:  e.Clock.Now(),
 	}
-	if _, err := lease.Commit(ctx, nil, e.formerRows()); err != nil {
-		e.putOff()
+	if _, err := lease.Commit(ctx, nil, e.formerLeaseRows()); err != nil {
+		e.backOff()
 		return nil
 	}
 	e.mutex.Lock()
-	e.former = nil
+	e.formerLeaseKeys = nil
 	e.mutex.Unlock()
 	return lease
 }
 
-// formerRows returns the rows of the leases of former eras.
-func (e *Elector) formerRows() []rowstore.Row {
+// formerLeaseRows returns the lease rows of former eras, to be removed.
+func (e *Elector) formerLeaseRows() []rowstore.Row {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	var rows []rowstore.Row
-	for _, key := range e.former {
+	for _, key := range e.formerLeaseKeys {
 		rows = append(rows, rowstore.Row{
 			Table: Table,
 			Key:   key,
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -15,17 +15,17 @@
 	"headcourse/core/rowstore"
 )
 
-// fakeStore keeps rows under conditions. It can be down, lose answers, or do a
-// write only later.
+// fakeStore stores rows under conditions. It can be unavailable, lose answers, or delay a
+// write.
 type fakeStore struct {
-	mutex     sync.Mutex
-	rows      map[string]rowstore.Row
-	era       int64
-	version   int64
-	isDown    bool
-	loseNext  bool
-	lateNext  time.Duration
-	delivered func(rowstore.Row)
+	mutex           sync.Mutex
+	rows            map[string]rowstore.Row
+	era             int64
+	version         int64
+	isDown          bool
+	losesNextAnswer bool
+	nextDelay       time.Duration
+	onLeaseWrite    func(rowstore.Row)
 }
 
 // newFakeStore returns an empty store.
@@ -35,7 +35,7 @@
 	}
 }
 
-// Read returns all rows.
+// Read returns all rows of the lease table.
 func (f *fakeStore) Read(context.Context, string) (rowstore.Result, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -54,23 +54,23 @@
 	return result, nil
 }
 
-// Feed is not used: the tests tell electors of rows themselves.
+// Feed is not used: the tests deliver rows to the electors themselves.
 func (f *fakeStore) Feed(context.Context, string, rowstore.Revision, time.Duration) (rowstore.Result, error) {
 	return rowstore.Result{}, rowstore.ErrRefused
 }
 
-// Commit does a transaction.
+// Commit applies a transaction, unless the store is set to fail or delay it.
 func (f *fakeStore) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
 	f.mutex.Lock()
-	isDown, isLost, late := f.isDown, f.loseNext, f.lateNext
-	f.loseNext, f.lateNext = false, 0
+	isDown, isLost, delay := f.isDown, f.losesNextAnswer, f.nextDelay
+	f.losesNextAnswer, f.nextDelay = false, 0
 	f.mutex.Unlock()
 	switch {
 	case isDown:
 		return rowstore.Revision{}, rowstore.ErrRefused
-	case late > 0:
+	case delay > 0:
 		go func() {
-			time.Sleep(late)
+			time.Sleep(delay)
 			_, _ = f.apply(transaction)
 		}()
 		return rowstore.Revision{}, rowstore.ErrUnknown
@@ -86,7 +86,7 @@
 	}
 }
 
-// apply does a transaction if its conditions hold.
+// apply applies a transaction if its conditions hold.
 func (f *fakeStore) apply(transaction rowstore.Transaction) (rowstore.Revision, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -99,8 +99,8 @@
 	for _, row := range transaction.Writes {
 		row.Version = f.version
 		f.rows[row.Key] = row
-		if f.delivered != nil && row.Table == leader.Table {
-			f.delivered(row)
+		if f.onLeaseWrite != nil && row.Table == leader.Table {
+			f.onLeaseWrite(row)
 		}
 	}
 	for _, row := range transaction.Removes {
@@ -112,37 +112,37 @@
 	}, nil
 }
 
-// written returns the value of the row that leaders write; "" where there is none.
-func (f *fakeStore) written() string {
+// groupRowValue returns the value of the row that leaders write, or "" if there is none.
+func (f *fakeStore) groupRowValue() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return string(f.rows["g1"].Value)
 }
 
-// set changes how the store behaves.
-func (f *fakeStore) set(change func(f *fakeStore)) {
+// configure changes the store's behaviour under its mutex.
+func (f *fakeStore) configure(change func(f *fakeStore)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change(f)
 }
 
-// cluster is some electors over one store, which tells them of the row.
+// cluster is a set of electors that observe the lease row of one store.
 type cluster struct {
-	store    *fakeStore
-	mutex    sync.Mutex
-	leading  map[string]bool
-	terms    []string
-	overlap  bool
-	electors []*leader.Elector
-	cut      map[string]bool
+	store          *fakeStore
+	mutex          sync.Mutex
+	currentLeaders map[string]bool
+	leaders        []string
+	hasOverlap     bool
+	electors       []*leader.Elector
+	isDisconnected map[string]bool
 }
 
-// newCluster returns electors by name, all told that there is no row yet.
+// newCluster returns electors by name, all of which have observed an empty table.
 func newCluster(names ...string) *cluster {
 	c := &cluster{
-		store:   newFakeStore(),
-		leading: map[string]bool{},
-		cut:     map[string]bool{},
+		store:          newFakeStore(),
+		currentLeaders: map[string]bool{},
+		isDisconnected: map[string]bool{},
 	}
 	for i, name := range names {
 		elector := &leader.Elector{
@@ -152,14 +152,14 @@
 			Rank: func() int {
 				return i
 			},
-			Changed: c.changed(name),
+			Changed: c.recordChange(name),
 		}
 		_ = elector.See(nil, 0, true)
 		c.electors = append(c.electors, elector)
 	}
-	c.store.delivered = func(row rowstore.Row) {
+	c.store.onLeaseWrite = func(row rowstore.Row) {
 		for _, elector := range c.electors {
-			if !c.cut[elector.Name] {
+			if !c.isDisconnected[elector.Name] {
 				_ = elector.See([]rowstore.Row{row}, c.store.era, false)
 			}
 		}
@@ -167,28 +167,28 @@
 	return c
 }
 
-// changed notes who leads.
-func (c *cluster) changed(name string) func(bool, rowstore.Revision, string) {
+// recordChange returns a callback that records the current leaders.
+func (c *cluster) recordChange(name string) func(bool, rowstore.Revision, string) {
 	return func(isLeader bool, _ rowstore.Revision, _ string) {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		if isLeader && len(c.leading) > 0 {
-			c.overlap = true
+		if isLeader && len(c.currentLeaders) > 0 {
+			c.hasOverlap = true
 		}
 		if isLeader {
-			c.leading[name] = true
-			c.terms = append(c.terms, name)
+			c.currentLeaders[name] = true
+			c.leaders = append(c.leaders, name)
 		} else {
-			delete(c.leading, name)
+			delete(c.currentLeaders, name)
 		}
 	}
 }
 
-// leader returns who leads; "" for none.
+// leader returns the name of the current leader, or "" if there is none.
 func (c *cluster) leader() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for name := range c.leading {
+	for name := range c.currentLeaders {
 		return name
 	}
 	return ""
@@ -201,42 +201,42 @@
 	})
 }
 
-func TestOneLeadsAndKeepsLeading(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestFirstDaemonKeepsLeadership(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b", "c")
 		for i := range c.electors {
 			c.run(ctx, i)
 		}
 		time.Sleep(30 * time.Second)
-		qt.Assert(t, c.terms, qt.DeepEquals, []string{"a"})
+		qt.Assert(t, c.leaders, qt.DeepEquals, []string{"a"})
 	})
 }
 
-func TestAnotherTakesOverWithinTwoTermsOfADeath(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestSuccessorTakesOverWithinTwoTermsOfCrash(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b", "c")
-		dying, die := context.WithCancel(context.Background())
-		c.run(dying, 0)
+		crashing, crash := context.WithCancel(context.Background())
+		c.run(crashing, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
 		c.run(ctx, 2)
-		// A death is not a stop: the lease is not given up.
-		c.store.set(func(f *fakeStore) {
+		// A crash differs from a stop: the lease is not released.
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = true
 		})
-		die()
+		crash()
 		time.Sleep(100 * time.Millisecond)
-		c.store.set(func(f *fakeStore) {
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = false
 		})
 		time.Sleep(2 * leader.Term)
 		qt.Assert(t, c.leader(), qt.Equals, "b")
-		qt.Assert(t, c.overlap, qt.IsFalse)
+		qt.Assert(t, c.hasOverlap, qt.IsFalse)
 	})
 }
 
-func TestStoppedLeaderGivesTheLeaseUp(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestStoppedLeaderReleasesLease(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
 		stopping, stop := context.WithCancel(context.Background())
 		c.run(stopping, 0)
@@ -248,81 +248,82 @@
 	})
 }
 
-// A leader that does not reach the store stops before another can begin.
-func TestLeaderWithoutStoreStopsBeforeItsSuccessorBegins(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// Guards against a leader without access to the store that still acts when its successor
+// starts.
+func TestLeaderWithoutStoreStopsBeforeSuccessorStarts(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
-		cutOff := newFakeStore()
-		c.electors[0].Store = &switched{
+		unavailable := newFakeStore()
+		c.electors[0].Store = &switchableStore{
 			store: c.store,
-			other: cutOff,
+			other: unavailable,
 		}
 		c.run(ctx, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
-		cutOff.set(func(f *fakeStore) {
+		unavailable.configure(func(f *fakeStore) {
 			f.isDown = true
 		})
-		c.electors[0].Store.(*switched).cut()
+		c.electors[0].Store.(*switchableStore).switchToOther()
 		time.Sleep(3 * leader.Term)
 		qt.Assert(t, c.leader(), qt.Equals, "b")
-		qt.Assert(t, c.overlap, qt.IsFalse)
+		qt.Assert(t, c.hasOverlap, qt.IsFalse)
 	})
 }
 
-// switched is a store that is replaced by another when it is cut.
-type switched struct {
-	mutex sync.Mutex
-	store *fakeStore
-	other *fakeStore
-	isCut bool
+// switchableStore forwards calls to one store, and to another after switchToOther.
+type switchableStore struct {
+	mutex      sync.Mutex
+	store      *fakeStore
+	other      *fakeStore
+	isSwitched bool
 }
 
-// cut switches to the other store.
-func (s *switched) cut() {
+// switchToOther switches to the other store.
+func (s *switchableStore) switchToOther() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.isCut = true
+	s.isSwitched = true
 }
 
 // current returns the store in use.
-func (s *switched) current() *fakeStore {
+func (s *switchableStore) current() *fakeStore {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.isCut {
+	if s.isSwitched {
 		return s.other
 	}
 	return s.store
 }
 
 // Read reads the store in use.
-func (s *switched) Read(ctx context.Context, table string) (rowstore.Result, error) {
+func (s *switchableStore) Read(ctx context.Context, table string) (rowstore.Result, error) {
 	return s.current().Read(ctx, table)
 }
 
 // Feed follows the store in use.
-func (s *switched) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
+func (s *switchableStore) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
 	return s.current().Feed(ctx, table, since, wait)
 }
 
 // Commit writes to the store in use.
-func (s *switched) Commit(ctx context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
+func (s *switchableStore) Commit(ctx context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
 	return s.current().Commit(ctx, transaction)
 }
 
-// run plays a test on the paused clock; what it started ends with ctx, after it.
-func run(t *testing.T, play func(ctx context.Context, t *testing.T)) {
+// runWithFakeClock runs a test on a fake clock and ends the goroutines that it started.
+func runWithFakeClock(t *testing.T, test func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		play(ctx, t)
+		test(ctx, t)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// held runs an elector until it leads and returns its lease.
-func held(ctx context.Context, c *cluster) *leader.Lease {
+// acquireLease runs the first elector until it leads and returns its lease.
+func acquireLease(ctx context.Context, c *cluster) *leader.Lease {
 	leases := make(chan *leader.Lease, 1)
 	go c.electors[0].Run(ctx, func(ctx context.Context, lease *leader.Lease) {
 		leases <- lease
@@ -331,8 +332,8 @@
 	return <-leases
 }
 
-// record is a row that a leader writes.
-func record(value string) []rowstore.Row {
+// groupRow returns a row that a leader writes.
+func groupRow(value string) []rowstore.Row {
 	return []rowstore.Row{
 		{
 			Table: "groups",
@@ -342,80 +343,80 @@
 	}
 }
 
-func TestChangeWhoseAnswerWasLostIsUnknownAndNotDoneTwice(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestCommitWithLostAnswerIsUnknownAndAppliedOnce(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
-		lease := held(ctx, c)
-		c.store.set(func(f *fakeStore) {
-			f.loseNext = true
+		lease := acquireLease(ctx, c)
+		c.store.configure(func(f *fakeStore) {
+			f.losesNextAnswer = true
 		})
-		_, err := lease.Commit(ctx, record("1"), nil)
+		_, err := lease.Commit(ctx, groupRow("1"), nil)
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
-		qt.Assert(t, c.store.written(), qt.Equals, "1")
+		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "1")
 		qt.Assert(t, lease.Holds(), qt.IsTrue)
 	})
 }
 
-// A write that the store would do seconds later is dead once its writer has been
-// told that the outcome is unknown: the lease row has changed since.
-func TestChangeThatIsDoneLateIsNotDoneAtAll(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// A store may apply a write seconds later. Such a write must fail once its writer was told
+// that the outcome is unknown, since the version of the lease row has changed.
+func TestDelayedCommitIsNotApplied(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
-		lease := held(ctx, c)
-		c.store.set(func(f *fakeStore) {
-			f.lateNext = 3 * time.Second
+		lease := acquireLease(ctx, c)
+		c.store.configure(func(f *fakeStore) {
+			f.nextDelay = 3 * time.Second
 		})
-		_, err := lease.Commit(ctx, record("late"), nil)
+		_, err := lease.Commit(ctx, groupRow("late"), nil)
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
-		_, err = lease.Commit(ctx, record("next"), nil)
+		_, err = lease.Commit(ctx, groupRow("next"), nil)
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, c.store.written(), qt.Equals, "next")
+		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "next")
 	})
 }
 
-// A leader whose machine slept for longer than a term woke with a lease that seemed to hold,
-// and gave orders beside its successor.
-func TestLeaseDoesNotHoldAfterASuspension(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// A leader whose VM was suspended for longer than a term resumed with a lease that seemed
+// valid, and sent orders while its successor did the same.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
 		var suspended atomic.Int64
 		c.electors[0].Clock = boottime.Clock{
 			Suspended: func() time.Duration { return time.Duration(suspended.Load()) },
 		}
-		lease := held(ctx, c)
+		lease := acquireLease(ctx, c)
 		qt.Assert(t, lease.Holds(), qt.IsTrue)
 		suspended.Add(int64(leader.Term))
 		qt.Assert(t, lease.Holds(), qt.IsFalse)
 	})
 }
 
-func TestFormerLeaderChangesNothing(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestFormerLeaderCannotCommit(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
-		paused, wake := context.WithCancel(context.Background())
-		former := held(paused, c)
-		// The daemon is paused: it renews nothing and hears nothing.
-		c.cut["a"] = true
-		c.store.set(func(f *fakeStore) {
+		paused, resume := context.WithCancel(context.Background())
+		former := acquireLease(paused, c)
+		// The paused daemon neither renews the lease nor observes rows.
+		c.isDisconnected["a"] = true
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = true
 		})
 		time.Sleep(2 * leader.Term)
-		c.store.set(func(f *fakeStore) {
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = false
 		})
 		c.run(ctx, 1)
 		time.Sleep(2 * leader.Term)
 		qt.Assert(t, former.Holds(), qt.IsFalse)
-		_, err := former.Commit(ctx, record("old"), nil)
+		_, err := former.Commit(ctx, groupRow("old"), nil)
 		qt.Assert(t, err, qt.ErrorIs, leader.ErrLost)
-		qt.Assert(t, c.store.written(), qt.Equals, "")
-		wake()
+		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "")
+		resume()
 	})
 }
 
-func TestRestartedLeaderTakesItsOwnLeaseAtOnce(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+func TestRestartedLeaderReacquiresOwnLeaseImmediately(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
 		_, err := c.store.Commit(ctx, rowstore.Transaction{
 			Writes: []rowstore.Row{
@@ -434,58 +435,59 @@
 	})
 }
 
-// countingStore counts the changes that are tried.
+// countingStore counts attempted commits.
 type countingStore struct {
 	rowstore.Store
-	tries *atomic.Int64
+	attempts *atomic.Int64
 }
 
 // Commit counts and commits.
 func (c countingStore) Commit(ctx context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
-	c.tries.Add(1)
+	c.attempts.Add(1)
 	return c.Store.Commit(ctx, transaction)
 }
 
-// Found on a drawn day of a site with 68 daemons: all of them tried for the lease while
-// the store was away, again and again.
-func TestNobodyTriesForTheLeaseWhileTheStoreIsAway(t *testing.T) {
-	run(t, func(ctx context.Context, t *testing.T) {
+// All 68 daemons of a site repeatedly attempted to acquire the lease while the store was
+// unavailable.
+func TestNoAcquireAttemptsWhileStoreIsUnavailable(t *testing.T) {
+	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b", "c")
-		var isAway atomic.Bool
-		var tries atomic.Int64
+		var isUnavailable atomic.Bool
+		var attempts atomic.Int64
 		for _, elector := range c.electors {
-			elector.IsAway = isAway.Load
+			elector.IsAway = isUnavailable.Load
 			elector.Store = countingStore{
-				Store: c.store,
-				tries: &tries,
+				Store:    c.store,
+				attempts: &attempts,
 			}
 		}
-		dying, die := context.WithCancel(context.Background())
-		c.run(dying, 0)
+		crashing, crash := context.WithCancel(context.Background())
+		c.run(crashing, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
 		c.run(ctx, 2)
-		isAway.Store(true)
-		c.store.set(func(f *fakeStore) {
+		isUnavailable.Store(true)
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = true
 		})
-		die()
+		crash()
 		synctest.Wait()
-		before := tries.Load()
-		// The outage ends between two looks: at the moment of one, one daemon may see the
-		// end a whole look later than another.
-		const outage, betweenLooks = 8 * time.Second, 10 * time.Millisecond
-		time.Sleep(outage + betweenLooks)
-		qt.Assert(t, tries.Load(), qt.Equals, before)
-
-		// At its return one takes it soon, and the others do not try as well.
-		c.store.set(func(f *fakeStore) {
+		before := attempts.Load()
+		// The outage ends between two polls. If it ended at a poll, one daemon could
+		// observe the end a whole poll later than another.
+		const outage, betweenPolls = 8 * time.Second, 10 * time.Millisecond
+		time.Sleep(outage + betweenPolls)
+		qt.Assert(t, attempts.Load(), qt.Equals, before)
+
+		// When the store returns, one daemon acquires the lease soon and the others make no
+		// attempt.
+		c.store.configure(func(f *fakeStore) {
 			f.isDown = false
 		})
-		isAway.Store(false)
+		isUnavailable.Store(false)
 		time.Sleep(300 * time.Millisecond)
 		qt.Assert(t, c.leader(), qt.Equals, "b")
-		qt.Assert(t, tries.Load() <= before+2, qt.IsTrue, qt.Commentf("%d tries", tries.Load()-before))
-		qt.Assert(t, c.overlap, qt.IsFalse)
+		qt.Assert(t, attempts.Load() <= before+2, qt.IsTrue, qt.Commentf("%d attempts", attempts.Load()-before))
+		qt.Assert(t, c.hasOverlap, qt.IsFalse)
 	})
 }
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -12,75 +12,76 @@
 	"headcourse/core/rowstore"
 )
 
-// read returns the lease row of the store's era; version 0: there is none.
-func read(ctx context.Context, store rowstore.Store) (rowstore.Revision, value, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// readLease reads the lease row of the store's current era. Version 0 means that there is
+// no row.
+func readLease(ctx context.Context, store rowstore.Store) (rowstore.Revision, leaseValue, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	result, err := store.Read(ctx, Table)
 	if err != nil {
-		return rowstore.Revision{}, value{}, errors.Wrap(err, "read lease")
+		return rowstore.Revision{}, leaseValue{}, errors.Wrap(err, "read lease")
 	}
 	found := rowstore.Revision{
 		Era: result.Era,
 	}
 	for _, row := range result.Rows {
-		if row.Key != keyOf(result.Era) {
+		if row.Key != leaseKey(result.Era) {
 			continue
 		}
 		found.Version = row.Version
-		// One that cannot be read is held by nobody that is known.
-		held, _ := decode(row.Value)
-		return found, held, nil
+		// A value that cannot be decoded has no known holder.
+		stored, _ := decodeLease(row.Value)
+		return found, stored, nil
 	}
-	return found, value{}, nil
+	return found, leaseValue{}, nil
 }
 
-// Lease is the right to change groups while it holds.
+// Lease is the right to change groups while it is valid.
 type Lease struct {
-	store  rowstore.Store
-	holder string
-	start  string
-	// clock goes on while the machine is suspended: another daemon may have taken the
-	// lease when it wakes.
+	store   rowstore.Store
+	holder  string
+	startID string
+	// clock also counts time during which the VM is suspended: another daemon may have
+	// acquired the lease by the time it resumes.
 	clock boottime.Clock
 
-	// committing allows one change at a time, since each changes the version
-	// that the next is conditional on.
-	committing sync.Mutex
-	// era is that in which the lease was taken.
+	// commitMutex allows one change at a time, since each change sets the version that the
+	// next one is conditional on.
+	commitMutex sync.Mutex
+	// era is the era in which the lease was acquired.
 	era int64
-	// restored is when the era was first seen here; zero where it is not known to follow
-	// another.
-	restored time.Time
-	mutex    sync.Mutex
-	version  int64
-	count    int64
-	granted  time.Time
-	isLost   bool
+	// restoredAt is when the era was first observed, or zero if no former era is known.
+	restoredAt time.Time
+	mutex      sync.Mutex
+	rowVersion int64
+	writeCount int64
+	renewedAt  time.Time
+	isLost     bool
 }
 
-// Holds tells whether the holder may still act.
+// Holds reports whether the holder may still act.
 func (l *Lease) Holds() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return !l.isLost && l.clock.Since(l.granted) < Term-safety
+	return !l.isLost && l.clock.Since(l.renewedAt) < Term-safetyMargin
 }
 
-// age returns the time since the last rewrite.
-func (l *Lease) age() time.Duration {
+// sinceRenewal returns the time since the last rewrite.
+func (l *Lease) sinceRenewal() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.clock.Since(l.granted)
+	return l.clock.Since(l.renewedAt)
 }
 
-// Era returns the era of the store in which the lease was taken.
+// Era returns the era of the store in which the lease was acquired.
 func (l *Lease) Era() int64 {
 	return l.era
 }
 
-// HasSettled tells whether the store was restored longer ago than a time, or not at all.
+// HasSettled reports whether the last restore of the store is longer ago than the given
+// time, or no restore is known.
 func (l *Lease) HasSettled(within time.Duration) bool {
-	return l.restored.IsZero() || time.Since(l.restored) > within
+	return l.restoredAt.IsZero() || time.Since(l.restoredAt) > within
 }
 
 // revision returns the revision of the last rewrite.
@@ -89,76 +90,77 @@
 	defer l.mutex.Unlock()
 	return rowstore.Revision{
 		Era:     l.era,
-		Version: l.version,
+		Version: l.rowVersion,
 	}
 }
 
-// lose marks the lease as lost.
-func (l *Lease) lose() {
+// markLost marks the lease as lost.
+func (l *Lease) markLost() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.isLost = true
 }
 
-// Commit makes a change under the lease and renews it by the same transaction.
-// It returns the revision of the change's rows. ErrLost says that the lease is lost, and
-// that nothing was or will be done unless the store was restored meanwhile;
-// rowstore.ErrUnknown that the change may have been done but cannot be done any more.
+// Commit applies a change under the lease and renews the lease in the same transaction. It
+// returns the revision of the changed rows. ErrLost means that the lease is lost and that
+// the change was not applied and will not be, unless the store was restored meanwhile.
+// rowstore.ErrUnknown means that the change may have been applied but can no longer be
+// applied later.
 func (l *Lease) Commit(ctx context.Context, writes, removes []rowstore.Row) (rowstore.Revision, error) {
-	l.committing.Lock()
-	defer l.committing.Unlock()
-	sent := l.clock.Now()
-	l.count++
+	l.commitMutex.Lock()
+	defer l.commitMutex.Unlock()
+	sentAt := l.clock.Now()
+	l.writeCount++
 	committed, err := l.commitOnce(ctx, writes, removes)
 	if err == nil {
-		l.renewed(committed.Version, sent)
+		l.recordRenewal(committed.Version, sentAt)
 		return committed, nil
 	}
 	var conflict *rowstore.Conflict
 	switch {
 	case errors.As(err, &conflict), errors.Is(err, rowstore.ErrRestored):
-		l.lose()
+		l.markLost()
 		return rowstore.Revision{}, errors.Wrapf(ErrLost, "commit under lease: %s", err)
 	case errors.Is(err, rowstore.ErrUnknown):
-		return rowstore.Revision{}, l.settle(ctx)
+		return rowstore.Revision{}, l.fencePending(ctx)
 	default:
 		return rowstore.Revision{}, errors.Wrap(err, "commit under lease")
 	}
 }
 
-// renewed notes a rewrite.
-func (l *Lease) renewed(version int64, sent time.Time) {
+// recordRenewal records a rewrite that was sent at the given time.
+func (l *Lease) recordRenewal(version int64, sentAt time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.version = version
-	l.granted = sent
+	l.rowVersion = version
+	l.renewedAt = sentAt
 }
 
-// commitOnce makes one transaction, conditional on the lease row.
+// commitOnce commits one transaction that is conditional on the lease row.
 func (l *Lease) commitOnce(ctx context.Context, writes, removes []rowstore.Row) (rowstore.Revision, error) {
-	encoded, err := json.Marshal(value{
+	encoded, err := json.Marshal(leaseValue{
 		Holder: l.holder,
-		Start:  l.start,
-		Count:  l.count,
+		Start:  l.startID,
+		Count:  l.writeCount,
 	})
 	if err != nil {
 		return rowstore.Revision{}, errors.Wrap(err, "encode lease")
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	return l.store.Commit(ctx, rowstore.Transaction{
 		Era: l.era,
 		Conditions: []rowstore.Condition{
 			{
 				Table:   Table,
-				Key:     keyOf(l.era),
-				Version: l.version,
+				Key:     leaseKey(l.era),
+				Version: l.rowVersion,
 			},
 		},
 		Writes: append([]rowstore.Row{
 			{
 				Table: Table,
-				Key:   keyOf(l.era),
+				Key:   leaseKey(l.era),
 				Value: encoded,
 			},
 		}, writes...),
@@ -166,43 +168,43 @@
 	})
 }
 
-// settle makes sure that a change whose answer was lost cannot be done any
-// more: it rewrites the lease row, on whose version the change depends.
-func (l *Lease) settle(ctx context.Context) error {
-	found, held, err := read(ctx, l.store)
+// fencePending ensures that a change whose answer was lost can no longer be applied: it
+// rewrites the lease row, on whose version the change is conditional.
+func (l *Lease) fencePending(ctx context.Context) error {
+	found, stored, err := readLease(ctx, l.store)
 	if err != nil {
-		return errors.Wrap(rowstore.ErrUnknown, "settle change")
+		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
 	}
-	isOthers := found.Version != 0 && (held.Holder != l.holder || held.Start != l.start) && found.Version != l.version
-	if isOthers || found.Era != l.era {
-		l.lose()
-		return errors.Wrap(ErrLost, "settle change")
+	isHeldByOther := found.Version != 0 && (stored.Holder != l.holder || stored.Start != l.startID) && found.Version != l.rowVersion
+	if isHeldByOther || found.Era != l.era {
+		l.markLost()
+		return errors.Wrap(ErrLost, "fence pending change")
 	}
 	l.mutex.Lock()
-	l.version = found.Version
+	l.rowVersion = found.Version
 	l.mutex.Unlock()
-	sent := l.clock.Now()
-	l.count++
+	sentAt := l.clock.Now()
+	l.writeCount++
 	committed, err := l.commitOnce(ctx, nil, nil)
 	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
-		// The lost change has been done in between; the next settle sees it.
-		return errors.Wrap(rowstore.ErrUnknown, "settle change")
+		// The pending change was applied in between; the next call observes it.
+		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
 	}
 	if err == nil {
-		l.renewed(committed.Version, sent)
+		l.recordRenewal(committed.Version, sentAt)
 	}
-	return errors.Wrap(rowstore.ErrUnknown, "settle change")
+	return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
 }
 
-// release gives the lease up, so that another daemon takes it at its next look.
+// release frees the lease, so that another daemon acquires it at its next check.
 func (l *Lease) release() {
 	if !l.Holds() {
 		return
 	}
 	l.holder = ""
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	// A failure costs the others the rest of the term.
+	// If this fails, the other daemons wait for the rest of the term.
 	_, _ = l.commitOnce(ctx, nil, nil)
 }
