--- a/core/control/control_test.go
+++ b/core/control/control_test.go
@@ -21,8 +21,8 @@
 	os.Exit(fuzz.Main(m))
 }
 
-// declaredFleet returns a fleet in which three zones have two groups each.
-func declaredFleet(t *testing.T, daemons, vmsPerDomain int) *fleet.Fleet {
+// newDeclaredFleet returns a fleet in which three zones have two groups each.
+func newDeclaredFleet(t *testing.T, daemons, vmsPerDomain int) *fleet.Fleet {
 	t.Helper()
 	f := fleet.New(fleet.Settings{
 		Daemons:      daemons,
@@ -33,22 +33,22 @@
 	return f
 }
 
-func TestReconcileFormsGroups(t *testing.T) {
+func TestReconcileFormsDeclaredGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 5)
+		f := newDeclaredFleet(t, 3, 5)
 		qt.Assert(t, f.Serving(), qt.Equals, 6)
 	})
 }
 
 func TestDrainZoneMovesGroupsWithoutDowntime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
-		made, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
+		f := newDeclaredFleet(t, 3, 6)
+		proposed, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
 		})
 		qt.Assert(t, err, qt.IsNil)
-		downtime, _ := made.Predicted()
+		downtime, _ := proposed.Predicted()
 		qt.Assert(t, downtime, qt.Equals, 0.0)
 		f.Run(3 * time.Second)
 		qt.Assert(t, f.Confirm(f.Hosts[1], "drain"), qt.IsNil)
@@ -66,9 +66,9 @@
 	})
 }
 
-func TestConflictingPlansNeverBothWin(t *testing.T) {
+func TestOnlyOneOfConflictingPlansIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
+		f := newDeclaredFleet(t, 3, 6)
 		_, err := f.Propose(f.Hosts[0], "a", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
@@ -87,9 +87,9 @@
 	})
 }
 
-func TestPausedMemberReturnsWithoutReforming(t *testing.T) {
+func TestPausedMemberReturnsWithoutReformingGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 5)
+		f := newDeclaredFleet(t, 3, 5)
 		record := f.Hosts[0].Controller.World().Groups[0]
 		f.Servers[record.Members[1].VM].Paused = true
 		f.Run(4 * time.Second)
@@ -105,7 +105,7 @@
 
 func TestDeadMemberIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 5)
+		f := newDeclaredFleet(t, 3, 5)
 		record := f.Hosts[0].Controller.World().Groups[0]
 		f.Servers[record.Members[0].VM].Die()
 		f.Run(time.Second)
@@ -116,24 +116,24 @@
 	})
 }
 
-func TestStoreOutageStopsNobody(t *testing.T) {
+func TestGroupsServeDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 5, 5)
+		f := newDeclaredFleet(t, 5, 5)
 		f.StoreOut = true
 		for range 60 {
 			f.Run(time.Minute)
 			qt.Assert(t, f.Serving(), qt.Equals, 6)
 		}
-		for _, one := range f.Hosts {
-			qt.Assert(t, time.Now().Before(one.Controller.Snapshot().ServeUntil), qt.IsTrue)
+		for _, host := range f.Hosts {
+			qt.Assert(t, time.Now().Before(host.Controller.Snapshot().ServeUntil), qt.IsTrue)
 		}
 		qt.Assert(t, f.Broken, qt.HasLen, 0)
 	})
 }
 
-func TestLeavingVMGetsNoNewWork(t *testing.T) {
+func TestGroupWithLeavingVMGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 5)
+		f := newDeclaredFleet(t, 3, 5)
 		record := f.Hosts[0].Controller.World().Groups[0]
 		leaving := f.List[record.Members[1].VM]
 		leaving.State = vm.Leaving
@@ -142,7 +142,7 @@
 		leader.Ends = []time.Time{time.Now().Add(5 * time.Second)}
 		f.Run(3 * time.Second)
 		qt.Assert(t, f.Serving(), qt.Equals, 5)
-		// The answer in flight is finished before the group is formed anew.
+		// The request in flight ends before the group is formed again.
 		after, _ := f.Hosts[0].Controller.World().Group(record.Name)
 		qt.Assert(t, after.Generation, qt.Equals, record.Generation)
 		f.Run(20 * time.Second)
@@ -150,10 +150,10 @@
 	})
 }
 
-// TestFleetKeepsItsPromises plays all failures against the fleet, singly and
-// together. The oracle looks after every fleet.Tick and every commit; at the end all
-// faults are lifted and the fleet must have come to rest where it was asked.
-func TestFleetKeepsItsPromises(t *testing.T) {
+// Injects all failures into the fleet, singly and together. The invariants are checked
+// after every fleet.Tick and every commit. At the end all faults are lifted, and the fleet
+// must converge to its declaration.
+func TestFleetKeepsInvariantsUnderFaults(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		f := fleet.New(fleet.Settings{
 			Daemons:      rapid.IntRange(2, 5).Draw(rt, "daemons"),
@@ -167,17 +167,17 @@
 			return time.Duration(rapid.Int64Range(0, int64(limit/fleet.Tick)).Draw(rt, "delay")) * fleet.Tick
 		}
 		plans := 0
-		rt.Repeat(actionsOf(f, &plans))
-		checkRest(rt, f)
+		rt.Repeat(faultActions(f, &plans))
+		checkConvergence(rt, f)
 	})
 }
 
-// actionsOf returns the failures and the operators' doings.
-func actionsOf(f *fleet.Fleet, plans *int) map[string]func(*rapid.T) {
-	aHost := func(rt *rapid.T) *fleet.Host {
+// faultActions returns the failures to inject and the actions of operators.
+func faultActions(f *fleet.Fleet, plans *int) map[string]func(*rapid.T) {
+	drawHost := func(rt *rapid.T) *fleet.Host {
 		return f.Hosts[rapid.IntRange(0, len(f.Hosts)-1).Draw(rt, "daemon")]
 	}
-	aServer := func(rt *rapid.T) *fleet.Server {
+	drawServer := func(rt *rapid.T) *fleet.Server {
 		return f.Servers[rapid.SampledFrom(f.IDs).Draw(rt, "vm")]
 	}
 	wait := func(rt *rapid.T) {
@@ -186,26 +186,26 @@
 	return map[string]func(*rapid.T){
 		"": func(rt *rapid.T) {
 			if len(f.Broken) > 0 {
-				rt.Fatalf("promises broken: %v", f.Broken)
+				rt.Fatalf("invariants violated: %v", f.Broken)
 			}
 		},
 		"wait":       wait,
 		"wait again": wait,
 		"kill server": func(rt *rapid.T) {
-			aServer(rt).Die()
+			drawServer(rt).Die()
 		},
 		"pause server": func(rt *rapid.T) {
-			aServer(rt).Paused = true
+			drawServer(rt).Paused = true
 		},
 		"server returns": func(rt *rapid.T) {
-			found := aServer(rt)
-			found.Dead = false
-			found.Paused = false
+			server := drawServer(rt)
+			server.Dead = false
+			server.Paused = false
 		},
 		"domain dark": func(rt *rapid.T) {
-			dark := aServer(rt).VM.Domain
+			domain := drawServer(rt).VM.Domain
 			for _, id := range f.IDs {
-				if f.Servers[id].VM.Domain == dark {
+				if f.Servers[id].VM.Domain == domain {
 					f.Servers[id].Paused = true
 				}
 			}
@@ -214,10 +214,10 @@
 			f.HealServers()
 		},
 		"pause daemon": func(rt *rapid.T) {
-			aHost(rt).Paused = true
+			drawHost(rt).Paused = true
 		},
 		"daemon returns": func(rt *rapid.T) {
-			aHost(rt).Paused = false
+			drawHost(rt).Paused = false
 		},
 		"replace daemon": func(rt *rapid.T) {
 			if len(f.Hosts) > 2 {
@@ -227,23 +227,23 @@
 			f.AddDaemon()
 		},
 		"cut off from peers": func(rt *rapid.T) {
-			one := aHost(rt)
-			one.CutOff = !one.CutOff
+			host := drawHost(rt)
+			host.CutOff = !host.CutOff
 		},
 		"store fault": func(rt *rapid.T) {
-			aHost(rt).Fault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
+			drawHost(rt).Fault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
 		},
 		"store down": func(*rapid.T) {
 			f.StoreOut = !f.StoreOut
 		},
 		"vm leaves": func(rt *rapid.T) {
-			if leaving, ok := f.List[aServer(rt).VM.ID]; ok {
+			if leaving, ok := f.List[drawServer(rt).VM.ID]; ok {
 				leaving.State = vm.Leaving
 				f.List[leaving.ID] = leaving
 			}
 		},
 		"vm stays": func(rt *rapid.T) {
-			back := aServer(rt).VM
+			back := drawServer(rt).VM
 			f.List[back.ID] = back
 		},
 		"apply": func(rt *rapid.T) {
@@ -251,32 +251,32 @@
 			for zone := range fleet.Zones {
 				replicas[fmt.Sprintf("z%d", zone)] = rapid.IntRange(0, 2).Draw(rt, "replicas")
 			}
-			_ = f.Apply(aHost(rt), fleet.Declared(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
+			_ = f.Apply(drawHost(rt), fleet.Declared(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
 		},
 		"propose": func(rt *rapid.T) {
 			*plans++
-			_, _ = f.Propose(aHost(rt), fmt.Sprintf("plan-%d", *plans), intentOf(rt, f))
+			_, _ = f.Propose(drawHost(rt), fmt.Sprintf("plan-%d", *plans), drawIntent(rt, f))
 		},
 		"confirm": func(rt *rapid.T) {
-			_ = f.Confirm(aHost(rt), fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")))
+			_ = f.Confirm(drawHost(rt), fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")))
 		},
 		"race": func(rt *rapid.T) {
 			*plans += 2
 			for number := *plans - 1; number <= *plans; number++ {
-				_, _ = f.Propose(aHost(rt), fmt.Sprintf("plan-%d", number), intentOf(rt, f))
+				_, _ = f.Propose(drawHost(rt), fmt.Sprintf("plan-%d", number), drawIntent(rt, f))
 			}
 			f.Run(4 * time.Second)
 			for number := *plans - 1; number <= *plans; number++ {
-				_ = f.Confirm(aHost(rt), fmt.Sprintf("plan-%d", number))
+				_ = f.Confirm(drawHost(rt), fmt.Sprintf("plan-%d", number))
 			}
 		},
 		"hear again": func(rt *rapid.T) {
-			f.HearAgain(aHost(rt), rapid.IntRange(0, 400).Draw(rt, "said"))
+			f.HearAgain(drawHost(rt), rapid.IntRange(0, 400).Draw(rt, "said"))
 		},
 		"requests": func(rt *rapid.T) {
 			for range 4 {
 				takes := time.Duration(rapid.IntRange(1, 30).Draw(rt, "takes")) * time.Second
-				f.Request(aHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), takes)
+				f.Request(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), takes)
 			}
 		},
 		"change plan": func(rt *rapid.T) {
@@ -286,8 +286,8 @@
 	}
 }
 
-// intentOf draws an intent.
-func intentOf(rt *rapid.T, f *fleet.Fleet) plan.Intent {
+// drawIntent draws an intent.
+func drawIntent(rt *rapid.T, f *fleet.Fleet) plan.Intent {
 	kinds := plan.Kinds()
 	zone := func(name string) string {
 		return fmt.Sprintf("z%d", rapid.IntRange(0, fleet.Zones-1).Draw(rt, name))
@@ -304,14 +304,14 @@
 	}
 }
 
-// checkRest lifts all faults, resumes paused plans, and checks after some
-// minutes that every plan has ended, no group is left in between, and no VM is
-// claimed or reserved by what does not exist.
-func checkRest(rt *rapid.T, f *fleet.Fleet) {
+// checkConvergence lifts all faults, resumes paused plans, and checks that eventually every
+// plan is in a final state, no group is in a transitional phase, and no VM is claimed or
+// reserved by a group or plan that does not exist.
+func checkConvergence(rt *rapid.T, f *fleet.Fleet) {
 	f.HealServers()
 	f.StoreOut = false
-	for _, one := range f.Hosts {
-		one.Paused, one.CutOff, one.Fault = false, false, fleet.StoreFine
+	for _, host := range f.Hosts {
+		host.Paused, host.CutOff, host.Fault = false, false, fleet.StoreFine
 	}
 	for id, listed := range f.List {
 		listed.State = vm.Live
@@ -319,34 +319,35 @@
 	}
 	f.Run(30 * time.Second)
 	f.ResumeAll()
-	unrest := errors.New("not looked yet")
-	for waited := time.Duration(0); unrest != nil && waited < restBound; waited += restStep {
-		f.Run(restStep)
-		unrest = f.Unrest()
+	notConverged := errors.New("not checked yet")
+	for waited := time.Duration(0); notConverged != nil && waited < convergenceTimeout; waited += convergencePollInterval {
+		f.Run(convergencePollInterval)
+		notConverged = f.Unrest()
 	}
 	if len(f.Broken) > 0 {
-		rt.Fatalf("promises broken: %v", f.Broken)
+		rt.Fatalf("invariants violated: %v", f.Broken)
 	}
-	if unrest != nil {
-		for _, one := range f.Hosts {
-			rt.Logf("%s holds %v reached %d", one.Controller.Self().ID, one.Controller.Held(), one.Controller.Reached())
+	if notConverged != nil {
+		for _, host := range f.Hosts {
+			rt.Logf("%s holds %v reached %d", host.Controller.Self().ID, host.Controller.Held(), host.Controller.Reached())
 		}
 		rt.Logf("leases: %s", f.Leases())
-		rt.Fatalf("no rest %s after all faults were lifted: %s", restBound, unrest)
+		rt.Fatalf("fleet has not converged %s after all faults were lifted: %s", convergenceTimeout, notConverged)
 	}
 }
 
-// The fleet must have come to rest restBound after all faults were lifted.
+// convergenceTimeout is the time within which the fleet must converge after all faults are
+// lifted.
 const (
-	restBound = 12 * time.Minute
-	restStep  = 20 * time.Second
+	convergenceTimeout      = 12 * time.Minute
+	convergencePollInterval = 20 * time.Second
 )
 
-// TestPlanAvoidsVMsThatDoNotAnswer: the VM list still has a VM as live whose
-// backend server is dead.
-func TestPlanAvoidsVMsThatDoNotAnswer(t *testing.T) {
+// Guards against a plan on VMs that the VM list has as live although their backend servers
+// are dead.
+func TestPlanAvoidsUnresponsiveVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
+		f := newDeclaredFleet(t, 3, 6)
 		dead := map[string]bool{}
 		for _, domain := range f.Hosts[0].Controller.World().Domains(nil) {
 			if len(domain.Free) > 0 {
@@ -355,12 +356,12 @@
 			}
 		}
 		f.Run(5 * time.Second)
-		made, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
+		proposed, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
 		})
 		qt.Assert(t, err, qt.IsNil)
-		for _, id := range made.Reserves {
+		for _, id := range proposed.Reserves {
 			qt.Assert(t, dead[id], qt.IsFalse, qt.Commentf(id))
 		}
 	})
--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -1,14 +1,14 @@
-// Package control is the decision-making part of one daemon.
+// Package control makes the control decisions of one daemon.
 //
-// A Controller is owned by one goroutine. It is told what the daemon has
-// learned (rows of the table, the VM list, probes, other daemons' reports,
-// outcomes of transactions) and asked by Step what to do: transactions to
-// commit and orders to send. It does no I/O itself and takes the time from the
-// runtime's clock, so that tests play failures against this very code.
+// A Controller is owned by one goroutine. The daemon passes in what it observes: rows of
+// the table, the VM list, probes, reports of other daemons, outcomes of transactions. Step
+// returns what to do: transactions to commit and orders to send. The Controller does no I/O
+// and reads the time from the runtime's clock, so that tests can run failures against the
+// same code.
 //
-// What it learned may be late, repeated or out of order. Nothing rests on it
-// being right: every transaction is conditional on the rows that it was
-// decided from and on the epoch of the lease that it was decided under.
+// Observations may be late, repeated or out of order. Safety does not depend on them: every
+// transaction is conditional on the rows on which the decision is based and on the epoch of
+// the lease under which it was made.
 package control
 
 import (
@@ -28,16 +28,16 @@
 	"headcourse/core/vm"
 )
 
-// Commit is a transaction to be committed. About names what it is for; while
-// one is under way no other with the same name is asked for.
+// Commit is a transaction to be committed. About identifies its purpose: at most one commit
+// with the same About is pending at a time.
 type Commit struct {
 	About       string
 	Transaction table.Transaction
 	SentAt      time.Time
 }
 
-// Send is an order to be sent to a member. The sender checks Lease once more
-// right before it writes.
+// Send is an order to be sent to a member. The sender checks Lease again immediately before
+// it writes.
 type Send struct {
 	VM      string
 	Address string
@@ -45,116 +45,116 @@
 	Lease   lease.Held
 }
 
-// Actions is what Step asks for.
+// Actions is the result of Step.
 type Actions struct {
 	Commits []Commit
 	Sends   []Send
-	// Refresh asks for a read of the store now, because something known was
-	// found to be out of date.
+	// Refresh requests a read of the store now, because a known row was found to be stale.
 	Refresh bool
 }
 
-// probe is the newest word of one backend server.
+// probe is the latest probe result of one backend server.
 type probe struct {
 	state order.State
-	// answeredAt is the start of the last probe that was answered.
-	answeredAt time.Time
-	// firstAt is when this daemon began to probe it.
-	firstAt time.Time
-	// refused tells that the newest probe was refused outright.
-	refused bool
+	// lastAnsweredAt is the start of the last probe that was answered.
+	lastAnsweredAt time.Time
+	// firstProbedAt is when this daemon started to probe the server.
+	firstProbedAt time.Time
+	// isRefused is set if the latest probe's connection was refused.
+	isRefused bool
 }
 
-// sighting is when a version of a row was first seen here.
-type sighting struct {
-	version uint64
-	since   time.Time
+// rowObservation is when a version of a row was first observed here.
+type rowObservation struct {
+	version         uint64
+	firstObservedAt time.Time
 }
 
-// change is an entry of the log of changed rows that other daemons read.
-type change struct {
+// logEntry is an entry of the log of changed rows that other daemons read.
+type logEntry struct {
 	position int
 	key      string
 }
 
-// Controller is the control state of one daemon. Use New.
+// Controller is the control state of one daemon. Use New to create one.
 type Controller struct {
-	self    roster.Daemon
-	leaving bool
-	started time.Time
+	self      roster.Daemon
+	isLeaving bool
+	startedAt time.Time
 
 	repairer Repairer
 
-	rows    catalog.Catalog
-	log     []change
-	logged  int
-	pruned  time.Time
-	world   plan.World
-	reader  plan.Reader
-	isStale bool
-	roster  roster.Roster
-	// alive are the daemons heard lately, and watched what this daemon watches
-	// among them, by name.
-	alive   roster.Roster
-	watched map[string]bool
+	rows         catalog.Catalog
+	changeLog    []logEntry
+	logPosition  int
+	prunedAt     time.Time
+	world        plan.World
+	worldReader  plan.Reader
+	isWorldStale bool
+	roster       roster.Roster
+	// liveDaemons are the daemons whose reports are recent. watchCache caches by name
+	// whether this daemon is one of their watchers.
+	liveDaemons roster.Roster
+	watchCache  map[string]bool
 
 	vms    map[string]vm.VM
 	probes map[string]probe
-	// unjudged are the VMs whose probes changed since evidence was derived.
-	unjudged map[string]bool
-	// observed is the newest evidence that this daemon made itself, by name.
-	observed map[string]presence.Evidence
-	// badAt is when evidence last spoke against a VM or group, by name.
-	badAt   map[string]time.Time
-	book    presence.Book
-	contact contact.Contact
-	held    map[int]lease.Held
-	// releasing holds the epochs of leases being given up, by shard.
-	releasing map[int]uint64
-	granted   [lease.Shards]granted
-	// orderedUntil is when the last order of each shard has arrived.
-	orderedUntil [lease.Shards]time.Time
-	seen         map[string]sighting
-	suspects     map[string]time.Time
-	ordered      map[string]time.Time
-	sequence     uint64
-	pending      map[string]bool
-
-	renewedAt  time.Time
-	renewCount uint64
-	releasedAt time.Time
-	refresh    bool
-}
-
-// Repairer chooses what is done about a group that lost members.
+	// changedProbes are the VMs whose probes changed since evidence was last derived.
+	changedProbes map[string]bool
+	// ownEvidence is the newest evidence from this daemon's own probes, by name.
+	ownEvidence map[string]presence.Evidence
+	// negativeEvidenceAt is when evidence last said that a VM or group is not whole, by
+	// name.
+	negativeEvidenceAt map[string]time.Time
+	book               presence.Book
+	contact            contact.Contact
+	heldLeases         map[int]lease.Held
+	// releasingEpochs holds the epochs of leases that are being released, by shard.
+	releasingEpochs map[int]uint64
+	grantCache      [lease.Shards]cachedGrant
+	// lastOrderExpiry is the time by which the last order of each shard has arrived.
+	lastOrderExpiry [lease.Shards]time.Time
+	rowObservations map[string]rowObservation
+	suspectSince    map[string]time.Time
+	lastOrderAt     map[string]time.Time
+	orderSequence   uint64
+	pendingCommits  map[string]bool
+
+	renewedAt      time.Time
+	renewCount     uint64
+	lastHandOverAt time.Time
+	needsRefresh   bool
+}
+
+// Repairer chooses the remedy for a group that lost members.
 type Repairer interface {
 	Repair(loss placement.Loss, domains []placement.Domain, weights declaration.Weights) (placement.Remedy, placement.Choice)
 }
 
-// RepairBy replaces the repair policy, which is placement.Weighed.
+// RepairBy replaces the repair policy. The default is placement.Weighed.
 func (c *Controller) RepairBy(repairer Repairer) {
 	c.repairer = repairer
 }
 
-// New returns the controller of a daemon that has learned nothing yet.
+// New returns the controller of a daemon that has observed nothing yet.
 func New(self roster.Daemon) *Controller {
 	return &Controller{
-		self:      self,
-		started:   time.Now(),
-		repairer:  placement.Weighed{},
-		vms:       map[string]vm.VM{},
-		probes:    map[string]probe{},
-		unjudged:  map[string]bool{},
-		observed:  map[string]presence.Evidence{},
-		badAt:     map[string]time.Time{},
-		held:      map[int]lease.Held{},
-		releasing: map[int]uint64{},
-		seen:      map[string]sighting{},
-		suspects:  map[string]time.Time{},
-		ordered:   map[string]time.Time{},
-		pending:   map[string]bool{},
-		watched:   map[string]bool{},
-		isStale:   true,
+		self:               self,
+		startedAt:          time.Now(),
+		repairer:           placement.Weighed{},
+		vms:                map[string]vm.VM{},
+		probes:             map[string]probe{},
+		changedProbes:      map[string]bool{},
+		ownEvidence:        map[string]presence.Evidence{},
+		negativeEvidenceAt: map[string]time.Time{},
+		heldLeases:         map[int]lease.Held{},
+		releasingEpochs:    map[int]uint64{},
+		rowObservations:    map[string]rowObservation{},
+		suspectSince:       map[string]time.Time{},
+		lastOrderAt:        map[string]time.Time{},
+		pendingCommits:     map[string]bool{},
+		watchCache:         map[string]bool{},
+		isWorldStale:       true,
 	}
 }
 
@@ -162,51 +162,51 @@
 func (c *Controller) Step() Actions {
 	now := time.Now()
 	c.rebuild()
-	c.judge()
+	c.deriveEvidence()
 	actions := &Actions{}
 	c.prune(now)
-	c.noteUnwell()
+	c.markUnresponsive()
 	c.stepRoster(actions, now)
 	c.stepLeases(actions, now)
 	c.stepGroups(actions, now)
 	c.stepPlans(actions)
-	actions.Refresh = c.refresh
-	c.refresh = false
+	actions.Refresh = c.needsRefresh
+	c.needsRefresh = false
 	return *actions
 }
 
-// commit asks for a transaction unless one with this name is under way.
-func (c *Controller) commit(actions *Actions, about string, transaction table.Transaction) {
-	if c.pending[about] {
+// requestCommit adds a commit to the actions unless one with the same name is pending.
+func (c *Controller) requestCommit(actions *Actions, name string, transaction table.Transaction) {
+	if c.pendingCommits[name] {
 		return
 	}
-	c.pending[about] = true
+	c.pendingCommits[name] = true
 	actions.Commits = append(actions.Commits, Commit{
-		About:       about,
+		About:       name,
 		Transaction: transaction,
 		SentAt:      time.Now(),
 	})
 }
 
 // ----------------------------------------------------------------------------
-// Learning
+// Observations
 
-// LearnStore adds rows read from the store by a scan that began at a time and
+// LearnStore adds rows that a scan of the store returned. The scan started at startedAt and
 // was complete up to version.
-func (c *Controller) LearnStore(rows []table.Row, version uint64, began time.Time) {
+func (c *Controller) LearnStore(rows []table.Row, version uint64, startedAt time.Time) {
 	c.addRows(rows)
 	c.rows = c.rows.WithReached(version)
-	c.contact = c.contact.WithStore(began)
+	c.contact = c.contact.WithStore(startedAt)
 }
 
-// LearnRows adds rows from elsewhere: a peer, or a scan cut short.
+// LearnRows adds rows from another source: a peer, or an incomplete scan.
 func (c *Controller) LearnRows(rows []table.Row) {
 	c.addRows(rows)
 }
 
-// LearnReports adds what daemons were heard to hold, and evidence of groups.
+// LearnReports adds reports of which rows daemons hold, and evidence of groups.
 func (c *Controller) LearnReports(reports []contact.Report, evidence []presence.Evidence) {
-	c.noteBad(evidence)
+	c.recordNegativeEvidence(evidence)
 	c.contact = c.contact.WithReports(reports...)
 	c.book = c.book.WithEvidence(evidence...)
 }
@@ -218,42 +218,42 @@
 		vms[entry.ID] = entry
 	}
 	c.vms = vms
-	c.isStale = true
+	c.isWorldStale = true
 }
 
-// LearnProbe notes a probe of a VM that began at a time and was answered.
-func (c *Controller) LearnProbe(id string, began time.Time, state order.State) {
-	known := c.probes[id]
-	if known.firstAt.IsZero() {
-		known.firstAt = began
+// LearnProbe records a probe of a VM that started at startedAt and was answered.
+func (c *Controller) LearnProbe(id string, startedAt time.Time, state order.State) {
+	latest := c.probes[id]
+	if latest.firstProbedAt.IsZero() {
+		latest.firstProbedAt = startedAt
 	}
-	if began.Before(known.answeredAt) {
+	if startedAt.Before(latest.lastAnsweredAt) {
 		return
 	}
-	known.state = state
-	known.answeredAt = began
-	known.refused = false
-	c.probes[id] = known
-	c.unjudged[id] = true
-}
-
-// LearnSilence notes a probe of a VM that was not answered. refused tells that
-// the connection was refused, which is certain word that nothing runs there.
-func (c *Controller) LearnSilence(id string, began time.Time, refused bool) {
-	known := c.probes[id]
-	if known.firstAt.IsZero() {
-		known.firstAt = began
+	latest.state = state
+	latest.lastAnsweredAt = startedAt
+	latest.isRefused = false
+	c.probes[id] = latest
+	c.changedProbes[id] = true
+}
+
+// LearnSilence records a probe of a VM that was not answered. isRefused means that the
+// connection was refused, which proves that no server runs there.
+func (c *Controller) LearnSilence(id string, startedAt time.Time, isRefused bool) {
+	latest := c.probes[id]
+	if latest.firstProbedAt.IsZero() {
+		latest.firstProbedAt = startedAt
 	}
-	known.refused = refused && began.After(known.answeredAt)
-	c.probes[id] = known
-	c.unjudged[id] = true
+	latest.isRefused = isRefused && startedAt.After(latest.lastAnsweredAt)
+	c.probes[id] = latest
+	c.changedProbes[id] = true
 }
 
-// Committed notes the outcome of a commit that Step asked for.
+// Committed records the outcome of a commit that Step requested.
 func (c *Controller) Committed(commit Commit, version uint64, err error) {
-	delete(c.pending, commit.About)
+	delete(c.pendingCommits, commit.About)
 	if err != nil {
-		c.refresh = true
+		c.needsRefresh = true
 		return
 	}
 	rows := make([]table.Row, 0, len(commit.Transaction.Writes))
@@ -266,165 +266,164 @@
 		})
 	}
 	c.addRows(rows)
-	if commit.About == aboutRenewal {
-		c.renewed(commit)
+	if commit.About == renewalCommit {
+		c.extendLeases(commit)
 	}
 }
 
-// addRows adds rows and notes what has to be derived anew.
+// addRows adds rows and marks the state derived from them as stale.
 func (c *Controller) addRows(rows []table.Row) {
-	var news []table.Row
-	c.rows, news = c.rows.WithRows(rows)
+	var changed []table.Row
+	c.rows, changed = c.rows.WithRows(rows)
 	now := time.Now()
-	for _, row := range news {
-		c.seen[row.Key] = sighting{
-			version: row.Version,
-			since:   now,
+	for _, row := range changed {
+		c.rowObservations[row.Key] = rowObservation{
+			version:         row.Version,
+			firstObservedAt: now,
 		}
 		if isLeaseRow(row.Key) {
-			// Leases are of use only to whoever reaches the store, and change
-			// too often to be told to everyone by everyone.
+			// Lease rows matter only to daemons that reach the store, and they change too
+			// often to be passed on to all daemons.
 			continue
 		}
-		c.isStale = true
-		c.logged++
-		c.log = append(c.log, change{
-			position: c.logged,
+		c.isWorldStale = true
+		c.logPosition++
+		c.changeLog = append(c.changeLog, logEntry{
+			position: c.logPosition,
 			key:      row.Key,
 		})
 	}
 	c.compactLog()
 }
 
-// slackLog is how many superseded entries the log may hold.
-const slackLog = 4096
+// maxSupersededEntries is how many superseded entries the change log may hold.
+const maxSupersededEntries = 4096
 
-// compactLog drops entries that were superseded: a key needs only its last.
+// compactLog drops superseded entries: only the last entry of a key is needed.
 func (c *Controller) compactLog() {
-	if len(c.log) <= slackLog+c.rows.Len() {
+	if len(c.changeLog) <= maxSupersededEntries+c.rows.Len() {
 		return
 	}
 	last := map[string]int{}
-	for _, entry := range c.log {
+	for _, entry := range c.changeLog {
 		last[entry.key] = entry.position
 	}
-	kept := make([]change, 0, len(last))
-	for _, entry := range c.log {
+	kept := make([]logEntry, 0, len(last))
+	for _, entry := range c.changeLog {
 		if last[entry.key] == entry.position {
 			kept = append(kept, entry)
 		}
 	}
-	c.log = kept
+	c.changeLog = kept
 }
 
-// isLeaseRow tells whether a key belongs to leases, which the world does not
-// depend on.
+// isLeaseRow reports whether a key is that of a lease or renewal row, on which the world
+// does not depend.
 func isLeaseRow(key string) bool {
 	return hasPrefix(key, lease.KeyPrefix) || hasPrefix(key, lease.RenewalPrefix)
 }
 
-// hasPrefix tells whether key begins with prefix.
+// hasPrefix reports whether key begins with prefix.
 func hasPrefix(key, prefix string) bool {
 	return len(key) >= len(prefix) && key[:len(prefix)] == prefix
 }
 
-// rebuild derives the world and the roster from the rows, if they changed.
+// rebuild derives the world and the roster from the rows if they changed.
 func (c *Controller) rebuild() {
-	if !c.isStale {
+	if !c.isWorldStale {
 		return
 	}
 	listed := make([]vm.VM, 0, len(c.vms))
 	for _, entry := range c.vms {
 		listed = append(listed, entry)
 	}
-	world, err := c.reader.World(c.rows, listed)
+	world, err := c.worldReader.World(c.rows, listed)
 	if err != nil {
-		// A row that cannot be read is left for a daemon that can read it.
+		// A row that cannot be decoded is left to a daemon that can decode it.
 		return
 	}
 	c.world = world
 	c.roster = roster.Of(c.rows)
-	c.isStale = false
+	c.isWorldStale = false
 }
 
-// Times of pruning.
 const (
-	pruneEvery = 10 * time.Second
-	// forgetAfter is how old observations are that nobody can use any more.
-	forgetAfter = 2 * time.Minute
+	pruneInterval = 10 * time.Second
+	// observationMaxAge is the age after which an observation is of no use.
+	observationMaxAge = 2 * time.Minute
 )
 
-// prune forgets old observations.
+// prune drops old observations.
 func (c *Controller) prune(now time.Time) {
-	if now.Sub(c.pruned) < pruneEvery {
+	if now.Sub(c.prunedAt) < pruneInterval {
 		return
 	}
-	c.pruned = now
-	c.book = c.book.WithoutOlder(now.Add(-forgetAfter))
-	c.contact = c.contact.WithoutOlder(now.Add(-forgetAfter))
-	for id, since := range c.suspects {
-		if now.Sub(since) > suspectFor {
-			delete(c.suspects, id)
+	c.prunedAt = now
+	c.book = c.book.WithoutOlder(now.Add(-observationMaxAge))
+	c.contact = c.contact.WithoutOlder(now.Add(-observationMaxAge))
+	for id, since := range c.suspectSince {
+		if now.Sub(since) > suspectTime {
+			delete(c.suspectSince, id)
 		}
 	}
-	for name, at := range c.badAt {
-		if now.Sub(at) > forgetAfter {
-			delete(c.badAt, name)
+	for name, at := range c.negativeEvidenceAt {
+		if now.Sub(at) > observationMaxAge {
+			delete(c.negativeEvidenceAt, name)
 		}
 	}
-	for name, one := range c.observed {
-		if now.Sub(one.At) > forgetAfter {
-			delete(c.observed, name)
+	for name, evidence := range c.ownEvidence {
+		if now.Sub(evidence.At) > observationMaxAge {
+			delete(c.ownEvidence, name)
 		}
 	}
-	for id, known := range c.probes {
-		if now.Sub(known.answeredAt) > forgetAfter && now.Sub(known.firstAt) > forgetAfter {
+	for id, latest := range c.probes {
+		if now.Sub(latest.lastAnsweredAt) > observationMaxAge && now.Sub(latest.firstProbedAt) > observationMaxAge {
 			delete(c.probes, id)
 		}
 	}
 }
 
 // ----------------------------------------------------------------------------
-// What others read
+// Access to the state
 
 // Self returns the daemon's own entry.
 func (c *Controller) Self() roster.Daemon {
 	return c.self
 }
 
-// Leave makes the controller give up its leases and its place in the roster.
+// Leave makes the controller release its leases and leave the roster.
 func (c *Controller) Leave() {
-	c.leaving = true
+	c.isLeaving = true
 }
 
-// World returns the world as learned so far.
+// World returns the world as observed so far.
 func (c *Controller) World() plan.World {
 	c.rebuild()
-	c.noteUnwell()
+	c.markUnresponsive()
 	return c.world
 }
 
-// Roster returns the daemons as learned so far.
+// Roster returns the daemons as observed so far.
 func (c *Controller) Roster() roster.Roster {
 	c.rebuild()
 	return c.roster
 }
 
-// Contact returns what was heard of the store and of other daemons.
+// Contact returns when the store and other daemons were last in contact.
 func (c *Controller) Contact() contact.Contact {
 	return c.contact
 }
 
 // Book returns the newest evidence of every group.
 func (c *Controller) Book() presence.Book {
-	c.judge()
+	c.deriveEvidence()
 	return c.book
 }
 
-// Held returns the leases that the daemon believes it holds, by shard.
+// Held returns the leases that the daemon believes it holds, ordered by shard.
 func (c *Controller) Held() []lease.Held {
-	held := make([]lease.Held, 0, len(c.held))
-	for _, entry := range c.held {
+	held := make([]lease.Held, 0, len(c.heldLeases))
+	for _, entry := range c.heldLeases {
 		held = append(held, entry)
 	}
 	sort.Slice(held, func(i, j int) bool {
@@ -438,7 +437,7 @@
 	return c.rows.Row(plan.ConfigKey).Version
 }
 
-// Reached returns the commit up to which the store was read.
+// Reached returns the version up to which the store was read completely.
 func (c *Controller) Reached() uint64 {
 	return c.rows.Reached()
 }
@@ -452,27 +451,27 @@
 	}
 }
 
-// Changes returns the rows that changed after a position in the daemon's own
-// log, at most limit, and the position to go on from. A position that this log
-// never reached counts as 0.
+// Changes returns at most limit rows that changed after a position in the daemon's change
+// log, the position to continue from, and whether there are more rows. A position beyond
+// the end of this log counts as 0.
 func (c *Controller) Changes(position, limit int) (rows []table.Row, next int, more bool) {
-	if position < 0 || position > c.logged {
+	if position < 0 || position > c.logPosition {
 		position = 0
 	}
 	all := c.rows.ByKey()
-	taken := map[string]bool{}
-	first := sort.Search(len(c.log), func(i int) bool {
-		return c.log[i].position > position
+	isIncluded := map[string]bool{}
+	first := sort.Search(len(c.changeLog), func(i int) bool {
+		return c.changeLog[i].position > position
 	})
-	for _, entry := range c.log[first:] {
+	for _, entry := range c.changeLog[first:] {
 		if len(rows) == limit {
 			return rows, position, true
 		}
 		position = entry.position
-		if !taken[entry.key] {
-			taken[entry.key] = true
+		if !isIncluded[entry.key] {
+			isIncluded[entry.key] = true
 			rows = append(rows, all[entry.key])
 		}
 	}
-	return rows, c.logged, false
+	return rows, c.logPosition, false
 }
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -14,85 +14,87 @@
 )
 
 const (
-	aboutGroup = "group "
+	groupCommitPrefix = "group "
 
-	// orderAgainAfter is the least time between two orders to one member.
-	orderAgainAfter = 2 * time.Second
-	// suspectFor is how long a VM that was lost is not chosen again.
-	suspectFor = 2 * time.Minute
-	// freshFor is how old a probe's answer may be for a controller's decision.
-	freshFor = 3 * time.Second
+	// orderResendInterval is the minimum time between two orders to one member.
+	orderResendInterval = 2 * time.Second
+	// suspectTime is how long a lost VM is not chosen again.
+	suspectTime = 2 * time.Minute
+	// maxProbeAge is the maximum age of a probe answer on which a controller decides.
+	maxProbeAge = 3 * time.Second
 )
 
-// stepGroups takes the next step of every group whose shard is held.
+// stepGroups carries out the next step of every group whose shard this daemon holds.
 func (c *Controller) stepGroups(actions *Actions, now time.Time) {
 	for _, held := range c.Usable() {
 		for _, record := range c.world.Groups {
-			if ShardOf(record.Name) == held.Shard && !c.pending[aboutGroup+record.Name] {
+			if ShardOf(record.Name) == held.Shard && !c.pendingCommits[groupCommitPrefix+record.Name] {
 				c.stepGroup(actions, held, record, now)
 			}
 		}
 	}
 }
 
-// stepGroup carries out one group's decision.
+// stepGroup carries out the next step of one group.
 func (c *Controller) stepGroup(actions *Actions, held lease.Held, record group.Record, now time.Time) {
-	decision := record.Decide(c.views(record, now), now.Sub(c.seen[group.Key(record.Name)].since))
+	decision := record.Decide(c.memberViews(record, now), now.Sub(c.rowObservations[group.Key(record.Name)].firstObservedAt))
 	switch decision.Verb {
 	case group.Place:
-		c.place(actions, held, record)
+		c.placeGroup(actions, held, record)
 	case group.SendLoad:
-		c.send(actions, held, record, decision.Members, record.Load(c.nextSequence(held)))
+		c.sendOrders(actions, held, record, decision.Members, record.Load(c.nextSequence(held)))
 	case group.SendUnload:
-		c.send(actions, held, record, decision.Members, record.Unload(c.nextSequence(held)))
+		c.sendOrders(actions, held, record, decision.Members, record.Unload(c.nextSequence(held)))
 	case group.Serve:
 		c.commitGroup(actions, held, record, record.WithPhase(group.Serving))
 	case group.Repair:
-		c.repair(actions, held, record, decision.Members, now)
+		c.repairGroup(actions, held, record, decision.Members, now)
 	case group.Reload:
-		again := record.WithMembers(record.Members, record.Zone, record.Domain, c.world.Floor(record.Members))
-		c.commitGroup(actions, held, record, again)
+		reloaded := record.WithMembers(record.Members, record.Zone, record.Domain, c.world.Floor(record.Members))
+		c.commitGroup(actions, held, record, reloaded)
 	case group.Vacate:
 		next := record.WithoutMembers()
 		c.commitGroup(actions, held, record, record.WithDraining(&next))
 	case group.Dissolve:
-		c.dissolve(actions, held, record)
+		c.dissolveGroup(actions, held, record)
 	case group.Rest:
 	}
 }
 
-// sequenceBits is how many orders a controller can number under one lease.
+// sequenceBits is the number of bits of an order's sequence that number the orders under
+// one lease. The bits above hold the epoch.
 const sequenceBits = 20
 
-// nextSequence returns a sequence above all that any controller has used under
-// an earlier lease on the shard: the epoch counts first.
+// nextSequence returns a sequence above all that any controller used under an earlier lease
+// on the shard, since the epoch takes the higher bits.
 func (c *Controller) nextSequence(held lease.Held) uint64 {
-	c.sequence++
-	return held.Epoch<<sequenceBits | (c.sequence & (1<<sequenceBits - 1))
+	c.orderSequence++
+	return held.Epoch<<sequenceBits | (c.orderSequence & (1<<sequenceBits - 1))
 }
 
-// views returns what was observed of each member.
-func (c *Controller) views(record group.Record, now time.Time) []group.View {
+// memberViews returns what was observed of each member.
+func (c *Controller) memberViews(record group.Record, now time.Time) []group.View {
 	views := make([]group.View, len(record.Members))
 	for i, member := range record.Members {
-		known := c.probes[member.VM]
+		latest := c.probes[member.VM]
 		listed, isListed := c.vms[member.VM]
-		since := known.answeredAt
+		since := latest.lastAnsweredAt
 		if since.IsZero() {
-			since = known.firstAt
+			since = latest.firstProbedAt
 		}
-		// Time before the group took its present form counts against nobody.
-		if formed := c.seen[group.Key(record.Name)].since; formed.After(since) {
-			since = formed
+		// A member is not blamed for time before the group's current record or before this
+		// daemon's lease.
+		if formedAt := c.rowObservations[group.Key(record.Name)].firstObservedAt; formedAt.After(since) {
+			since = formedAt
 		}
-		if taken := c.heldSince(record.Name); taken.After(since) {
-			since = taken
+		if leasedAt := c.leaseObservedAt(record.Name); leasedAt.After(since) {
+			since = leasedAt
 		}
 		views[i] = group.View{
-			Fresh:     !known.refused && !known.answeredAt.IsZero() && now.Sub(known.answeredAt) <= freshFor,
-			State:     known.state,
+			Fresh:     !latest.isRefused && !latest.lastAnsweredAt.IsZero() && now.Sub(latest.lastAnsweredAt) <= maxProbeAge,
+			State:     latest.state,
 			UnseenFor: now.Sub(since),
-			Refused:   known.refused,
+			Refused:   latest.isRefused,
 			Listed:    isListed || len(c.vms) == 0,
 			Leaving:   isListed && listed.State == vm.Leaving,
 		}
@@ -100,21 +102,21 @@
 	return views
 }
 
-// heldSince returns when the lease on a group's shard was first seen here.
-func (c *Controller) heldSince(name string) time.Time {
-	return c.seen[lease.Key(ShardOf(name))].since
+// leaseObservedAt returns when the lease on a group's shard was first observed here.
+func (c *Controller) leaseObservedAt(name string) time.Time {
+	return c.rowObservations[lease.Key(ShardOf(name))].firstObservedAt
 }
 
-// send orders members, each at most once in orderAgainAfter.
-func (c *Controller) send(actions *Actions, held lease.Held, record group.Record, members []int, o order.Order) {
+// sendOrders sends an order to members, each at most once per orderResendInterval.
+func (c *Controller) sendOrders(actions *Actions, held lease.Held, record group.Record, members []int, o order.Order) {
 	held = held.WithOrder()
 	for _, index := range members {
 		member := record.Members[index]
-		if time.Since(c.ordered[member.VM]) < orderAgainAfter {
+		if time.Since(c.lastOrderAt[member.VM]) < orderResendInterval {
 			continue
 		}
-		c.ordered[member.VM] = time.Now()
-		c.orderedUntil[held.Shard] = held.Expires
+		c.lastOrderAt[member.VM] = time.Now()
+		c.lastOrderExpiry[held.Shard] = held.Expires
 		actions.Sends = append(actions.Sends, Send{
 			VM:      member.VM,
 			Address: member.Address,
@@ -125,19 +127,19 @@
 }
 
 // ----------------------------------------------------------------------------
-// Changing membership
+// Membership changes
 
-// commitGroup writes a group's new record and moves its claims: members given
-// up are freed, members kept or taken carry the new generation. All of it is
-// conditional on the group's row, on every claim's row and on the lease.
+// commitGroup writes a group's new record and updates the claims of its VMs: removed
+// members are freed, and kept or added members get the new generation. The transaction is
+// conditional on the group's row, on the row of every claim and on the lease.
 func (c *Controller) commitGroup(actions *Actions, held lease.Held, from, to group.Record) {
-	change := c.changeMembers(from, to)
+	change := c.membershipChange(from, to)
 	change = change.WithWrite(table.Put(group.Key(to.Name), to))
-	c.commit(actions, aboutGroup+from.Name, held.Fence(change))
+	c.requestCommit(actions, groupCommitPrefix+from.Name, held.Fence(change))
 }
 
-// changeMembers returns the transaction that moves the claims of a group.
-func (c *Controller) changeMembers(from, to group.Record) table.Transaction {
+// membershipChange returns the transaction that updates the claims of a group's VMs.
+func (c *Controller) membershipChange(from, to group.Record) table.Transaction {
 	key := group.Key(from.Name)
 	change := table.Transaction{}
 	change = change.WithCondition(key, c.rows.Row(key).Version)
@@ -148,12 +150,12 @@
 		if !to.Has(member.VM) {
 			claim := c.world.Claims[member.VM]
 			claim.Group = ""
-			claim.Plan = reservedBy(from, to)
-			change = c.claim(change, member.VM, claim)
+			claim.Plan = reservingPlan(from, to)
+			change = c.addClaimWrite(change, member.VM, claim)
 		}
 	}
 	for _, member := range to.Members {
-		change = c.claim(change, member.VM, vm.Claim{
+		change = c.addClaimWrite(change, member.VM, vm.Claim{
 			Group:      to.Name,
 			Generation: to.Generation,
 		})
@@ -161,10 +163,10 @@
 	return change
 }
 
-// reservedBy returns the plan that VMs given up are kept for: a group that a
-// plan dissolves leaves its VMs to the plan's later steps, while one that lost
-// members must be able to use the others again itself.
-func reservedBy(from, to group.Record) string {
+// reservingPlan returns the plan for which removed VMs stay reserved. A group that a plan
+// dissolves leaves its VMs to later steps of that plan. A group that lost members must be
+// able to use its other VMs again itself.
+func reservingPlan(from, to group.Record) string {
 	isDissolved := from.Phase == group.Draining && from.Next == nil && len(to.Members) == 0
 	if isDissolved {
 		return from.Plan
@@ -172,20 +174,20 @@
 	return ""
 }
 
-// claim adds the write of a claim, conditional on the claim's row.
-func (c *Controller) claim(change table.Transaction, id string, claim vm.Claim) table.Transaction {
+// addClaimWrite adds the write of a claim, conditional on the claim's row.
+func (c *Controller) addClaimWrite(change table.Transaction, id string, claim vm.Claim) table.Transaction {
 	key := vm.Key(id)
 	change = change.WithCondition(key, c.rows.Row(key).Version)
 	return change.WithWrite(table.Put(key, claim))
 }
 
-// place chooses VMs for a waiting group.
-func (c *Controller) place(actions *Actions, held lease.Held, record group.Record) {
+// placeGroup chooses VMs for a waiting group.
+func (c *Controller) placeGroup(actions *Actions, held lease.Held, record group.Record) {
 	model, ok := c.world.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
-	choice := placement.Place(c.freeDomains(), []placement.Want{{
+	choice := placement.Place(c.domainsWithoutSuspects(), []placement.Want{{
 		Name:  record.Name,
 		Size:  model.VMsPerReplica,
 		Zones: c.world.ZonesFor(model, record.Zone),
@@ -197,19 +199,19 @@
 	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.world.Floor(members)))
 }
 
-// repair applies the cheapest remedy for lost members.
-func (c *Controller) repair(actions *Actions, held lease.Held, record group.Record, lost []int, now time.Time) {
+// repairGroup applies the cheapest remedy for lost members.
+func (c *Controller) repairGroup(actions *Actions, held lease.Held, record group.Record, lost []int, now time.Time) {
 	model, ok := c.world.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
-	loss, isLost := c.lossOf(record, model, lost, now)
-	remedy, choice := c.repairer.Repair(loss, c.freeDomains(), c.world.Configuration.Declaration.Weights)
+	loss, isLost := c.describeLoss(record, model, lost, now)
+	remedy, choice := c.repairer.Repair(loss, c.domainsWithoutSuspects(), c.world.Configuration.Declaration.Weights)
 	taken := plan.MembersOf(choice.Members)
 	var next group.Record
 	switch remedy {
 	case placement.Replace:
-		next = record.WithMembers(replaceLost(record.Members, isLost, taken), record.Zone, record.Domain, 0)
+		next = record.WithMembers(replaceLostMembers(record.Members, isLost, taken), record.Zone, record.Domain, 0)
 	case placement.Move:
 		next = record.WithMembers(taken, choice.Zone, choice.Domain, 0)
 	case placement.GiveUp:
@@ -220,24 +222,24 @@
 	}
 	next.Generation = max(record.Generation, c.world.Floor(next.Members)) + 1
 	for id := range isLost {
-		c.suspects[id] = now
+		c.suspectSince[id] = now
 	}
 	c.commitGroup(actions, held, record, next)
 }
 
-// lossOf describes the loss, and returns the lost VMs.
-func (c *Controller) lossOf(record group.Record, model declaration.Model, lost []int, now time.Time) (placement.Loss, map[string]bool) {
+// describeLoss describes the loss and returns the set of lost VMs.
+func (c *Controller) describeLoss(record group.Record, model declaration.Model, lost []int, now time.Time) (placement.Loss, map[string]bool) {
 	isLost := map[string]bool{}
-	unseen, away := 0.0, 0.0
-	views := c.views(record, now)
+	unseenSeconds, awaySeconds := 0.0, 0.0
+	views := c.memberViews(record, now)
 	for _, index := range lost {
 		isLost[record.Members[index].VM] = true
-		away = max(away, views[index].UnseenFor.Seconds())
+		awaySeconds = max(awaySeconds, views[index].UnseenFor.Seconds())
 		if !views[index].Listed || views[index].Refused {
-			unseen = -1
+			unseenSeconds = -1
 		}
-		if unseen >= 0 {
-			unseen = max(unseen, views[index].UnseenFor.Seconds())
+		if unseenSeconds >= 0 {
+			unseenSeconds = max(unseenSeconds, views[index].UnseenFor.Seconds())
 		}
 	}
 	accelerators := 0
@@ -253,14 +255,14 @@
 		Zones:         c.world.ZonesFor(model, record.Zone),
 		Domain:        record.Domain,
 		LoadSeconds:   model.LoadTime.Or(declaration.DefaultLoadTime).Seconds(),
-		UnseenSeconds: unseen,
-		AwaySeconds:   away,
+		UnseenSeconds: unseenSeconds,
+		AwaySeconds:   awaySeconds,
 		Accelerators:  accelerators,
 	}, isLost
 }
 
-// replaceLost returns the members with spares in place of the lost ones.
-func replaceLost(members []group.Member, isLost map[string]bool, spares []group.Member) []group.Member {
+// replaceLostMembers returns the members with spares in place of the lost ones.
+func replaceLostMembers(members []group.Member, isLost map[string]bool, spares []group.Member) []group.Member {
 	replaced := append([]group.Member(nil), members...)
 	for i, member := range replaced {
 		if isLost[member.VM] {
@@ -271,8 +273,8 @@
 	return replaced
 }
 
-// dissolve frees the VMs of a drained group, or forms what comes next of it.
-func (c *Controller) dissolve(actions *Actions, held lease.Held, record group.Record) {
+// dissolveGroup frees the VMs of a drained group, or forms the group that replaces it.
+func (c *Controller) dissolveGroup(actions *Actions, held lease.Held, record group.Record) {
 	if record.Next != nil && len(record.Next.Members) == 0 {
 		next := record.WithoutMembers()
 		next.Next = nil
@@ -286,20 +288,20 @@
 		c.commitGroup(actions, held, record, next)
 		return
 	}
-	change := c.changeMembers(record, group.Record{
+	change := c.membershipChange(record, group.Record{
 		Name: record.Name,
 	})
 	change = change.WithWrite(table.Write{
 		Key:    group.Key(record.Name),
 		Delete: true,
 	})
-	c.commit(actions, aboutGroup+record.Name, held.Fence(change))
+	c.requestCommit(actions, groupCommitPrefix+record.Name, held.Fence(change))
 }
 
-// freeDomains returns the fabric domains with free VMs that are not suspect.
-func (c *Controller) freeDomains() []placement.Domain {
+// domainsWithoutSuspects returns the fabric domains with their free VMs, without suspects.
+func (c *Controller) domainsWithoutSuspects() []placement.Domain {
 	return c.world.Domains(func(id string) bool {
-		since, ok := c.suspects[id]
-		return ok && time.Since(since) < suspectFor
+		since, ok := c.suspectSince[id]
+		return ok && time.Since(since) < suspectTime
 	})
 }
--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -11,35 +11,36 @@
 	"headcourse/core/table"
 )
 
-// Names of commits.
+// Names of commits. Some are prefixes of a name.
 const (
-	aboutRenewal = "renew leases"
-	aboutJoin    = "join roster"
-	aboutLeave   = "leave roster"
-	aboutRemove  = "remove daemon "
-	aboutLease   = "lease of "
+	renewalCommit      = "renew leases"
+	joinCommit         = "join roster"
+	leaveCommit        = "leave roster"
+	removeCommitPrefix = "remove daemon "
+	leaseCommitPrefix  = "lease of "
 )
 
-// Times of the roster and of handing shards over.
+// Times of the roster and of moving shards between daemons.
 const (
-	// SilentAfter is how long a daemon may be unheard before it is taken off
-	// the roster. It is above contact.Bound, so that whoever remains has
-	// learned of everything accepted before.
+	// SilentAfter is how long a daemon may be out of contact before it is removed from the
+	// roster. It is above contact.Bound, so that the remaining daemons have observed
+	// everything that was accepted before.
 	SilentAfter = 30 * time.Second
-	// rankDelay is how much longer each lower-ranked daemon waits before it
-	// takes a free shard.
-	rankDelay = 700 * time.Millisecond
-	// releaseEvery spaces the handing over of shards to daemons ranked first.
-	releaseEvery = 2 * time.Second
+	// takeOverDelayPerRank is how much longer each lower-ranked daemon waits before it
+	// takes over a free shard.
+	takeOverDelayPerRank = 700 * time.Millisecond
+	// handOverInterval is the minimum time between two shards that this daemon hands over
+	// to higher-ranked daemons.
+	handOverInterval = 2 * time.Second
 )
 
-// stepRoster joins, leaves, and removes daemons that have long been silent.
+// stepRoster joins or leaves the roster and removes daemons that are long out of contact.
 func (c *Controller) stepRoster(actions *Actions, now time.Time) {
 	key := roster.Key(c.self.ID)
 	row := c.rows.Row(key)
-	if c.leaving {
-		if row.Version != 0 && len(c.held) == 0 {
-			c.commit(actions, aboutLeave, c.removal(c.self.ID))
+	if c.isLeaving {
+		if row.Version != 0 && len(c.heldLeases) == 0 {
+			c.requestCommit(actions, leaveCommit, c.removalTransaction(c.self.ID))
 		}
 		return
 	}
@@ -47,22 +48,22 @@
 		return
 	}
 	if row.Version == 0 {
-		// Joining is conditional on the configuration held, so that a new
-		// daemon never takes part in a majority without the newest one.
+		// Joining is conditional on the known configuration version, so that a new daemon
+		// never takes part in a majority without the newest configuration.
 		join := table.Transaction{}
 		join = join.WithCondition(key, 0)
 		join = join.WithCondition(plan.ConfigKey, c.rows.Row(plan.ConfigKey).Version)
 		join = join.WithWrite(table.Put(key, c.self))
-		c.commit(actions, aboutJoin, join)
+		c.requestCommit(actions, joinCommit, join)
 		return
 	}
-	if held, ok := c.held[0]; ok && held.Holds(0) {
-		c.removeSilent(actions, held, now)
+	if held, ok := c.heldLeases[0]; ok && held.Holds(0) {
+		c.removeUnresponsiveDaemon(actions, held, now)
 	}
 }
 
-// removal returns the transaction that takes a daemon off the roster.
-func (c *Controller) removal(id string) table.Transaction {
+// removalTransaction returns the transaction that removes a daemon from the roster.
+func (c *Controller) removalTransaction(id string) table.Transaction {
 	removal := table.Transaction{}
 	removal = removal.WithCondition(roster.Key(id), c.rows.Row(roster.Key(id)).Version)
 	removal = removal.WithCondition(plan.ConfigKey, c.rows.Row(plan.ConfigKey).Version)
@@ -79,24 +80,25 @@
 	return removal
 }
 
-// removeSilent takes one daemon that was long unheard off the roster.
-func (c *Controller) removeSilent(actions *Actions, held lease.Held, now time.Time) {
+// removeUnresponsiveDaemon removes one daemon that is long out of contact from the roster.
+func (c *Controller) removeUnresponsiveDaemon(actions *Actions, held lease.Held, now time.Time) {
 	for _, daemon := range c.roster {
-		if daemon.ID == c.self.ID || now.Sub(c.lastWordOf(daemon.ID)) < SilentAfter {
+		if daemon.ID == c.self.ID || now.Sub(c.lastContactWith(daemon.ID)) < SilentAfter {
 			continue
 		}
-		if now.Sub(c.seen[roster.Key(daemon.ID)].since) < SilentAfter {
+		if now.Sub(c.rowObservations[roster.Key(daemon.ID)].firstObservedAt) < SilentAfter {
 			continue
 		}
-		c.commit(actions, aboutRemove+daemon.ID, held.Fence(c.removal(daemon.ID)))
+		c.requestCommit(actions, removeCommitPrefix+daemon.ID, held.Fence(c.removalTransaction(daemon.ID)))
 		return
 	}
 }
 
-// lastWordOf returns when a daemon was last heard or seen to renew.
-func (c *Controller) lastWordOf(id string) time.Time {
+// lastContactWith returns when a daemon last reported or was last observed to renew its
+// lease.
+func (c *Controller) lastContactWith(id string) time.Time {
 	report, _ := c.contact.Report(id)
-	renewal := c.seen[lease.RenewalKey(id)].since
+	renewal := c.rowObservations[lease.RenewalKey(id)].firstObservedAt
 	if renewal.After(report.At) {
 		return renewal
 	}
@@ -106,46 +108,46 @@
 // ----------------------------------------------------------------------------
 // Leases
 
-// stepLeases renews the leases held, drops those lost and takes free ones.
+// stepLeases renews held leases, drops lost ones and takes over free ones.
 func (c *Controller) stepLeases(actions *Actions, now time.Time) {
-	c.adoptAndDrop()
-	if c.leaving {
+	c.syncHeldLeases()
+	if c.isLeaving {
 		for _, held := range c.Held() {
-			c.release(actions, held.Shard)
+			c.releaseShard(actions, held.Shard)
 		}
 		return
 	}
-	c.renew(actions, now)
+	c.requestRenewal(actions, now)
 	rank := c.roster.Rank("", c.self.ID)
 	if rank < 0 || now.Sub(c.contact.StoreAt()) > contact.Bound {
 		return
 	}
 	for shard := range lease.Shards {
-		held, ok := c.held[shard]
+		held, ok := c.heldLeases[shard]
 		switch {
 		case !ok:
-			c.take(actions, shard, now)
+			c.takeOverShard(actions, shard, now)
 		case c.isReleasing(held):
-			c.release(actions, shard)
+			c.releaseShard(actions, shard)
 		default:
-			c.handOver(actions, shard, now)
+			c.handOverShard(actions, shard, now)
 		}
 	}
 }
 
-// adoptAndDrop compares the leases held with their rows. A row that names this
-// daemon but whose grant was answered too late is adopted unexpired-at-zero:
-// it may not be used before a renewal has succeeded.
-func (c *Controller) adoptAndDrop() {
+// syncHeldLeases compares the held leases with their rows. A row may name this daemon
+// although the answer to its grant was lost or late. Such a lease is adopted with a zero
+// expiry, so that it is not used before a renewal has succeeded.
+func (c *Controller) syncHeldLeases() {
 	for shard := range lease.Shards {
 		row := c.rows.Row(lease.Key(shard))
 		isMine := row.Version != 0 && c.holderOf(shard, row) == c.self.ID
-		held, ok := c.held[shard]
+		held, ok := c.heldLeases[shard]
 		switch {
 		case !isMine:
-			delete(c.held, shard)
+			delete(c.heldLeases, shard)
 		case !ok || held.Epoch != row.Version:
-			c.held[shard] = lease.Held{
+			c.heldLeases[shard] = lease.Held{
 				Shard: shard,
 				Epoch: row.Version,
 			}
@@ -153,41 +155,41 @@
 	}
 }
 
-// granted is a lease row that was read.
-type granted struct {
+// cachedGrant is a decoded lease row.
+type cachedGrant struct {
 	version uint64
 	holder  string
 }
 
-// holderOf returns who holds a shard by its row; empty where nobody does. A row
-// is decoded once.
+// holderOf returns the holder of a shard according to its row, or "" if there is none. Each
+// version of a row is decoded once.
 func (c *Controller) holderOf(shard int, row table.Row) string {
-	if known := c.granted[shard]; known.version == row.Version {
-		return known.holder
+	if cached := c.grantCache[shard]; cached.version == row.Version {
+		return cached.holder
 	}
 	var grant lease.Grant
 	if err := row.Decode(&grant); err != nil {
 		return ""
 	}
-	c.granted[shard] = granted{
+	c.grantCache[shard] = cachedGrant{
 		version: row.Version,
 		holder:  grant.Holder,
 	}
 	return grant.Holder
 }
 
-// renew asks for one renewal of all leases, conditional on holding each.
-func (c *Controller) renew(actions *Actions, now time.Time) {
-	isDue, kept := false, 0
-	for _, held := range c.held {
+// requestRenewal requests one renewal of all leases, conditional on holding each of them.
+func (c *Controller) requestRenewal(actions *Actions, now time.Time) {
+	isDue, count := false, 0
+	for _, held := range c.heldLeases {
 		if c.isReleasing(held) {
 			continue
 		}
-		kept++
+		count++
 		isDue = isDue || held.Expires.IsZero()
 	}
 	isDue = isDue || now.Sub(c.renewedAt) >= lease.RenewEvery
-	if kept == 0 || !isDue || c.pending[aboutRenewal] {
+	if count == 0 || !isDue || c.pendingCommits[renewalCommit] {
 		return
 	}
 	c.renewCount++
@@ -202,100 +204,100 @@
 			renewal = held.Fence(renewal)
 		}
 	}
-	c.commit(actions, aboutRenewal, renewal)
+	c.requestCommit(actions, renewalCommit, renewal)
 }
 
-// renewed extends the leases that a renewal was conditional on. The term runs
-// from when the renewal was sent, not from its answer.
-func (c *Controller) renewed(commit Commit) {
+// extendLeases extends the leases that a renewal was conditional on. The term runs from
+// when the renewal was sent, not from its answer.
+func (c *Controller) extendLeases(commit Commit) {
 	c.renewedAt = commit.SentAt
 	for _, condition := range commit.Transaction.Conditions {
-		for shard, held := range c.held {
+		for shard, held := range c.heldLeases {
 			isRenewed := lease.Key(shard) == condition.Key && held.Epoch == condition.Version
 			if isRenewed && !c.isReleasing(held) {
 				held.Expires = commit.SentAt.Add(lease.Term)
-				c.held[shard] = held
+				c.heldLeases[shard] = held
 			}
 		}
 	}
 }
 
-// take asks for a shard that is free or whose holder has stopped renewing.
-func (c *Controller) take(actions *Actions, shard int, now time.Time) {
+// takeOverShard requests the lease of a shard that is free or whose holder has stopped
+// renewing.
+func (c *Controller) takeOverShard(actions *Actions, shard int, now time.Time) {
 	row := c.rows.Row(lease.Key(shard))
 	grant := table.Transaction{}
 	grant = grant.WithCondition(row.Key, row.Version)
-	since := c.started
-	patience := time.Duration(c.roster.Rank(shardName(shard), c.self.ID)) * rankDelay
+	since := c.startedAt
+	delay := time.Duration(c.roster.Rank(shardRankKey(shard), c.self.ID)) * takeOverDelayPerRank
 	if row.Version != 0 {
-		former := c.holderOf(shard, row)
-		if former == c.self.ID {
+		holder := c.holderOf(shard, row)
+		if holder == c.self.ID {
 			return
 		}
-		since = c.seen[row.Key].since
-		if former != "" {
-			renewal := c.rows.Row(lease.RenewalKey(former))
+		since = c.rowObservations[row.Key].firstObservedAt
+		if holder != "" {
+			renewal := c.rows.Row(lease.RenewalKey(holder))
 			grant = grant.WithCondition(renewal.Key, renewal.Version)
-			patience += lease.Term + lease.Margin
-			if seen := c.seen[renewal.Key]; seen.since.After(since) {
-				since = seen.since
+			delay += lease.Term + lease.Margin
+			if observed := c.rowObservations[renewal.Key]; observed.firstObservedAt.After(since) {
+				since = observed.firstObservedAt
 			}
 		}
 	}
-	if now.Sub(since) < patience {
+	if now.Sub(since) < delay {
 		return
 	}
 	grant = grant.WithWrite(table.Put(row.Key, lease.Grant{
 		Holder: c.self.ID,
 	}))
-	c.commit(actions, aboutLease+row.Key, grant)
+	c.requestCommit(actions, leaseCommitPrefix+row.Key, grant)
 }
 
-// handOver releases a shard for which another daemon, heard lately, ranks
-// first, so that daemons that joined later get their part of the work.
-func (c *Controller) handOver(actions *Actions, shard int, now time.Time) {
-	if now.Sub(c.releasedAt) < releaseEvery || c.roster.Rank(shardName(shard), c.self.ID) == 0 {
+// handOverShard releases a shard if another daemon that reported recently ranks first for
+// it, so that daemons that joined later get their share of the work.
+func (c *Controller) handOverShard(actions *Actions, shard int, now time.Time) {
+	if now.Sub(c.lastHandOverAt) < handOverInterval || c.roster.Rank(shardRankKey(shard), c.self.ID) == 0 {
 		return
 	}
 	for _, daemon := range c.roster {
-		if c.roster.Rank(shardName(shard), daemon.ID) != 0 {
+		if c.roster.Rank(shardRankKey(shard), daemon.ID) != 0 {
 			continue
 		}
 		report, ok := c.contact.Report(daemon.ID)
 		if ok && now.Sub(report.At) < contact.Bound/2 {
-			c.releasedAt = now
-			c.release(actions, shard)
+			c.lastHandOverAt = now
+			c.releaseShard(actions, shard)
 		}
 		return
 	}
 }
 
-// release gives a shard up. From now on the lease is neither used nor renewed.
-// Its row is freed only once the last order decided under it has arrived or
-// can no longer be sent, since a freed shard is taken at once. The write is
-// asked for again until the row shows it, since one whose answer was lost may
-// still land at any time.
-func (c *Controller) release(actions *Actions, shard int) {
-	held := c.held[shard]
-	c.releasing[shard] = held.Epoch
-	if time.Now().Before(c.orderedUntil[shard]) {
+// releaseShard releases a shard. From this call on the lease is neither used nor renewed.
+// The row is freed only after the last order under the lease has arrived or can no longer
+// be sent, since a free shard is taken over immediately. The write is requested again until
+// the row shows it, since a write whose answer was lost may still be applied at any time.
+func (c *Controller) releaseShard(actions *Actions, shard int) {
+	held := c.heldLeases[shard]
+	c.releasingEpochs[shard] = held.Epoch
+	if time.Now().Before(c.lastOrderExpiry[shard]) {
 		return
 	}
 	release := held.Fence(table.Transaction{})
 	release = release.WithWrite(table.Put(lease.Key(shard), lease.Grant{}))
-	c.commit(actions, aboutLease+lease.Key(shard), release)
+	c.requestCommit(actions, leaseCommitPrefix+lease.Key(shard), release)
 }
 
-// isReleasing tells whether the daemon has begun to give this grant up.
+// isReleasing reports whether the daemon is releasing this grant.
 func (c *Controller) isReleasing(held lease.Held) bool {
-	return c.releasing[held.Shard] == held.Epoch
+	return c.releasingEpochs[held.Shard] == held.Epoch
 }
 
-// Usable returns the held leases that orders and writes may be made under, in
-// the order of their shards.
+// Usable returns the held leases under which orders and writes may be made, ordered by
+// shard.
 func (c *Controller) Usable() []lease.Held {
 	var usable []lease.Held
-	for _, held := range c.held {
+	for _, held := range c.heldLeases {
 		if !c.isReleasing(held) && held.Holds(lease.OrderMargin) {
 			usable = append(usable, held)
 		}
--- a/core/control/plans.go
+++ b/core/control/plans.go
@@ -11,26 +11,26 @@
 	"headcourse/core/table"
 )
 
-const aboutPlan = "plan "
+const planCommitPrefix = "plan "
 
-// stepPlans takes the next step of every plan whose shard is held. What has
-// been done already is read off the groups, never remembered, so that another
-// daemon can go on with a plan at any point.
+// stepPlans carries out the next step of every plan whose shard this daemon holds. Progress
+// is derived from the groups and not stored, so that another daemon can continue a plan at
+// any point.
 func (c *Controller) stepPlans(actions *Actions) {
 	for _, held := range c.Usable() {
 		for _, current := range c.world.Plans {
-			if ShardOf(current.ID) == held.Shard && !c.pending[aboutPlan+current.ID] {
+			if ShardOf(current.ID) == held.Shard && !c.pendingCommits[planCommitPrefix+current.ID] {
 				c.stepPlan(actions, held, current)
 			}
 		}
 	}
 }
 
-// stepPlan runs the present stage of a confirmed plan, and tidies up after a
-// final one.
+// stepPlan runs the current stage of a confirmed plan, or cleans up after a plan in a final
+// state.
 func (c *Controller) stepPlan(actions *Actions, held lease.Held, current plan.Plan) {
 	if current.State.IsFinal() {
-		c.tidy(actions, held, current)
+		c.cleanUpPlan(actions, held, current)
 		return
 	}
 	if current.State != plan.Confirmed {
@@ -38,7 +38,7 @@
 	}
 	isStageDone := true
 	for _, step := range current.StepsOf(current.Stage) {
-		change, isDone, reason := c.stepOf(current, step)
+		change, isDone, reason := c.stepChange(current, step)
 		if reason != "" {
 			c.commitPlan(actions, held, current.WithState(plan.Failed, reason), table.Transaction{})
 			return
@@ -46,7 +46,7 @@
 		isStageDone = isStageDone && isDone
 		if len(change.Writes) > 0 {
 			change = change.WithCondition(plan.Key(current.ID), c.rows.Row(plan.Key(current.ID)).Version)
-			c.commit(actions, aboutPlan+current.ID+" "+step.String(), held.Fence(change))
+			c.requestCommit(actions, planCommitPrefix+current.ID+" "+step.String(), held.Fence(change))
 		}
 	}
 	switch {
@@ -63,23 +63,23 @@
 	key := plan.Key(next.ID)
 	change = change.WithCondition(key, c.rows.Row(key).Version)
 	change = change.WithWrite(table.Put(key, next))
-	c.commit(actions, aboutPlan+next.ID, held.Fence(change))
+	c.requestCommit(actions, planCommitPrefix+next.ID, held.Fence(change))
 }
 
-// stepOf returns what is still to be written for a step, whether it is done,
-// and the reason if it cannot be done any more.
-func (c *Controller) stepOf(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
+// stepChange returns the writes that a step still needs, whether the step is done, and the
+// reason if it can no longer be done.
+func (c *Controller) stepChange(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	switch step.Verb {
 	case plan.CloseZone, plan.OpenZone:
 		return c.setZone(current, step)
 	case plan.RetireVM:
-		return c.retire(step)
+		return c.retireVM(step)
 	case plan.Form:
-		return c.form(current, step)
+		return c.formGroup(current, step)
 	case plan.Drain:
-		return c.drain(current, step)
+		return c.drainGroup(current, step)
 	case plan.Reform:
-		return c.reform(current, step)
+		return c.reformGroup(current, step)
 	default:
 		return change, false, fmt.Sprintf("step %q is not known", step.Verb)
 	}
@@ -103,8 +103,8 @@
 	return change, false, ""
 }
 
-// retire marks a VM's claim as retired, once no group has it.
-func (c *Controller) retire(step plan.Step) (change table.Transaction, isDone bool, reason string) {
+// retireVM marks a VM's claim as retired once no group has the VM.
+func (c *Controller) retireVM(step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	claim := c.world.Claims[step.VM]
 	if claim.Retired {
 		return change, true, ""
@@ -114,11 +114,11 @@
 	}
 	claim.Retired = true
 	claim.Plan = ""
-	return c.claim(change, step.VM, claim), false, ""
+	return c.addClaimWrite(change, step.VM, claim), false, ""
 }
 
-// form creates a group on VMs reserved for the plan.
-func (c *Controller) form(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
+// formGroup creates a group on VMs that are reserved for the plan.
+func (c *Controller) formGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	record, ok := c.world.Group(step.Group)
 	if ok {
 		return change, record.Phase == group.Serving, ""
@@ -131,15 +131,15 @@
 	}
 	record = step.Record.WithMembers(step.Record.Members, step.Record.Zone, step.Record.Domain, c.world.Floor(step.Record.Members))
 	record = record.WithPlan(current.ID)
-	change = c.changeMembers(group.Record{
+	change = c.membershipChange(group.Record{
 		Name: record.Name,
 	}, record)
 	change = change.WithWrite(table.Put(group.Key(record.Name), record))
 	return change, false, ""
 }
 
-// drain ends a group's work; the group's controller dissolves it.
-func (c *Controller) drain(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
+// drainGroup puts a group into draining; the group's controller dissolves it.
+func (c *Controller) drainGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	record, ok := c.world.Group(step.Group)
 	if !ok {
 		return change, true, ""
@@ -150,38 +150,38 @@
 	if record.Phase == group.Draining && record.Next == nil {
 		return change, false, ""
 	}
-	return c.rewrite(record, record.WithDraining(nil)), false, ""
+	return c.groupUpdate(record, record.WithDraining(nil)), false, ""
 }
 
-// reform ends a group's work and lets it form anew.
-func (c *Controller) reform(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
+// reformGroup drains a group and lets it form again with the planned record.
+func (c *Controller) reformGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	record, ok := c.world.Group(step.Group)
 	if !ok || record.Plan != current.ID {
 		return change, false, fmt.Sprintf("group %q is not the plan's to change", step.Group)
 	}
-	isNew := record.Generation > step.Record.Generation
-	isAsWanted := record.Version == step.Record.Version && record.Adapter == step.Record.Adapter && record.Role == step.Record.Role && sameMembers(record.Members, step.Record.Members)
+	isReformed := record.Generation > step.Record.Generation
+	isAsPlanned := record.Version == step.Record.Version && record.Adapter == step.Record.Adapter && record.Role == step.Record.Role && haveSameVMs(record.Members, step.Record.Members)
 	switch {
-	case isNew && isAsWanted && record.Phase == group.Serving:
+	case isReformed && isAsPlanned && record.Phase == group.Serving:
 		return change, true, ""
-	case isNew && isAsWanted, record.Phase == group.Draining:
+	case isReformed && isAsPlanned, record.Phase == group.Draining:
 		return change, false, ""
-	case isNew:
+	case isReformed:
 		return change, false, fmt.Sprintf("group %q was formed anew while the plan ran", step.Group)
 	}
-	return c.rewrite(record, record.WithDraining(step.Record)), false, ""
+	return c.groupUpdate(record, record.WithDraining(step.Record)), false, ""
 }
 
-// rewrite returns the transaction that changes a group's record alone.
-func (c *Controller) rewrite(from, to group.Record) table.Transaction {
+// groupUpdate returns the transaction that changes only a group's record.
+func (c *Controller) groupUpdate(from, to group.Record) table.Transaction {
 	key := group.Key(from.Name)
 	change := table.Transaction{}
 	change = change.WithCondition(key, c.rows.Row(key).Version)
 	return change.WithWrite(table.Put(key, to))
 }
 
-// sameMembers tells whether two lists name the same VMs in the same order.
-func sameMembers(a, b []group.Member) bool {
+// haveSameVMs reports whether two lists name the same VMs in the same order.
+func haveSameVMs(a, b []group.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -194,18 +194,18 @@
 }
 
 // ----------------------------------------------------------------------------
-// After the end
+// Clean-up
 
-// tidyBatch bounds the rows that one tidying transaction changes.
-const tidyBatch = 40
+// maxCleanUpWrites limits the groups and claims that one clean-up transaction changes.
+const maxCleanUpWrites = 40
 
-// tidy gives back what a finished plan holds: its mark on groups, and VMs
-// reserved for it. Groups that an abandoned plan formed and whose old group
-// still serves are drained, so that the fleet is whole and no bigger.
-func (c *Controller) tidy(actions *Actions, held lease.Held, current plan.Plan) {
+// cleanUpPlan releases what a plan in a final state holds: its mark on groups and zones,
+// and VMs reserved for it. Groups that an unfinished plan formed are drained if the groups
+// that they were to replace still serve, so that the fleet keeps its declared size.
+func (c *Controller) cleanUpPlan(actions *Actions, held lease.Held, current plan.Plan) {
 	change := table.Transaction{}
 	for _, record := range c.world.Groups {
-		if record.Plan != current.ID || record.Phase == group.Draining || len(change.Writes) >= tidyBatch {
+		if record.Plan != current.ID || record.Phase == group.Draining || len(change.Writes) >= maxCleanUpWrites {
 			continue
 		}
 		next := record.WithPlan("")
@@ -218,11 +218,11 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.world.Claims)) {
 		claim := c.world.Claims[id]
-		if claim.Plan != current.ID || len(change.Writes) >= tidyBatch {
+		if claim.Plan != current.ID || len(change.Writes) >= maxCleanUpWrites {
 			continue
 		}
 		claim.Plan = ""
-		change = c.claim(change, id, claim)
+		change = c.addClaimWrite(change, id, claim)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(c.world.ZonePlans)) {
 		if c.world.ZonePlans[zone] != current.ID {
@@ -235,25 +235,26 @@
 		}))
 	}
 	if len(change.Writes) > 0 {
-		c.commit(actions, aboutPlan+current.ID, held.Fence(change))
+		c.requestCommit(actions, planCommitPrefix+current.ID, held.Fence(change))
 	}
 }
 
-// isSurplus tells whether a group was formed by the plan in place of one that
-// still serves: the plan's drains still to come outnumber its forms to come.
+// isSurplus reports whether the plan formed a group to replace one that still serves. Of the
+// groups that the plan formed, in the order of their names, as many are surplus as groups
+// that it was to drain still serve.
 func (c *Controller) isSurplus(current plan.Plan, record group.Record) bool {
-	formed, surplus := false, 0
+	isFormedByPlan, surplus := false, 0
 	for _, step := range current.Steps {
 		other, exists := c.world.Group(step.Group)
 		isSameModel := step.Record != nil && step.Record.Model == record.Model
 		switch {
 		case step.Verb == plan.Form && step.Group == record.Name:
-			formed = true
+			isFormedByPlan = true
 		case step.Verb == plan.Form && isSameModel && exists && other.Name < record.Name && other.Phase != group.Draining:
 			surplus--
 		case step.Verb == plan.Drain && exists && other.Model == record.Model && other.Phase == group.Serving:
 			surplus++
 		}
 	}
-	return formed && surplus > 0
+	return isFormedByPlan && surplus > 0
 }
--- a/core/control/plans_test.go
+++ b/core/control/plans_test.go
@@ -11,8 +11,8 @@
 	"headcourse/lab/fleet"
 )
 
-// carryOut plans and confirms an intent and lets time pass.
-func carryOut(t *testing.T, f *fleet.Fleet, id string, intent plan.Intent, wait time.Duration) plan.Plan {
+// runPlan proposes and confirms an intent and lets the fleet run for the wait time.
+func runPlan(t *testing.T, f *fleet.Fleet, id string, intent plan.Intent, wait time.Duration) plan.Plan {
 	t.Helper()
 	_, err := f.Propose(f.Hosts[0], id, intent)
 	qt.Assert(t, err, qt.IsNil)
@@ -24,17 +24,17 @@
 	return found
 }
 
-// drainZone has zone z1 drained by the plan "drain".
-func drainZone(t *testing.T, f *fleet.Fleet, wait time.Duration) {
+// startZoneDrain confirms the plan "drain" for zone z1 and lets the fleet run.
+func startZoneDrain(t *testing.T, f *fleet.Fleet, wait time.Duration) {
 	t.Helper()
-	carryOut(t, f, "drain", plan.Intent{
+	runPlan(t, f, "drain", plan.Intent{
 		Kind: plan.DrainZone,
 		Zone: "z1",
 	}, wait)
 }
 
-// versions returns how many groups serve each version.
-func versions(f *fleet.Fleet) map[string]int {
+// groupsPerVersion returns how many groups serve each version.
+func groupsPerVersion(f *fleet.Fleet) map[string]int {
 	counts := map[string]int{}
 	for _, record := range f.Hosts[0].Controller.World().Groups {
 		counts[record.Version]++
@@ -42,37 +42,37 @@
 	return counts
 }
 
-// TestVersionChanges: with a spare pair in each domain groups are replaced
-// before they are drained; without one they are formed anew in their own place.
-func TestVersionChanges(t *testing.T) {
+// With a spare pair in each domain groups are replaced before they are drained; without one
+// they are formed again on their own VMs.
+func TestVersionChangeReplacesOrReformsGroups(t *testing.T) {
 	for _, vmsPerDomain := range []int{6, 2} {
 		synctest.Test(t, func(t *testing.T) {
-			f := declaredFleet(t, 3, vmsPerDomain)
+			f := newDeclaredFleet(t, 3, vmsPerDomain)
 			qt.Assert(t, f.Apply(f.Hosts[0], fleet.Declared(map[string]int{"z0": 2, "z1": 2, "z2": 2}, "2")), qt.IsNil)
 			f.Run(4 * time.Second)
-			done := carryOut(t, f, "change", plan.Intent{
+			finished := runPlan(t, f, "change", plan.Intent{
 				Kind: plan.Reconcile,
 			}, 5*time.Minute)
-			qt.Assert(t, done.State, qt.Equals, plan.Done, qt.Commentf("%s", done.Reason))
-			qt.Assert(t, versions(f), qt.DeepEquals, map[string]int{"2": 6})
+			qt.Assert(t, finished.State, qt.Equals, plan.Done, qt.Commentf("%s", finished.Reason))
+			qt.Assert(t, groupsPerVersion(f), qt.DeepEquals, map[string]int{"2": 6})
 			qt.Assert(t, f.Serving(), qt.Equals, 6)
-			downtime, _ := done.Predicted()
+			downtime, _ := finished.Predicted()
 			qt.Assert(t, downtime > 0, qt.Equals, vmsPerDomain == 2)
 			qt.Assert(t, f.Broken, qt.HasLen, 0)
 		})
 	}
 }
 
-// TestRetiredVMIsNotUsedAgain: its group goes on without it.
-func TestRetiredVMIsNotUsedAgain(t *testing.T) {
+// The VM's group continues without the retired VM, and no group uses it again.
+func TestGroupReplacesRetiredVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 5)
+		f := newDeclaredFleet(t, 3, 5)
 		retired := f.Hosts[0].Controller.World().Groups[0].Members[1].VM
-		done := carryOut(t, f, "retire", plan.Intent{
+		finished := runPlan(t, f, "retire", plan.Intent{
 			Kind: plan.RetireOneVM,
 			VM:   retired,
 		}, 3*time.Minute)
-		qt.Assert(t, done.State, qt.Equals, plan.Done, qt.Commentf("%s", done.Reason))
+		qt.Assert(t, finished.State, qt.Equals, plan.Done, qt.Commentf("%s", finished.Reason))
 		qt.Assert(t, f.Serving(), qt.Equals, 6)
 		for _, record := range f.Hosts[0].Controller.World().Groups {
 			qt.Assert(t, record.Has(retired), qt.IsFalse)
@@ -81,12 +81,11 @@
 	})
 }
 
-// TestPlanSurvivesItsDaemons: every few seconds a daemon dies and another is
-// started, and the plan is done all the same.
-func TestPlanSurvivesItsDaemons(t *testing.T) {
+// Every 15 seconds one daemon dies and another one starts; the plan completes nevertheless.
+func TestPlanCompletesWhileDaemonsAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
-		drainZone(t, f, 0)
+		f := newDeclaredFleet(t, 3, 6)
+		startZoneDrain(t, f, 0)
 		for range 12 {
 			f.Hosts = f.Hosts[1:]
 			f.AddDaemon()
@@ -101,12 +100,12 @@
 	})
 }
 
-// TestAbandonedPlanLeavesTheFleetWhole: given up after its new groups were
-// formed and before the old ones were drained.
-func TestAbandonedPlanLeavesTheFleetWhole(t *testing.T) {
+// The plan is abandoned after its new groups are formed and before the old ones are
+// drained.
+func TestAllGroupsServeAfterAbandonedPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
-		drainZone(t, f, 3*time.Second)
+		f := newDeclaredFleet(t, 3, 6)
+		startZoneDrain(t, f, 3*time.Second)
 		qt.Assert(t, f.Change("drain", plan.ChangeAbandon), qt.IsNil)
 		f.Run(2 * time.Minute)
 		qt.Assert(t, f.Unrest(), qt.IsNil)
@@ -115,11 +114,11 @@
 	})
 }
 
-// TestPausedPlanGoesNoFurther: while it is paused nothing more is drained.
-func TestPausedPlanGoesNoFurther(t *testing.T) {
+// While a plan is paused nothing more is drained.
+func TestPausedPlanTakesNoStepsUntilResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 6)
-		drainZone(t, f, time.Second)
+		f := newDeclaredFleet(t, 3, 6)
+		startZoneDrain(t, f, time.Second)
 		qt.Assert(t, f.Change("drain", plan.ChangePause), qt.IsNil)
 		f.Run(time.Minute)
 		inZone := 0
@@ -137,10 +136,10 @@
 	})
 }
 
-// TestPlanWithoutRoomIsRefused names what is missing.
-func TestPlanWithoutRoomIsRefused(t *testing.T) {
+// The error names the group and the missing VMs.
+func TestPlanWithoutFreeVMsIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := declaredFleet(t, 3, 2)
+		f := newDeclaredFleet(t, 3, 2)
 		_, err := f.Propose(f.Hosts[0], "drain", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
--- a/core/control/snapshot.go
+++ b/core/control/snapshot.go
@@ -10,10 +10,10 @@
 	"headcourse/core/vm"
 )
 
-// Snapshot returns what traffic needs, immutable.
+// Snapshot returns an immutable view for serving requests.
 func (c *Controller) Snapshot() Snapshot {
 	c.rebuild()
-	c.judge()
+	c.deriveEvidence()
 	now := time.Now()
 	leaving := map[string]bool{}
 	for id, listed := range c.vms {
@@ -33,13 +33,13 @@
 	}
 }
 
-// warmBy is how long after its start a daemon counts as warm in any case.
-const warmBy = 10 * time.Second
+// warmUpTimeout is how long after its start a daemon counts as warm in any case.
+const warmUpTimeout = 10 * time.Second
 
-// isWarm tells whether the daemon has learned of every serving group whether it
-// is whole, so that a new daemon is not given requests that it must refuse.
+// isWarm reports whether the daemon has recent evidence of every serving group and server.
+// Until then it would reject requests that other daemons can serve.
 func (c *Controller) isWarm(now time.Time) bool {
-	if now.Sub(c.started) > warmBy {
+	if now.Sub(c.startedAt) > warmUpTimeout {
 		return true
 	}
 	for _, record := range c.world.Groups {
@@ -58,22 +58,22 @@
 	return len(c.world.VMs) > 0
 }
 
-// Snapshot is an immutable view for traffic.
+// Snapshot is an immutable view for serving requests.
 type Snapshot struct {
 	Configuration plan.Configuration
 	Groups        []group.Record
 	VMs           []vm.VM
 	Book          presence.Book
 	Leaving       map[string]bool
-	// ServeUntil is when the daemon must stop serving unless it hears more.
+	// ServeUntil is when the daemon must stop serving unless contact is renewed.
 	ServeUntil time.Time
-	// Daemons is how many daemons share the organisations' limits.
+	// Daemons is the number of daemons that share the organisations' limits.
 	Daemons int
-	// Warm tells that the daemon knows enough to be given requests.
+	// Warm is set once the daemon has enough evidence to serve requests.
 	Warm bool
 }
 
-// IsLeaving tells whether the VM list has a VM as leaving.
+// IsLeaving reports whether the VM list has a VM as leaving.
 func (s Snapshot) IsLeaving(id string) bool {
 	return s.Leaving[id]
 }
@@ -93,7 +93,7 @@
 	return groups
 }
 
-// Servers returns the live VMs of a plain service.
+// Servers returns the VMs of a plain service that are live and have fresh evidence.
 func (s Snapshot) Servers(service string, now time.Time) []vm.VM {
 	var servers []vm.VM
 	for _, listed := range s.VMs {
@@ -113,11 +113,11 @@
 	return s.Configuration.Declaration
 }
 
-// ServerEvidence names the evidence of a VM that stands for itself: one of a
-// plain service, or a free one.
+// ServerEvidence returns the evidence name of a VM that belongs to no group: a server of a
+// plain service, or a free VM.
 func ServerEvidence(id string) string {
-	return serverPrefix + id
+	return serverEvidencePrefix + id
 }
 
-// serverPrefix begins the names that ServerEvidence makes.
-const serverPrefix = "server/"
+// serverEvidencePrefix is the prefix of the names that ServerEvidence returns.
+const serverEvidencePrefix = "server/"
--- a/core/control/snapshot_test.go
+++ b/core/control/snapshot_test.go
@@ -12,9 +12,8 @@
 	"headcourse/core/vm"
 )
 
-// TestLeavingServerGetsNoNewWork: a plain service's VM that answers well, but is
-// on the leaving list, is not among those that requests go to.
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
+// A plain service's VM that answers probes but is leaving receives no requests.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var book presence.Book
 		var listed []vm.VM
--- a/core/control/watch.go
+++ b/core/control/watch.go
@@ -15,23 +15,22 @@
 	"headcourse/core/vm"
 )
 
-// Watchers is the number of daemons that probe the members of each group. Any
-// one of them is enough for the group to serve; none needs a lease.
+// Watchers is the number of daemons that probe the members of each group. One of them is
+// enough for the group to serve, and none needs a lease.
 const Watchers = 2
 
-// Target is a VM to probe. IsFree tells that no group has it, so that it may be
-// probed seldom.
+// Target is a VM to probe. IsFree means that no group has the VM, so that it may be probed
+// less often.
 type Target struct {
 	vm.VM
 	IsFree bool
 }
 
-// Targets returns the VMs that this daemon probes: members of the groups that
-// it watches or controls, and those servers of plain services and free VMs that
-// it watches.
+// Targets returns the VMs that this daemon probes: members of the groups that it watches or
+// controls, and the servers of plain services and free VMs that it watches.
 func (c *Controller) Targets() []Target {
 	c.rebuild()
-	c.noteAlive(time.Now())
+	c.updateLiveDaemons(time.Now())
 	var targets []Target
 	for _, record := range c.world.Groups {
 		if !c.watches(record.Name) && !c.controls(record.Name) {
@@ -55,53 +54,53 @@
 	return targets
 }
 
-// OwnEvidence returns the newest evidence that this daemon observed itself.
+// OwnEvidence returns the newest evidence from this daemon's own probes.
 func (c *Controller) OwnEvidence() []presence.Evidence {
-	c.judge()
-	evidence := make([]presence.Evidence, 0, len(c.observed))
-	for _, one := range c.observed {
-		if c.isWorthTelling(one) {
-			evidence = append(evidence, one)
+	c.deriveEvidence()
+	evidence := make([]presence.Evidence, 0, len(c.ownEvidence))
+	for _, entry := range c.ownEvidence {
+		if c.isWorthReporting(entry) {
+			evidence = append(evidence, entry)
 		}
 	}
 	return evidence
 }
 
-// AllEvidence returns the newest evidence that this daemon observed or heard.
+// AllEvidence returns the newest evidence from own probes and from reports.
 func (c *Controller) AllEvidence() []presence.Evidence {
-	return slices.DeleteFunc(c.Book().All(), func(one presence.Evidence) bool {
-		return !c.isWorthTelling(one)
+	return slices.DeleteFunc(c.Book().All(), func(entry presence.Evidence) bool {
+		return !c.isWorthReporting(entry)
 	})
 }
 
-// recoveredFor is how long others are told that a free VM is well again.
-const recoveredFor = time.Minute
+// recoveryReportTime is how long evidence that a free VM answers again is reported.
+const recoveryReportTime = time.Minute
 
-// isWorthTelling tells whether others need evidence. That a free VM is well is
-// what they assume; only that it is not, or is again, is news.
-func (c *Controller) isWorthTelling(one presence.Evidence) bool {
-	id, isAlone := strings.CutPrefix(one.Group, serverPrefix)
-	if !isAlone || !one.Whole || c.vms[id].Service != "" {
+// isWorthReporting reports whether other daemons need this evidence. They assume that a
+// free VM answers, so only a failure or a recent recovery is reported.
+func (c *Controller) isWorthReporting(evidence presence.Evidence) bool {
+	id, isServer := strings.CutPrefix(evidence.Group, serverEvidencePrefix)
+	if !isServer || !evidence.Whole || c.vms[id].Service != "" {
 		return true
 	}
-	return time.Since(c.badAt[one.Group]) < recoveredFor
+	return time.Since(c.negativeEvidenceAt[evidence.Group]) < recoveryReportTime
 }
 
-// noteBad remembers when evidence spoke against a VM or group.
-func (c *Controller) noteBad(evidence []presence.Evidence) {
-	for _, one := range evidence {
-		if !one.Whole {
-			c.badAt[one.Group] = time.Now()
+// recordNegativeEvidence records when evidence said that a VM or group is not whole.
+func (c *Controller) recordNegativeEvidence(evidence []presence.Evidence) {
+	for _, entry := range evidence {
+		if !entry.Whole {
+			c.negativeEvidenceAt[entry.Group] = time.Now()
 		}
 	}
 }
 
-// unwellAfter is how long a free VM may be silent and still be chosen.
-const unwellAfter = 10 * time.Second
+// unresponsiveAfter is how long a free VM may be unresponsive and still be chosen.
+const unresponsiveAfter = 10 * time.Second
 
-// noteUnwell derives which free VMs are known not to answer. One of which
-// nothing is known counts as well.
-func (c *Controller) noteUnwell() {
+// markUnresponsive derives which free VMs are known not to answer. A VM without evidence is
+// not marked.
+func (c *Controller) markUnresponsive() {
 	c.world.Unwell = map[string]bool{}
 	for _, listed := range c.world.VMs {
 		evidence, ok := c.book.Newest(ServerEvidence(listed.ID))
@@ -111,7 +110,7 @@
 	}
 }
 
-// memberVM returns the VM of a member, also where the list lacks it.
+// memberVM returns the VM of a member, even if the VM list lacks it.
 func (c *Controller) memberVM(member group.Member) vm.VM {
 	if listed, ok := c.vms[member.VM]; ok {
 		return listed
@@ -122,138 +121,138 @@
 	}
 }
 
-// heardFor is how lately a daemon must have been heard to count on its watching.
-// It is well above the time that a report takes through two relays, so that a
-// large roster does not take daemons for gone and watch in their stead.
-const heardFor = 5 * time.Second
+// maxReportAge is the maximum age of the last report of a daemon that counts as a watcher.
+// It is well above the time that a report takes through two relays, so that in a large
+// roster daemons are not taken for dead and replaced as watchers.
+const maxReportAge = 5 * time.Second
 
-// watches tells whether this daemon is among the watchers of a group: it ranks
-// among the first of those daemons that were heard lately. Daemons may differ
-// on who that is; then a group has a watcher more for a while.
+// watches reports whether this daemon is a watcher of a group: it ranks among the first of
+// the live daemons. Daemons may disagree on the ranking; the group then has an additional
+// watcher for a while.
 func (c *Controller) watches(name string) bool {
-	known, ok := c.watched[name]
+	isWatched, ok := c.watchCache[name]
 	if !ok {
-		rank := c.alive.Rank("watch/"+name, c.self.ID)
-		known = rank >= 0 && rank < Watchers
-		c.watched[name] = known
+		rank := c.liveDaemons.Rank("watch/"+name, c.self.ID)
+		isWatched = rank >= 0 && rank < Watchers
+		c.watchCache[name] = isWatched
 	}
-	return known
+	return isWatched
 }
 
-// noteAlive derives which daemons were heard lately.
-func (c *Controller) noteAlive(now time.Time) {
-	var alive roster.Roster
+// updateLiveDaemons derives which daemons reported recently.
+func (c *Controller) updateLiveDaemons(now time.Time) {
+	var live roster.Roster
 	for _, daemon := range c.roster {
 		report, _ := c.contact.Report(daemon.ID)
-		if daemon.ID == c.self.ID || now.Sub(report.At) <= heardFor {
-			alive = append(alive, daemon)
+		if daemon.ID == c.self.ID || now.Sub(report.At) <= maxReportAge {
+			live = append(live, daemon)
 		}
 	}
-	if !slices.Equal(alive, c.alive) {
-		c.alive = alive
-		c.watched = map[string]bool{}
+	if !slices.Equal(live, c.liveDaemons) {
+		c.liveDaemons = live
+		c.watchCache = map[string]bool{}
 	}
 }
 
-// controls tells whether this daemon holds the lease on a group's shard.
+// controls reports whether this daemon holds the lease on a group's shard.
 func (c *Controller) controls(name string) bool {
-	held, ok := c.held[ShardOf(name)]
+	held, ok := c.heldLeases[ShardOf(name)]
 	return ok && held.Holds(0)
 }
 
-// ShardOf returns the shard of control that a group or plan belongs to.
+// ShardOf returns the control shard of a group or plan.
 func ShardOf(name string) int {
 	return int(xxhash.Sum64String(name) % lease.Shards)
 }
 
-// shardName names a shard as work to be ranked.
-func shardName(shard int) string {
+// shardRankKey returns the key by which daemons are ranked for a shard.
+func shardRankKey(shard int) string {
 	return "shard/" + strconv.Itoa(shard)
 }
 
-// judge derives evidence from all probes that changed since it was last done.
-func (c *Controller) judge() {
-	if len(c.unjudged) == 0 {
+// deriveEvidence derives evidence from all probes that changed since the last call.
+func (c *Controller) deriveEvidence() {
+	if len(c.changedProbes) == 0 {
 		return
 	}
 	c.rebuild()
-	var found []presence.Evidence
+	var derived []presence.Evidence
 	for _, record := range c.world.Groups {
-		if slices.ContainsFunc(record.Members, c.isUnjudged) {
-			found = append(found, c.judgeGroup(record))
+		if slices.ContainsFunc(record.Members, c.hasChangedProbe) {
+			derived = append(derived, c.deriveGroupEvidence(record))
 		}
 	}
-	for id := range c.unjudged {
+	for id := range c.changedProbes {
 		listed, ok := c.vms[id]
 		if ok && (listed.Service != "" || c.world.Claims[id].Group == "") {
-			found = append(found, c.judgeServer(id))
+			derived = append(derived, c.deriveServerEvidence(id))
 		}
 	}
-	c.unjudged = map[string]bool{}
-	for _, one := range found {
-		c.observed[one.Group] = one
+	c.changedProbes = map[string]bool{}
+	for _, entry := range derived {
+		c.ownEvidence[entry.Group] = entry
 	}
-	c.noteBad(found)
-	c.book = c.book.WithEvidence(found...)
+	c.recordNegativeEvidence(derived)
+	c.book = c.book.WithEvidence(derived...)
 }
 
-// isUnjudged tells whether a member's probe changed.
-func (c *Controller) isUnjudged(member group.Member) bool {
-	return c.unjudged[member.VM]
+// hasChangedProbe reports whether a member's probe changed.
+func (c *Controller) hasChangedProbe(member group.Member) bool {
+	return c.changedProbes[member.VM]
 }
 
-// judgeServer derives evidence of a VM that stands for itself: one of a plain
-// service, or a free one.
-func (c *Controller) judgeServer(id string) presence.Evidence {
-	known := c.probes[id]
+// deriveServerEvidence derives evidence of a VM that belongs to no group: a server of a
+// plain service, or a free VM.
+func (c *Controller) deriveServerEvidence(id string) presence.Evidence {
+	latest := c.probes[id]
 	evidence := presence.Evidence{
 		Group: ServerEvidence(id),
-		Whole: !known.answeredAt.IsZero() && !known.state.Leaving,
-		At:    known.answeredAt,
+		Whole: !latest.lastAnsweredAt.IsZero() && !latest.state.Leaving,
+		At:    latest.lastAnsweredAt,
 	}
-	since := known.answeredAt
+	since := latest.lastAnsweredAt
 	if since.IsZero() {
-		since = known.firstAt
+		since = latest.firstProbedAt
 	}
-	if known.refused || time.Since(since) > unwellAfter {
+	if latest.isRefused || time.Since(since) > unresponsiveAfter {
 		evidence.Whole = false
 		evidence.At = time.Now()
 	}
 	return evidence
 }
 
-// judgeGroup derives evidence of a group: whole as of its oldest answer, or
-// not whole as of the newest word against it.
-func (c *Controller) judgeGroup(record group.Record) presence.Evidence {
+// deriveGroupEvidence derives evidence of a group: whole as of its oldest answer, or not
+// whole as of the newest evidence against it.
+func (c *Controller) deriveGroupEvidence(record group.Record) presence.Evidence {
 	evidence := presence.Evidence{
 		Group:      record.Name,
 		Generation: record.Generation,
 		Whole:      len(record.Members) > 0,
 	}
-	var against time.Time
+	var notWholeAt time.Time
 	for i, member := range record.Members {
-		known := c.probes[member.VM]
-		isPart := known.state.Group == record.Name && known.state.Generation == record.Generation && known.state.Loaded
+		latest := c.probes[member.VM]
+		isLoadedMember := latest.state.Group == record.Name && latest.state.Generation == record.Generation && latest.state.Loaded
 		switch {
-		case known.refused:
-			against = time.Now()
-		case known.answeredAt.IsZero():
+		case latest.isRefused:
+			notWholeAt = time.Now()
+		case latest.lastAnsweredAt.IsZero():
 			evidence.Whole = false
-		case !isPart && known.answeredAt.After(against):
-			against = known.answeredAt
+		case !isLoadedMember && latest.lastAnsweredAt.After(notWholeAt):
+			notWholeAt = latest.lastAnsweredAt
 		}
 		if i == 0 {
-			evidence.InFlight = known.state.InFlight
-			evidence.Slots = known.state.Slots
-			evidence.At = known.answeredAt
+			evidence.InFlight = latest.state.InFlight
+			evidence.Slots = latest.state.Slots
+			evidence.At = latest.lastAnsweredAt
 		}
-		if known.answeredAt.Before(evidence.At) {
-			evidence.At = known.answeredAt
+		if latest.lastAnsweredAt.Before(evidence.At) {
+			evidence.At = latest.lastAnsweredAt
 		}
 	}
-	if !against.IsZero() {
+	if !notWholeAt.IsZero() {
 		evidence.Whole = false
-		evidence.At = against
+		evidence.At = notWholeAt
 	}
 	return evidence
 }
