--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -88,9 +88,9 @@
 	changeLog    []logEntry
 	logPosition  int
 	prunedAt     time.Time
-	world        plan.World
-	worldReader  plan.Reader
-	isWorldStale bool
+	fleet        plan.World
+	fleetReader  plan.Reader
+	isFleetStale bool
 	roster       roster.Roster
 	// liveDaemons are the daemons whose reports are recent. watchCache caches by name
 	// whether this daemon is one of their watchers.
@@ -154,7 +154,7 @@
 		lastOrderAt:        map[string]time.Time{},
 		pendingCommits:     map[string]bool{},
 		watchCache:         map[string]bool{},
-		isWorldStale:       true,
+		isFleetStale:       true,
 	}
 }
 
@@ -218,7 +218,7 @@
 		vms[entry.ID] = entry
 	}
 	c.vms = vms
-	c.isWorldStale = true
+	c.isFleetStale = true
 }
 
 // LearnProbe records a probe of a VM that started at startedAt and was answered.
@@ -286,7 +286,7 @@
 			// often to be passed on to all daemons.
 			continue
 		}
-		c.isWorldStale = true
+		c.isFleetStale = true
 		c.logPosition++
 		c.changeLog = append(c.changeLog, logEntry{
 			position: c.logPosition,
@@ -317,8 +317,8 @@
 	c.changeLog = kept
 }
 
-// isLeaseRow reports whether a key is that of a lease or renewal row, on which the world
-// does not depend.
+// isLeaseRow reports whether a key is that of a lease or renewal row, on which the fleet
+// state does not depend.
 func isLeaseRow(key string) bool {
 	return hasPrefix(key, lease.KeyPrefix) || hasPrefix(key, lease.RenewalPrefix)
 }
@@ -328,23 +328,23 @@
 	return len(key) >= len(prefix) && key[:len(prefix)] == prefix
 }
 
-// rebuild derives the world and the roster from the rows if they changed.
+// rebuild derives the fleet state and the roster from the rows if they changed.
 func (c *Controller) rebuild() {
-	if !c.isWorldStale {
+	if !c.isFleetStale {
 		return
 	}
 	listed := make([]vm.VM, 0, len(c.vms))
 	for _, entry := range c.vms {
 		listed = append(listed, entry)
 	}
-	world, err := c.worldReader.World(c.rows, listed)
+	fleet, err := c.fleetReader.World(c.rows, listed)
 	if err != nil {
 		// A row that cannot be decoded is left to a daemon that can decode it.
 		return
 	}
-	c.world = world
+	c.fleet = fleet
 	c.roster = roster.Of(c.rows)
-	c.isWorldStale = false
+	c.isFleetStale = false
 }
 
 const (
@@ -396,11 +396,11 @@
 	c.isLeaving = true
 }
 
-// World returns the world as observed so far.
+// World returns the state of the fleet as observed so far.
 func (c *Controller) World() plan.World {
 	c.rebuild()
 	c.markUnresponsive()
-	return c.world
+	return c.fleet
 }
 
 // Roster returns the daemons as observed so far.
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -27,7 +27,7 @@
 // stepGroups carries out the next step of every group whose shard this daemon holds.
 func (c *Controller) stepGroups(actions *Actions, now time.Time) {
 	for _, held := range c.Usable() {
-		for _, record := range c.world.Groups {
+		for _, record := range c.fleet.Groups {
 			if ShardOf(record.Name) == held.Shard && !c.pendingCommits[groupCommitPrefix+record.Name] {
 				c.stepGroup(actions, held, record, now)
 			}
@@ -50,7 +50,7 @@
 	case group.Repair:
 		c.repairGroup(actions, held, record, decision.Members, now)
 	case group.Reload:
-		reloaded := record.WithMembers(record.Members, record.Zone, record.Domain, c.world.Floor(record.Members))
+		reloaded := record.WithMembers(record.Members, record.Zone, record.Domain, c.fleet.Floor(record.Members))
 		c.commitGroup(actions, held, record, reloaded)
 	case group.Vacate:
 		next := record.WithoutMembers()
@@ -148,7 +148,7 @@
 	}
 	for _, member := range from.Members {
 		if !to.Has(member.VM) {
-			claim := c.world.Claims[member.VM]
+			claim := c.fleet.Claims[member.VM]
 			claim.Group = ""
 			claim.Plan = reservingPlan(from, to)
 			change = c.addClaimWrite(change, member.VM, claim)
@@ -183,30 +183,30 @@
 
 // placeGroup chooses VMs for a waiting group.
 func (c *Controller) placeGroup(actions *Actions, held lease.Held, record group.Record) {
-	model, ok := c.world.Configuration.Declaration.Model(record.Model)
+	model, ok := c.fleet.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
 	choice := placement.Place(c.domainsWithoutSuspects(), []placement.Want{{
 		Name:  record.Name,
 		Size:  model.VMsPerReplica,
-		Zones: c.world.ZonesFor(model, record.Zone),
-	}}, c.world.Configuration.Declaration.Weights)[0]
+		Zones: c.fleet.ZonesFor(model, record.Zone),
+	}}, c.fleet.Configuration.Declaration.Weights)[0]
 	if len(choice.Members) == 0 {
 		return
 	}
 	members := plan.MembersOf(choice.Members)
-	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.world.Floor(members)))
+	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.fleet.Floor(members)))
 }
 
 // repairGroup applies the cheapest remedy for lost members.
 func (c *Controller) repairGroup(actions *Actions, held lease.Held, record group.Record, lost []int, now time.Time) {
-	model, ok := c.world.Configuration.Declaration.Model(record.Model)
+	model, ok := c.fleet.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
 	loss, isLost := c.describeLoss(record, model, lost, now)
-	remedy, choice := c.repairer.Repair(loss, c.domainsWithoutSuspects(), c.world.Configuration.Declaration.Weights)
+	remedy, choice := c.repairer.Repair(loss, c.domainsWithoutSuspects(), c.fleet.Configuration.Declaration.Weights)
 	taken := plan.MembersOf(choice.Members)
 	var next group.Record
 	switch remedy {
@@ -220,7 +220,7 @@
 	case placement.Wait:
 		return
 	}
-	next.Generation = max(record.Generation, c.world.Floor(next.Members)) + 1
+	next.Generation = max(record.Generation, c.fleet.Floor(next.Members)) + 1
 	for id := range isLost {
 		c.suspectSince[id] = now
 	}
@@ -252,7 +252,7 @@
 		Group:         record.Name,
 		Lost:          len(lost),
 		Kept:          len(record.Members) - len(lost),
-		Zones:         c.world.ZonesFor(model, record.Zone),
+		Zones:         c.fleet.ZonesFor(model, record.Zone),
 		Domain:        record.Domain,
 		LoadSeconds:   model.LoadTime.Or(declaration.DefaultLoadTime).Seconds(),
 		UnseenSeconds: unseenSeconds,
@@ -282,7 +282,7 @@
 		return
 	}
 	if record.Next != nil {
-		next := record.Next.WithMembers(record.Next.Members, record.Next.Zone, record.Next.Domain, c.world.Floor(record.Next.Members))
+		next := record.Next.WithMembers(record.Next.Members, record.Next.Zone, record.Next.Domain, c.fleet.Floor(record.Next.Members))
 		next.Generation = max(next.Generation, record.Generation+1)
 		next.Plan = record.Plan
 		c.commitGroup(actions, held, record, next)
@@ -300,7 +300,7 @@
 
 // domainsWithoutSuspects returns the fabric domains with their free VMs, without suspects.
 func (c *Controller) domainsWithoutSuspects() []placement.Domain {
-	return c.world.Domains(func(id string) bool {
+	return c.fleet.Domains(func(id string) bool {
 		since, ok := c.suspectSince[id]
 		return ok && time.Since(since) < suspectTime
 	})
--- a/core/control/plans.go
+++ b/core/control/plans.go
@@ -18,7 +18,7 @@
 // any point.
 func (c *Controller) stepPlans(actions *Actions) {
 	for _, held := range c.Usable() {
-		for _, current := range c.world.Plans {
+		for _, current := range c.fleet.Plans {
 			if ShardOf(current.ID) == held.Shard && !c.pendingCommits[planCommitPrefix+current.ID] {
 				c.stepPlan(actions, held, current)
 			}
@@ -88,10 +88,10 @@
 // setZone closes or opens a zone.
 func (c *Controller) setZone(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	isClosed := step.Verb == plan.CloseZone
-	if c.world.Closed[step.Zone] == isClosed {
+	if c.fleet.Closed[step.Zone] == isClosed {
 		return change, true, ""
 	}
-	if c.world.ZonePlans[step.Zone] != current.ID {
+	if c.fleet.ZonePlans[step.Zone] != current.ID {
 		return change, false, fmt.Sprintf("zone %q is not the plan's to change", step.Zone)
 	}
 	key := plan.ZoneKey(step.Zone)
@@ -105,7 +105,7 @@
 
 // retireVM marks a VM's claim as retired once no group has the VM.
 func (c *Controller) retireVM(step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	claim := c.world.Claims[step.VM]
+	claim := c.fleet.Claims[step.VM]
 	if claim.Retired {
 		return change, true, ""
 	}
@@ -119,17 +119,17 @@
 
 // formGroup creates a group on VMs that are reserved for the plan.
 func (c *Controller) formGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	record, ok := c.world.Group(step.Group)
+	record, ok := c.fleet.Group(step.Group)
 	if ok {
 		return change, record.Phase == group.Serving, ""
 	}
 	for _, member := range step.Record.Members {
-		claim := c.world.Claims[member.VM]
+		claim := c.fleet.Claims[member.VM]
 		if claim.Group != "" || claim.Plan != current.ID {
 			return change, false, fmt.Sprintf("VM %q is not reserved for the plan any more", member.VM)
 		}
 	}
-	record = step.Record.WithMembers(step.Record.Members, step.Record.Zone, step.Record.Domain, c.world.Floor(step.Record.Members))
+	record = step.Record.WithMembers(step.Record.Members, step.Record.Zone, step.Record.Domain, c.fleet.Floor(step.Record.Members))
 	record = record.WithPlan(current.ID)
 	change = c.membershipChange(group.Record{
 		Name: record.Name,
@@ -140,7 +140,7 @@
 
 // drainGroup puts a group into draining; the group's controller dissolves it.
 func (c *Controller) drainGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	record, ok := c.world.Group(step.Group)
+	record, ok := c.fleet.Group(step.Group)
 	if !ok {
 		return change, true, ""
 	}
@@ -155,7 +155,7 @@
 
 // reformGroup drains a group and lets it form again with the planned record.
 func (c *Controller) reformGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	record, ok := c.world.Group(step.Group)
+	record, ok := c.fleet.Group(step.Group)
 	if !ok || record.Plan != current.ID {
 		return change, false, fmt.Sprintf("group %q is not the plan's to change", step.Group)
 	}
@@ -204,7 +204,7 @@
 // that they were to replace still serve, so that the fleet keeps its declared size.
 func (c *Controller) cleanUpPlan(actions *Actions, held lease.Held, current plan.Plan) {
 	change := table.Transaction{}
-	for _, record := range c.world.Groups {
+	for _, record := range c.fleet.Groups {
 		if record.Plan != current.ID || record.Phase == group.Draining || len(change.Writes) >= maxCleanUpWrites {
 			continue
 		}
@@ -216,22 +216,22 @@
 		change = change.WithCondition(key, c.rows.Row(key).Version)
 		change = change.WithWrite(table.Put(key, next))
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.world.Claims)) {
-		claim := c.world.Claims[id]
+	for _, id := range slices.Sorted(maps.Keys(c.fleet.Claims)) {
+		claim := c.fleet.Claims[id]
 		if claim.Plan != current.ID || len(change.Writes) >= maxCleanUpWrites {
 			continue
 		}
 		claim.Plan = ""
 		change = c.addClaimWrite(change, id, claim)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(c.world.ZonePlans)) {
-		if c.world.ZonePlans[zone] != current.ID {
+	for _, zone := range slices.Sorted(maps.Keys(c.fleet.ZonePlans)) {
+		if c.fleet.ZonePlans[zone] != current.ID {
 			continue
 		}
 		key := plan.ZoneKey(zone)
 		change = change.WithCondition(key, c.rows.Row(key).Version)
 		change = change.WithWrite(table.Put(key, plan.Zone{
-			Closed: c.world.Closed[zone],
+			Closed: c.fleet.Closed[zone],
 		}))
 	}
 	if len(change.Writes) > 0 {
@@ -245,7 +245,7 @@
 func (c *Controller) isSurplus(current plan.Plan, record group.Record) bool {
 	isFormedByPlan, surplus := false, 0
 	for _, step := range current.Steps {
-		other, exists := c.world.Group(step.Group)
+		other, exists := c.fleet.Group(step.Group)
 		isSameModel := step.Record != nil && step.Record.Model == record.Model
 		switch {
 		case step.Verb == plan.Form && step.Group == record.Name:
--- a/core/control/snapshot.go
+++ b/core/control/snapshot.go
@@ -22,9 +22,9 @@
 		}
 	}
 	return Snapshot{
-		Configuration: c.world.Configuration,
-		Groups:        c.world.Groups,
-		VMs:           c.world.VMs,
+		Configuration: c.fleet.Configuration,
+		Groups:        c.fleet.Groups,
+		VMs:           c.fleet.VMs,
 		Book:          c.book,
 		Leaving:       leaving,
 		ServeUntil:    c.contact.ServeUntil(c.self.ID, c.roster.IDs(), now),
@@ -42,20 +42,20 @@
 	if now.Sub(c.startedAt) > warmUpTimeout {
 		return true
 	}
-	for _, record := range c.world.Groups {
+	for _, record := range c.fleet.Groups {
 		evidence, ok := c.book.Newest(record.Name)
 		isKnown := ok && evidence.Generation == record.Generation && now.Sub(evidence.At) <= presence.MaxAge
 		if record.Phase == group.Serving && !isKnown {
 			return false
 		}
 	}
-	for _, listed := range c.world.VMs {
+	for _, listed := range c.fleet.VMs {
 		evidence, ok := c.book.Newest(ServerEvidence(listed.ID))
 		if listed.Service != "" && (!ok || now.Sub(evidence.At) > presence.MaxAge) {
 			return false
 		}
 	}
-	return len(c.world.VMs) > 0
+	return len(c.fleet.VMs) > 0
 }
 
 // Snapshot is an immutable view for serving requests.
--- a/core/control/watch.go
+++ b/core/control/watch.go
@@ -32,7 +32,7 @@
 	c.rebuild()
 	c.updateLiveDaemons(time.Now())
 	var targets []Target
-	for _, record := range c.world.Groups {
+	for _, record := range c.fleet.Groups {
 		if !c.watches(record.Name) && !c.controls(record.Name) {
 			continue
 		}
@@ -42,8 +42,8 @@
 			})
 		}
 	}
-	for _, listed := range c.world.VMs {
-		isFree := listed.Service == "" && c.world.Claims[listed.ID].Group == ""
+	for _, listed := range c.fleet.VMs {
+		isFree := listed.Service == "" && c.fleet.Claims[listed.ID].Group == ""
 		if (isFree || listed.Service != "") && c.watches(ServerEvidence(listed.ID)) {
 			targets = append(targets, Target{
 				VM:     listed,
@@ -101,11 +101,11 @@
 // markUnresponsive derives which free VMs are known not to answer. A VM without evidence is
 // not marked.
 func (c *Controller) markUnresponsive() {
-	c.world.Unwell = map[string]bool{}
-	for _, listed := range c.world.VMs {
+	c.fleet.Unwell = map[string]bool{}
+	for _, listed := range c.fleet.VMs {
 		evidence, ok := c.book.Newest(ServerEvidence(listed.ID))
-		if ok && !evidence.Whole && listed.Domain != "" && c.world.Claims[listed.ID].Group == "" {
-			c.world.Unwell[listed.ID] = true
+		if ok && !evidence.Whole && listed.Domain != "" && c.fleet.Claims[listed.ID].Group == "" {
+			c.fleet.Unwell[listed.ID] = true
 		}
 	}
 }
@@ -177,14 +177,14 @@
 	}
 	c.rebuild()
 	var derived []presence.Evidence
-	for _, record := range c.world.Groups {
+	for _, record := range c.fleet.Groups {
 		if slices.ContainsFunc(record.Members, c.hasChangedProbe) {
 			derived = append(derived, c.deriveGroupEvidence(record))
 		}
 	}
 	for id := range c.changedProbes {
 		listed, ok := c.vms[id]
-		if ok && (listed.Service != "" || c.world.Claims[id].Group == "") {
+		if ok && (listed.Service != "" || c.fleet.Claims[id].Group == "") {
 			derived = append(derived, c.deriveServerEvidence(id))
 		}
 	}
