--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -16,131 +16,131 @@
 // drainSeconds is the predicted time that a group takes to drain.
 const drainSeconds = 15.0
 
-// ErrNoRoom reports that a plan needs VMs that are not there.
+// ErrNoRoom means that a plan needs more free VMs than there are.
 var ErrNoRoom = errors.New("no room")
 
-// Build returns the plan that carries out an intent in this world. It changes
-// nothing. The caller gives the id and the operator's name.
-func Build(id, operator string, intent Intent, world World) (Plan, error) {
-	handler, ok := kinds[intent.Kind]
+// Build returns the plan that carries out an intent on this fleet. It changes nothing. The
+// caller passes the plan's id and the operator's name.
+func Build(id, operator string, intent Intent, fleet World) (Plan, error) {
+	handler, ok := kindsByName[intent.Kind]
 	if !ok {
-		return Plan{}, errors.Errorf("intent %q is not known", intent.Kind)
+		return Plan{}, errors.Errorf("unknown intent %q", intent.Kind)
 	}
-	if world.Configuration.Revision == 0 {
+	if fleet.Configuration.Revision == 0 {
 		return Plan{}, errors.New("no configuration is in force; apply a declaration first")
 	}
-	builder := newBuilder(world, intent)
+	builder := newBuilder(fleet, intent)
 	if err := handler.build(builder); err != nil {
 		return Plan{}, errors.Wrapf(err, "plan %s", intent)
 	}
-	made := builder.plan()
-	made.ID = id
-	made.Operator = operator
-	return made, nil
+	built := builder.assemble()
+	built.ID = id
+	built.Operator = operator
+	return built, nil
 }
 
-// builder gathers the steps and the ground of one plan, and keeps track of
-// which VMs are free at the stage being planned.
+// builder collects the steps and preconditions of one plan, and tracks which VMs are free
+// at the current stage.
 type builder struct {
-	world    World
-	intent   Intent
-	domains  []placement.Domain
-	names    map[string]bool
-	stage    int
-	steps    []Step
-	notes    []string
-	ground   map[string]uint64
-	reserves map[string]bool
+	fleet         World
+	intent        Intent
+	domains       []placement.Domain
+	usedNames     map[string]bool
+	stage         int
+	steps         []Step
+	notes         []string
+	preconditions map[string]uint64
+	reserves      map[string]bool
 }
 
 // newBuilder returns a builder at stage 0.
-func newBuilder(world World, intent Intent) *builder {
+func newBuilder(fleet World, intent Intent) *builder {
 	names := map[string]bool{}
-	for _, record := range world.Groups {
+	for _, record := range fleet.Groups {
 		names[record.Name] = true
 	}
 	return &builder{
-		world:    world,
-		intent:   intent,
-		domains:  world.Domains(nil),
-		names:    names,
-		ground:   map[string]uint64{},
-		reserves: map[string]bool{},
+		fleet:         fleet,
+		intent:        intent,
+		domains:       fleet.Domains(nil),
+		usedNames:     names,
+		preconditions: map[string]uint64{},
+		reserves:      map[string]bool{},
 	}
 }
 
-// plan returns what was gathered.
-func (b *builder) plan() Plan {
-	made := Plan{
+// assemble returns the plan from the collected steps and preconditions.
+func (b *builder) assemble() Plan {
+	result := Plan{
 		Intent:   b.intent,
 		State:    Proposed,
-		Revision: b.world.Configuration.Revision,
+		Revision: b.fleet.Configuration.Revision,
 		Steps:    b.steps,
 		Notes:    b.notes,
 	}
-	for key, version := range b.ground {
-		made.Ground = append(made.Ground, table.Condition{
+	for key, version := range b.preconditions {
+		result.Ground = append(result.Ground, table.Condition{
 			Key:     key,
 			Version: version,
 		})
 	}
-	sort.Slice(made.Ground, func(i, j int) bool {
-		return made.Ground[i].Key < made.Ground[j].Key
+	sort.Slice(result.Ground, func(i, j int) bool {
+		return result.Ground[i].Key < result.Ground[j].Key
 	})
 	for id := range b.reserves {
-		made.Reserves = append(made.Reserves, id)
+		result.Reserves = append(result.Reserves, id)
 	}
-	sort.Strings(made.Reserves)
-	return made
+	sort.Strings(result.Reserves)
+	return result
 }
 
-// standOn makes a row part of the ground.
-func (b *builder) standOn(key string) {
-	b.ground[key] = b.world.Catalog.Row(key).Version
+// addPrecondition adds the current version of a row to the preconditions.
+func (b *builder) addPrecondition(key string) {
+	b.preconditions[key] = b.fleet.Catalog.Row(key).Version
 }
 
-// note adds a remark for the reviewer.
-func (b *builder) note(format string, arguments ...any) {
+// addNote adds a remark for the reviewer.
+func (b *builder) addNote(format string, arguments ...any) {
 	b.notes = append(b.notes, fmt.Sprintf(format, arguments...))
 }
 
-// touchZone makes a zone's row part of the ground; it refuses a zone that
-// another plan is opening or closing.
-func (b *builder) touchZone(zone string) error {
-	if other := b.world.ZonePlans[zone]; other != "" {
+// requireZone adds a zone's row to the preconditions. It fails if another plan is opening
+// or closing the zone.
+func (b *builder) requireZone(zone string) error {
+	if other := b.fleet.ZonePlans[zone]; other != "" {
 		return errors.Errorf("zone %q is being changed by plan %s", zone, other)
 	}
-	b.standOn(ZoneKey(zone))
+	b.addPrecondition(ZoneKey(zone))
 	return nil
 }
 
-// closeZone plans the closing of a zone.
+// closeZone adds the step that closes a zone.
 func (b *builder) closeZone(zone string) {
-	b.world.Closed[zone] = true
+	b.fleet.Closed[zone] = true
 	b.steps = append(b.steps, Step{
 		Stage: b.stage,
 		Verb:  CloseZone,
 		Zone:  zone,
 	})
-	b.domains = b.world.Domains(nil)
+	b.domains = b.fleet.Domains(nil)
 }
 
-// touch makes a group's row part of the ground; it refuses a group that
-// another plan is changing.
-func (b *builder) touch(record group.Record) error {
+// requireGroup adds a group's row to the preconditions. It fails if another plan is
+// changing the group.
+func (b *builder) requireGroup(record group.Record) error {
 	if record.Plan != "" {
 		return errors.Errorf("group %q is being changed by plan %s", record.Name, record.Plan)
 	}
-	b.standOn(group.Key(record.Name))
+	b.addPrecondition(group.Key(record.Name))
 	return nil
 }
 
-// freshName returns a group name of the model that is not in use.
-func (b *builder) freshName(model string) string {
+// unusedGroupName returns a group name of the model that is not in use.
+func (b *builder) unusedGroupName(model string) string {
 	for number := 1; ; number++ {
 		name := fmt.Sprintf("%s-%d", model, number)
-		if !b.names[name] {
-			b.names[name] = true
+		if !b.usedNames[name] {
+			b.usedNames[name] = true
 			return name
 		}
 	}
@@ -149,38 +149,38 @@
 // ----------------------------------------------------------------------------
 // Replacing groups
 
-// replacement is one group to be given up for another.
+// replacement is a group to be replaced by another.
 type replacement struct {
 	old group.Record
 	// model is what the new group serves.
 	model declaration.Model
 	zones []string
-	// inPlace tells that the old group's own VMs may be used again.
+	// inPlace means that the old group's VMs may be used again.
 	inPlace bool
 }
 
-// replaceAll plans replacements: make before break as long as there is room,
-// a batch at a time, with the VMs that become free used for the next batch.
-// Where there is none, a group is formed anew in its own place.
-func (b *builder) replaceAll(todo []replacement) error {
-	for _, item := range todo {
-		if err := b.touch(item.old); err != nil {
+// replaceAll plans replacements in batches. As long as there are free VMs, the new group is
+// formed before the old one is drained, and the VMs that a batch frees are used for the
+// next batch. Otherwise a group is formed again on its own VMs.
+func (b *builder) replaceAll(pending []replacement) error {
+	for _, item := range pending {
+		if err := b.requireGroup(item.old); err != nil {
 			return err
 		}
 	}
-	parallel := b.world.Configuration.Declaration.Limits.Parallel()
-	for len(todo) > 0 {
-		batch := todo[:min(parallel, len(todo))]
-		left, err := b.replaceBatch(batch)
+	parallel := b.fleet.Configuration.Declaration.Limits.Parallel()
+	for len(pending) > 0 {
+		batch := pending[:min(parallel, len(pending))]
+		retry, err := b.replaceBatch(batch)
 		if err != nil {
 			return err
 		}
-		todo = append(left, todo[len(batch):]...)
+		pending = append(retry, pending[len(batch):]...)
 	}
 	return nil
 }
 
-// replaceBatch plans one batch and returns what is to be tried again.
+// replaceBatch plans one batch and returns the replacements to retry in the next one.
 func (b *builder) replaceBatch(batch []replacement) ([]replacement, error) {
 	wants := make([]placement.Want, len(batch))
 	for i, item := range batch {
@@ -190,36 +190,36 @@
 			Zones: item.zones,
 		}
 	}
-	choices := placement.Place(b.domains, wants, b.world.Configuration.Declaration.Weights)
-	var placed, left []replacement
+	choices := placement.Place(b.domains, wants, b.fleet.Configuration.Declaration.Weights)
+	var placed, retry []replacement
 	for i, choice := range choices {
 		if len(choice.Members) == 0 {
-			left = append(left, batch[i])
+			retry = append(retry, batch[i])
 			continue
 		}
 		b.form(batch[i].model, choice)
 		placed = append(placed, batch[i])
 	}
 	if len(placed) == 0 {
-		return left[1:], b.replaceWithoutRoom(left[0])
+		return retry[1:], b.replaceWithoutFreeVMs(retry[0])
 	}
 	b.stage++
 	for _, item := range placed {
 		b.drain(item.old, item.inPlace)
 	}
 	b.stage++
-	return left, nil
+	return retry, nil
 }
 
-// replaceWithoutRoom plans for a group that no spare VMs can stand in for.
-func (b *builder) replaceWithoutRoom(item replacement) error {
+// replaceWithoutFreeVMs plans for a group that no free VMs can replace.
+func (b *builder) replaceWithoutFreeVMs(item replacement) error {
 	if item.inPlace && len(item.old.Members) == item.model.VMsPerReplica {
 		b.reform(item.old, item.model, item.old.Members)
 		b.stage++
 		return nil
 	}
 	if b.intent.AllowFewer {
-		b.note("group %s goes without replacement: no room for %d VMs of one fabric domain", item.old.Name, item.model.VMsPerReplica)
+		b.addNote("group %s goes without replacement: no room for %d VMs of one fabric domain", item.old.Name, item.model.VMsPerReplica)
 		b.drain(item.old, item.inPlace)
 		b.stage++
 		return nil
@@ -227,18 +227,18 @@
 	return errors.Wrapf(ErrNoRoom, "group %q: no %d free VMs in one fabric domain of %v; add VMs or allow fewer groups", item.old.Name, item.model.VMsPerReplica, item.zones)
 }
 
-// form plans a new group on free VMs.
+// form adds the step that forms a new group on free VMs.
 func (b *builder) form(model declaration.Model, choice placement.Choice) {
 	members := MembersOf(choice.Members)
 	record := group.Record{
-		Name:    b.freshName(model.Name),
+		Name:    b.unusedGroupName(model.Name),
 		Model:   model.Name,
 		Version: model.Version,
 		Adapter: model.Adapter,
 		Role:    model.Role,
 	}
 	record = record.WithMembers(members, choice.Zone, choice.Domain, 0)
-	b.takeFree(choice.Domain, members)
+	b.useFreeVMs(choice.Domain, members)
 	loadSeconds := model.LoadTime.Or(declaration.DefaultLoadTime).Seconds()
 	b.steps = append(b.steps, Step{
 		Stage:           b.stage,
@@ -250,11 +250,12 @@
 	})
 }
 
-// takeFree makes VMs no longer free. Those free today are reserved at confirm.
-func (b *builder) takeFree(domain string, members []group.Member) {
+// useFreeVMs removes VMs from the free ones. VMs that are free now are reserved when the
+// plan is confirmed.
+func (b *builder) useFreeVMs(domain string, members []group.Member) {
 	for _, member := range members {
-		if b.world.Claims[member.VM].Free() {
-			b.standOn(vm.Key(member.VM))
+		if b.fleet.Claims[member.VM].Free() {
+			b.addPrecondition(vm.Key(member.VM))
 			b.reserves[member.VM] = true
 		}
 	}
@@ -276,8 +277,8 @@
 	}
 }
 
-// drain plans the end of a group. Its VMs are free for later stages where
-// reuse is true.
+// drain adds the step that drains a group. If reuse is set, its VMs are free in later
+// stages.
 func (b *builder) drain(record group.Record, reuse bool) {
 	b.steps = append(b.steps, Step{
 		Stage:           b.stage,
@@ -294,14 +295,14 @@
 		}
 		b.domains[i].Groups--
 		for _, member := range record.Members {
-			if listed, ok := b.world.VM(member.VM); ok && listed.State == vm.Live {
+			if listed, ok := b.fleet.VM(member.VM); ok && listed.State == vm.Live {
 				b.domains[i].Free = append(b.domains[i].Free, listed)
 			}
 		}
 	}
 }
 
-// reform plans that a group ends its work and forms anew on members.
+// reform adds the step that drains a group and forms it again on members.
 func (b *builder) reform(old group.Record, model declaration.Model, members []group.Member) {
 	next := old.WithModel(model.Version, model.Adapter, model.Role)
 	next.Members = members
--- a/core/plan/kinds.go
+++ b/core/plan/kinds.go
@@ -11,11 +11,10 @@
 	"headcourse/core/vm"
 )
 
-// Kind names an intent.
+// Kind names the kind of an intent.
 type Kind string
 
-// The kinds of intents. Adding one is a constant, a row in kinds and a
-// function that builds it.
+// Kinds of intents. A new kind needs a constant, an entry in Kinds and a build function.
 const (
 	DrainSite     Kind = "drain-site"
 	DrainZone     Kind = "drain-zone"
@@ -33,8 +32,8 @@
 	build func(*builder) error
 }
 
-// kinds is the lookup table of intents.
-var kinds = func() map[Kind]KindInfo {
+// kindsByName indexes Kinds.
+var kindsByName = func() map[Kind]KindInfo {
 	byKind := map[Kind]KindInfo{}
 	for _, info := range Kinds() {
 		byKind[info.Kind] = info
@@ -42,7 +41,7 @@
 	return byKind
 }()
 
-// Kinds returns every kind in the order of the help.
+// Kinds returns all kinds in the order of the help.
 func Kinds() []KindInfo {
 	return []KindInfo{
 		{
@@ -85,7 +84,7 @@
 
 // buildDrainSite drains all zones of a site.
 func buildDrainSite(b *builder) error {
-	zones := b.world.Configuration.Declaration.ZonesOfSite(b.intent.Site)
+	zones := b.fleet.Configuration.Declaration.ZonesOfSite(b.intent.Site)
 	if len(zones) == 0 {
 		return errors.Errorf("site %q is not declared", b.intent.Site)
 	}
@@ -94,41 +93,41 @@
 
 // buildDrainZone drains one zone.
 func buildDrainZone(b *builder) error {
-	if !b.world.Configuration.Declaration.HasZone(b.intent.Zone) {
+	if !b.fleet.Configuration.Declaration.HasZone(b.intent.Zone) {
 		return errors.Errorf("zone %q is not declared", b.intent.Zone)
 	}
 	return b.drainZones([]string{b.intent.Zone})
 }
 
-// drainZones closes zones and replaces their groups in others.
+// drainZones closes zones and replaces their groups by groups in other zones.
 func (b *builder) drainZones(zones []string) error {
 	for _, zone := range zones {
-		if err := b.touchZone(zone); err != nil {
+		if err := b.requireZone(zone); err != nil {
 			return err
 		}
 		b.closeZone(zone)
 	}
 	b.stage++
-	var todo []replacement
-	for _, record := range b.world.Groups {
+	var replacements []replacement
+	for _, record := range b.fleet.Groups {
 		if !contains(zones, record.Zone) || record.Phase == group.Draining {
 			continue
 		}
-		model, err := b.world.model(record.Model)
+		model, err := b.fleet.declaredModel(record.Model)
 		if err != nil {
 			return err
 		}
-		todo = append(todo, replacement{
+		replacements = append(replacements, replacement{
 			old:   record,
 			model: servedModel(model, record),
-			zones: b.world.ZonesFor(model, ""),
+			zones: b.fleet.ZonesFor(model, ""),
 		})
 	}
-	return b.replaceAll(todo)
+	return b.replaceAll(replacements)
 }
 
-// servedModel returns the model with the version that a group serves today, so
-// that moving a group does not change what it serves.
+// servedModel returns the model with the version, adapter and role that a group serves now,
+// so that moving a group does not change what it serves.
 func servedModel(model declaration.Model, record group.Record) declaration.Model {
 	model.Version = record.Version
 	model.Adapter = record.Adapter
@@ -138,10 +137,10 @@
 
 // buildOpenZone opens a zone.
 func buildOpenZone(b *builder) error {
-	if !b.world.Closed[b.intent.Zone] {
+	if !b.fleet.Closed[b.intent.Zone] {
 		return errors.Errorf("zone %q is not closed", b.intent.Zone)
 	}
-	if err := b.touchZone(b.intent.Zone); err != nil {
+	if err := b.requireZone(b.intent.Zone); err != nil {
 		return err
 	}
 	b.steps = append(b.steps, Step{
@@ -151,14 +150,15 @@
 	return nil
 }
 
-// buildRetireVM forms the VM's group elsewhere, or anew with a spare.
+// buildRetireVM retires a VM. If the VM has a group, the group is formed elsewhere or again
+// with a spare.
 func buildRetireVM(b *builder) error {
 	id := b.intent.VM
-	if _, ok := b.world.VM(id); !ok {
+	if _, ok := b.fleet.VM(id); !ok {
 		return errors.Errorf("VM %q is not in the VM list", id)
 	}
-	b.standOn(vm.Key(id))
-	claim := b.world.Claims[id]
+	b.addPrecondition(vm.Key(id))
+	claim := b.fleet.Claims[id]
 	if claim.Retired {
 		return errors.Errorf("VM %q is retired already", id)
 	}
@@ -168,9 +168,9 @@
 	if claim.Free() {
 		b.reserves[id] = true
 	}
-	b.removeFree(id)
-	if record, ok := b.world.Group(claim.Group); ok && record.Has(id) {
-		if err := b.vacate(record, id); err != nil {
+	b.excludeVM(id)
+	if record, ok := b.fleet.Group(claim.Group); ok && record.Has(id) {
+		if err := b.removeFromGroup(record, id); err != nil {
 			return err
 		}
 	}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// removeFree makes a VM count as not free.
-func (b *builder) removeFree(id string) {
+// excludeVM removes a VM from the free ones.
+func (b *builder) excludeVM(id string) {
 	for i, domain := range b.domains {
 		var free []vm.VM
 		for _, listed := range domain.Free {
@@ -195,24 +195,25 @@
 	}
 }
 
-// vacate plans that a group goes on without one of its VMs: whole elsewhere if
-// there is room, else anew in place with a spare of its domain.
-func (b *builder) vacate(record group.Record, id string) error {
-	model, err := b.world.model(record.Model)
+// removeFromGroup plans that a group continues without one of its VMs. The group is
+// replaced elsewhere if there are enough free VMs; otherwise it is formed again with a
+// spare VM of its domain.
+func (b *builder) removeFromGroup(record group.Record, id string) error {
+	model, err := b.fleet.declaredModel(record.Model)
 	if err != nil {
 		return err
 	}
 	item := replacement{
 		old:   record,
 		model: servedModel(model, record),
-		zones: b.world.ZonesFor(model, record.Zone),
+		zones: b.fleet.ZonesFor(model, record.Zone),
 	}
-	members, hasSpare := b.withSpare(record, id)
-	if hasSpare && !b.hasRoom(item) {
-		if err = b.touch(record); err != nil {
+	members, hasSpare := b.membersWithSpare(record, id)
+	if hasSpare && !b.hasFreeVMsFor(item) {
+		if err = b.requireGroup(record); err != nil {
 			return err
 		}
-		b.takeFree(record.Domain, members)
+		b.useFreeVMs(record.Domain, members)
 		b.reform(record, item.model, members)
 		b.stage++
 		return nil
@@ -220,18 +221,19 @@
 	return b.replaceAll([]replacement{item})
 }
 
-// hasRoom tells whether a replacement fits on free VMs.
-func (b *builder) hasRoom(item replacement) bool {
+// hasFreeVMsFor reports whether a replacement fits on free VMs.
+func (b *builder) hasFreeVMsFor(item replacement) bool {
 	choices := placement.Place(b.domains, []placement.Want{{
 		Name:  item.old.Name,
 		Size:  item.model.VMsPerReplica,
 		Zones: item.zones,
-	}}, b.world.Configuration.Declaration.Weights)
+	}}, b.fleet.Configuration.Declaration.Weights)
 	return len(choices[0].Members) > 0
 }
 
-// withSpare returns the members with a spare of the domain in place of one.
-func (b *builder) withSpare(record group.Record, id string) ([]group.Member, bool) {
+// membersWithSpare returns the members with a free VM of the domain in place of one of
+// them, and whether there is such a VM.
+func (b *builder) membersWithSpare(record group.Record, id string) ([]group.Member, bool) {
 	members := append([]group.Member(nil), record.Members...)
 	for _, domain := range b.domains {
 		if domain.Name != record.Domain || len(domain.Free) == 0 {
@@ -247,47 +249,47 @@
 	return nil, false
 }
 
-// buildMoveModel replaces a model's groups of one zone in another.
+// buildMoveModel replaces a model's groups of one zone by groups in another.
 func buildMoveModel(b *builder) error {
-	model, err := b.world.model(b.intent.Model)
+	model, err := b.fleet.declaredModel(b.intent.Model)
 	if err != nil {
 		return err
 	}
 	for _, zone := range []string{b.intent.Zone, b.intent.To} {
-		if !b.world.Configuration.Declaration.HasZone(zone) {
+		if !b.fleet.Configuration.Declaration.HasZone(zone) {
 			return errors.Errorf("zone %q is not declared", zone)
 		}
 	}
-	if b.world.Closed[b.intent.To] {
+	if b.fleet.Closed[b.intent.To] {
 		return errors.Errorf("zone %q is closed", b.intent.To)
 	}
-	var todo []replacement
-	for _, record := range b.world.Groups {
+	var replacements []replacement
+	for _, record := range b.fleet.Groups {
 		if record.Model == model.Name && record.Zone == b.intent.Zone && record.Phase != group.Draining {
-			todo = append(todo, replacement{
+			replacements = append(replacements, replacement{
 				old:   record,
 				model: servedModel(model, record),
 				zones: []string{b.intent.To},
 			})
 		}
 	}
-	if len(todo) == 0 {
+	if len(replacements) == 0 {
 		return errors.Errorf("model %q has no groups in zone %q", model.Name, b.intent.Zone)
 	}
-	b.note("declare the new zone's replicas of %s as well, or reconcile will move them back", model.Name)
-	return b.replaceAll(todo)
+	b.addNote("declare the new zone's replicas of %s as well, or reconcile will move them back", model.Name)
+	return b.replaceAll(replacements)
 }
 
-// buildDissolveGroup ends one group.
+// buildDissolveGroup dissolves one group.
 func buildDissolveGroup(b *builder) error {
-	record, ok := b.world.Group(b.intent.Group)
+	record, ok := b.fleet.Group(b.intent.Group)
 	if !ok {
 		return errors.Errorf("group %q does not exist", b.intent.Group)
 	}
-	if err := b.touch(record); err != nil {
+	if err := b.requireGroup(record); err != nil {
 		return err
 	}
-	b.note("lower the replicas of %s in %s in the declaration as well, or reconcile will create it again", record.Model, record.Zone)
+	b.addNote("lower the replicas of %s in %s in the declaration as well, or reconcile will create it again", record.Model, record.Zone)
 	b.drain(record, false)
 	return nil
 }
@@ -297,53 +299,53 @@
 
 // buildReconcile compares every model's groups with its declared replicas.
 func buildReconcile(b *builder) error {
-	var todo []replacement
-	for _, model := range b.world.Configuration.Declaration.Models {
+	var replacements []replacement
+	for _, model := range b.fleet.Configuration.Declaration.Models {
 		changed, err := b.reconcileModel(model)
 		if err != nil {
 			return err
 		}
-		todo = append(todo, changed...)
+		replacements = append(replacements, changed...)
 	}
 	if err := b.drainUndeclared(); err != nil {
 		return err
 	}
 	if len(b.steps) > 0 {
-		b.stage = b.plan().LastStage() + 1
+		b.stage = b.assemble().LastStage() + 1
 	}
-	return b.replaceAll(todo)
+	return b.replaceAll(replacements)
 }
 
-// reconcileModel plans missing and surplus groups of a model, and returns
-// those that serve another version, adapter or role.
+// reconcileModel plans missing and surplus groups of a model. It returns the groups that
+// serve another version, adapter or role than declared.
 func (b *builder) reconcileModel(model declaration.Model) ([]replacement, error) {
 	var changed []replacement
-	standIns := b.standIns(model)
+	displaced := b.displacedReplicas(model)
 	for _, zone := range sortedZones(model.Replicas) {
-		have := b.groupsOf(model.Name, zone)
-		want := model.Replicas[zone]
-		if b.world.Closed[zone] {
-			b.note("zone %s is closed; %d groups of %s declared there are not created", zone, want, model.Name)
+		existing := b.activeGroups(model.Name, zone)
+		declared := model.Replicas[zone]
+		if b.fleet.Closed[zone] {
+			b.addNote("zone %s is closed; %d groups of %s declared there are not created", zone, declared, model.Name)
 			continue
 		}
-		if surplus := len(have) - want; surplus > 0 {
-			kept := min(surplus, standIns)
-			want += kept
-			standIns -= kept
+		if surplus := len(existing) - declared; surplus > 0 {
+			keptDisplaced := min(surplus, displaced)
+			declared += keptDisplaced
+			displaced -= keptDisplaced
 		}
-		for len(have) > want {
-			last := have[len(have)-1]
-			if err := b.touch(last); err != nil {
+		for len(existing) > declared {
+			last := existing[len(existing)-1]
+			if err := b.requireGroup(last); err != nil {
 				return nil, err
 			}
 			b.stage = 0
 			b.drain(last, false)
-			have = have[:len(have)-1]
+			existing = existing[:len(existing)-1]
 		}
-		if err := b.formMissing(model, zone, want-len(have)); err != nil {
+		if err := b.formMissing(model, zone, declared-len(existing)); err != nil {
 			return nil, err
 		}
-		for _, record := range have {
+		for _, record := range existing {
 			if record.Version != model.Version || record.Adapter != model.Adapter || record.Role != model.Role {
 				changed = append(changed, replacement{
 					old:     record,
@@ -357,7 +359,8 @@
 	return changed, nil
 }
 
-// formMissing plans new groups, some at a time for the weight store's sake.
+// formMissing plans new groups. The stages limit how many groups load at the same time, to
+// limit the load on the weight store.
 func (b *builder) formMissing(model declaration.Model, zone string, missing int) error {
 	if missing <= 0 {
 		return nil
@@ -370,24 +373,24 @@
 			Zones: []string{zone},
 		}
 	}
-	parallel := b.world.Configuration.Declaration.Limits.Parallel()
-	choices := placement.Place(b.domains, wants, b.world.Configuration.Declaration.Weights)
+	parallel := b.fleet.Configuration.Declaration.Limits.Parallel()
+	choices := placement.Place(b.domains, wants, b.fleet.Configuration.Declaration.Weights)
 	for i, choice := range choices {
 		if len(choice.Members) == 0 {
 			if !b.intent.AllowFewer {
 				return errors.Wrapf(ErrNoRoom, "model %q: room for %d of %d groups in zone %q; add VMs or allow fewer groups", model.Name, i, missing, zone)
 			}
-			b.note("no room for a group of %s in %s", model.Name, zone)
+			b.addNote("no room for a group of %s in %s", model.Name, zone)
 			continue
 		}
-		b.stage = b.formsSoFar() / parallel
+		b.stage = b.plannedForms() / parallel
 		b.form(model, choice)
 	}
 	return nil
 }
 
-// formsSoFar returns how many groups the plan forms already.
-func (b *builder) formsSoFar() int {
+// plannedForms returns how many groups the plan already forms.
+func (b *builder) plannedForms() int {
 	count := 0
 	for _, step := range b.steps {
 		if step.Verb == Form {
@@ -397,22 +400,21 @@
 	return count
 }
 
-// drainUndeclared plans the end of groups whose model or zone is not declared
-// any more.
+// drainUndeclared drains groups whose model or zone is no longer declared.
 func (b *builder) drainUndeclared() error {
 	b.stage = 0
-	for _, record := range b.world.Groups {
-		model, declared := b.world.Configuration.Declaration.Model(record.Model)
+	for _, record := range b.fleet.Groups {
+		model, declared := b.fleet.Configuration.Declaration.Model(record.Model)
 		if _, hasZone := model.Replicas[record.Zone]; declared && hasZone {
 			continue
 		}
 		if record.Phase == group.Draining {
 			continue
 		}
-		if declared && !b.world.Closed[record.Zone] && b.standIns(model) > 0 {
+		if declared && !b.fleet.Closed[record.Zone] && b.displacedReplicas(model) > 0 {
 			continue
 		}
-		if err := b.touch(record); err != nil {
+		if err := b.requireGroup(record); err != nil {
 			return err
 		}
 		b.drain(record, false)
@@ -420,23 +422,23 @@
 	return nil
 }
 
-// standIns returns how many groups of a model may stand outside their declared
-// zones because those are closed.
-func (b *builder) standIns(model declaration.Model) int {
+// displacedReplicas returns how many groups of a model may be outside their declared zones
+// because those zones are closed.
+func (b *builder) displacedReplicas(model declaration.Model) int {
 	count := 0
 	for zone, declared := range model.Replicas {
-		if b.world.Closed[zone] {
+		if b.fleet.Closed[zone] {
 			count += declared
 		}
 	}
 	return count
 }
 
-// groupsOf returns the groups of a model in a zone that are not draining, in
-// the order of their names.
-func (b *builder) groupsOf(model, zone string) []group.Record {
+// activeGroups returns the groups of a model in a zone that are not draining, in the order
+// of their names.
+func (b *builder) activeGroups(model, zone string) []group.Record {
 	var found []group.Record
-	for _, record := range b.world.Groups {
+	for _, record := range b.fleet.Groups {
 		if record.Model == model && record.Zone == zone && record.Phase != group.Draining {
 			found = append(found, record)
 		}
@@ -454,7 +456,7 @@
 	return zones
 }
 
-// contains tells whether a list holds a value.
+// contains reports whether a list holds a value.
 func contains(list []string, value string) bool {
 	for _, item := range list {
 		if item == value {
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -1,12 +1,11 @@
-// Package plan turns an operator's intent into reviewed steps.
+// Package plan turns an operator's intent into steps that the operator reviews.
 //
-// An operator states an intent, such as "drain site quito". Build answers with
-// a plan: what will be done, in which stages, what it needs, and the downtime
-// and stranded accelerators it is predicted to cost. Nothing changes before
-// the plan is confirmed. A plan stands on its ground: the versions of the rows
-// that it was made from. Confirm is one transaction conditional on all of
-// them, so of two plans that touch the same group or VM at most one is ever
-// confirmed.
+// An operator states an intent, such as "drain site quito". Build returns a plan: the
+// steps, their stages, what they need, and the predicted downtime and stranded accelerator
+// time. Nothing changes before the plan is confirmed. The preconditions of a plan are the
+// versions of the rows from which it was built. Confirm is one transaction that is
+// conditional on all of them, so at most one of two plans that change the same group or VM
+// is ever confirmed.
 package plan
 
 import (
@@ -18,7 +17,7 @@
 	"headcourse/core/table"
 )
 
-// KeyPrefix begins the key of every plan's row.
+// KeyPrefix is the prefix of the keys of plan rows.
 const KeyPrefix = catalog.Prefix + "plan/"
 
 // Key returns the key of a plan's row.
@@ -26,7 +25,7 @@
 	return KeyPrefix + id
 }
 
-// ZoneKeyPrefix begins the key of every zone's row.
+// ZoneKeyPrefix is the prefix of the keys of zone rows.
 const ZoneKeyPrefix = catalog.Prefix + "zone/"
 
 // ZoneKey returns the key of a zone's row.
@@ -34,14 +33,14 @@
 	return ZoneKeyPrefix + zone
 }
 
-// Zone is the value of a zone's row. A closed zone is given no groups.
+// Zone is the value of a zone's row. No groups are placed in a closed zone.
 type Zone struct {
 	Closed bool `json:"closed"`
 	// Plan is the confirmed plan that opens or closes the zone.
 	Plan string `json:"plan,omitempty"`
 }
 
-// Intent is what an operator wants. Kind selects the fields that count.
+// Intent is an operator's request. Kind determines which fields are used.
 type Intent struct {
 	Kind  Kind   `json:"kind"`
 	Site  string `json:"site,omitempty"`
@@ -50,12 +49,12 @@
 	VM    string `json:"vm,omitempty"`
 	Model string `json:"model,omitempty"`
 	Group string `json:"group,omitempty"`
-	// AllowFewer lets groups for which there is no room go without
-	// replacement.
+	// AllowFewer allows groups for which there are not enough free VMs to be drained
+	// without replacement.
 	AllowFewer bool `json:"allow_fewer,omitempty"`
 }
 
-// String returns the intent in the words of the command line.
+// String returns the intent in the notation of the command line.
 func (i Intent) String() string {
 	parts := []string{string(i.Kind)}
 	add := func(name, value string) {
@@ -75,10 +74,10 @@
 	return strings.Join(parts, " ")
 }
 
-// State is where a plan is in its life.
+// State is the state of a plan.
 type State string
 
-// The states. Done, Abandoned and Failed are final.
+// States of a plan. Done, Abandoned and Failed are final.
 const (
 	Proposed  State = "proposed"
 	Confirmed State = "confirmed"
@@ -88,46 +87,47 @@
 	Failed    State = "failed"
 )
 
-// IsFinal tells whether the state never changes again.
+// IsFinal reports whether the state never changes again.
 func (s State) IsFinal() bool {
 	return s == Done || s == Abandoned || s == Failed
 }
 
-// Verb is what a step does.
+// Verb is the action of a step.
 type Verb string
 
-// The verbs of steps.
+// Actions of steps.
 const (
-	// CloseZone gives the zone no further groups.
+	// CloseZone stops placing groups in the zone.
 	CloseZone Verb = "close_zone"
-	// OpenZone lets the zone have groups again.
+	// OpenZone allows groups in the zone again.
 	OpenZone Verb = "open_zone"
 	// RetireVM takes the VM out of use.
 	RetireVM Verb = "retire_vm"
 	// Form creates a group on free VMs.
 	Form Verb = "form"
-	// Drain ends a group's work and dissolves it.
+	// Drain drains a group and dissolves it.
 	Drain Verb = "drain"
-	// Reform drains a group and forms it anew, on VMs some of which are its
-	// own; it cannot serve meanwhile.
+	// Reform drains a group and forms it again on VMs some of which are its own. The group
+	// cannot serve meanwhile.
 	Reform Verb = "reform"
 )
 
-// Step is one step. Steps of a stage run together; a stage begins when all
-// steps before it are done.
+// Step is one step of a plan. Steps of a stage run together; a stage starts when all steps
+// of earlier stages are done.
 type Step struct {
 	Stage int    `json:"stage"`
 	Verb  Verb   `json:"verb"`
 	Zone  string `json:"zone,omitempty"`
 	VM    string `json:"vm,omitempty"`
 	Group string `json:"group,omitempty"`
-	// Record is what Form creates or Reform ends in. For Reform its generation
-	// is the one that the group had when the plan was made.
+	// Record is the group that Form creates or that Reform results in. For Reform its
+	// generation is the group's generation when the plan was built.
 	Record *group.Record `json:"record,omitempty"`
-	// Needs says what the step takes.
+	// Needs describes the resources that the step needs.
 	Needs string `json:"needs,omitempty"`
-	// DowntimeSeconds is the predicted time the group cannot serve;
-	// StrandedSeconds counts accelerators times seconds without serving.
+	// DowntimeSeconds is the predicted time for which the group cannot serve.
+	// StrandedSeconds is the predicted number of accelerators that do not serve times
+	// seconds.
 	DowntimeSeconds float64 `json:"downtime_seconds"`
 	StrandedSeconds float64 `json:"stranded_seconds"`
 }
@@ -151,22 +151,22 @@
 	Operator string `json:"operator"`
 	Intent   Intent `json:"intent"`
 	State    State  `json:"state"`
-	// Reason says why a plan failed.
+	// Reason explains the state, for example why a plan failed.
 	Reason string `json:"reason,omitempty"`
-	// Revision is the configuration that the plan stands on.
+	// Revision is the revision of the configuration for which the plan was built.
 	Revision uint64 `json:"revision"`
-	// Stage is the stage being run.
+	// Stage is the current stage.
 	Stage int    `json:"stage"`
 	Steps []Step `json:"steps"`
 	// Notes are remarks for the reviewer.
 	Notes []string `json:"notes,omitempty"`
-	// Ground are the rows that the plan stands on.
+	// Ground holds the versions of the rows from which the plan was built.
 	Ground []table.Condition `json:"ground"`
-	// Reserves are the VMs that the plan takes from the free ones.
+	// Reserves are the free VMs that the plan reserves.
 	Reserves []string `json:"reserves,omitempty"`
 }
 
-// WithState returns the plan in another state for a reason.
+// WithState returns the plan in another state, with a reason.
 func (p Plan) WithState(state State, reason string) Plan {
 	p.State = state
 	p.Reason = reason
@@ -190,7 +190,7 @@
 	return steps
 }
 
-// LastStage returns the number of the last stage, or -1 without steps.
+// LastStage returns the number of the last stage, or -1 for a plan without steps.
 func (p Plan) LastStage() int {
 	last := -1
 	for _, step := range p.Steps {
@@ -199,7 +199,7 @@
 	return last
 }
 
-// Predicted returns the sums of downtime and stranded accelerator seconds.
+// Predicted returns the total downtime and stranded accelerator time of all steps.
 func (p Plan) Predicted() (downtimeSeconds, strandedSeconds float64) {
 	for _, step := range p.Steps {
 		downtimeSeconds += step.DowntimeSeconds
--- a/core/plan/world.go
+++ b/core/plan/world.go
@@ -22,7 +22,7 @@
 	Declaration declaration.Declaration `json:"declaration"`
 }
 
-// World is the fleet as plans and repairs see it.
+// World is the state of the fleet that plans and repairs are based on.
 type World struct {
 	Catalog       catalog.Catalog
 	Configuration Configuration
@@ -37,26 +37,26 @@
 	Plans  []Plan
 }
 
-// Reader reads worlds out of catalogs and decodes each version of a row once.
-// The zero value works.
+// Reader decodes the fleet state from catalogs and decodes each version of a row once. The
+// zero value is ready to use.
 type Reader struct {
-	decoded map[string]decoded
+	cache map[string]cachedValue
 }
 
-// decoded is the value of a row at a version.
-type decoded struct {
+// cachedValue is the decoded value of a version of a row.
+type cachedValue struct {
 	version uint64
 	value   any
 }
 
-// WorldOf reads the world out of a catalog and the VM list.
+// WorldOf decodes the fleet state from a catalog and the VM list.
 func WorldOf(rows catalog.Catalog, vms []vm.VM) (World, error) {
 	return new(Reader).World(rows, vms)
 }
 
-// World reads the world out of a catalog and the VM list.
+// World decodes the fleet state from a catalog and the VM list.
 func (r *Reader) World(rows catalog.Catalog, vms []vm.VM) (World, error) {
-	world := World{
+	fleet := World{
 		Catalog: rows,
 		Claims:  map[string]vm.Claim{},
 		VMs:     append([]vm.VM(nil), vms...),
@@ -64,62 +64,62 @@
 
 		ZonePlans: map[string]string{},
 	}
-	sort.Slice(world.VMs, func(i, j int) bool {
-		return world.VMs[i].ID < world.VMs[j].ID
+	sort.Slice(fleet.VMs, func(i, j int) bool {
+		return fleet.VMs[i].ID < fleet.VMs[j].ID
 	})
-	err := each(r, rows, ConfigKey, func(_ string, found Configuration) {
-		world.Configuration = found
+	err := forEachRow(r, rows, ConfigKey, func(_ string, found Configuration) {
+		fleet.Configuration = found
 	})
 	if err != nil {
-		return world, err
+		return fleet, err
 	}
-	err = each(r, rows, group.KeyPrefix, func(_ string, found group.Record) {
-		world.Groups = append(world.Groups, found)
+	err = forEachRow(r, rows, group.KeyPrefix, func(_ string, found group.Record) {
+		fleet.Groups = append(fleet.Groups, found)
 	})
 	if err != nil {
-		return world, err
+		return fleet, err
 	}
-	err = each(r, rows, vm.KeyPrefix, func(id string, found vm.Claim) {
-		world.Claims[id] = found
+	err = forEachRow(r, rows, vm.KeyPrefix, func(id string, found vm.Claim) {
+		fleet.Claims[id] = found
 	})
 	if err != nil {
-		return world, err
+		return fleet, err
 	}
-	err = each(r, rows, ZoneKeyPrefix, func(name string, found Zone) {
-		world.Closed[name] = found.Closed
+	err = forEachRow(r, rows, ZoneKeyPrefix, func(name string, found Zone) {
+		fleet.Closed[name] = found.Closed
 		if found.Plan != "" {
-			world.ZonePlans[name] = found.Plan
+			fleet.ZonePlans[name] = found.Plan
 		}
 	})
 	if err != nil {
-		return world, err
+		return fleet, err
 	}
-	err = each(r, rows, KeyPrefix, func(_ string, found Plan) {
-		world.Plans = append(world.Plans, found)
+	err = forEachRow(r, rows, KeyPrefix, func(_ string, found Plan) {
+		fleet.Plans = append(fleet.Plans, found)
 	})
-	return world, err
+	return fleet, err
 }
 
-// each visits the decoded values of the rows under a prefix, in the order of
-// their keys.
-func each[T any](r *Reader, rows catalog.Catalog, prefix string, visit func(name string, value T)) error {
-	if r.decoded == nil {
-		r.decoded = map[string]decoded{}
+// forEachRow calls visit with the decoded value of each row under a prefix, in the order of
+// the keys.
+func forEachRow[T any](r *Reader, rows catalog.Catalog, prefix string, visit func(name string, value T)) error {
+	if r.cache == nil {
+		r.cache = map[string]cachedValue{}
 	}
 	for _, row := range rows.Under(prefix) {
-		known, ok := r.decoded[row.Key]
-		if !ok || known.version != row.Version {
+		cached, ok := r.cache[row.Key]
+		if !ok || cached.version != row.Version {
 			var value T
 			if err := row.Decode(&value); err != nil {
 				return err
 			}
-			known = decoded{
+			cached = cachedValue{
 				version: row.Version,
 				value:   value,
 			}
-			r.decoded[row.Key] = known
+			r.cache[row.Key] = cached
 		}
-		if value, isOfType := known.value.(T); isOfType {
+		if value, isOfType := cached.value.(T); isOfType {
 			visit(row.Key[len(prefix):], value)
 		}
 	}
@@ -147,8 +147,8 @@
 	return w.VMs[index], true
 }
 
-// Domains returns the fabric domains of open zones with their free VMs. A VM
-// for which isSuspect is true counts as not free; isSuspect may be nil.
+// Domains returns the fabric domains of open zones with their free VMs. A VM for which
+// isSuspect returns true is not free; isSuspect may be nil.
 func (w World) Domains(isSuspect func(vm string) bool) []placement.Domain {
 	index := map[string]int{}
 	var domains []placement.Domain
@@ -156,35 +156,35 @@
 		if listed.Domain == "" || w.Closed[listed.Zone] {
 			continue
 		}
-		at, ok := index[listed.Domain]
+		position, ok := index[listed.Domain]
 		if !ok {
-			at = len(domains)
-			index[listed.Domain] = at
+			position = len(domains)
+			index[listed.Domain] = position
 			domains = append(domains, placement.Domain{
 				Name: listed.Domain,
 				Zone: listed.Zone,
 			})
 		}
-		isOut := w.Unwell[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
-		if listed.State == vm.Live && w.Claims[listed.ID].Free() && !isOut {
-			domains[at].Free = append(domains[at].Free, listed)
+		isExcluded := w.Unwell[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
+		if listed.State == vm.Live && w.Claims[listed.ID].Free() && !isExcluded {
+			domains[position].Free = append(domains[position].Free, listed)
 		}
 	}
 	for _, record := range w.Groups {
-		if at, ok := index[record.Domain]; ok && len(record.Members) > 0 {
-			domains[at].Groups++
+		if position, ok := index[record.Domain]; ok && len(record.Members) > 0 {
+			domains[position].Groups++
 		}
 	}
 	return domains
 }
 
-// ZonesFor returns the open zones that a group of the model may be in: first
-// the preferred one, then those the model is declared in, then the others.
+// ZonesFor returns the open zones in which a group of the model may be placed: the
+// preferred zone, then the zones in which the model is declared, then the others.
 func (w World) ZonesFor(model declaration.Model, preferred string) []string {
 	var zones []string
 	add := func(name string) {
-		for _, known := range zones {
-			if known == name {
+		for _, existing := range zones {
+			if existing == name {
 				return
 			}
 		}
@@ -204,16 +204,16 @@
 	return zones
 }
 
-// Floor returns the highest generation that any of the VMs was claimed at.
+// Floor returns the highest generation at which any of the VMs was claimed.
 func (w World) Floor(members []group.Member) uint64 {
-	floor := uint64(0)
+	highest := uint64(0)
 	for _, member := range members {
-		floor = max(floor, w.Claims[member.VM].Generation)
+		highest = max(highest, w.Claims[member.VM].Generation)
 	}
-	return floor
+	return highest
 }
 
-// MembersOf turns listed VMs into members.
+// MembersOf converts listed VMs into members.
 func MembersOf(vms []vm.VM) []group.Member {
 	members := make([]group.Member, len(vms))
 	for i, listed := range vms {
@@ -227,8 +227,8 @@
 	return members
 }
 
-// model returns the declared model of a group, or an error naming it.
-func (w World) model(name string) (declaration.Model, error) {
+// declaredModel returns a declared model, or an error that names it.
+func (w World) declaredModel(name string) (declaration.Model, error) {
 	model, ok := w.Configuration.Declaration.Model(name)
 	if !ok {
 		return model, errors.Errorf("model %q is not declared", name)
