--- a/core/demand/board.go
+++ b/core/demand/board.go
@@ -10,180 +10,185 @@
 	"headcourse/core/usage"
 )
 
-// Times of a board.
 const (
-	// tellEvery is the least time between two words to one daemon.
-	tellEvery = 500 * time.Millisecond
-	// believeTime is how long a word counts: a daemon that died takes no requests, and
-	// one that tells another relay now is counted there.
-	believeTime = 2500 * time.Millisecond
+	// reportInterval is the minimum time between two reports to one daemon.
+	reportInterval = 500 * time.Millisecond
+	// reportLifetime is how long a report counts. A daemon that died receives no requests,
+	// and a daemon that changed to another relay is counted there.
+	reportLifetime = 2500 * time.Millisecond
 )
 
-// mostDepth bounds through how many daemons requests are added up: a daemon tells a
-// standby, that one a relay, and the relay the first one. While their lists differ daemons
-// may tell each other in a circle, and what goes round it would grow without end.
-const mostDepth = 5
+// maxDepth limits the number of daemons through which a report is added up. A daemon
+// reports to a standby, the standby to a relay, and the relay to the first daemon. While
+// daemons have different lists they may report to each other in a cycle, and without a
+// limit the entries that pass through it would grow without end.
+const maxDepth = 5
 
-// Word is what a daemon tells of its own requests and of those of the daemons that tell it.
+// Word is the report of a daemon: the demand at the daemon itself and at the daemons that
+// report to it.
 type Word struct {
 	Asked []Asked
-	// Depth is through how many daemons at most the requests in it were told.
+	// Depth is the number of daemons on the longest path that entries of the report have
+	// taken.
 	Depth int
 }
 
-// Board adds up what daemons tell of their requests. Daemons form a tree: each tells
-// the one it follows tables through. The zero value is empty and works; it is safe for
-// concurrent use.
+// Board adds up the demand that daemons report. Daemons form a tree: each reports to the
+// daemon through which it follows the store's tables. The zero value is empty and ready to
+// use. It is safe for concurrent use.
 type Board struct {
-	// Meter measures this daemon's own requests, which come in Zone. Set before use.
+	// Meter measures the requests to this daemon, which is in Zone. Both are set before
+	// use.
 	Meter *Meter
 	Zone  string
 
 	mutex sync.Mutex
-	// told are the last words of daemons that tell this one, by their names.
-	told map[string]heardWord
-	// heard is the last answer of a daemon that this one tells, hearer its name. One daemon
-	// is told at a time: two that both count the same requests count them twice.
-	heard  heardWord
-	hearer string
-	// spoke is when a daemon was last told, by its name.
-	spoke map[string]time.Time
+	// reports are the last reports of the daemons that report to this one, by name.
+	reports map[string]receivedReport
+	// parentTotals is the last answer of the daemon to which this one reports, and parent
+	// the name of that daemon. Reports go to one daemon at a time: if two daemons counted
+	// the same requests, the totals would contain them twice.
+	parentTotals receivedReport
+	parent       string
+	// lastReportedAt is when this daemon last reported to another one, by name.
+	lastReportedAt map[string]time.Time
 }
 
-// heardWord is what a daemon told, and when.
-type heardWord struct {
+// receivedReport is a report and the time at which it was received.
+type receivedReport struct {
 	Word
 
-	at time.Time
+	receivedAt time.Time
 }
 
-// isFresh tells whether a word still counts.
-func (w heardWord) isFresh() bool {
-	return !w.at.IsZero() && time.Since(w.at) < believeTime
+// isFresh reports whether the report still counts.
+func (w receivedReport) isFresh() bool {
+	return !w.receivedAt.IsZero() && time.Since(w.receivedAt) < reportLifetime
 }
 
-// Tell returns what to tell a daemon, by its name, now, and whether it is time to.
-func (b *Board) Tell(to string) (Word, bool) {
+// Tell returns the report to send to a daemon now, and whether it is due.
+func (b *Board) Tell(recipient string) (Word, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	isOther := b.heard.isFresh() && b.hearer != to
-	if isOther || time.Since(b.spoke[to]) < tellEvery {
+	hasOtherParent := b.parentTotals.isFresh() && b.parent != recipient
+	if hasOtherParent || time.Since(b.lastReportedAt[recipient]) < reportInterval {
 		return Word{}, false
 	}
-	if b.spoke == nil {
-		b.spoke = map[string]time.Time{}
+	if b.lastReportedAt == nil {
+		b.lastReportedAt = map[string]time.Time{}
 	}
-	b.spoke[to] = time.Now()
-	return b.below(to), true
+	b.lastReportedAt[recipient] = time.Now()
+	return b.subtreeReport(recipient), true
 }
 
-// below adds up this daemon's own requests and those of the daemons that tell it, but
-// for the one that is told: two that tell each other while their lists differ would
-// count each other's again and again. The mutex is held.
-func (b *Board) below(told string) Word {
+// subtreeReport adds up the demand at this daemon and at the daemons that report to it,
+// except the recipient. Two daemons with different lists may report to each other; each
+// would otherwise count the other's entries again and again. The mutex is held.
+func (b *Board) subtreeReport(recipient string) Word {
 	depth := 0
-	var all [][]Asked
+	var entries [][]Asked
 	if b.Meter != nil {
-		all = append(all, b.Meter.Asked(b.Zone))
+		entries = append(entries, b.Meter.Asked(b.Zone))
 	}
-	maps.DeleteFunc(b.told, func(_ string, one heardWord) bool {
-		return !one.isFresh()
+	maps.DeleteFunc(b.reports, func(_ string, report receivedReport) bool {
+		return !report.isFresh()
 	})
-	for from, one := range b.told {
-		if from != told {
-			all = append(all, one.Asked)
-			depth = max(depth, one.Depth)
+	for sender, report := range b.reports {
+		if sender != recipient {
+			entries = append(entries, report.Asked)
+			depth = max(depth, report.Depth)
 		}
 	}
 	return Word{
-		Asked: sum(all...),
+		Asked: sumEntries(entries...),
 		Depth: depth + 1,
 	}
 }
 
-// Told takes the word of a daemon, and returns what is asked of all daemons, as far as
-// this one knows. A word that makes no sense is refused, and the former one counts.
-func (b *Board) Told(from string, told Word) ([]Asked, error) {
-	if err := Check(told.Asked); err != nil {
+// Told records the report of a daemon and returns the total demand as far as this daemon
+// knows it. An invalid report is rejected, and the previous one continues to count.
+func (b *Board) Told(sender string, report Word) ([]Asked, error) {
+	if err := Check(report.Asked); err != nil {
 		return nil, err
 	}
-	if told.Depth > mostDepth {
-		return nil, errors.Errorf("check demand: it was told through %d daemons, more than %d", told.Depth, mostDepth)
+	if report.Depth > maxDepth {
+		return nil, errors.Errorf("check demand: report passed through %d daemons, more than %d", report.Depth, maxDepth)
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.told == nil {
-		b.told = map[string]heardWord{}
+	if b.reports == nil {
+		b.reports = map[string]receivedReport{}
 	}
-	b.told[from] = heardWord{
-		Word: told,
-		at:   time.Now(),
+	b.reports[sender] = receivedReport{
+		Word:       report,
+		receivedAt: time.Now(),
 	}
-	return b.all(), nil
+	return b.totals(), nil
 }
 
-// Retract forgets the word of a daemon that was not answered: it turns to another one, and
-// tells that one.
-func (b *Board) Retract(from string) {
+// Retract removes the report of a daemon that got no answer: it will report to another
+// daemon instead.
+func (b *Board) Retract(sender string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	delete(b.told, from)
+	delete(b.reports, sender)
 }
 
-// Heard takes a daemon's answer to what it was told, by its name.
-func (b *Board) Heard(from string, asked []Asked) error {
-	if err := Check(asked); err != nil {
+// Heard records the totals with which a daemon answered this daemon's report.
+func (b *Board) Heard(sender string, totals []Asked) error {
+	if err := Check(totals); err != nil {
 		return err
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.heard = heardWord{
+	b.parentTotals = receivedReport{
 		Word: Word{
-			Asked: asked,
+			Asked: totals,
 		},
-		at: time.Now(),
+		receivedAt: time.Now(),
 	}
-	b.hearer = from
+	b.parent = sender
 	return nil
 }
 
-// all returns what is asked of all daemons: what was heard of the daemon that this one
-// tells, or its own sum where it tells none. The mutex is held.
-func (b *Board) all() []Asked {
-	if b.heard.isFresh() {
-		return b.heard.Asked
+// totals returns the total demand at all daemons: the totals of the daemon to which this
+// one reports, or this daemon's own sum if it reports to none. The mutex is held.
+func (b *Board) totals() []Asked {
+	if b.parentTotals.isFresh() {
+		return b.parentTotals.Asked
 	}
-	return b.below("").Asked
+	return b.subtreeReport("").Asked
 }
 
-// Tokens returns what is asked of a kind in all zones, and whether anything is known of
-// what other daemons are asked.
+// Tokens returns the token rates of a kind in all zones, and whether anything is known
+// about the demand at other daemons.
 func (b *Board) Tokens(kind Kind) (rate usage.Rate, isKnown bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if !b.heard.isFresh() && len(b.told) == 0 {
+	if !b.parentTotals.isFresh() && len(b.reports) == 0 {
 		return usage.Rate{}, false
 	}
-	for _, one := range b.all() {
-		if one.Kind == kind {
-			rate = rate.Plus(one.Tokens)
+	for _, entry := range b.totals() {
+		if entry.Kind == kind {
+			rate = rate.Plus(entry.Tokens)
 		}
 	}
 	return rate, true
 }
 
-// ByZone returns what is asked of a kind in each zone, as far as known; nil: nothing is.
+// ByZone returns the work rate of a kind in each zone as far as it is known, or nil if
+// nothing is known about the demand at other daemons.
 func (b *Board) ByZone(kind Kind) map[string]float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if !b.heard.isFresh() && len(b.told) == 0 {
+	if !b.parentTotals.isFresh() && len(b.reports) == 0 {
 		return nil
 	}
-	zones := map[string]float64{}
-	for _, one := range b.all() {
-		if one.Kind == kind {
-			zones[one.Zone] = one.Rate
+	rates := map[string]float64{}
+	for _, entry := range b.totals() {
+		if entry.Kind == kind {
+			rates[entry.Zone] = entry.Rate
 		}
 	}
-	return zones
+	return rates
 }
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -1,14 +1,14 @@
-// Package demand tells all daemons what callers ask for in each availability zone.
+// Package demand gives all daemons the total demand in each availability zone.
 //
-// A daemon sees only its own requests, and how the balancer divides callers over
-// daemons says little about how much each zone is asked. So each daemon measures its
-// own requests (Meter) and tells them to the daemon through which it follows the
-// store's tables, with calls that it makes anyway; that one adds up what it was told
-// and passes the sums on in the same way; what comes back is what all are asked
-// (Board). Sums of hundreds of requests change slowly, so that their age, about a
-// second, does not matter. The store carries none of it. The division of requests over
-// zones (core/locality) depends on it, and how many groups models need (core/assembly):
-// since all daemons know it, one that has just begun to lead knows it too.
+// A daemon sees only its own requests, and the load balancer's distribution of callers over
+// daemons says little about the demand in each zone. Each daemon therefore measures its own
+// requests (Meter) and reports them to the daemon through which it follows the store's
+// tables, as part of calls that it makes anyway. That daemon adds up the reports that it
+// receives and reports the sums in the same way; the answer contains the totals of all
+// daemons (Board). The totals of hundreds of requests change slowly, so their age of about
+// a second does not matter. The store carries none of this data. The totals are used to
+// divide requests over zones (core/locality) and to derive how many groups a model needs
+// (core/assembly). Since all daemons have the totals, a new leader has them immediately.
 package demand
 
 import (
@@ -22,70 +22,72 @@
 	"headcourse/core/usage"
 )
 
-// Kind is what is asked for: a service and, of model engines, a model.
+// Kind is the kind of a request: its service and, for model engines, its model.
 type Kind struct {
 	Service string
 	Model   string
 }
 
-// Asked is how much of a kind is asked in a zone.
+// Asked is the demand for a kind in a zone.
 type Asked struct {
 	Kind Kind
 	Zone string
-	// Rate is in work a second, Tokens in tokens a second.
+	// Rate is in units of work per second, Tokens in tokens per second.
 	Rate   float64
 	Tokens usage.Rate
 }
 
-// mostAsked bounds what one daemon may tell: zones times kinds, with room to spare.
-const mostAsked = 1024
+// maxEntries limits the entries of one report. It is well above the number of zones times
+// the number of kinds.
+const maxEntries = 1024
 
-// Check returns what is wrong with what another daemon told, or nil.
-func Check(told []Asked) error {
-	if len(told) > mostAsked {
-		return errors.Errorf("check demand: %d entries, more than %d", len(told), mostAsked)
+// Check returns an error if the entries of another daemon's report are invalid.
+func Check(entries []Asked) error {
+	if len(entries) > maxEntries {
+		return errors.Errorf("check demand: %d entries, more than %d", len(entries), maxEntries)
 	}
-	for i, one := range told {
+	for i, entry := range entries {
 		switch {
-		case one.Zone == "":
+		case entry.Zone == "":
 			return errors.Errorf("check demand: entry %d has no zone", i)
-		case one.Kind.Service == "":
-			return errors.Errorf("check demand: entry %d of zone %q has no service", i, one.Zone)
+		case entry.Kind.Service == "":
+			return errors.Errorf("check demand: entry %d of zone %q has no service", i, entry.Zone)
 		}
-		for _, rate := range []float64{one.Rate, one.Tokens.Requests, one.Tokens.Prompt, one.Tokens.Answer, one.Tokens.Squares, one.Tokens.Goals} {
+		for _, rate := range []float64{entry.Rate, entry.Tokens.Requests, entry.Tokens.Prompt, entry.Tokens.Answer, entry.Tokens.Squares, entry.Tokens.Goals} {
 			if math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
-				return errors.Errorf("check demand: entry %d of zone %q: rate %v is none", i, one.Zone, rate)
+				return errors.Errorf("check demand: entry %d of zone %q: rate %v is invalid", i, entry.Zone, rate)
 			}
 		}
 	}
 	return nil
 }
 
-// sum adds up what was told, entry by entry, ordered.
-func sum(all ...[]Asked) []Asked {
-	type place struct {
+// sumEntries adds up entries of the same kind and zone. The sums are ordered by zone,
+// service and model.
+func sumEntries(lists ...[]Asked) []Asked {
+	type key struct {
 		kind Kind
 		zone string
 	}
-	sums := map[place]Asked{}
-	for _, told := range all {
-		for _, one := range told {
-			at := place{
-				kind: one.Kind,
-				zone: one.Zone,
+	sums := map[key]Asked{}
+	for _, entries := range lists {
+		for _, entry := range entries {
+			entryKey := key{
+				kind: entry.Kind,
+				zone: entry.Zone,
 			}
-			one.Rate += sums[at].Rate
-			one.Tokens = one.Tokens.Plus(sums[at].Tokens)
-			sums[at] = one
+			entry.Rate += sums[entryKey].Rate
+			entry.Tokens = entry.Tokens.Plus(sums[entryKey].Tokens)
+			sums[entryKey] = entry
 		}
 	}
-	added := slices.Collect(maps.Values(sums))
-	slices.SortFunc(added, func(a, b Asked) int {
+	sorted := slices.Collect(maps.Values(sums))
+	slices.SortFunc(sorted, func(a, b Asked) int {
 		return cmp.Or(
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Kind.Service, b.Kind.Service),
 			cmp.Compare(a.Kind.Model, b.Kind.Model),
 		)
 	})
-	return added
+	return sorted
 }
--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -13,23 +13,23 @@
 	"headcourse/core/usage"
 )
 
-// large is a kind of request.
-var large = demand.Kind{
+// largeModel is a kind of request.
+var largeModel = demand.Kind{
 	Service: "engines",
 	Model:   "large",
 }
 
-// warm is how long daemons are asked before they tell, so that their meters count over
-// their whole time.
-const warm = time.Minute
+// warmUpTime is how long daemons receive requests before they report, so that their meters
+// count over the whole decay time.
+const warmUpTime = time.Minute
 
-// board returns the board of a daemon that is asked some work a second in its zone.
-func board(zone string, work float64) *demand.Board {
-	const perSecond = 10
+// newBoard returns the board of a daemon that receives some work per second in its zone.
+func newBoard(zone string, workPerSecond float64) *demand.Board {
+	const requestsPerSecond = 10
 	meter := &demand.Meter{}
-	for i := range int(2*warm/time.Second) * perSecond {
-		time.AfterFunc(time.Duration(i)*time.Second/perSecond, func() {
-			meter.Note(large, work/perSecond, usage.Rate{})
+	for i := range int(2*warmUpTime/time.Second) * requestsPerSecond {
+		time.AfterFunc(time.Duration(i)*time.Second/requestsPerSecond, func() {
+			meter.Note(largeModel, workPerSecond/requestsPerSecond, usage.Rate{})
 		})
 	}
 	return &demand.Board{
@@ -38,123 +38,125 @@
 	}
 }
 
-// tell passes a word from one daemon to another, and its answer back.
-func tell(t *testing.T, from, to *demand.Board, name, peer string) {
+// exchangeReport passes a report from one daemon to another, and the answer back.
+func exchangeReport(t *testing.T, from, to *demand.Board, name, peer string) {
 	t.Helper()
-	below, isTime := from.Tell(peer)
-	qt.Assert(t, isTime, qt.IsTrue)
-	all, err := to.Told(name, below)
+	report, isDue := from.Tell(peer)
+	qt.Assert(t, isDue, qt.IsTrue)
+	totals, err := to.Told(name, report)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, from.Heard(peer, all), qt.IsNil)
+	qt.Assert(t, from.Heard(peer, totals), qt.IsNil)
 }
 
-// near tells whether two rates are alike.
-func near(a, b float64) bool {
+// isNear reports whether two rates differ by less than 15%.
+func isNear(a, b float64) bool {
 	return math.Abs(a-b) < 0.15*max(a, b)
 }
 
-// Two relays with two daemons each: all know what is asked in each zone after two words.
-func TestSumsReachAllDaemons(t *testing.T) {
+// With two relays and one daemon at each, all daemons know the demand in each zone after
+// two rounds of reports.
+func TestTotalsReachAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := board("quito-a", 100), board("quito-b", 200)
-		a, b := board("quito-a", 300), board("quito-b", 400)
-		time.Sleep(warm + time.Millisecond)
+		first, second := newBoard("quito-a", 100), newBoard("quito-b", 200)
+		a, b := newBoard("quito-a", 300), newBoard("quito-b", 400)
+		time.Sleep(warmUpTime + time.Millisecond)
 		for range 2 {
-			tell(t, a, first, "a", "first")
-			tell(t, b, second, "b", "second")
-			tell(t, second, first, "second", "first")
+			exchangeReport(t, a, first, "a", "first")
+			exchangeReport(t, b, second, "b", "second")
+			exchangeReport(t, second, first, "second", "first")
 			time.Sleep(600 * time.Millisecond)
 		}
 		for _, one := range []*demand.Board{first, second, a, b} {
-			asked := one.ByZone(large)
+			asked := one.ByZone(largeModel)
 			qt.Assert(t, asked, qt.HasLen, 2)
-			qt.Assert(t, near(asked["quito-b"], 1.5*asked["quito-a"]), qt.IsTrue, qt.Commentf("%v", asked))
+			qt.Assert(t, isNear(asked["quito-b"], 1.5*asked["quito-a"]), qt.IsTrue, qt.Commentf("%v", asked))
 		}
 	})
 }
 
-func TestWordsOfDaemonsThatAreGoneExpire(t *testing.T) {
+func TestReportsOfStoppedDaemonsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		relay, daemon := board("quito-a", 100), board("quito-b", 100)
-		time.Sleep(warm + time.Millisecond)
-		qt.Assert(t, relay.ByZone(large), qt.IsNil)
-		tell(t, daemon, relay, "daemon", "relay")
-		qt.Assert(t, relay.ByZone(large)["quito-b"] > 0, qt.IsTrue)
+		relay, daemon := newBoard("quito-a", 100), newBoard("quito-b", 100)
+		time.Sleep(warmUpTime + time.Millisecond)
+		qt.Assert(t, relay.ByZone(largeModel), qt.IsNil)
+		exchangeReport(t, daemon, relay, "daemon", "relay")
+		qt.Assert(t, relay.ByZone(largeModel)["quito-b"] > 0, qt.IsTrue)
 		time.Sleep(3 * time.Second)
-		_, isTime := relay.Tell("another")
-		qt.Assert(t, isTime, qt.IsTrue)
-		qt.Assert(t, relay.ByZone(large)["quito-b"], qt.Equals, 0.0)
-		qt.Assert(t, daemon.ByZone(large), qt.IsNil)
+		_, isDue := relay.Tell("another")
+		qt.Assert(t, isDue, qt.IsTrue)
+		qt.Assert(t, relay.ByZone(largeModel)["quito-b"], qt.Equals, 0.0)
+		qt.Assert(t, daemon.ByZone(largeModel), qt.IsNil)
 	})
 }
 
-// While the lists of daemons differ two relays may take each other for the first one.
-// Their sums must not grow by each other's.
-func TestTwoThatTellEachOtherDoNotCountTwice(t *testing.T) {
+// While daemons have different lists, two relays may each take the other for the first
+// daemon. Their sums must not include each other's.
+func TestMutualReportsAreNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, other := board("quito-a", 100), board("quito-b", 100)
-		time.Sleep(warm + time.Millisecond)
+		one, other := newBoard("quito-a", 100), newBoard("quito-b", 100)
+		time.Sleep(warmUpTime + time.Millisecond)
 		for range 10 {
-			tell(t, one, other, "one", "other")
-			tell(t, other, one, "other", "one")
+			exchangeReport(t, one, other, "one", "other")
+			exchangeReport(t, other, one, "other", "one")
 			time.Sleep(600 * time.Millisecond)
 		}
-		asked := one.ByZone(large)
-		qt.Assert(t, near(asked["quito-a"], 100), qt.IsTrue, qt.Commentf("%v", asked))
+		asked := one.ByZone(largeModel)
+		qt.Assert(t, isNear(asked["quito-a"], 100), qt.IsTrue, qt.Commentf("%v", asked))
 	})
 }
 
-// While lists differ three daemons may tell each other in a circle: each word would hold
-// the last one, and a leader once needed 10 to the 26 groups.
-func TestWordsThatGoInACircleDoNotGrow(t *testing.T) {
+// While daemons have different lists, three of them may report in a cycle. Each report then
+// contained the previous one, and a leader once derived a need of 10 to the 26 groups.
+func TestReportsInCycleDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"a", "b", "c"}
 		boards := map[string]*demand.Board{}
 		for _, name := range names {
-			boards[name] = board("quito-"+name, 100)
+			boards[name] = newBoard("quito-"+name, 100)
 		}
-		time.Sleep(warm + time.Millisecond)
+		time.Sleep(warmUpTime + time.Millisecond)
 		for round := range 60 {
 			from, to := names[round%3], names[(round+1)%3]
-			if word, isTime := boards[from].Tell(to); isTime {
-				_, err := boards[to].Told(from, word)
-				qt.Check(t, err == nil || word.Depth > 5, qt.IsTrue)
+			if report, isDue := boards[from].Tell(to); isDue {
+				_, err := boards[to].Told(from, report)
+				qt.Check(t, err == nil || report.Depth > 5, qt.IsTrue)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		// All three are asked 100, and no circle is counted more often than it is deep.
+		// Each daemon has a demand of 100, and no cycle is counted more often than the
+		// maximum depth.
 		sum := 0.0
-		for _, rate := range boards["a"].ByZone(large) {
+		for _, rate := range boards["a"].ByZone(largeModel) {
 			sum += rate
 		}
 		qt.Assert(t, sum <= 700, qt.IsTrue, qt.Commentf("%v", sum))
 	})
 }
 
-// A daemon that has just started was asked little yet, but not at a low rate.
-func TestMeterThatHasJustBegunTellsTheRate(t *testing.T) {
+// A new daemon has received few requests, which does not mean a low rate.
+func TestNewMeterReturnsActualRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		meter := &demand.Meter{}
 		for range 100 {
-			meter.Note(large, 30, usage.Rate{
+			meter.Note(largeModel, 30, usage.Rate{
 				Prompt: 60,
 			})
 			time.Sleep(10 * time.Millisecond)
 		}
 		asked := meter.Asked("quito-a")
 		qt.Assert(t, asked, qt.HasLen, 1)
-		qt.Assert(t, near(asked[0].Rate, 3000), qt.IsTrue, qt.Commentf("%v", asked))
-		qt.Assert(t, near(asked[0].Tokens.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", asked))
+		qt.Assert(t, isNear(asked[0].Rate, 3000), qt.IsTrue, qt.Commentf("%v", asked))
+		qt.Assert(t, isNear(asked[0].Tokens.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", asked))
 	})
 }
 
-func TestWordsAreBoundedInNumberAndTime(t *testing.T) {
+func TestReportsAreLimitedInSizeAndRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := board("quito-a", 100)
-		_, isTime := one.Tell("relay")
-		qt.Assert(t, isTime, qt.IsTrue)
-		_, isTime = one.Tell("relay")
-		qt.Assert(t, isTime, qt.IsFalse)
+		one := newBoard("quito-a", 100)
+		_, isDue := one.Tell("relay")
+		qt.Assert(t, isDue, qt.IsTrue)
+		_, isDue = one.Tell("relay")
+		qt.Assert(t, isDue, qt.IsFalse)
 
 		meter := &demand.Meter{}
 		for i := range 1000 {
@@ -167,54 +169,54 @@
 	})
 }
 
-func TestNonsenseIsRefusedByItsPlace(t *testing.T) {
-	var one demand.Board
-	for _, bad := range []struct {
-		told demand.Asked
-		says string
+func TestInvalidReportIsRejectedWithEntryIndex(t *testing.T) {
+	var board demand.Board
+	for _, invalid := range []struct {
+		entry     demand.Asked
+		wantError string
 	}{
 		{
-			told: demand.Asked{
-				Kind: large,
+			entry: demand.Asked{
+				Kind: largeModel,
 			},
-			says: "entry 0 has no zone",
+			wantError: "entry 0 has no zone",
 		},
 		{
-			told: demand.Asked{
+			entry: demand.Asked{
 				Zone: "quito-a",
 			},
-			says: `entry 0 of zone "quito-a" has no service`,
+			wantError: `entry 0 of zone "quito-a" has no service`,
 		},
 		{
-			told: demand.Asked{
-				Kind: large,
+			entry: demand.Asked{
+				Kind: largeModel,
 				Zone: "quito-a",
 				Rate: math.NaN(),
 			},
-			says: `entry 0 of zone "quito-a": rate NaN is none`,
+			wantError: `entry 0 of zone "quito-a": rate NaN is invalid`,
 		},
 		{
-			told: demand.Asked{
-				Kind: large,
+			entry: demand.Asked{
+				Kind: largeModel,
 				Zone: "quito-a",
 				Rate: -1,
 			},
-			says: `entry 0 of zone "quito-a": rate -1 is none`,
+			wantError: `entry 0 of zone "quito-a": rate -1 is invalid`,
 		},
 	} {
-		_, err := one.Told("a", demand.Word{
+		_, err := board.Told("a", demand.Word{
 			Asked: []demand.Asked{
-				bad.told,
+				invalid.entry,
 			},
 		})
-		qt.Assert(t, err, qt.ErrorMatches, "check demand: "+bad.says)
-		qt.Assert(t, one.Heard("first", []demand.Asked{
-			bad.told,
+		qt.Assert(t, err, qt.ErrorMatches, "check demand: "+invalid.wantError)
+		qt.Assert(t, board.Heard("first", []demand.Asked{
+			invalid.entry,
 		}), qt.IsNotNil)
 	}
-	_, err := one.Told("a", demand.Word{
+	_, err := board.Told("a", demand.Word{
 		Asked: make([]demand.Asked, 2000),
 	})
 	qt.Assert(t, err, qt.ErrorMatches, "check demand: 2000 entries, more than 1024")
-	qt.Assert(t, one.ByZone(large), qt.IsNil)
+	qt.Assert(t, board.ByZone(largeModel), qt.IsNil)
 }
--- a/core/demand/meter.go
+++ b/core/demand/meter.go
@@ -8,83 +8,84 @@
 	"headcourse/core/usage"
 )
 
-// meterTime is the time constant of a meter: the sums of all daemons are of hundreds of
-// requests by then, and callers may ask half as much more within a second.
-const meterTime = 2 * time.Second
+// decayTime is the time constant of a meter. Within it all daemons together receive
+// hundreds of requests, and demand may rise by half within a second.
+const decayTime = 2 * time.Second
 
-// leastTime is the least time over which a meter that has just begun counts: two requests
-// that come together are no rate.
-const leastTime = 500 * time.Millisecond
+// minWindowAge is the minimum age with which a new meter counts: two requests that arrive
+// together do not make a rate.
+const minWindowAge = 500 * time.Millisecond
 
-// mostKinds bounds the kinds that a meter remembers.
-const mostKinds = 256
+// maxKinds limits the kinds that a meter stores.
+const maxKinds = 256
 
-// Meter measures what one daemon is asked. The zero value has measured nothing; it is
-// safe for concurrent use.
+// Meter measures the demand at one daemon. The zero value has measured nothing. It is safe
+// for concurrent use.
 type Meter struct {
 	mutex sync.Mutex
-	kinds map[Kind]measured
-	// began is when the first request was noted.
-	began time.Time
+	kinds map[Kind]decayingSum
+	// firstRecordedAt is when the first request was recorded.
+	firstRecordedAt time.Time
 }
 
-// measured is a sum that decays with meterTime, as of a time.
-type measured struct {
+// decayingSum is a sum that decays with decayTime, as of a time.
+type decayingSum struct {
 	work   float64
 	tokens usage.Rate
-	at     time.Time
+	asOf   time.Time
 }
 
-// now returns the sum as it has decayed until a time.
-func (m measured) now(at time.Time) measured {
-	left := math.Exp(-at.Sub(m.at).Seconds() / meterTime.Seconds())
-	return measured{
-		work:   m.work * left,
-		tokens: m.tokens.Times(left),
-		at:     at,
+// decayedTo returns the sum decayed to a time.
+func (m decayingSum) decayedTo(at time.Time) decayingSum {
+	remaining := math.Exp(-at.Sub(m.asOf).Seconds() / decayTime.Seconds())
+	return decayingSum{
+		work:   m.work * remaining,
+		tokens: m.tokens.Times(remaining),
+		asOf:   at,
 	}
 }
 
-// Note notes a request of a kind, how much work it is, and its tokens.
+// Note records a request of a kind, its work and its tokens.
 func (m *Meter) Note(kind Kind, work float64, tokens usage.Rate) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	_, isKnown := m.kinds[kind]
-	if m.kinds == nil || (!isKnown && len(m.kinds) >= mostKinds) {
-		m.kinds = map[Kind]measured{}
+	if m.kinds == nil || (!isKnown && len(m.kinds) >= maxKinds) {
+		m.kinds = map[Kind]decayingSum{}
 	}
-	if m.began.IsZero() {
-		m.began = time.Now()
+	if m.firstRecordedAt.IsZero() {
+		m.firstRecordedAt = time.Now()
 	}
-	known := m.kinds[kind].now(time.Now())
-	known.work += work
-	known.tokens = known.tokens.Plus(tokens)
-	m.kinds[kind] = known
+	current := m.kinds[kind].decayedTo(time.Now())
+	current.work += work
+	current.tokens = current.tokens.Plus(tokens)
+	m.kinds[kind] = current
 }
 
-// Asked returns what was asked lately, as asked in a zone.
+// Asked returns the recent demand by kind as entries of a zone.
 func (m *Meter) Asked(zone string) []Asked {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	window := m.window(now)
-	var asked []Asked
-	for kind, known := range m.kinds {
-		decayed := known.now(now)
-		asked = append(asked, Asked{
+	windowSeconds := m.windowSeconds(now)
+	var rates []Asked
+	for kind, stored := range m.kinds {
+		decayed := stored.decayedTo(now)
+		rates = append(rates, Asked{
 			Kind:   kind,
 			Zone:   zone,
-			Rate:   decayed.work / window,
-			Tokens: decayed.tokens.Times(1 / window),
+			Rate:   decayed.work / windowSeconds,
+			Tokens: decayed.tokens.Times(1 / windowSeconds),
 		})
 	}
-	return sum(asked)
+	return sumEntries(rates)
 }
 
-// window returns the seconds over which the decaying sums count. A daemon that has just
-// started has noted little yet, which does not mean that it is asked little. Where all are
-// restarted in turn, as for an upgrade, the sum would be too low all the time.
-func (m *Meter) window(now time.Time) float64 {
-	age := max(leastTime, now.Sub(m.began))
-	return meterTime.Seconds() * (1 - math.Exp(-age.Seconds()/meterTime.Seconds()))
+// windowSeconds returns the number of seconds over which the decaying sums count. It
+// accounts for the age of the meter: a new daemon has recorded little, which does not mean
+// that demand is low. If all daemons are restarted in turn, as for an upgrade, the totals
+// would otherwise be too low throughout.
+func (m *Meter) windowSeconds(now time.Time) float64 {
+	age := max(minWindowAge, now.Sub(m.firstRecordedAt))
+	return decayTime.Seconds() * (1 - math.Exp(-age.Seconds()/decayTime.Seconds()))
 }
