--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,14 +1,13 @@
-// Package lease decides which daemon may act for a shard of control, and until
-// when.
+// Package lease defines the leases on control shards: which daemon may act for a shard, and
+// until when.
 //
-// Control work is cut into a fixed number of shards. A shard's lease row in
-// the table changes only when the lease is granted to another daemon, so its
-// version is the epoch: every write of the holder is conditional on it, and a
-// holder that was paused past its lease changes nothing. Renewals go to one
-// row for each daemon, whatever number of leases it holds, so the store's load
-// does not grow with shards. A lease is taken over by a daemon that has seen
-// the holder's renewal row unchanged for Term plus Margin on its own clock; no
-// clock is compared with another.
+// Control work is divided into a fixed number of shards. The lease row of a shard changes
+// only when the lease is granted to another daemon, so its version serves as the epoch and
+// fencing token: every write of the holder is conditional on it, and a holder that was
+// paused past its lease cannot change anything. A daemon renews all its leases by one
+// renewal row, so the store's load does not grow with the number of shards. Another daemon
+// may take over a lease after it has observed the holder's renewal row unchanged for Term
+// plus Margin on its own clock; clocks are never compared.
 package lease
 
 import (
@@ -21,36 +20,35 @@
 	"headcourse/core/table"
 )
 
-// Times of a lease.
 const (
 	// Term is how long the holder may act after it sent a renewal.
 	Term = 8 * time.Second
-	// Margin is added by whoever takes over, for clocks that run at different
+	// Margin is added to Term by a daemon that takes over, for clocks that run at different
 	// speeds.
 	Margin = 2 * time.Second
 	// RenewEvery is the time between two renewals.
 	RenewEvery = 2500 * time.Millisecond
-	// OrderMargin is how much of the term must be left to send an order; it
-	// covers the longest time that an order travels.
+	// OrderMargin is how much of the term must be left to send an order. It covers the
+	// maximum time that an order is in transit.
 	OrderMargin = 3 * time.Second
-	// SendWithin is how soon after it was decided an order must be sent.
+	// SendWithin is the maximum time between the decision on an order and its sending.
 	SendWithin = time.Second
 )
 
-// Shards is the number of shards that control work is cut into.
+// Shards is the number of control shards.
 const Shards = 16
 
-// ErrLapsed reports that the holder's lease may have ended.
-var ErrLapsed = errors.New("lease lapsed")
+// ErrLapsed means that the holder's lease has expired or may have.
+var ErrLapsed = errors.New("lease expired")
 
-// Keys of the rows in the table.
+// Prefixes of row keys in the table.
 const (
 	KeyPrefix     = catalog.Prefix + "lease/"
 	RenewalPrefix = catalog.Prefix + "renewal/"
 )
 
-// keys are the keys of the lease rows.
-var keys = func() (all [Shards]string) {
+// leaseKeys are the keys of the lease rows.
+var leaseKeys = func() (all [Shards]string) {
 	for shard := range all {
 		all[shard] = fmt.Sprintf("%s%02d", KeyPrefix, shard)
 	}
@@ -59,7 +57,7 @@
 
 // Key returns the key of a shard's lease row.
 func Key(shard int) string {
-	return keys[shard]
+	return leaseKeys[shard]
 }
 
 // RenewalKey returns the key of a daemon's renewal row.
@@ -67,29 +65,30 @@
 	return RenewalPrefix + daemon
 }
 
-// Grant is the value of a lease row.
+// Grant is the value of a lease row. Holder is empty if the shard is free.
 type Grant struct {
 	Holder string `json:"holder"`
 }
 
-// Renewal is the value of a renewal row. Count makes each one differ.
+// Renewal is the value of a renewal row. Count makes each renewal differ from the previous
+// one.
 type Renewal struct {
 	Count uint64 `json:"count"`
 }
 
-// Held is a lease as its holder has it. The zero value is not held.
+// Held is the lease on a shard from its holder's view. The zero value is expired.
 type Held struct {
 	Shard   int
 	Epoch   uint64
 	Expires time.Time
 }
 
-// Holds tells whether the lease holds for at least margin longer.
+// Holds reports whether the lease is valid for at least margin longer.
 func (h Held) Holds(margin time.Duration) bool {
 	return h.Epoch != 0 && time.Until(h.Expires) >= margin
 }
 
-// Check returns ErrLapsed unless the lease holds for at least margin longer.
+// Check returns ErrLapsed unless the lease is valid for at least margin longer.
 func (h Held) Check(margin time.Duration) error {
 	if !h.Holds(margin) {
 		return errors.Wrapf(ErrLapsed, "check lease of shard %d", h.Shard)
@@ -97,16 +96,16 @@
 	return nil
 }
 
-// WithOrder returns the lease as an order that is decided now may use it: only
-// for as long as it takes to send the order soon and for it to arrive.
+// WithOrder returns the lease as it applies to an order that is decided now. The expiry is
+// limited so that the order is sent within SendWithin and has OrderMargin left to arrive.
 func (h Held) WithOrder() Held {
-	if limit := time.Now().Add(SendWithin + OrderMargin); limit.Before(h.Expires) {
-		h.Expires = limit
+	if orderExpiry := time.Now().Add(SendWithin + OrderMargin); orderExpiry.Before(h.Expires) {
+		h.Expires = orderExpiry
 	}
 	return h
 }
 
-// Fence returns the transaction made conditional on the lease's epoch.
+// Fence returns the transaction with the lease's epoch as an additional condition.
 func (h Held) Fence(transaction table.Transaction) table.Transaction {
 	return transaction.WithCondition(Key(h.Shard), h.Epoch)
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"headcourse/core/lease"
 )
 
-func TestPausedHolderMayNotAct(t *testing.T) {
+func TestLeaseExpiresWhileHolderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := lease.Held{
 			Shard:   3,
@@ -24,19 +24,19 @@
 	})
 }
 
-// TestOrderIsSentSoonOrNever: a daemon that was paused between deciding an
-// order and sending it does not send it, though its lease still holds.
-func TestOrderIsSentSoonOrNever(t *testing.T) {
+// A daemon that was paused between deciding on an order and sending it must not send the
+// order, even if its lease is still valid.
+func TestOrderExpiresBeforeLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := lease.Held{
 			Epoch:   7,
 			Expires: time.Now().Add(lease.Term),
 		}
-		order := held.WithOrder()
+		orderLease := held.WithOrder()
 		time.Sleep(lease.SendWithin)
-		qt.Assert(t, order.Check(lease.OrderMargin), qt.IsNil)
+		qt.Assert(t, orderLease.Check(lease.OrderMargin), qt.IsNil)
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, order.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrLapsed)
+		qt.Assert(t, orderLease.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrLapsed)
 		qt.Assert(t, held.Check(lease.OrderMargin), qt.IsNil)
 	})
 }
