--- a/core/group/decide.go
+++ b/core/group/decide.go
@@ -6,71 +6,70 @@
 	"headcourse/core/order"
 )
 
-// Times of a group's control.
 const (
-	// MissAfter is how long a member may stay unseen before it counts as lost.
-	// A shorter pause closes the group to requests but does not form it anew.
+	// MissAfter is how long a member may be unresponsive before it counts as lost. A
+	// shorter pause stops requests to the group, but the group is not formed again.
 	MissAfter = 6 * time.Second
-	// RefusedAfter is the same for a member whose VM refuses connections: its
-	// process has ended and has lost its state, so that waiting gains nothing.
+	// RefusedAfter is the same for a member whose VM refuses connections. Its process has
+	// ended and lost its state, so waiting longer gains nothing.
 	RefusedAfter = 1500 * time.Millisecond
-	// DrainSettle is how long a draining group whose backend servers check
-	// generations is left alone, so that every daemon has learned of it.
+	// DrainSettle is how long a draining group is left alone so that every daemon learns
+	// that it is draining, if its backend servers check generations.
 	DrainSettle = 3 * time.Second
-	// DrainSettleUnchecked is the same for backend servers that do not check:
-	// past it no daemon that may serve still takes the group for serving.
+	// DrainSettleUnchecked is the same for backend servers that do not check generations.
+	// After this time no daemon that may still serve takes the group for a serving one.
 	DrainSettleUnchecked = 10 * time.Second
 )
 
 // View is what the group's controller has observed of one member.
 type View struct {
-	// Fresh tells that the member answered a probe lately, with State.
+	// Fresh means that the member answered a recent probe with State.
 	Fresh bool
 	State order.State
-	// UnseenFor is how long the member has not answered, and Refused tells that
-	// its VM refuses connections.
+	// UnseenFor is the time since the member's last answer. Refused means that its VM
+	// refuses connections.
 	UnseenFor time.Duration
 	Refused   bool
-	// Listed is false when the VM list no longer has the VM.
+	// Listed is false if the VM list no longer has the VM.
 	Listed bool
-	// Leaving tells that the VM list has the VM as leaving.
+	// Leaving means that the VM list has the VM as leaving.
 	Leaving bool
 }
 
-// Verb is a controller's next step for a group.
+// Verb is the next step of a group's controller.
 type Verb string
 
-// The steps.
+// Steps of a group's controller.
 const (
-	// Rest: nothing to do now.
+	// Rest does nothing now.
 	Rest Verb = "rest"
-	// Place: choose VMs for a waiting group.
+	// Place chooses VMs for a waiting group.
 	Place Verb = "place"
-	// SendLoad: order the members in Decision.Members to load.
+	// SendLoad orders the members in Decision.Members to load.
 	SendLoad Verb = "send_load"
-	// Serve: all members have loaded; let the group serve.
+	// Serve lets the group serve, since all members have loaded.
 	Serve Verb = "serve"
-	// Repair: the members in Decision.Members are lost; repair the group.
+	// Repair repairs the group, since the members in Decision.Members are lost.
 	Repair Verb = "repair"
-	// Reload: all members are there but some have lost their state; form the
-	// group anew of the same members.
+	// Reload forms the group again of the same members, since some have lost their state.
 	Reload Verb = "reload"
-	// Vacate: a member is leaving; drain the group, to be placed anew.
+	// Vacate drains the group and places it on other VMs, since a member is leaving.
 	Vacate Verb = "vacate"
-	// SendUnload: order the members in Decision.Members to unload.
+	// SendUnload orders the members in Decision.Members to unload.
 	SendUnload Verb = "send_unload"
-	// Dissolve: free the VMs and delete the group.
+	// Dissolve frees the VMs and deletes the group.
 	Dissolve Verb = "dissolve"
 )
 
-// Decision is the next step, with the indexes of the members that it concerns.
+// Decision is the next step, with the indexes of the members that it applies to.
 type Decision struct {
 	Verb    Verb
 	Members []int
 }
 
-// Decide returns the group's next step. views are the members in order, and
-// phaseFor is how long the controller has seen the record as it is.
+// Decide returns the group's next step. views are the observations of the members, in the
+// order of the members. phaseFor is how long the controller has observed the record
+// unchanged.
 func (r Record) Decide(views []View, phaseFor time.Duration) Decision {
 	switch r.Phase {
 	case Waiting:
@@ -98,21 +97,21 @@
 			Members: lost,
 		}
 	}
-	var unordered []int
+	var needLoad []int
 	loaded := 0
 	for i, view := range views {
 		switch {
 		case !view.Fresh:
-		case !r.isMine(view.State):
-			unordered = append(unordered, i)
+		case !r.isCurrentMember(view.State):
+			needLoad = append(needLoad, i)
 		case view.State.Loaded:
 			loaded++
 		}
 	}
-	if len(unordered) > 0 {
+	if len(needLoad) > 0 {
 		return Decision{
 			Verb:    SendLoad,
-			Members: unordered,
+			Members: needLoad,
 		}
 	}
 	if loaded == len(views) && loaded > 0 {
@@ -125,7 +124,7 @@
 	}
 }
 
-// decideServing looks for members that are lost, emptied or leaving.
+// decideServing checks for members that are lost, leaving or no longer loaded.
 func (r Record) decideServing(views []View) Decision {
 	if lost := lostMembers(views); len(lost) > 0 {
 		return Decision{
@@ -133,12 +132,12 @@
 			Members: lost,
 		}
 	}
-	isLeaving, emptied, fresh := false, false, 0
+	isLeaving, hasUnloaded, fresh := false, false, 0
 	for _, view := range views {
 		isLeaving = isLeaving || view.Leaving
 		if view.Fresh {
 			fresh++
-			emptied = emptied || !r.isMine(view.State)
+			hasUnloaded = hasUnloaded || !r.isCurrentMember(view.State)
 		}
 	}
 	if isLeaving {
@@ -146,7 +145,7 @@
 			Verb: Vacate,
 		}
 	}
-	if emptied && fresh == len(views) {
+	if hasUnloaded && fresh == len(views) {
 		return Decision{
 			Verb: Reload,
 		}
@@ -156,39 +155,39 @@
 	}
 }
 
-// decideDraining unloads the members once nothing is in flight, and dissolves
-// the group once every member that answers has unloaded.
+// decideDraining unloads the members once no request is in flight, and dissolves the group
+// once every member that answers has unloaded.
 func (r Record) decideDraining(views []View, phaseFor time.Duration) Decision {
-	settle := DrainSettle
+	drainDelay := DrainSettle
 	if !r.ChecksOrders() {
-		settle = DrainSettleUnchecked
+		drainDelay = DrainSettleUnchecked
 	}
-	if phaseFor < settle {
+	if phaseFor < drainDelay {
 		return Decision{
 			Verb: Rest,
 		}
 	}
-	isBusy := len(views) > 0 && views[0].Fresh && r.isMine(views[0].State) && views[0].State.InFlight > 0
+	isBusy := len(views) > 0 && views[0].Fresh && r.isCurrentMember(views[0].State) && views[0].State.InFlight > 0
 	if isBusy {
 		return Decision{
 			Verb: Rest,
 		}
 	}
-	var loaded []int
+	var needUnload []int
 	for i, view := range views {
 		switch {
 		case view.Fresh && view.State.Group == r.Name && view.State.Generation <= r.Generation:
-			loaded = append(loaded, i)
+			needUnload = append(needUnload, i)
 		case !view.Fresh && view.Listed && view.UnseenFor < MissAfter:
 			return Decision{
 				Verb: Rest,
 			}
 		}
 	}
-	if len(loaded) > 0 {
+	if len(needUnload) > 0 {
 		return Decision{
 			Verb:    SendUnload,
-			Members: loaded,
+			Members: needUnload,
 		}
 	}
 	return Decision{
@@ -196,20 +195,21 @@
 	}
 }
 
-// isMine tells whether a member is part of this generation of the group.
-func (r Record) isMine(state order.State) bool {
+// isCurrentMember reports whether a member's state belongs to this generation of the group.
+func (r Record) isCurrentMember(state order.State) bool {
 	return state.Group == r.Name && state.Generation == r.Generation
 }
 
-// lostMembers returns the members that are gone or were unseen too long.
+// lostMembers returns the indexes of members that are not listed or unresponsive for too
+// long.
 func lostMembers(views []View) []int {
 	var lost []int
 	for i, view := range views {
-		patience := MissAfter
+		timeout := MissAfter
 		if view.Refused {
-			patience = RefusedAfter
+			timeout = RefusedAfter
 		}
-		if !view.Listed || (!view.Fresh && view.UnseenFor >= patience) {
+		if !view.Listed || (!view.Fresh && view.UnseenFor >= timeout) {
 			lost = append(lost, i)
 		}
 	}
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -1,16 +1,16 @@
-// Package group describes serving groups and decides each one's next step.
+// Package group describes serving groups and decides the next step of each.
 //
-// A group is one replica of a model on several VMs of one fabric domain. Its
-// record in the table holds the members and a generation, which rises whenever
-// the group is formed anew. Its life:
+// A group is one replica of a model on several VMs of one fabric domain. Its record in the
+// table holds the members and a generation, which increases whenever the group is formed
+// again. Phases:
 //
 //	waiting → loading → serving → draining → (row deleted)
 //
-// A waiting group is declared but has no VMs. A loading group has claimed its
-// VMs and its members are ordered to load. A serving group takes requests, but
-// only on fresh evidence that all members of this generation are present. A
-// draining group takes none and ends what it has. When a member is lost, the
-// group goes back to loading with a new generation, or to waiting.
+// A waiting group is declared but has no VMs. A loading group has claimed its VMs, and its
+// members are ordered to load. A serving group takes requests, but only while fresh
+// evidence shows that all members of this generation are present. A draining group takes no
+// new requests and completes those in flight. If a member is lost, the group returns to
+// loading with a new generation, or to waiting.
 package group
 
 import (
@@ -21,7 +21,7 @@
 	"headcourse/core/presence"
 )
 
-// KeyPrefix begins the key of every group's row.
+// KeyPrefix is the prefix of the keys of group rows.
 const KeyPrefix = catalog.Prefix + "group/"
 
 // Key returns the key of a group's row.
@@ -29,10 +29,10 @@
 	return KeyPrefix + name
 }
 
-// Phase is where a group is in its life.
+// Phase is a phase in the life cycle of a group.
 type Phase string
 
-// The phases. A dissolved group has no row.
+// Phases of a group. A dissolved group has no row.
 const (
 	Waiting  Phase = "waiting"
 	Loading  Phase = "loading"
@@ -62,12 +62,12 @@
 	Phase      Phase    `json:"phase"`
 	// Plan is the confirmed plan that is changing the group.
 	Plan string `json:"plan,omitempty"`
-	// Next is what a draining group becomes instead of being dissolved. Its
-	// members may be partly the same VMs.
+	// Next is what a draining group becomes instead of being dissolved. It may use some of
+	// the same VMs.
 	Next *Record `json:"next,omitempty"`
 }
 
-// Leader returns the address of the member that takes requests.
+// Leader returns the address of the first member, which takes the group's requests.
 func (r Record) Leader() string {
 	if len(r.Members) == 0 {
 		return ""
@@ -75,7 +75,7 @@
 	return r.Members[0].Address
 }
 
-// Accelerators returns the accelerators of all members.
+// Accelerators returns the number of accelerators of all members.
 func (r Record) Accelerators() int {
 	total := 0
 	for _, member := range r.Members {
@@ -84,7 +84,7 @@
 	return total
 }
 
-// Has tells whether a VM is a member.
+// Has reports whether a VM is a member.
 func (r Record) Has(vm string) bool {
 	for _, member := range r.Members {
 		if member.VM == vm {
@@ -94,7 +94,8 @@
 	return false
 }
 
-// ChecksOrders tells whether every member refuses orders that are not newer.
+// ChecksOrders reports whether every member refuses orders that are not newer than its last
+// one.
 func (r Record) ChecksOrders() bool {
 	for _, member := range r.Members {
 		if !member.ChecksOrders {
@@ -110,8 +111,8 @@
 	return r
 }
 
-// WithMembers returns the record formed anew of other members, loading, at a
-// generation above its own and above floor.
+// WithMembers returns the record in phase loading with other members. Its generation is
+// above both its current one and floor.
 func (r Record) WithMembers(members []Member, zone, domain string, floor uint64) Record {
 	r.Members = members
 	r.Zone = zone
@@ -122,15 +123,15 @@
 	return r
 }
 
-// WithDraining returns the record draining, to become next afterwards, or to
-// be dissolved where next is nil.
+// WithDraining returns the record in phase draining. The group becomes next afterwards, or
+// is dissolved if next is nil.
 func (r Record) WithDraining(next *Record) Record {
 	r.Phase = Draining
 	r.Next = next
 	return r
 }
 
-// WithoutMembers returns the record waiting for VMs.
+// WithoutMembers returns the record in phase waiting.
 func (r Record) WithoutMembers() Record {
 	r.Members = nil
 	r.Domain = ""
@@ -138,7 +139,7 @@
 	return r
 }
 
-// WithPlan returns the record as a plan is changing it; empty for none.
+// WithPlan returns the record marked as changed by a plan; an empty plan removes the mark.
 func (r Record) WithPlan(plan string) Record {
 	r.Plan = plan
 	return r
@@ -184,8 +185,8 @@
 	}
 }
 
-// Serveable tells whether the group may be given a new request now: it is
-// serving, no member is leaving, and fresh evidence says that it is whole.
+// Serveable reports whether the group may be given a new request now: it is serving, no
+// member is leaving, and fresh evidence shows that it is whole.
 func (r Record) Serveable(evidence presence.Evidence, isLeaving func(vm string) bool, now time.Time) bool {
 	if r.Phase != Serving || len(r.Members) == 0 || evidence.Group != r.Name {
 		return false
