--- a/core/vm/vm.go
+++ b/core/vm/vm.go
@@ -1,20 +1,20 @@
-// Package vm describes the backend server VMs as the platform lists them, and
-// the row by which one serving group claims one VM.
+// Package vm describes the VMs of backend servers as the platform lists them, and the row
+// by which a serving group claims a VM.
 package vm
 
 import "headcourse/core/catalog"
 
-// State is the platform's word on a VM.
+// State is the state of a VM in the platform's list.
 type State string
 
-// The states of a VM. A VM that the list lacks is gone.
+// States of a listed VM. A VM that is not listed no longer exists.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// VM is one backend server VM. Address is IP:port of its backend server.
-// Domain is empty on VMs of plain services, and Service on VMs of engines.
+// VM is the VM of one backend server. Address is the IP:port of the backend server. Domain
+// is empty for VMs of plain services, and Service is empty for VMs of model engines.
 type VM struct {
 	ID           string `json:"id"`
 	Zone         string `json:"zone"`
@@ -23,31 +23,31 @@
 	Accelerators int    `json:"accelerators,omitempty"`
 	Service      string `json:"service,omitempty"`
 	State        State  `json:"state"`
-	// ChecksOrders tells that the backend server refuses orders whose
-	// generation and sequence are not newer than the last it obeyed.
+	// ChecksOrders means that the backend server refuses orders whose generation and
+	// sequence are not newer than those of the last order that it obeyed.
 	ChecksOrders bool `json:"checks_orders,omitempty"`
 }
 
-// Claim is the value of a VM's row in the table. An empty Group means free.
-// Generation is kept when the VM is freed, so that it never goes back.
+// Claim is the value of a VM's row in the table. Group is empty if no group has the VM.
+// Generation is kept when the VM is freed, so that it never decreases.
 type Claim struct {
 	Group      string `json:"group"`
 	Generation uint64 `json:"generation"`
-	// Plan is the confirmed plan that the VM is reserved for.
+	// Plan is the confirmed plan for which the VM is reserved.
 	Plan string `json:"plan,omitempty"`
-	// Retired tells that an operator's plan took the VM out of use.
+	// Retired means that an operator's plan took the VM out of use.
 	Retired bool `json:"retired,omitempty"`
 }
 
-// Free tells whether a new group may claim the VM.
+// Free reports whether a new group may claim the VM.
 func (c Claim) Free() bool {
 	return c.Group == "" && c.Plan == "" && !c.Retired
 }
 
-// KeyPrefix begins the key of every claim row.
+// KeyPrefix is the prefix of the keys of claim rows.
 const KeyPrefix = catalog.Prefix + "vm/"
 
-// Key returns the key of the claim row of a VM.
+// Key returns the key of a VM's claim row.
 func Key(id string) string {
 	return KeyPrefix + id
 }
