--- a/core/order/order.go
+++ b/core/order/order.go
@@ -1,23 +1,23 @@
-// Package order defines the fenced orders that a group's controller sends to
-// the backend servers of its members.
+// Package order defines the fenced orders that a group's controller sends to the backend
+// servers of its members.
 //
-// An order carries the generation of the group and a sequence within it. A
-// backend server that checks refuses whatever is not newer than the last order
-// it obeyed, so an order delayed on its way from a former controller does no
-// harm. VM.ChecksOrders tells which servers check.
+// An order carries the generation of the group and a sequence within the generation. A
+// backend server that checks refuses every order that is older than the last one it obeyed,
+// so a delayed order of a former controller has no effect. VM.ChecksOrders tells which
+// servers check.
 package order
 
-// Verb is what an order asks for.
+// Verb is what an order makes a member do.
 type Verb string
 
-// The verbs.
+// The actions of orders.
 const (
 	Load   Verb = "load"
 	Unload Verb = "unload"
 )
 
-// Order is one order to one member. Members lists the VM identifiers of the
-// whole group; the first of them takes the requests. Addresses are theirs.
+// Order is an order to one member. Members lists the VM identifiers of the whole group; the
+// first one takes the requests. Addresses lists the members' addresses in the same order.
 type Order struct {
 	Verb       Verb     `json:"verb"`
 	Group      string   `json:"group"`
@@ -31,13 +31,14 @@
 	Addresses  []string `json:"addresses,omitempty"`
 }
 
-// Fence is the newest order that a backend server has obeyed.
+// Fence is the generation and sequence of the newest order that a backend server has
+// obeyed.
 type Fence struct {
 	Generation uint64 `json:"generation"`
 	Sequence   uint64 `json:"sequence"`
 }
 
-// Admits tells whether o is newer than the fence, or the same order again.
+// Admits reports whether o is newer than the fence or has the same generation and sequence.
 func (f Fence) Admits(o Order) bool {
 	if o.Generation != f.Generation {
 		return o.Generation > f.Generation
@@ -45,7 +46,7 @@
 	return o.Sequence >= f.Sequence
 }
 
-// State is what a backend server says of itself when probed.
+// State is the state that a backend server reports when probed.
 type State struct {
 	VM         string `json:"vm"`
 	Group      string `json:"group"`
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -8,7 +8,7 @@
 	"headcourse/core/order"
 )
 
-func TestFenceAdmitsOnlyWhatIsNotOlder(t *testing.T) {
+func TestFenceRejectsOlderOrders(t *testing.T) {
 	fence := order.Fence{
 		Generation: 3,
 		Sequence:   10,
