--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,14 +1,14 @@
-// Package outcome names what became of a caller's request.
+// Package outcome defines the outcomes of callers' requests.
 //
-// There are three outcomes, never two: ran, not run, and unknown. "Not run" is
-// said only where it is certain, for example when no byte was handed to the
-// backend server, or when the backend server itself said that it ran nothing.
+// There are three outcomes: ran, not run, and unknown. "Not run" is reported only if it is
+// certain, for example if no byte was sent to the backend server, or if the backend server
+// reported that it ran nothing.
 package outcome
 
 import "github.com/pkg/errors"
 
-// Outcome is what became of one request. The zero value is Unknown, so that a
-// forgotten assignment never claims more than is known.
+// Outcome is the outcome of one request. The zero value is Unknown, so that a missing
+// assignment never claims more than is known.
 type Outcome int
 
 // The three outcomes.
@@ -18,7 +18,7 @@
 	Ran
 )
 
-// String returns the outcome as it stands in headers and error bodies.
+// String returns the outcome as it appears in headers and error bodies.
 func (o Outcome) String() string {
 	switch o {
 	case Ran:
@@ -30,10 +30,10 @@
 	}
 }
 
-// Reason names why a request was refused or tried again. Each has a counter.
+// Reason is why a request was rejected or retried. Each reason has a counter.
 type Reason string
 
-// The reasons. Each is a row of the reference of counters.
+// Reasons. Each is a row of the reference of counters.
 const (
 	ReasonNone              Reason = ""
 	ReasonBadRequest        Reason = "bad_request"
@@ -62,7 +62,7 @@
 	ReasonKeyStoreDown      Reason = "idempotency_store_unavailable"
 )
 
-// Reasons lists every reason with what it means, in the order of the reference.
+// Reasons lists all reasons with their meanings, in the order of the reference.
 var Reasons = []struct {
 	Reason  Reason
 	Meaning string
@@ -165,7 +165,7 @@
 	},
 }
 
-// Failure is the error of a request that did not end in a whole answer.
+// Failure is the error of a request that did not end with a complete answer.
 type Failure struct {
 	Outcome Outcome
 	Reason  Reason
@@ -174,7 +174,7 @@
 	Cause   error
 }
 
-// Error returns the step, the peer, the reason and the cause.
+// Error returns the step, the peer, the reason, the outcome and the cause.
 func (f *Failure) Error() string {
 	text := f.Step
 	if f.Peer != "" {
@@ -201,7 +201,8 @@
 	}
 }
 
-// FailureOf returns the Failure inside err, or one of unknown outcome around it.
+// FailureOf returns the Failure in err's chain, or a new one of unknown outcome with err as
+// its cause.
 func FailureOf(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
