--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -4,14 +4,14 @@
 	"headcourse/core/declaration"
 )
 
-// FirstFit is a baseline: it replaces lost members, or moves the group, at once
-// and to the first domain with room, whatever the weights.
+// FirstFit is a baseline policy: it immediately replaces lost members, or moves the group
+// to the first domain with enough free VMs, regardless of the weights.
 type FirstFit struct{}
 
 // Repair returns the first remedy that fits.
 func (FirstFit) Repair(loss Loss, domains []Domain, _ declaration.Weights) (Remedy, Choice) {
 	ordered := sortedDomains(domains)
-	if spares := sparesOf(ordered, loss.Domain); loss.Kept > 0 && len(spares) >= loss.Lost {
+	if spares := freeVMsOf(ordered, loss.Domain); loss.Kept > 0 && len(spares) >= loss.Lost {
 		return Replace, Choice{
 			Name:    loss.Group,
 			Domain:  loss.Domain,
@@ -25,13 +25,13 @@
 	}
 	for _, domain := range ordered {
 		if zoneRank(loss.Zones, domain.Zone) >= 0 && len(domain.Free) >= want.Size {
-			return Move, take(domain, want)
+			return Move, chooseFirst(domain, want)
 		}
 	}
 	return Wait, Choice{}
 }
 
-// AlwaysWait is a baseline: it waits for the lost members to return.
+// AlwaysWait is a baseline policy: it waits for the lost members to return.
 type AlwaysWait struct{}
 
 // Repair returns Wait.
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,16 +1,15 @@
 // Package placement chooses VMs for serving groups.
 //
-// A group takes VMs of one fabric domain. Which domain it takes decides what a
-// later failure costs: a domain with a spare VM beside its groups repairs a
-// lost member by loading one group anew, a domain without must move the whole
-// group; and free VMs too few to form a group are stranded. Cost weighs both
-// by the operator's declared weights, and every choice minimises it. The same
-// input always gives the same choice.
+// A group uses VMs of one fabric domain. The choice of the domain determines the cost of a
+// later failure. If the domain has a spare VM beside its groups, a lost member is repaired
+// by loading one group again; otherwise the whole group must move. VMs that are left over
+// and too few to form a group are stranded. Cost weighs both by the operator's declared
+// weights, and every choice minimises it. The same input always gives the same choice.
 //
-// For example, with 4 VMs a group and two domains with 5 and 8 free VMs, an
-// operator who weighs downtime takes the domain with 5 (one spare remains
-// beside the group), and so does one who weighs stranded accelerators (the
-// other domain can still hold two groups).
+// For example, with 4 VMs per group and two domains with 5 and 8 free VMs, an operator who
+// gives weight to downtime gets the domain with 5, since one spare remains beside the
+// group. An operator who gives weight to stranded accelerators gets the same domain, since
+// the other one can still hold two groups.
 package placement
 
 import (
@@ -20,31 +19,31 @@
 	"headcourse/core/vm"
 )
 
-// Domain is a fabric domain with its free VMs in the order of their ids.
+// Domain is a fabric domain with its free VMs, ordered by id.
 type Domain struct {
 	Name string
 	Zone string
 	Free []vm.VM
-	// Groups is how many groups have their members in the domain.
+	// Groups is the number of groups that have their members in the domain.
 	Groups int
 }
 
-// Without returns the domain with its first n free VMs taken by a group.
+// Without returns the domain after a group has used its first n free VMs.
 func (d Domain) Without(n int) Domain {
 	d.Free = d.Free[n:]
 	d.Groups++
 	return d
 }
 
-// Want is one group to be placed: its size, and the zones it may go to, the
-// earlier the better.
+// Want is a group to be placed, with its size in VMs and the zones in which it may be
+// placed, in order of preference.
 type Want struct {
 	Name  string
 	Size  int
 	Zones []string
 }
 
-// Choice is where a group goes. Members is empty where nothing fits.
+// Choice is where a group is placed. Members is empty if nothing fits.
 type Choice struct {
 	Name    string
 	Zone    string
@@ -52,59 +51,59 @@
 	Members []vm.VM
 }
 
-// Figures of Cost. A member loss is taken to hit a VM once in lossEvery
-// seconds; repairSeconds and moveSeconds are the downtime with and without a
-// spare in the domain; the horizon is what a placement is judged over.
+// Constants of Cost. A VM is assumed to be lost once per lossIntervalSeconds. The downtime
+// of a repair is repairDowntimeSeconds with a spare in the domain and moveDowntimeSeconds
+// without. Cost is computed over horizonSeconds.
 const (
-	lossEvery     = 60 * 86400.0
-	repairSeconds = 60.0
-	moveSeconds   = 180.0
-	horizon       = 86400.0
+	lossIntervalSeconds   = 60 * 86400.0
+	repairDowntimeSeconds = 60.0
+	moveDowntimeSeconds   = 180.0
+	horizonSeconds        = 86400.0
 )
 
-// Cost returns what a domain is expected to cost over a day under the weights:
-// downtime of its groups of the given size after losses, and accelerators that
-// no further group of that size can use. Lower is better.
+// Cost returns the expected cost of a domain over a day under the weights: the downtime of
+// its groups of the given size after losses, and the accelerators that no further group of
+// that size can use. Lower is better.
 func (d Domain) Cost(size int, weights declaration.Weights) float64 {
-	losses := float64(d.Groups*size) * horizon / lossEvery
-	downtime := losses * moveSeconds
+	losses := float64(d.Groups*size) * horizonSeconds / lossIntervalSeconds
+	downtime := losses * moveDowntimeSeconds
 	if len(d.Free) > 0 {
-		downtime = losses * repairSeconds
+		downtime = losses * repairDowntimeSeconds
 	}
 	stranded := 0.0
 	for _, free := range d.Free[:len(d.Free)%size] {
-		stranded += float64(free.Accelerators) * horizon
+		stranded += float64(free.Accelerators) * horizonSeconds
 	}
 	return weights.GroupDowntime*downtime + weights.StrandedAccelerators*stranded*strandedShare
 }
 
-// strandedShare is the part of a day in which a VM left over would otherwise
-// have been used; a spare is needed some of the time.
+// strandedShare is the share of a day during which a left-over VM would otherwise have been
+// used; a spare is needed some of the time.
 const strandedShare = 0.001
 
-// Place chooses places for all wants. Small inputs are searched wholly, larger
-// ones greedily, the biggest group first, each to the domain that raises the
-// cost least. Wants that fit nowhere get a choice without members.
+// Place places all wants. Small inputs are searched exactly. Larger ones are placed
+// greedily: the largest group first, each in the domain whose cost increases least. A want
+// that does not fit anywhere gets a choice without members.
 func Place(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
 	ordered := sortedDomains(domains)
-	if isSmall(ordered, wants) {
+	if canSearchExactly(ordered, wants) {
 		return placeExactly(ordered, wants, weights)
 	}
 	return placeGreedily(ordered, wants, weights)
 }
 
-// Bounds of the exact search.
+// Input limits of the exact search.
 const (
-	exactWants   = 6
-	exactDomains = 6
+	maxExactWants   = 6
+	maxExactDomains = 6
 )
 
-// isSmall tells whether the exact search is affordable.
-func isSmall(domains []Domain, wants []Want) bool {
-	return len(wants) <= exactWants && len(domains) <= exactDomains
+// canSearchExactly reports whether the input is small enough for the exact search.
+func canSearchExactly(domains []Domain, wants []Want) bool {
+	return len(wants) <= maxExactWants && len(domains) <= maxExactDomains
 }
 
-// sortedDomains returns a copy in the order of names.
+// sortedDomains returns a copy of the domains, ordered by name.
 func sortedDomains(domains []Domain) []Domain {
 	ordered := append([]Domain(nil), domains...)
 	sort.Slice(ordered, func(i, j int) bool {
@@ -113,7 +112,7 @@
 	return ordered
 }
 
-// zoneRank returns the place of zone in zones, or -1.
+// zoneRank returns the index of zone in zones, or -1.
 func zoneRank(zones []string, zone string) int {
 	for i, name := range zones {
 		if name == zone {
@@ -123,8 +122,8 @@
 	return -1
 }
 
-// take returns the choice of the first VMs of a domain.
-func take(domain Domain, want Want) Choice {
+// chooseFirst returns the choice of the first free VMs of a domain.
+func chooseFirst(domain Domain, want Want) Choice {
 	return Choice{
 		Name:    want.Name,
 		Zone:    domain.Zone,
@@ -136,41 +135,41 @@
 // ----------------------------------------------------------------------------
 // Greedy placement
 
-// placeGreedily places the biggest wants first.
+// placeGreedily places the largest wants first.
 func placeGreedily(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
-	sequence := make([]int, len(wants))
-	for i := range sequence {
-		sequence[i] = i
+	bySize := make([]int, len(wants))
+	for i := range bySize {
+		bySize[i] = i
 	}
-	sort.SliceStable(sequence, func(i, j int) bool {
-		return wants[sequence[i]].Size > wants[sequence[j]].Size
+	sort.SliceStable(bySize, func(i, j int) bool {
+		return wants[bySize[i]].Size > wants[bySize[j]].Size
 	})
 	choices := make([]Choice, len(wants))
-	for _, index := range sequence {
+	for _, index := range bySize {
 		want := wants[index]
 		choices[index].Name = want.Name
-		best := cheapest(domains, want, weights)
-		if best < 0 {
+		chosen := cheapestDomain(domains, want, weights)
+		if chosen < 0 {
 			continue
 		}
-		choices[index] = take(domains[best], want)
-		domains[best] = domains[best].Without(want.Size)
+		choices[index] = chooseFirst(domains[chosen], want)
+		domains[chosen] = domains[chosen].Without(want.Size)
 	}
 	return choices
 }
 
-// cheapest returns the domain that a want raises the cost of least, within the
-// first of its zones that has room; -1 where none has.
-func cheapest(domains []Domain, want Want, weights declaration.Weights) int {
-	best, bestRank, bestRise := -1, 0, 0.0
+// cheapestDomain returns the index of the domain whose cost the want increases least, among
+// the domains of the first of its zones with enough free VMs, or -1 if there is none.
+func cheapestDomain(domains []Domain, want Want, weights declaration.Weights) int {
+	best, bestRank, bestIncrease := -1, 0, 0.0
 	for i, domain := range domains {
 		rank := zoneRank(want.Zones, domain.Zone)
 		if rank < 0 || len(domain.Free) < want.Size {
 			continue
 		}
-		rise := domain.Without(want.Size).Cost(want.Size, weights) - domain.Cost(want.Size, weights)
-		if best < 0 || rank < bestRank || (rank == bestRank && rise < bestRise) {
-			best, bestRank, bestRise = i, rank, rise
+		increase := domain.Without(want.Size).Cost(want.Size, weights) - domain.Cost(want.Size, weights)
+		if best < 0 || rank < bestRank || (rank == bestRank && increase < bestIncrease) {
+			best, bestRank, bestIncrease = i, rank, increase
 		}
 	}
 	return best
@@ -179,8 +178,8 @@
 // ----------------------------------------------------------------------------
 // Exact placement
 
-// search is the state of the exact search over all assignments.
-type search struct {
+// exactSearch is the state of the exact search over all assignments.
+type exactSearch struct {
 	wants      []Want
 	weights    declaration.Weights
 	assigned   []int
@@ -190,31 +189,31 @@
 	bestCost   float64
 }
 
-// placeExactly tries every assignment: most groups placed, then the zones
-// liked best, then the lowest cost.
+// placeExactly tries every assignment. It prefers the most groups placed, then the most
+// preferred zones, then the lowest cost.
 func placeExactly(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
-	state := &search{
+	state := &exactSearch{
 		wants:      wants,
 		weights:    weights,
 		assigned:   make([]int, len(wants)),
 		bestPlaced: -1,
 	}
-	state.try(domains, 0, 0, 0)
+	state.assignFrom(domains, 0, 0, 0)
 	choices := make([]Choice, len(wants))
 	for i, want := range wants {
 		choices[i].Name = want.Name
 		if chosen := state.best[i]; chosen >= 0 {
-			choices[i] = take(domains[chosen], want)
+			choices[i] = chooseFirst(domains[chosen], want)
 			domains[chosen] = domains[chosen].Without(want.Size)
 		}
 	}
 	return choices
 }
 
-// try assigns the want at index and all after it.
-func (s *search) try(domains []Domain, index, placed, ranks int) {
+// assignFrom tries all assignments of the wants from index on.
+func (s *exactSearch) assignFrom(domains []Domain, index, placed, ranks int) {
 	if index == len(s.wants) {
-		s.compare(domains, placed, ranks)
+		s.keepIfBetter(domains, placed, ranks)
 		return
 	}
 	want := s.wants[index]
@@ -225,15 +224,15 @@
 		}
 		s.assigned[index] = i
 		domains[i] = domain.Without(want.Size)
-		s.try(domains, index+1, placed+1, ranks+rank)
+		s.assignFrom(domains, index+1, placed+1, ranks+rank)
 		domains[i] = domain
 	}
 	s.assigned[index] = -1
-	s.try(domains, index+1, placed, ranks)
+	s.assignFrom(domains, index+1, placed, ranks)
 }
 
-// compare keeps the assignment if it is the best so far.
-func (s *search) compare(domains []Domain, placed, ranks int) {
+// keepIfBetter stores the assignment if it is the best so far.
+func (s *exactSearch) keepIfBetter(domains []Domain, placed, ranks int) {
 	size := 1
 	for _, want := range s.wants {
 		size = max(size, want.Size)
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -18,43 +18,43 @@
 	os.Exit(fuzz.Main(m))
 }
 
-// weights are the weights of an operator who minds both measures.
-var weights = declaration.Weights{
+// testWeights are the weights of an operator who gives weight to both measures.
+var testWeights = declaration.Weights{
 	GroupDowntime:        10,
 	StrandedAccelerators: 1,
 }
 
-// domain returns a fabric domain with free VMs.
-func domain(name, zone string, free, groups int) placement.Domain {
-	made := placement.Domain{
+// newDomain returns a fabric domain with free VMs.
+func newDomain(name, zone string, free, groups int) placement.Domain {
+	domain := placement.Domain{
 		Name:   name,
 		Zone:   zone,
 		Groups: groups,
 	}
 	for number := range free {
-		made.Free = append(made.Free, vm.VM{
+		domain.Free = append(domain.Free, vm.VM{
 			ID:           fmt.Sprintf("%s-%02d", name, number),
 			Zone:         zone,
 			Domain:       name,
 			Accelerators: 8,
 		})
 	}
-	return made
+	return domain
 }
 
 // drawDomains draws fabric domains.
-func drawDomains(rt *rapid.T, most int) []placement.Domain {
-	count := rapid.IntRange(1, most).Draw(rt, "domains")
+func drawDomains(rt *rapid.T, limit int) []placement.Domain {
+	count := rapid.IntRange(1, limit).Draw(rt, "domains")
 	domains := make([]placement.Domain, count)
 	for i := range domains {
-		domains[i] = domain(fmt.Sprintf("d%02d", i), fmt.Sprintf("z%d", i%3), rapid.IntRange(0, 9).Draw(rt, "free"), rapid.IntRange(0, 2).Draw(rt, "groups"))
+		domains[i] = newDomain(fmt.Sprintf("d%02d", i), fmt.Sprintf("z%d", i%3), rapid.IntRange(0, 9).Draw(rt, "free"), rapid.IntRange(0, 2).Draw(rt, "groups"))
 	}
 	return domains
 }
 
 // drawWants draws groups to be placed.
-func drawWants(rt *rapid.T, most int) []placement.Want {
-	wants := make([]placement.Want, rapid.IntRange(1, most).Draw(rt, "wants"))
+func drawWants(rt *rapid.T, limit int) []placement.Want {
+	wants := make([]placement.Want, rapid.IntRange(1, limit).Draw(rt, "wants"))
 	for i := range wants {
 		wants[i] = placement.Want{
 			Name:  fmt.Sprintf("g%d", i),
@@ -65,13 +65,12 @@
 	return wants
 }
 
-// TestPlacementIsPossible checks small and large inputs: whole groups, of one
-// domain, in an allowed zone, no VM twice, and the same again for the same
-// input.
-func TestPlacementIsPossible(t *testing.T) {
+// Checks small and large inputs: groups are complete, in one domain and in an allowed zone,
+// no VM is used twice, and the same input gives the same result.
+func TestPlacementIsValidAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		domains, wants := drawDomains(rt, 12), drawWants(rt, 12)
-		choices := placement.Place(domains, wants, weights)
+		choices := placement.Place(domains, wants, testWeights)
 		taken := map[string]bool{}
 		for i, choice := range choices {
 			if choice.Name != wants[i].Name {
@@ -97,15 +96,15 @@
 				taken[member.ID] = true
 			}
 		}
-		again := placement.Place(domains, wants, weights)
+		again := placement.Place(domains, wants, testWeights)
 		if fmt.Sprint(again) != fmt.Sprint(choices) {
 			rt.Fatalf("another choice for the same input")
 		}
 	})
 }
 
-// placed returns how many groups got VMs.
-func placed(choices []placement.Choice) int {
+// countPlaced returns how many groups got VMs.
+func countPlaced(choices []placement.Choice) int {
 	count := 0
 	for _, choice := range choices {
 		if len(choice.Members) > 0 {
@@ -115,9 +114,9 @@
 	return count
 }
 
-// most returns the largest number of wants that any order of first-fit places;
-// for wants of one size and free zones that is the optimum.
-func most(domains []placement.Domain, size int) int {
+// maxPlaceable returns the maximum number of wants of one size that can be placed if they
+// may be placed in any zone.
+func maxPlaceable(domains []placement.Domain, size int) int {
 	count := 0
 	for _, one := range domains {
 		count += len(one.Free) / size
@@ -125,9 +124,9 @@
 	return count
 }
 
-// TestGreedyPlacesAllThatFit compares the greedy search with the exact optimum
-// where that is known: groups of one size that may go anywhere.
-func TestGreedyPlacesAllThatFit(t *testing.T) {
+// Compares greedy placement with the known optimum of groups of one size that may be placed
+// in any zone.
+func TestGreedyPlacementReachesOptimumForEqualSizes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		domains := drawDomains(rt, 12)
 		size := rapid.IntRange(1, 5).Draw(rt, "size")
@@ -139,17 +138,17 @@
 				Zones: []string{"z0", "z1", "z2"},
 			}
 		}
-		got := placed(placement.Place(domains, wants, weights))
-		if expected := min(len(wants), most(domains, size)); got != expected {
+		got := countPlaced(placement.Place(domains, wants, testWeights))
+		if expected := min(len(wants), maxPlaceable(domains, size)); got != expected {
 			rt.Fatalf("placed %d, of %d that fit", got, expected)
 		}
 	})
 }
 
-func TestSpareBesideTheGroupIsPreferred(t *testing.T) {
+func TestDomainWithSpareIsPreferred(t *testing.T) {
 	choices := placement.Place([]placement.Domain{
-		domain("tight", "z0", 4, 0),
-		domain("spare", "z0", 5, 0),
+		newDomain("tight", "z0", 4, 0),
+		newDomain("spare", "z0", 5, 0),
 	}, []placement.Want{{
 		Name:  "g",
 		Size:  4,
@@ -161,7 +160,7 @@
 	qt.Assert(t, choices[0].Domain, qt.Equals, "spare")
 }
 
-func TestRepairWeighsWaitingAgainstReplacing(t *testing.T) {
+func TestRepairChoosesCheapestRemedy(t *testing.T) {
 	loss := placement.Loss{
 		Group:         "g",
 		Lost:          1,
@@ -173,27 +172,27 @@
 		AwaySeconds:   10,
 		Accelerators:  24,
 	}
-	domains := []placement.Domain{domain("d", "z0", 1, 1)}
-	remedy, _ := placement.Weighed{}.Repair(loss, domains, weights)
+	domains := []placement.Domain{newDomain("d", "z0", 1, 1)}
+	remedy, _ := placement.Weighed{}.Repair(loss, domains, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Wait)
 	loss.UnseenSeconds = 60
-	remedy, choice := placement.Weighed{}.Repair(loss, domains, weights)
+	remedy, choice := placement.Weighed{}.Repair(loss, domains, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Replace)
 	qt.Assert(t, choice.Members, qt.HasLen, 1)
 	loss.UnseenSeconds = -1
-	remedy, _ = placement.Weighed{}.Repair(loss, nil, weights)
+	remedy, _ = placement.Weighed{}.Repair(loss, nil, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Wait)
 	loss.AwaySeconds = 120
-	remedy, _ = placement.Weighed{}.Repair(loss, nil, weights)
+	remedy, _ = placement.Weighed{}.Repair(loss, nil, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.GiveUp)
 }
 
-// BenchmarkPlaceTwoYears places all groups of the size to design for: 106
-// groups of 16 VMs on 1,700 VMs in 64 domains of 8 zones.
+// BenchmarkPlaceTwoYears places all groups of the largest fleet to design for: 106 groups
+// of 16 VMs on 1,700 VMs in 64 domains of 8 zones.
 func BenchmarkPlaceTwoYears(b *testing.B) {
 	var domains []placement.Domain
 	for number := range 64 {
-		domains = append(domains, domain(fmt.Sprintf("d%02d", number), fmt.Sprintf("z%d", number%8), 27, 0))
+		domains = append(domains, newDomain(fmt.Sprintf("d%02d", number), fmt.Sprintf("z%d", number%8), 27, 0))
 	}
 	var wants []placement.Want
 	for number := range 64 {
@@ -204,6 +203,6 @@
 		})
 	}
 	for b.Loop() {
-		placement.Place(domains, wants, weights)
+		placement.Place(domains, wants, testWeights)
 	}
 }
