--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -92,7 +92,7 @@
 	return s == Done || s == Abandoned || s == Failed
 }
 
-// Verb is the action of a step.
+// Verb is what a step does.
 type Verb string
 
 // Actions of steps.
