--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -270,16 +270,16 @@
 
 // leadUntilLost runs lead and renews the lease until it is lost or ctx ends.
 func (e *Elector) leadUntilLost(ctx context.Context, lease *Lease, lead func(ctx context.Context, lease *Lease)) {
-	leading, stop := context.WithCancel(ctx)
+	leadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		lead(leading, lease)
+		lead(leadCtx, lease)
 	}()
 	reason := "stopped"
-	for leading.Err() == nil {
-		sleep(leading, renewInterval/4)
+	for leadCtx.Err() == nil {
+		sleep(leadCtx, renewInterval/4)
 		if !lease.Holds() {
 			reason = "the lease expired"
 			break
@@ -292,7 +292,7 @@
 		if lease.sinceRenewal() < renewInterval {
 			continue
 		}
-		if _, err := lease.Commit(leading, nil, nil); errors.Is(err, ErrLost) {
+		if _, err := lease.Commit(leadCtx, nil, nil); errors.Is(err, ErrLost) {
 			reason = "another daemon holds the lease"
 			break
 		}
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -215,8 +215,8 @@
 func TestSuccessorTakesOverWithinTwoTermsOfCrash(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b", "c")
-		crashing, crash := context.WithCancel(context.Background())
-		c.run(crashing, 0)
+		firstCtx, crash := context.WithCancel(context.Background())
+		c.run(firstCtx, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
 		c.run(ctx, 2)
@@ -238,8 +238,8 @@
 func TestStoppedLeaderReleasesLease(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
-		stopping, stop := context.WithCancel(context.Background())
-		c.run(stopping, 0)
+		firstCtx, stop := context.WithCancel(context.Background())
+		c.run(firstCtx, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
 		stop()
@@ -394,8 +394,8 @@
 func TestFormerLeaderCannotCommit(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
-		paused, resume := context.WithCancel(context.Background())
-		former := acquireLease(paused, c)
+		pausedCtx, resume := context.WithCancel(context.Background())
+		former := acquireLease(pausedCtx, c)
 		// The paused daemon neither renews the lease nor observes rows.
 		c.isDisconnected["a"] = true
 		c.store.configure(func(f *fakeStore) {
@@ -461,8 +461,8 @@
 				attempts: &attempts,
 			}
 		}
-		crashing, crash := context.WithCancel(context.Background())
-		c.run(crashing, 0)
+		firstCtx, crash := context.WithCancel(context.Background())
+		c.run(firstCtx, 0)
 		time.Sleep(time.Second)
 		c.run(ctx, 1)
 		c.run(ctx, 2)
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -21,19 +21,19 @@
 	if err != nil {
 		return rowstore.Revision{}, leaseValue{}, errors.Wrap(err, "read lease")
 	}
-	found := rowstore.Revision{
+	revision := rowstore.Revision{
 		Era: result.Era,
 	}
 	for _, row := range result.Rows {
 		if row.Key != leaseKey(result.Era) {
 			continue
 		}
-		found.Version = row.Version
+		revision.Version = row.Version
 		// A value that cannot be decoded has no known holder.
 		stored, _ := decodeLease(row.Value)
-		return found, stored, nil
+		return revision, stored, nil
 	}
-	return found, leaseValue{}, nil
+	return revision, leaseValue{}, nil
 }
 
 // Lease is the right to change groups while it is valid.
@@ -171,17 +171,17 @@
 // fencePending ensures that a change whose answer was lost can no longer be applied: it
 // rewrites the lease row, on whose version the change is conditional.
 func (l *Lease) fencePending(ctx context.Context) error {
-	found, stored, err := readLease(ctx, l.store)
+	revision, stored, err := readLease(ctx, l.store)
 	if err != nil {
 		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
 	}
-	isHeldByOther := found.Version != 0 && (stored.Holder != l.holder || stored.Start != l.startID) && found.Version != l.rowVersion
-	if isHeldByOther || found.Era != l.era {
+	isHeldByOther := revision.Version != 0 && (stored.Holder != l.holder || stored.Start != l.startID) && revision.Version != l.rowVersion
+	if isHeldByOther || revision.Era != l.era {
 		l.markLost()
 		return errors.Wrap(ErrLost, "fence pending change")
 	}
 	l.mutex.Lock()
-	l.rowVersion = found.Version
+	l.rowVersion = revision.Version
 	l.mutex.Unlock()
 	sentAt := l.clock.Now()
 	l.writeCount++
--- a/core/leader/restore_test.go
+++ b/core/leader/restore_test.go
@@ -99,8 +99,8 @@
 func TestPendingCommitOfFormerEraFailsDespiteReusedVersion(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
-		leading, stop := context.WithCancel(ctx)
-		former := acquireLease(leading, c)
+		leadCtx, stop := context.WithCancel(ctx)
+		former := acquireLease(leadCtx, c)
 		before := c.store.copyRows()
 		_, err := former.Commit(ctx, groupRow("1"), nil)
 		qt.Assert(t, err, qt.IsNil)
@@ -124,8 +124,8 @@
 func TestLeaseReportsRecentRestore(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
-		leading, stop := context.WithCancel(ctx)
-		first := acquireLease(leading, c)
+		leadCtx, stop := context.WithCancel(ctx)
+		first := acquireLease(leadCtx, c)
 		qt.Assert(t, first.HasSettled(time.Hour), qt.IsTrue)
 		stop()
 		time.Sleep(leader.Term)
