--- a/core/control/control_test.go
+++ b/core/control/control_test.go
@@ -221,8 +221,8 @@
 		},
 		"replace daemon": func(rt *rapid.T) {
 			if len(f.Hosts) > 2 {
-				gone := rapid.IntRange(0, len(f.Hosts)-1).Draw(rt, "gone")
-				f.Hosts = append(f.Hosts[:gone], f.Hosts[gone+1:]...)
+				removed := rapid.IntRange(0, len(f.Hosts)-1).Draw(rt, "gone")
+				f.Hosts = append(f.Hosts[:removed], f.Hosts[removed+1:]...)
 			}
 			f.AddDaemon()
 		},
@@ -243,8 +243,8 @@
 			}
 		},
 		"vm stays": func(rt *rapid.T) {
-			back := drawServer(rt).VM
-			f.List[back.ID] = back
+			server := drawServer(rt).VM
+			f.List[server.ID] = server
 		},
 		"apply": func(rt *rapid.T) {
 			replicas := map[string]int{}
@@ -275,8 +275,8 @@
 		},
 		"requests": func(rt *rapid.T) {
 			for range 4 {
-				takes := time.Duration(rapid.IntRange(1, 30).Draw(rt, "takes")) * time.Second
-				f.Request(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), takes)
+				duration := time.Duration(rapid.IntRange(1, 30).Draw(rt, "takes")) * time.Second
+				f.Request(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), duration)
 			}
 		},
 		"change plan": func(rt *rapid.T) {
--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -308,13 +308,13 @@
 	for _, entry := range c.changeLog {
 		last[entry.key] = entry.position
 	}
-	kept := make([]logEntry, 0, len(last))
+	compacted := make([]logEntry, 0, len(last))
 	for _, entry := range c.changeLog {
 		if last[entry.key] == entry.position {
-			kept = append(kept, entry)
+			compacted = append(compacted, entry)
 		}
 	}
-	c.changeLog = kept
+	c.changeLog = compacted
 }
 
 // isLeaseRow reports whether a key is that of a lease or renewal row, on which the fleet
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -207,13 +207,13 @@
 	}
 	loss, isLost := c.describeLoss(record, model, lost, now)
 	remedy, choice := c.repairer.Repair(loss, c.domainsWithoutSuspects(), c.fleet.Configuration.Declaration.Weights)
-	taken := plan.MembersOf(choice.Members)
+	replacements := plan.MembersOf(choice.Members)
 	var next group.Record
 	switch remedy {
 	case placement.Replace:
-		next = record.WithMembers(replaceLostMembers(record.Members, isLost, taken), record.Zone, record.Domain, 0)
+		next = record.WithMembers(replaceLostMembers(record.Members, isLost, replacements), record.Zone, record.Domain, 0)
 	case placement.Move:
-		next = record.WithMembers(taken, choice.Zone, choice.Domain, 0)
+		next = record.WithMembers(replacements, choice.Zone, choice.Domain, 0)
 	case placement.GiveUp:
 		c.commitGroup(actions, held, record, record.WithoutMembers())
 		return
--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -141,10 +141,10 @@
 func (c *Controller) syncHeldLeases() {
 	for shard := range lease.Shards {
 		row := c.rows.Row(lease.Key(shard))
-		isMine := row.Version != 0 && c.holderOf(shard, row) == c.self.ID
+		isOwn := row.Version != 0 && c.holderOf(shard, row) == c.self.ID
 		held, ok := c.heldLeases[shard]
 		switch {
-		case !isMine:
+		case !isOwn:
 			delete(c.heldLeases, shard)
 		case !ok || held.Epoch != row.Version:
 			c.heldLeases[shard] = lease.Held{
@@ -228,24 +228,24 @@
 	row := c.rows.Row(lease.Key(shard))
 	grant := table.Transaction{}
 	grant = grant.WithCondition(row.Key, row.Version)
-	since := c.startedAt
+	freeSince := c.startedAt
 	delay := time.Duration(c.roster.Rank(shardRankKey(shard), c.self.ID)) * takeOverDelayPerRank
 	if row.Version != 0 {
 		holder := c.holderOf(shard, row)
 		if holder == c.self.ID {
 			return
 		}
-		since = c.rowObservations[row.Key].firstObservedAt
+		freeSince = c.rowObservations[row.Key].firstObservedAt
 		if holder != "" {
 			renewal := c.rows.Row(lease.RenewalKey(holder))
 			grant = grant.WithCondition(renewal.Key, renewal.Version)
 			delay += lease.Term + lease.Margin
-			if observed := c.rowObservations[renewal.Key]; observed.firstObservedAt.After(since) {
-				since = observed.firstObservedAt
+			if observed := c.rowObservations[renewal.Key]; observed.firstObservedAt.After(freeSince) {
+				freeSince = observed.firstObservedAt
 			}
 		}
 	}
-	if now.Sub(since) < delay {
+	if now.Sub(freeSince) < delay {
 		return
 	}
 	grant = grant.WithWrite(table.Put(row.Key, lease.Grant{
--- a/core/control/plans_test.go
+++ b/core/control/plans_test.go
@@ -121,13 +121,13 @@
 		startZoneDrain(t, f, time.Second)
 		qt.Assert(t, f.Change("drain", plan.ChangePause), qt.IsNil)
 		f.Run(time.Minute)
-		inZone := 0
+		groupsInZone := 0
 		for _, record := range f.Hosts[0].Controller.World().Groups {
 			if record.Zone == "z1" {
-				inZone++
+				groupsInZone++
 			}
 		}
-		qt.Assert(t, inZone, qt.Equals, 2)
+		qt.Assert(t, groupsInZone, qt.Equals, 2)
 		qt.Assert(t, f.Change("drain", plan.ChangeResume), qt.IsNil)
 		f.Run(2 * time.Minute)
 		found, err := f.Plan("drain")
