--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -22,7 +22,7 @@
 // Build returns the plan that carries out an intent on this fleet. It changes nothing. The
 // caller passes the plan's id and the operator's name.
 func Build(id, operator string, intent Intent, fleet World) (Plan, error) {
-	handler, ok := kindsByName[intent.Kind]
+	info, ok := kindsByName[intent.Kind]
 	if !ok {
 		return Plan{}, errors.Errorf("unknown intent %q", intent.Kind)
 	}
@@ -30,7 +30,7 @@
 		return Plan{}, errors.New("no configuration is in force; apply a declaration first")
 	}
 	builder := newBuilder(fleet, intent)
-	if err := handler.build(builder); err != nil {
+	if err := info.build(builder); err != nil {
 		return Plan{}, errors.Wrapf(err, "plan %s", intent)
 	}
 	built := builder.assemble()
@@ -168,9 +168,9 @@
 			return err
 		}
 	}
-	parallel := b.fleet.Configuration.Declaration.Limits.Parallel()
+	maxBatch := b.fleet.Configuration.Declaration.Limits.Parallel()
 	for len(pending) > 0 {
-		batch := pending[:min(parallel, len(pending))]
+		batch := pending[:min(maxBatch, len(pending))]
 		retry, err := b.replaceBatch(batch)
 		if err != nil {
 			return err
@@ -263,12 +263,12 @@
 		if b.domains[i].Name != domain {
 			continue
 		}
-		taken := group.Record{
+		used := group.Record{
 			Members: members,
 		}
 		var free []vm.VM
 		for _, candidate := range b.domains[i].Free {
-			if !taken.Has(candidate.ID) {
+			if !used.Has(candidate.ID) {
 				free = append(free, candidate)
 			}
 		}
