--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -66,10 +66,10 @@
 			exchangeReport(t, second, first, "second", "first")
 			time.Sleep(600 * time.Millisecond)
 		}
-		for _, one := range []*demand.Board{first, second, a, b} {
-			asked := one.ByZone(largeModel)
-			qt.Assert(t, asked, qt.HasLen, 2)
-			qt.Assert(t, isNear(asked["quito-b"], 1.5*asked["quito-a"]), qt.IsTrue, qt.Commentf("%v", asked))
+		for _, daemon := range []*demand.Board{first, second, a, b} {
+			rates := daemon.ByZone(largeModel)
+			qt.Assert(t, rates, qt.HasLen, 2)
+			qt.Assert(t, isNear(rates["quito-b"], 1.5*rates["quito-a"]), qt.IsTrue, qt.Commentf("%v", rates))
 		}
 	})
 }
@@ -93,15 +93,15 @@
 // daemon. Their sums must not include each other's.
 func TestMutualReportsAreNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, other := newBoard("quito-a", 100), newBoard("quito-b", 100)
+		first, second := newBoard("quito-a", 100), newBoard("quito-b", 100)
 		time.Sleep(warmUpTime + time.Millisecond)
 		for range 10 {
-			exchangeReport(t, one, other, "one", "other")
-			exchangeReport(t, other, one, "other", "one")
+			exchangeReport(t, first, second, "one", "other")
+			exchangeReport(t, second, first, "other", "one")
 			time.Sleep(600 * time.Millisecond)
 		}
-		asked := one.ByZone(largeModel)
-		qt.Assert(t, isNear(asked["quito-a"], 100), qt.IsTrue, qt.Commentf("%v", asked))
+		rates := first.ByZone(largeModel)
+		qt.Assert(t, isNear(rates["quito-a"], 100), qt.IsTrue, qt.Commentf("%v", rates))
 	})
 }
 
@@ -143,19 +143,19 @@
 			})
 			time.Sleep(10 * time.Millisecond)
 		}
-		asked := meter.Asked("quito-a")
-		qt.Assert(t, asked, qt.HasLen, 1)
-		qt.Assert(t, isNear(asked[0].Rate, 3000), qt.IsTrue, qt.Commentf("%v", asked))
-		qt.Assert(t, isNear(asked[0].Tokens.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", asked))
+		entries := meter.Asked("quito-a")
+		qt.Assert(t, entries, qt.HasLen, 1)
+		qt.Assert(t, isNear(entries[0].Rate, 3000), qt.IsTrue, qt.Commentf("%v", entries))
+		qt.Assert(t, isNear(entries[0].Tokens.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", entries))
 	})
 }
 
 func TestReportsAreLimitedInSizeAndRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newBoard("quito-a", 100)
-		_, isDue := one.Tell("relay")
+		board := newBoard("quito-a", 100)
+		_, isDue := board.Tell("relay")
 		qt.Assert(t, isDue, qt.IsTrue)
-		_, isDue = one.Tell("relay")
+		_, isDue = board.Tell("relay")
 		qt.Assert(t, isDue, qt.IsFalse)
 
 		meter := &demand.Meter{}
