--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -71,10 +71,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		domains, wants := drawDomains(rt, 12), drawWants(rt, 12)
 		choices := placement.Place(domains, wants, testWeights)
-		taken := map[string]bool{}
+		used := map[string]bool{}
 		for i, choice := range choices {
 			if choice.Name != wants[i].Name {
-				rt.Fatalf("choice %d is of %q", i, choice.Name)
+				rt.Fatalf("choice %d has the name %q", i, choice.Name)
 			}
 			if len(choice.Members) == 0 {
 				continue
@@ -87,18 +87,18 @@
 				isAllowed = isAllowed || zone == choice.Zone
 			}
 			if !isAllowed {
-				rt.Fatalf("%s is in %s", choice.Name, choice.Zone)
+				rt.Fatalf("%s is in zone %s, which is not allowed", choice.Name, choice.Zone)
 			}
 			for _, member := range choice.Members {
-				if taken[member.ID] || member.Domain != choice.Domain {
-					rt.Fatalf("%s takes %s of %s, of %s, or twice", choice.Name, member.ID, member.Domain, choice.Domain)
+				if used[member.ID] || member.Domain != choice.Domain {
+					rt.Fatalf("%s uses VM %s of domain %s; want an unused VM of domain %s", choice.Name, member.ID, member.Domain, choice.Domain)
 				}
-				taken[member.ID] = true
+				used[member.ID] = true
 			}
 		}
 		again := placement.Place(domains, wants, testWeights)
 		if fmt.Sprint(again) != fmt.Sprint(choices) {
-			rt.Fatalf("another choice for the same input")
+			rt.Fatalf("different choices for the same input")
 		}
 	})
 }
@@ -118,8 +118,8 @@
 // may be placed in any zone.
 func maxPlaceable(domains []placement.Domain, size int) int {
 	count := 0
-	for _, one := range domains {
-		count += len(one.Free) / size
+	for _, domain := range domains {
+		count += len(domain.Free) / size
 	}
 	return count
 }
@@ -140,7 +140,7 @@
 		}
 		got := countPlaced(placement.Place(domains, wants, testWeights))
 		if expected := min(len(wants), maxPlaceable(domains, size)); got != expected {
-			rt.Fatalf("placed %d, of %d that fit", got, expected)
+			rt.Fatalf("placed %d of %d groups that fit", got, expected)
 		}
 	})
 }
