--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -49,7 +49,8 @@
 	// Term is how long a lease is valid after its last rewrite. It bounds how long groups
 	// go without repair when the leader dies.
 	Term = 2500 * time.Millisecond
-	// renewInterval allows two lost rewrites within a term.
+	// renewInterval is the time between two rewrites of the lease row. It allows two lost
+	// rewrites within a term.
 	renewInterval = 800 * time.Millisecond
 	// pollInterval is the time between two checks of the observed lease row.
 	pollInterval = 50 * time.Millisecond
@@ -229,7 +230,7 @@
 }
 
 // isStoreUnavailable reports whether the store is unreachable. When the store returns, the
-// lease counts as not rewritten for exactly one term, so that daemons attempt to acquire it
+// lease counts as not rewritten for at most one term, so that daemons attempt to acquire it
 // one after the other. For a lease of a former era the term counts from the first
 // observation of the new era. The mutex is held.
 func (e *Elector) isStoreUnavailable() bool {
