--- a/core/demand/aggregator.go
+++ b/core/demand/aggregator.go
@@ -62,38 +62,38 @@
 }
 
 // isFresh reports whether the report still counts.
-func (w receivedReport) isFresh() bool {
-	return !w.receivedAt.IsZero() && time.Since(w.receivedAt) < reportLifetime
+func (r receivedReport) isFresh() bool {
+	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
 
 // Tell returns the report to send to a daemon now, and whether it is due.
-func (b *Board) Tell(recipient string) (Word, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	hasOtherParent := b.parentTotals.isFresh() && b.parent != recipient
-	if hasOtherParent || time.Since(b.lastReportedAt[recipient]) < reportInterval {
+func (a *Board) Tell(recipient string) (Word, bool) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	hasOtherParent := a.parentTotals.isFresh() && a.parent != recipient
+	if hasOtherParent || time.Since(a.lastReportedAt[recipient]) < reportInterval {
 		return Word{}, false
 	}
-	if b.lastReportedAt == nil {
-		b.lastReportedAt = map[string]time.Time{}
+	if a.lastReportedAt == nil {
+		a.lastReportedAt = map[string]time.Time{}
 	}
-	b.lastReportedAt[recipient] = time.Now()
-	return b.subtreeReport(recipient), true
+	a.lastReportedAt[recipient] = time.Now()
+	return a.subtreeReport(recipient), true
 }
 
 // subtreeReport adds up the demand at this daemon and at the daemons that report to it,
 // except the recipient. Two daemons with different lists may report to each other; each
 // would otherwise count the other's entries again and again. The mutex is held.
-func (b *Board) subtreeReport(recipient string) Word {
+func (a *Board) subtreeReport(recipient string) Word {
 	depth := 0
 	var entries [][]Asked
-	if b.Meter != nil {
-		entries = append(entries, b.Meter.Asked(b.Zone))
+	if a.Meter != nil {
+		entries = append(entries, a.Meter.Asked(a.Zone))
 	}
-	maps.DeleteFunc(b.reports, func(_ string, report receivedReport) bool {
+	maps.DeleteFunc(a.reports, func(_ string, report receivedReport) bool {
 		return !report.isFresh()
 	})
-	for sender, report := range b.reports {
+	for sender, report := range a.reports {
 		if sender != recipient {
 			entries = append(entries, report.Asked)
 			depth = max(depth, report.Depth)
@@ -107,68 +107,68 @@
 
 // Told records the report of a daemon and returns the total demand as far as this daemon
 // knows it. An invalid report is rejected, and the previous one continues to count.
-func (b *Board) Told(sender string, report Word) ([]Asked, error) {
+func (a *Board) Told(sender string, report Word) ([]Asked, error) {
 	if err := Check(report.Asked); err != nil {
 		return nil, err
 	}
 	if report.Depth > maxDepth {
 		return nil, errors.Errorf("check demand: report passed through %d daemons, more than %d", report.Depth, maxDepth)
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.reports == nil {
-		b.reports = map[string]receivedReport{}
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.reports == nil {
+		a.reports = map[string]receivedReport{}
 	}
-	b.reports[sender] = receivedReport{
+	a.reports[sender] = receivedReport{
 		Word:       report,
 		receivedAt: time.Now(),
 	}
-	return b.totals(), nil
+	return a.totals(), nil
 }
 
 // Retract removes the report of a daemon that got no answer: it will report to another
 // daemon instead.
-func (b *Board) Retract(sender string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	delete(b.reports, sender)
+func (a *Board) Retract(sender string) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	delete(a.reports, sender)
 }
 
 // Heard records the totals with which a daemon answered this daemon's report.
-func (b *Board) Heard(sender string, totals []Asked) error {
+func (a *Board) Heard(sender string, totals []Asked) error {
 	if err := Check(totals); err != nil {
 		return err
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.parentTotals = receivedReport{
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.parentTotals = receivedReport{
 		Word: Word{
 			Asked: totals,
 		},
 		receivedAt: time.Now(),
 	}
-	b.parent = sender
+	a.parent = sender
 	return nil
 }
 
 // totals returns the total demand at all daemons: the totals of the daemon to which this
 // one reports, or this daemon's own sum if it reports to none. The mutex is held.
-func (b *Board) totals() []Asked {
-	if b.parentTotals.isFresh() {
-		return b.parentTotals.Asked
+func (a *Board) totals() []Asked {
+	if a.parentTotals.isFresh() {
+		return a.parentTotals.Asked
 	}
-	return b.subtreeReport("").Asked
+	return a.subtreeReport("").Asked
 }
 
 // Tokens returns the token rates of a kind in all zones, and whether anything is known
 // about the demand at other daemons.
-func (b *Board) Tokens(kind Kind) (rate usage.Rate, isKnown bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !b.parentTotals.isFresh() && len(b.reports) == 0 {
+func (a *Board) Tokens(kind Kind) (rate usage.Rate, isKnown bool) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if !a.parentTotals.isFresh() && len(a.reports) == 0 {
 		return usage.Rate{}, false
 	}
-	for _, entry := range b.totals() {
+	for _, entry := range a.totals() {
 		if entry.Kind == kind {
 			rate = rate.Plus(entry.Tokens)
 		}
@@ -178,14 +178,14 @@
 
 // ByZone returns the work rate of a kind in each zone as far as it is known, or nil if
 // nothing is known about the demand at other daemons.
-func (b *Board) ByZone(kind Kind) map[string]float64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !b.parentTotals.isFresh() && len(b.reports) == 0 {
+func (a *Board) ByZone(kind Kind) map[string]float64 {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if !a.parentTotals.isFresh() && len(a.reports) == 0 {
 		return nil
 	}
 	rates := map[string]float64{}
-	for _, entry := range b.totals() {
+	for _, entry := range a.totals() {
 		if entry.Kind == kind {
 			rates[entry.Zone] = entry.Rate
 		}
