--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -84,28 +84,28 @@
 }
 
 // Holds reports whether the lease is valid for at least margin longer.
-func (h Held) Holds(margin time.Duration) bool {
-	return h.Epoch != 0 && time.Until(h.Expires) >= margin
+func (l Held) Holds(margin time.Duration) bool {
+	return l.Epoch != 0 && time.Until(l.Expires) >= margin
 }
 
 // Check returns ErrLapsed unless the lease is valid for at least margin longer.
-func (h Held) Check(margin time.Duration) error {
-	if !h.Holds(margin) {
-		return errors.Wrapf(ErrLapsed, "check lease of shard %d", h.Shard)
+func (l Held) Check(margin time.Duration) error {
+	if !l.Holds(margin) {
+		return errors.Wrapf(ErrLapsed, "check lease of shard %d", l.Shard)
 	}
 	return nil
 }
 
 // WithOrder returns the lease as it applies to an order that is decided now. The expiry is
 // limited so that the order is sent within SendWithin and has OrderMargin left to arrive.
-func (h Held) WithOrder() Held {
-	if orderExpiry := time.Now().Add(SendWithin + OrderMargin); orderExpiry.Before(h.Expires) {
-		h.Expires = orderExpiry
+func (l Held) WithOrder() Held {
+	if orderExpiry := time.Now().Add(SendWithin + OrderMargin); orderExpiry.Before(l.Expires) {
+		l.Expires = orderExpiry
 	}
-	return h
+	return l
 }
 
 // Fence returns the transaction with the lease's epoch as an additional condition.
-func (h Held) Fence(transaction table.Transaction) table.Transaction {
-	return transaction.WithCondition(Key(h.Shard), h.Epoch)
+func (l Held) Fence(transaction table.Transaction) table.Transaction {
+	return transaction.WithCondition(Key(l.Shard), l.Epoch)
 }
