--- a/core/plan/fleet_state.go
+++ b/core/plan/fleet_state.go
@@ -127,8 +127,8 @@
 }
 
 // Group returns the record of a group.
-func (w World) Group(name string) (group.Record, bool) {
-	for _, record := range w.Groups {
+func (f World) Group(name string) (group.Record, bool) {
+	for _, record := range f.Groups {
 		if record.Name == name {
 			return record, true
 		}
@@ -137,23 +137,23 @@
 }
 
 // VM returns a listed VM.
-func (w World) VM(id string) (vm.VM, bool) {
-	index := sort.Search(len(w.VMs), func(i int) bool {
-		return w.VMs[i].ID >= id
+func (f World) VM(id string) (vm.VM, bool) {
+	index := sort.Search(len(f.VMs), func(i int) bool {
+		return f.VMs[i].ID >= id
 	})
-	if index == len(w.VMs) || w.VMs[index].ID != id {
+	if index == len(f.VMs) || f.VMs[index].ID != id {
 		return vm.VM{}, false
 	}
-	return w.VMs[index], true
+	return f.VMs[index], true
 }
 
 // Domains returns the fabric domains of open zones with their free VMs. A VM for which
 // isSuspect returns true is not free; isSuspect may be nil.
-func (w World) Domains(isSuspect func(vm string) bool) []placement.Domain {
+func (f World) Domains(isSuspect func(vm string) bool) []placement.Domain {
 	index := map[string]int{}
 	var domains []placement.Domain
-	for _, listed := range w.VMs {
-		if listed.Domain == "" || w.Closed[listed.Zone] {
+	for _, listed := range f.VMs {
+		if listed.Domain == "" || f.Closed[listed.Zone] {
 			continue
 		}
 		position, ok := index[listed.Domain]
@@ -165,12 +165,12 @@
 				Zone: listed.Zone,
 			})
 		}
-		isExcluded := w.Unwell[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
-		if listed.State == vm.Live && w.Claims[listed.ID].Free() && !isExcluded {
+		isExcluded := f.Unwell[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
+		if listed.State == vm.Live && f.Claims[listed.ID].Free() && !isExcluded {
 			domains[position].Free = append(domains[position].Free, listed)
 		}
 	}
-	for _, record := range w.Groups {
+	for _, record := range f.Groups {
 		if position, ok := index[record.Domain]; ok && len(record.Members) > 0 {
 			domains[position].Groups++
 		}
@@ -180,7 +180,7 @@
 
 // ZonesFor returns the open zones in which a group of the model may be placed: the
 // preferred zone, then the zones in which the model is declared, then the others.
-func (w World) ZonesFor(model declaration.Model, preferred string) []string {
+func (f World) ZonesFor(model declaration.Model, preferred string) []string {
 	var zones []string
 	add := func(name string) {
 		for _, existing := range zones {
@@ -188,27 +188,27 @@
 				return
 			}
 		}
-		if name != "" && !w.Closed[name] {
+		if name != "" && !f.Closed[name] {
 			zones = append(zones, name)
 		}
 	}
 	add(preferred)
-	for _, zone := range w.Configuration.Declaration.Zones {
+	for _, zone := range f.Configuration.Declaration.Zones {
 		if model.Replicas[zone.Name] > 0 {
 			add(zone.Name)
 		}
 	}
-	for _, zone := range w.Configuration.Declaration.Zones {
+	for _, zone := range f.Configuration.Declaration.Zones {
 		add(zone.Name)
 	}
 	return zones
 }
 
 // Floor returns the highest generation at which any of the VMs was claimed.
-func (w World) Floor(members []group.Member) uint64 {
+func (f World) Floor(members []group.Member) uint64 {
 	highest := uint64(0)
 	for _, member := range members {
-		highest = max(highest, w.Claims[member.VM].Generation)
+		highest = max(highest, f.Claims[member.VM].Generation)
 	}
 	return highest
 }
@@ -228,8 +228,8 @@
 }
 
 // declaredModel returns a declared model, or an error that names it.
-func (w World) declaredModel(name string) (declaration.Model, error) {
-	model, ok := w.Configuration.Declaration.Model(name)
+func (f World) declaredModel(name string) (declaration.Model, error) {
+	model, ok := f.Configuration.Declaration.Model(name)
 	if !ok {
 		return model, errors.Errorf("model %q is not declared", name)
 	}
