--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,10 +1,10 @@
-// Package daemon runs one headcourse daemon: it joins the decisions of core
-// with the peers that io speaks to.
+// Package daemon runs one headcourse daemon: it connects the decision logic in
+// core with the network clients and servers in io.
 //
-// One goroutine owns the control state (control.Controller). Pollers, probers
-// and servers hand it what they learned as functions to run, and it hands out
-// immutable snapshots, which the goroutines that carry traffic read. Data
-// flows one way:
+// One goroutine, the control goroutine, owns the control state
+// (control.Controller). Pollers, probers and servers queue their updates to it
+// as functions. It publishes immutable snapshots, which the goroutines that
+// serve requests read. Data flows in one direction:
 //
 //	table, VM list, probes, peers → control goroutine → snapshot → callers
 package daemon
@@ -30,41 +30,42 @@
 	"headcourse/io/vmlist"
 )
 
-// stepEvery is the time between two steps of control without news.
-const stepEvery = 200 * time.Millisecond
+// maxStepInterval is the time between two control steps when no update arrives.
+const maxStepInterval = 200 * time.Millisecond
 
-// inboxSize is how many pieces of news may wait for the control goroutine.
-const inboxSize = 1024
+// inboxCapacity is how many functions can be queued for the control goroutine.
+const inboxCapacity = 1024
 
-// Daemon is one running daemon. Use Start.
+// Daemon is the control part of one running daemon. Start creates it.
 type Daemon struct {
 	settings Settings
 	log      *zap.Logger
 	self     roster.Daemon
 
 	store   *table.Settling
-	vms     *vmlist.Client
+	vmList  *vmlist.Client
 	engines *engine.Client
 	peers   *peer.Client
 	server  *peer.Server
 	traffic peer.Traffic
 
-	inbox    chan func(*control.Controller)
-	snapshot atomic.Pointer[control.Snapshot]
-	targets  atomic.Pointer[[]control.Target]
-	sources  atomic.Pointer[[]roster.Source]
-	refresh  chan struct{}
-	onChange []func()
-	// probeRound counts the rounds of probes.
+	inbox             chan func(*control.Controller)
+	snapshot          atomic.Pointer[control.Snapshot]
+	probeTargets      atomic.Pointer[[]control.Target]
+	pullSources       atomic.Pointer[[]roster.Source]
+	refreshRequests   chan struct{}
+	snapshotListeners []func()
+	// probeRound counts the probe rounds since the start.
 	probeRound int
 
-	stop  context.CancelFunc
-	tasks conc.WaitGroup
-	ended chan struct{}
-	once  sync.Once
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
+	stopped    chan struct{}
+	stopOnce   sync.Once
 }
 
-// Start starts the control part of a daemon. Settings have been checked.
+// Start starts the control part of a daemon. The settings must have passed
+// Settings.Check.
 func Start(settings Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
 		settings: settings,
@@ -72,11 +73,11 @@
 		store: &table.Settling{
 			Store: tablestore.New(settings.Table),
 		},
-		vms:     vmlist.New(settings.VMList),
-		engines: engine.New(settings.IdleTime),
-		inbox:   make(chan func(*control.Controller), inboxSize),
-		refresh: make(chan struct{}, 1),
-		ended:   make(chan struct{}),
+		vmList:          vmlist.New(settings.VMList),
+		engines:         engine.New(settings.IdleTime),
+		inbox:           make(chan func(*control.Controller), inboxCapacity),
+		refreshRequests: make(chan struct{}, 1),
+		stopped:         make(chan struct{}),
 	}
 	server, err := peer.Listen(settings.Peers, settings.PeerKey, d, &d.traffic)
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 	d.server = server
 	d.self = roster.Daemon{
-		ID:   idOf(settings, server.Address()),
+		ID:   newDaemonID(settings, server.Address()),
 		Zone: settings.Zone,
 		Peer: server.Address(),
 	}
@@ -93,16 +94,17 @@
 		Daemon: d.self.ID,
 	}, &d.traffic)
 	d.snapshot.Store(&control.Snapshot{})
-	d.targets.Store(&[]control.Target{})
-	d.sources.Store(&[]roster.Source{})
-	d.run()
+	d.probeTargets.Store(&[]control.Target{})
+	d.pullSources.Store(&[]roster.Source{})
+	d.startGoroutines()
 	d.log.Info("daemon: started", zap.String("id", d.self.ID), zap.String("zone", settings.Zone), zap.String("peers", d.self.Peer))
 	return d, nil
 }
 
-// idOf returns an id that no other daemon has and that no later start of this
-// one has either, since what it held before is gone.
-func idOf(settings Settings, address string) string {
+// newDaemonID returns an id that is unique to this start of the daemon. A
+// restarted daemon needs a new id because it has lost its state, such as the
+// leases that it held.
+func newDaemonID(settings Settings, address string) string {
 	const suffix = 8
 	name := settings.ID
 	if name == "" {
@@ -111,47 +113,49 @@
 	return name + "." + uuid.NewString()[:suffix]
 }
 
-// ID returns the daemon's id.
+// ID returns the daemon's id, which is unique to this start.
 func (d *Daemon) ID() string {
 	return d.self.ID
 }
 
-// PeerAddress returns the IP:port for other daemons.
+// PeerAddress returns the IP:port on which the daemon listens for other daemons.
 func (d *Daemon) PeerAddress() string {
 	return d.self.Peer
 }
 
-// Engines returns the client of backend servers.
+// Engines returns the client for backend servers.
 func (d *Daemon) Engines() *engine.Client {
 	return d.engines
 }
 
-// Store returns the store, whose commits are settled.
+// Store returns the store. It resolves commits whose answer was lost
+// (table.Settling).
 func (d *Daemon) Store() table.Store {
 	return d.store
 }
 
-// Snapshot returns the newest snapshot.
+// Snapshot returns the latest published snapshot.
 func (d *Daemon) Snapshot() *control.Snapshot {
 	return d.snapshot.Load()
 }
 
-// Traffic returns the bytes exchanged with peers.
+// Traffic returns the counters of bytes exchanged with peers.
 func (d *Daemon) Traffic() *peer.Traffic {
 	return &d.traffic
 }
 
-// OnChange registers a function that is called after every new snapshot. It
-// must be registered before requests are taken, and must not block.
-func (d *Daemon) OnChange(changed func()) {
-	d.ask(func(*control.Controller) {
-		d.onChange = append(d.onChange, changed)
+// OnChange registers a listener that is called after each published snapshot.
+// Register it before the daemon accepts requests. The listener must not block.
+func (d *Daemon) OnChange(listener func()) {
+	d.runInControl(func(*control.Controller) {
+		d.snapshotListeners = append(d.snapshotListeners, listener)
 	})
 }
 
-// Leave gives up leases and the place in the roster, then stops the daemon.
+// Leave releases the leases, removes the daemon from the roster and stops it.
+// It stops the daemon after the timeout in any case.
 func (d *Daemon) Leave(timeout time.Duration) {
-	d.ask(func(c *control.Controller) {
+	d.runInControl(func(c *control.Controller) {
 		c.Leave()
 	})
 	deadline := time.NewTimer(timeout)
@@ -161,76 +165,77 @@
 		case <-deadline.C:
 			d.Stop()
 			return
-		case <-time.After(stepEvery):
+		case <-time.After(maxStepInterval):
 		}
 	}
 	d.Stop()
 }
 
-// hasLeft tells whether the roster no longer lists the daemon.
+// hasLeft reports whether the roster no longer lists the daemon.
 func (d *Daemon) hasLeft() bool {
 	left := false
-	d.ask(func(c *control.Controller) {
+	d.runInControl(func(c *control.Controller) {
 		left = !c.Roster().Has(d.self.ID)
 	})
 	return left
 }
 
-// Stop stops the daemon at once.
+// Stop stops the daemon immediately and waits for its goroutines.
 func (d *Daemon) Stop() {
-	d.once.Do(func() {
-		d.stop()
+	d.stopOnce.Do(func() {
+		d.cancel()
 		d.server.Close()
 		d.peers.Close()
-		d.tasks.Wait()
-		close(d.ended)
+		d.goroutines.Wait()
+		close(d.stopped)
 		d.log.Info("daemon: stopped", zap.String("id", d.self.ID))
 	})
-	<-d.ended
+	<-d.stopped
 }
 
-// ask runs a function in the control goroutine and waits for it. It returns
-// false when the daemon has stopped and the function was not run.
-func (d *Daemon) ask(question func(*control.Controller)) bool {
+// runInControl runs a function in the control goroutine and waits for it. It
+// returns false if the daemon stopped first.
+func (d *Daemon) runInControl(task func(*control.Controller)) bool {
 	done := make(chan struct{})
-	news := func(c *control.Controller) {
-		question(c)
+	queued := func(c *control.Controller) {
+		task(c)
 		close(done)
 	}
 	select {
-	case d.inbox <- news:
-	case <-d.ended:
+	case d.inbox <- queued:
+	case <-d.stopped:
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-d.ended:
+	case <-d.stopped:
 		return false
 	}
 }
 
-// tell hands news to the control goroutine without waiting for it.
-func (d *Daemon) tell(ctx context.Context, news func(*control.Controller)) {
+// postToControl queues a function for the control goroutine without waiting for
+// it to run.
+func (d *Daemon) postToControl(ctx context.Context, task func(*control.Controller)) {
 	select {
-	case d.inbox <- news:
+	case d.inbox <- task:
 	case <-ctx.Done():
 	}
 }
 
-// World returns the world as control sees it.
+// World returns the controller's view of the fleet.
 func (d *Daemon) World() plan.World {
-	var world plan.World
-	d.ask(func(c *control.Controller) {
-		world = c.World()
+	var fleetState plan.World
+	d.runInControl(func(c *control.Controller) {
+		fleetState = c.World()
 	})
-	return world
+	return fleetState
 }
 
-// ErrStopped reports that the daemon has stopped.
+// ErrStopped is returned by operations on a stopped daemon.
 var ErrStopped = errors.New("daemon stopped")
 
-// IsAlive tells whether a daemon is on the roster.
+// IsAlive reports whether the roster lists a daemon.
 func (d *Daemon) IsAlive(id string) bool {
 	return d.Roster().Has(id)
 }
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -19,16 +19,18 @@
 	"headcourse/io/operator"
 )
 
-// acceptTimeout is how long an operator waits for a majority to hold a change.
-const acceptTimeout = 12 * time.Second
+// acceptanceTimeout bounds the wait for a majority of the daemons to hold an
+// applied declaration.
+const acceptanceTimeout = 12 * time.Second
 
-// Fleet carries out what operators ask of a daemon.
+// Fleet implements the operators' requests to a daemon (operator.Fleet).
 type Fleet struct {
 	daemon   *Daemon
 	registry metrics.Registry
 }
 
-// NewFleet returns the operators' side of a daemon.
+// NewFleet returns the implementation of operators' requests to a daemon.
+// Counters come from the registry.
 func NewFleet(d *Daemon, registry metrics.Registry) *Fleet {
 	return &Fleet{
 		daemon:   d,
@@ -41,18 +43,18 @@
 	return f.daemon.Snapshot().Declaration()
 }
 
-// sync waits until the daemon has read the store again, so that what an
-// operator sees or plans stands on the newest rows.
-func (f *Fleet) sync(ctx context.Context) error {
-	asked := time.Now()
+// awaitStoreRead waits for a read of the store that begins after the call, so
+// that replies and plans are based on the latest rows.
+func (f *Fleet) awaitStoreRead(ctx context.Context) error {
+	requestedAt := time.Now()
 	for {
 		select {
-		case f.daemon.refresh <- struct{}{}:
+		case f.daemon.refreshRequests <- struct{}{}:
 		default:
 		}
 		isRead := false
-		if !f.daemon.ask(func(c *control.Controller) {
-			isRead = c.Contact().StoreAt().After(asked)
+		if !f.daemon.runInControl(func(c *control.Controller) {
+			isRead = c.Contact().StoreAt().After(requestedAt)
 		}) {
 			return ErrStopped
 		}
@@ -62,192 +64,195 @@
 		select {
 		case <-ctx.Done():
 			return errors.New("read the store: the table service does not answer; nothing was changed")
-		case <-time.After(stepEvery / 2):
+		case <-time.After(maxStepInterval / 2):
 		}
 	}
 }
 
-// commit commits a change on an operator's behalf and names what became of it.
-func (f *Fleet) commit(ctx context.Context, step string, change table.Transaction) error {
-	_, err := f.daemon.store.Commit(ctx, change)
+// commit commits a transaction of an operator and waits until this daemon has
+// read it back. The error of a failed commit says whether anything was changed.
+func (f *Fleet) commit(ctx context.Context, operation string, transaction table.Transaction) error {
+	_, err := f.daemon.store.Commit(ctx, transaction)
 	switch {
 	case err == nil:
-		return f.sync(ctx)
+		return f.awaitStoreRead(ctx)
 	case errors.Is(err, table.ErrConflict):
-		return operator.Refuse(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", step, err))
+		return operator.Refuse(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", operation, err))
 	case errors.Is(err, table.ErrUnknown):
-		return errors.Wrapf(err, "%s: the store did not answer; whether it was changed is not known; look again", step)
+		return errors.Wrapf(err, "%s: the store did not answer; whether it was changed is not known; look again", operation)
 	default:
-		return errors.Wrapf(err, "%s: nothing was changed", step)
+		return errors.Wrapf(err, "%s: nothing was changed", operation)
 	}
 }
 
-// Apply makes a declaration the next revision, and waits until a majority of
-// the daemons hold it.
-func (f *Fleet) Apply(ctx context.Context, by string, declared declaration.Declaration, from uint64) (operator.ApplyReply, error) {
+// Apply stores a declaration as the next revision and waits until a majority of
+// the daemons hold it. It refuses if expectedRevision is neither 0 nor the
+// revision in force.
+func (f *Fleet) Apply(ctx context.Context, operatorName string, declared declaration.Declaration, expectedRevision uint64) (operator.ApplyReply, error) {
 	var reply operator.ApplyReply
-	if err := f.sync(ctx); err != nil {
+	if err := f.awaitStoreRead(ctx); err != nil {
 		return reply, err
 	}
-	world := f.daemon.World()
-	present := world.Configuration
-	if from != 0 && from != present.Revision {
-		return reply, operator.Refuse(errors.Errorf("apply: revision %d is in force, not %d", present.Revision, from))
+	fleetState := f.daemon.World()
+	current := fleetState.Configuration
+	if expectedRevision != 0 && expectedRevision != current.Revision {
+		return reply, operator.Refuse(errors.Errorf("apply: revision %d is in force, not %d", current.Revision, expectedRevision))
 	}
 	next := plan.Configuration{
-		Revision:    present.Revision + 1,
-		Operator:    by,
+		Revision:    current.Revision + 1,
+		Operator:    operatorName,
 		Declaration: declared,
 	}
-	change := table.Transaction{}
-	change = change.WithCondition(plan.ConfigKey, world.Catalog.Row(plan.ConfigKey).Version)
-	change = change.WithWrite(table.Put(plan.ConfigKey, next))
-	if err := f.commit(ctx, "apply", change); err != nil {
+	transaction := table.Transaction{}
+	transaction = transaction.WithCondition(plan.ConfigKey, fleetState.Catalog.Row(plan.ConfigKey).Version)
+	transaction = transaction.WithWrite(table.Put(plan.ConfigKey, next))
+	if err := f.commit(ctx, "apply", transaction); err != nil {
 		return reply, err
 	}
-	f.daemon.log.Info("operators: declaration applied", zap.Uint64("revision", next.Revision), zap.String("operator", by))
+	f.daemon.log.Info("operators: declaration applied", zap.Uint64("revision", next.Revision), zap.String("operator", operatorName))
 	return f.awaitAccepted(ctx, next.Revision), nil
 }
 
-// awaitAccepted waits until a majority holds the present configuration.
+// awaitAccepted waits until a majority of the daemons hold this daemon's
+// configuration, for acceptanceTimeout at most.
 func (f *Fleet) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
-	bounded, cancel := context.WithTimeout(ctx, acceptTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, acceptanceTimeout)
 	defer cancel()
 	reply := operator.ApplyReply{
 		Revision: revision,
 	}
 	for {
-		f.daemon.ask(func(c *control.Controller) {
-			own, ids := c.ConfigVersion(), c.Roster().IDs()
-			reply.Daemons = len(ids)
-			reply.Holders = c.Contact().Holders(c.Self().ID, own, ids, own)
-			reply.Accepted = c.Contact().Accepted(c.Self().ID, own, ids, own)
+		f.daemon.runInControl(func(c *control.Controller) {
+			ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
+			reply.Daemons = len(daemonIDs)
+			reply.Holders = c.Contact().Holders(c.Self().ID, ownVersion, daemonIDs, ownVersion)
+			reply.Accepted = c.Contact().Accepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
 		})
-		if reply.Accepted || bounded.Err() != nil {
+		if reply.Accepted || waitCtx.Err() != nil {
 			return reply
 		}
 		select {
-		case <-bounded.Done():
-		case <-time.After(stepEvery / 2):
+		case <-waitCtx.Done():
+		case <-time.After(maxStepInterval / 2):
 		}
 	}
 }
 
 // Diff compares a declaration with the one in force.
 func (f *Fleet) Diff(ctx context.Context, declared declaration.Declaration) (operator.DiffReply, error) {
-	if err := f.sync(ctx); err != nil {
+	if err := f.awaitStoreRead(ctx); err != nil {
 		return operator.DiffReply{}, err
 	}
-	present := f.daemon.World().Configuration
+	current := f.daemon.World().Configuration
 	return operator.DiffReply{
-		Revision:    present.Revision,
-		Differences: declaration.Diff(present.Declaration, declared),
+		Revision:    current.Revision,
+		Differences: declaration.Diff(current.Declaration, declared),
 	}, nil
 }
 
-// planIDSize is the length of a plan's id.
-const planIDSize = 8
+// planIDLength is the number of characters of a plan's id.
+const planIDLength = 8
 
-// Propose makes a plan and stores it, to be confirmed at any daemon.
-func (f *Fleet) Propose(ctx context.Context, by string, intent plan.Intent) (plan.Plan, error) {
-	if err := f.sync(ctx); err != nil {
+// Propose builds a plan and stores it. Any daemon can confirm it later.
+func (f *Fleet) Propose(ctx context.Context, operatorName string, intent plan.Intent) (plan.Plan, error) {
+	if err := f.awaitStoreRead(ctx); err != nil {
 		return plan.Plan{}, err
 	}
-	made, err := plan.Build(uuid.NewString()[:planIDSize], by, intent, f.daemon.World())
+	proposed, err := plan.Build(uuid.NewString()[:planIDLength], operatorName, intent, f.daemon.World())
 	if err != nil {
-		return made, operator.Refuse(err)
+		return proposed, operator.Refuse(err)
 	}
-	change := table.Transaction{}
-	change = change.WithCondition(plan.Key(made.ID), 0)
-	change = change.WithWrite(table.Put(plan.Key(made.ID), made))
-	return made, f.commit(ctx, "store plan", change)
+	transaction := table.Transaction{}
+	transaction = transaction.WithCondition(plan.Key(proposed.ID), 0)
+	transaction = transaction.WithWrite(table.Put(plan.Key(proposed.ID), proposed))
+	return proposed, f.commit(ctx, "store plan", transaction)
 }
 
-// Plans returns all plans.
+// Plans returns all plans in the store.
 func (f *Fleet) Plans(ctx context.Context) ([]plan.Plan, error) {
-	if err := f.sync(ctx); err != nil {
+	if err := f.awaitStoreRead(ctx); err != nil {
 		return nil, err
 	}
 	return append([]plan.Plan{}, f.daemon.World().Plans...), nil
 }
 
-// find returns one plan and the world that it is seen in.
-func (f *Fleet) find(ctx context.Context, id string) (plan.Plan, plan.World, error) {
-	var found plan.Plan
-	if err := f.sync(ctx); err != nil {
-		return found, plan.World{}, err
+// findPlan returns a plan and the fleet state that it was read from.
+func (f *Fleet) findPlan(ctx context.Context, id string) (plan.Plan, plan.World, error) {
+	var storedPlan plan.Plan
+	if err := f.awaitStoreRead(ctx); err != nil {
+		return storedPlan, plan.World{}, err
 	}
-	world := f.daemon.World()
-	row := world.Catalog.Row(plan.Key(id))
+	fleetState := f.daemon.World()
+	row := fleetState.Catalog.Row(plan.Key(id))
 	if row.Version == 0 {
-		return found, world, operator.Refuse(errors.Errorf("plan %q does not exist", id))
+		return storedPlan, fleetState, operator.Refuse(errors.Errorf("plan %q does not exist", id))
 	}
-	return found, world, row.Decode(&found)
+	return storedPlan, fleetState, row.Decode(&storedPlan)
 }
 
-// Confirm confirms a plan.
-func (f *Fleet) Confirm(ctx context.Context, by, id string) (plan.Plan, error) {
-	found, world, err := f.find(ctx, id)
+// Confirm confirms a proposed plan, so that the daemons start to carry it out.
+func (f *Fleet) Confirm(ctx context.Context, operatorName, id string) (plan.Plan, error) {
+	storedPlan, fleetState, err := f.findPlan(ctx, id)
 	if err != nil {
-		return found, err
+		return storedPlan, err
 	}
-	change, err := plan.Confirm(found, world)
+	transaction, err := plan.Confirm(storedPlan, fleetState)
 	if err != nil {
-		return found, operator.Refuse(err)
+		return storedPlan, operator.Refuse(err)
 	}
-	if err = f.commit(ctx, "confirm plan "+id, change); err != nil {
-		return found, err
+	if err = f.commit(ctx, "confirm plan "+id, transaction); err != nil {
+		return storedPlan, err
 	}
-	f.daemon.log.Info("operators: plan confirmed", zap.String("plan", id), zap.String("operator", by))
-	return found.WithState(plan.Confirmed, ""), nil
+	f.daemon.log.Info("operators: plan confirmed", zap.String("plan", id), zap.String("operator", operatorName))
+	return storedPlan.WithState(plan.Confirmed, ""), nil
 }
 
 // Change pauses, resumes or abandons a plan.
-func (f *Fleet) Change(ctx context.Context, by, id string, change plan.Change) (plan.Plan, error) {
-	found, world, err := f.find(ctx, id)
+func (f *Fleet) Change(ctx context.Context, operatorName, id string, change plan.Change) (plan.Plan, error) {
+	storedPlan, fleetState, err := f.findPlan(ctx, id)
 	if err != nil {
-		return found, err
+		return storedPlan, err
 	}
-	next, err := found.Apply(change)
+	changed, err := storedPlan.Apply(change)
 	if err != nil {
-		return found, operator.Refuse(err)
+		return storedPlan, operator.Refuse(err)
 	}
-	write := table.Transaction{}
-	write = write.WithCondition(plan.Key(id), world.Catalog.Row(plan.Key(id)).Version)
-	write = write.WithWrite(table.Put(plan.Key(id), next))
-	if err = f.commit(ctx, string(change)+" plan "+id, write); err != nil {
-		return found, err
+	transaction := table.Transaction{}
+	transaction = transaction.WithCondition(plan.Key(id), fleetState.Catalog.Row(plan.Key(id)).Version)
+	transaction = transaction.WithWrite(table.Put(plan.Key(id), changed))
+	if err = f.commit(ctx, string(change)+" plan "+id, transaction); err != nil {
+		return storedPlan, err
 	}
-	f.daemon.log.Info("operators: plan changed", zap.String("plan", id), zap.String("change", string(change)), zap.String("operator", by))
-	return next, nil
+	f.daemon.log.Info("operators: plan changed", zap.String("plan", id), zap.String("change", string(change)), zap.String("operator", operatorName))
+	return changed, nil
 }
 
 // ----------------------------------------------------------------------------
-// Showing
+// Fleet status
 
-// Status returns what the daemon knows of the fleet.
+// Status returns this daemon's view of the daemons, leases and zones.
 func (f *Fleet) Status() operator.Status {
 	var status operator.Status
 	snapshot := f.daemon.Snapshot()
 	now := time.Now()
-	f.daemon.ask(func(c *control.Controller) {
-		own, ids := c.ConfigVersion(), c.Roster().IDs()
+	f.daemon.runInControl(func(c *control.Controller) {
+		ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
 		status.Daemon = c.Self().ID
 		status.StoreAge = now.Sub(c.Contact().StoreAt()).Seconds()
-		status.Accepted = own != 0 && c.Contact().Accepted(c.Self().ID, own, ids, own)
+		status.Accepted = ownVersion != 0 && c.Contact().Accepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
 		for _, daemon := range c.Roster() {
 			report, _ := c.Contact().Report(daemon.ID)
-			entry := operator.DaemonStatus{
+			daemonStatus := operator.DaemonStatus{
 				ID:            daemon.ID,
 				Zone:          daemon.Zone,
 				HeardAge:      now.Sub(report.At).Seconds(),
-				HoldsRevision: report.ConfigVersion >= own,
+				HoldsRevision: report.ConfigVersion >= ownVersion,
 			}
 			if daemon.ID == c.Self().ID {
-				entry.HeardAge = 0
-				entry.HoldsRevision = true
+				daemonStatus.HeardAge = 0
+				daemonStatus.HoldsRevision = true
 			}
-			status.Daemons = append(status.Daemons, entry)
+			status.Daemons = append(status.Daemons, daemonStatus)
 		}
 		for shard := range lease.Shards {
 			var grant lease.Grant
@@ -259,66 +264,66 @@
 				})
 			}
 		}
-		status.Zones = zonesOf(c.World(), snapshot, now)
+		status.Zones = zoneStatuses(c.World(), snapshot, now)
 	})
 	status.Revision = snapshot.Configuration.Revision
 	status.Serving = now.Before(snapshot.ServeUntil)
 	return status
 }
 
-// zonesOf sums up every declared zone.
-func zonesOf(world plan.World, snapshot *control.Snapshot, now time.Time) []operator.ZoneStatus {
-	var zones []operator.ZoneStatus
-	for _, zone := range world.Configuration.Declaration.Zones {
-		entry := operator.ZoneStatus{
+// zoneStatuses returns the totals of each declared zone.
+func zoneStatuses(fleetState plan.World, snapshot *control.Snapshot, now time.Time) []operator.ZoneStatus {
+	var statuses []operator.ZoneStatus
+	for _, zone := range fleetState.Configuration.Declaration.Zones {
+		status := operator.ZoneStatus{
 			Zone:   zone.Name,
-			Closed: world.Closed[zone.Name],
+			Closed: fleetState.Closed[zone.Name],
 		}
-		serving := map[string]bool{}
-		for _, record := range world.Groups {
+		isServingVM := map[string]bool{}
+		for _, record := range fleetState.Groups {
 			if record.Zone != zone.Name {
 				continue
 			}
-			entry.Groups++
+			status.Groups++
 			if isServeable(record, snapshot, now) {
-				entry.Whole++
+				status.Whole++
 				for _, member := range record.Members {
-					serving[member.VM] = true
+					isServingVM[member.VM] = true
 				}
 			}
 		}
-		for _, listed := range world.VMs {
-			if listed.Zone == zone.Name {
-				addVM(&entry, listed, world.Claims[listed.ID], serving[listed.ID])
+		for _, listedVM := range fleetState.VMs {
+			if listedVM.Zone == zone.Name {
+				addVMToZone(&status, listedVM, fleetState.Claims[listedVM.ID], isServingVM[listedVM.ID])
 			}
 		}
-		zones = append(zones, entry)
+		statuses = append(statuses, status)
 	}
-	return zones
+	return statuses
 }
 
-// addVM adds a VM to the sums of its zone.
-func addVM(entry *operator.ZoneStatus, listed vm.VM, claim vm.Claim, isServing bool) {
-	entry.VMs++
-	entry.Accelerators += listed.Accelerators
-	if listed.State == vm.Leaving {
-		entry.Leaving++
+// addVMToZone adds a VM to the totals of its zone.
+func addVMToZone(status *operator.ZoneStatus, listedVM vm.VM, claim vm.Claim, isServing bool) {
+	status.VMs++
+	status.Accelerators += listedVM.Accelerators
+	if listedVM.State == vm.Leaving {
+		status.Leaving++
 	}
-	if listed.Domain != "" && claim.Free() {
-		entry.Free++
+	if listedVM.Domain != "" && claim.Free() {
+		status.Free++
 	}
 	if !isServing {
-		entry.Stranded += listed.Accelerators
+		status.Stranded += listedVM.Accelerators
 	}
 }
 
-// isServeable tells whether a group may be given requests now.
+// isServeable reports whether requests may be routed to a group now.
 func isServeable(record group.Record, snapshot *control.Snapshot, now time.Time) bool {
 	evidence, _ := snapshot.Book.Newest(record.Name)
 	return record.Serveable(evidence, snapshot.IsLeaving, now)
 }
 
-// Groups returns all groups.
+// Groups returns the status of all groups.
 func (f *Fleet) Groups() []operator.GroupStatus {
 	snapshot := f.daemon.Snapshot()
 	now := time.Now()
@@ -335,7 +340,7 @@
 	return groups
 }
 
-// Counters returns the daemon's counters.
+// Counters returns the registry's counters and the bytes exchanged with peers.
 func (f *Fleet) Counters() operator.Counters {
 	counters := operator.Counters{
 		"peer.bytes_read":    f.daemon.traffic.Read.Load(),
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -20,169 +20,175 @@
 	"headcourse/io/peer"
 )
 
-// Times of the daemon's rounds. Each wait is jittered by a quarter, so that
-// daemons started together drift apart.
+// Intervals of the periodic tasks. Each wait is jittered by up to a quarter, so
+// that daemons started together do not stay in step.
 const (
-	pollEvery   = 2500 * time.Millisecond
-	vmListEvery = 2 * time.Second
-	probeEvery  = 600 * time.Millisecond
-	pullEvery   = 750 * time.Millisecond
-	sweepEvery  = 30 * time.Second
-	// commitTimeout bounds a commit, settling included.
+	storePollInterval  = 2500 * time.Millisecond
+	vmListPollInterval = 2 * time.Second
+	probeInterval      = 600 * time.Millisecond
+	peerPullInterval   = 750 * time.Millisecond
+	sweepInterval      = 30 * time.Second
+	// commitTimeout bounds a commit, including the time to resolve a lost answer.
 	commitTimeout = 6 * time.Second
 )
 
-// Bounds of the daemon's rounds.
+// Limits of the periodic tasks.
 const (
-	// scanLimit is how many rows one read of the store returns.
-	scanLimit = 2000
-	// pullLimit is how many rows one pull returns.
-	pullLimit = 2000
-	// probeFreeEvery is how many rounds pass between probes of a free VM.
-	probeFreeEvery = 5
-	// parallelProbes is how many probes are under way at once.
-	parallelProbes = 64
+	// scanRowLimit is the maximum number of rows that one scan of the store returns.
+	scanRowLimit = 2000
+	// pullRowLimit is the maximum number of rows that one peer pull returns.
+	pullRowLimit = 2000
+	// freeVMProbeRounds is the period, in probe rounds, at which free VMs are
+	// probed.
+	freeVMProbeRounds = 5
+	// maxConcurrentProbes is the maximum number of probes in flight.
+	maxConcurrentProbes = 64
 )
 
-// run starts the control goroutine and the rounds around it.
-func (d *Daemon) run() {
-	ctx, stop := context.WithCancel(context.Background())
-	d.stop = stop
-	d.tasks.Go(func() {
-		d.control(ctx)
+// startGoroutines starts the control goroutine and the periodic tasks.
+func (d *Daemon) startGoroutines() {
+	ctx, cancel := context.WithCancel(context.Background())
+	d.cancel = cancel
+	d.goroutines.Go(func() {
+		d.runControl(ctx)
 	})
-	d.tasks.Go(func() {
+	d.goroutines.Go(func() {
 		d.pollStore(ctx)
 	})
-	d.tasks.Go(func() {
-		every(ctx, vmListEvery, d.pollVMs)
+	d.goroutines.Go(func() {
+		runPeriodically(ctx, vmListPollInterval, d.pollVMList)
 	})
-	d.tasks.Go(func() {
-		every(ctx, sweepEvery, d.sweep)
+	d.goroutines.Go(func() {
+		runPeriodically(ctx, sweepInterval, d.sweepExpiredRows)
 	})
-	d.tasks.Go(func() {
-		every(ctx, probeEvery, d.probeAll)
+	d.goroutines.Go(func() {
+		runPeriodically(ctx, probeInterval, d.probeAll)
 	})
-	d.tasks.Go(func() {
-		every(ctx, pullEvery, newPuller(d).round)
+	d.goroutines.Go(func() {
+		runPeriodically(ctx, peerPullInterval, newPeerPuller(d).pullAll)
 	})
 }
 
-// jittered returns d, shortened or lengthened by up to a quarter.
+// jittered returns a random duration within a quarter of d.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
 
-// every runs a round at once and then again and again until ctx ends.
-func every(ctx context.Context, period time.Duration, round func(ctx context.Context)) {
+// runPeriodically runs a task at once and then at jittered intervals, from start
+// to start, until ctx ends. A task that outlasts the interval is run again at
+// once.
+func runPeriodically(ctx context.Context, interval time.Duration, task func(ctx context.Context)) {
 	for ctx.Err() == nil {
-		began := time.Now()
-		round(ctx)
-		rest := jittered(period) - time.Since(began)
-		if rest <= 0 {
+		startedAt := time.Now()
+		task(ctx)
+		remaining := jittered(interval) - time.Since(startedAt)
+		if remaining <= 0 {
 			continue
 		}
 		select {
-		case <-time.After(rest):
+		case <-time.After(remaining):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// stepGap is the least time between two steps. News is taken in at once, but
-// what follows from it is worked out once for all that came within the gap.
-const stepGap = 50 * time.Millisecond
+// minStepInterval is the minimum time between two control steps. Updates are
+// applied at once, and one step covers all updates that arrived within the
+// interval.
+const minStepInterval = 50 * time.Millisecond
 
-// control owns the controller: it takes in news, steps, carries out what the
-// step asks for, and publishes a snapshot.
-func (d *Daemon) control(ctx context.Context) {
+// runControl is the control goroutine, the only one that uses the controller.
+// It runs the queued functions and the control steps, starts the actions of each
+// step, and publishes a snapshot after it.
+func (d *Daemon) runControl(ctx context.Context) {
 	controller := control.New(d.self)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	stepped := time.Time{}
-	isDue := false
+	lastStepAt := time.Time{}
+	isStepScheduled := false
 	for {
 		select {
-		case news := <-d.inbox:
-			news(controller)
-			d.takeWaiting(controller)
-			if !isDue {
-				isDue = true
-				timer.Reset(max(0, stepGap-time.Since(stepped)))
+		case task := <-d.inbox:
+			task(controller)
+			d.drainInbox(controller)
+			if !isStepScheduled {
+				isStepScheduled = true
+				timer.Reset(max(0, minStepInterval-time.Since(lastStepAt)))
 			}
 		case <-timer.C:
-			d.act(ctx, controller.Step())
+			d.startActions(ctx, controller.Step())
 			d.publish(controller)
-			stepped, isDue = time.Now(), false
-			timer.Reset(stepEvery)
+			lastStepAt, isStepScheduled = time.Now(), false
+			timer.Reset(maxStepInterval)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// takeWaiting takes in the news that is waiting already, so that a burst costs
-// one step.
-func (d *Daemon) takeWaiting(controller *control.Controller) {
-	for range inboxSize {
+// drainInbox runs the functions that are already queued, so that a burst of
+// updates costs one step.
+func (d *Daemon) drainInbox(controller *control.Controller) {
+	for range inboxCapacity {
 		select {
-		case news := <-d.inbox:
-			news(controller)
+		case task := <-d.inbox:
+			task(controller)
 		default:
 			return
 		}
 	}
 }
 
-// publish makes a new snapshot and tells those who wait for one.
+// publish stores a new snapshot, the probe targets and the pull sources, and
+// calls the snapshot listeners.
 func (d *Daemon) publish(controller *control.Controller) {
 	snapshot := controller.Snapshot()
 	d.snapshot.Store(&snapshot)
 	targets := controller.Targets()
-	d.targets.Store(&targets)
+	d.probeTargets.Store(&targets)
 	sources := controller.Roster().Sources(d.self)
-	d.sources.Store(&sources)
-	for _, changed := range d.onChange {
-		changed()
+	d.pullSources.Store(&sources)
+	for _, listener := range d.snapshotListeners {
+		listener()
 	}
 }
 
-// act carries out what a step asks for, without waiting for the outcomes.
-func (d *Daemon) act(ctx context.Context, actions control.Actions) {
+// startActions starts the actions of a step without waiting for their outcomes.
+func (d *Daemon) startActions(ctx context.Context, actions control.Actions) {
 	if actions.Refresh {
 		select {
-		case d.refresh <- struct{}{}:
+		case d.refreshRequests <- struct{}{}:
 		default:
 		}
 	}
 	for _, commit := range actions.Commits {
-		d.tasks.Go(func() {
+		d.goroutines.Go(func() {
 			d.commit(ctx, commit)
 		})
 	}
 	for _, send := range actions.Sends {
-		d.tasks.Go(func() {
-			d.send(send)
+		d.goroutines.Go(func() {
+			d.sendOrder(send)
 		})
 	}
 }
 
-// commit commits a transaction and tells the controller what became of it.
+// commit commits a transaction and reports the outcome to the controller.
 func (d *Daemon) commit(ctx context.Context, commit control.Commit) {
-	bounded, cancel := context.WithTimeout(ctx, commitTimeout)
+	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	version, err := d.store.Commit(bounded, commit.Transaction)
+	version, err := d.store.Commit(commitCtx, commit.Transaction)
 	if err != nil {
 		d.log.Debug("control: commit failed", zap.String("about", commit.About), zap.Error(err))
 	}
-	d.tell(ctx, func(c *control.Controller) {
+	d.postToControl(ctx, func(c *control.Controller) {
 		c.Committed(commit, version, err)
 	})
 }
 
-// send sends an order if the lease that it was decided under still holds long
-// enough for the order to arrive.
-func (d *Daemon) send(send control.Send) {
+// sendOrder sends an order if the lease under which it was decided remains valid
+// long enough for the order to arrive.
+func (d *Daemon) sendOrder(send control.Send) {
 	if err := send.Lease.Check(lease.OrderMargin); err != nil {
 		d.log.Warn("control: order not sent", zap.String("vm", send.VM), zap.Error(err))
 		return
@@ -193,77 +199,77 @@
 }
 
 // ----------------------------------------------------------------------------
-// The platform
+// Table service and VM list
 
-// pollStore reads what changed in the table, slowly, and at once when control
-// asks for it or more is waiting.
+// pollStore scans the table for changed rows every storePollInterval. It scans
+// sooner on a refresh request, and at once if the last scan hit its row limit.
 func (d *Daemon) pollStore(ctx context.Context) {
-	after := uint64(0)
+	afterVersion := uint64(0)
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		result, err := d.store.Scan(ctx, table.ScanRequest{
 			Prefix: catalog.Prefix,
-			After:  after,
-			Limit:  scanLimit,
+			After:  afterVersion,
+			Limit:  scanRowLimit,
 		})
 		if err != nil {
 			d.log.Warn("store: poll failed", zap.Error(err))
 		} else {
-			after = result.Version
-			d.tell(ctx, func(c *control.Controller) {
+			afterVersion = result.Version
+			d.postToControl(ctx, func(c *control.Controller) {
 				if result.More {
 					c.LearnRows(result.Rows)
 					return
 				}
-				c.LearnStore(result.Rows, result.Version, began)
+				c.LearnStore(result.Rows, result.Version, startedAt)
 			})
 		}
 		if err == nil && result.More {
 			continue
 		}
 		select {
-		case <-time.After(jittered(pollEvery)):
-		case <-d.refresh:
-			// A short wait lets what was refused become visible, and bounds
-			// how often conflicts can cause reads.
-			time.Sleep(jittered(stepEvery))
+		case <-time.After(jittered(storePollInterval)):
+		case <-d.refreshRequests:
+			// A conflicting commit requests a refresh. The delay lets the
+			// conflicting row become visible and limits the rate of reads.
+			time.Sleep(jittered(maxStepInterval))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// pollVMs reads the VM list.
-func (d *Daemon) pollVMs(ctx context.Context) {
-	listed, err := d.vms.VMs()
+// pollVMList reads the VM list once.
+func (d *Daemon) pollVMList(ctx context.Context) {
+	vms, err := d.vmList.VMs()
 	if err != nil {
 		d.log.Warn("vm list: poll failed", zap.Error(err))
 		return
 	}
-	d.tell(ctx, func(c *control.Controller) {
-		c.LearnVMs(listed)
+	d.postToControl(ctx, func(c *control.Controller) {
+		c.LearnVMs(vms)
 	})
 }
 
-// sweep deletes rows that have been kept long enough, at the one daemon that
-// holds the first shard.
-func (d *Daemon) sweep(ctx context.Context) {
-	isMine := false
-	d.ask(func(c *control.Controller) {
-		isMine = slices.ContainsFunc(c.Usable(), func(held lease.Held) bool {
+// sweepExpiredRows deletes expired transaction markers and idempotency rows. Only
+// the daemon that holds the lease of the first shard does so.
+func (d *Daemon) sweepExpiredRows(ctx context.Context) {
+	holdsFirstShard := false
+	d.runInControl(func(c *control.Controller) {
+		holdsFirstShard = slices.ContainsFunc(c.Usable(), func(held lease.Held) bool {
 			return held.Shard == 0
 		})
 	})
-	if !isMine {
+	if !holdsFirstShard {
 		return
 	}
-	for prefix, isOld := range map[string]func(table.Row) bool{
+	for prefix, isExpired := range map[string]func(table.Row) bool{
 		table.MarkerPrefix:    table.IsOldMarker,
 		idempotency.KeyPrefix: idempotency.IsExpired,
 	} {
-		if count, err := table.Sweep(ctx, d.store, prefix, isOld); err != nil {
+		if count, err := table.Sweep(ctx, d.store, prefix, isExpired); err != nil {
 			d.log.Warn("store: sweep failed", zap.Error(err))
 		} else if count > 0 {
-			d.log.Debug("store: swept", zap.String("prefix", prefix), zap.Int("rows", count))
+			d.log.Debug("store: expired rows deleted", zap.String("prefix", prefix), zap.Int("rows", count))
 		}
 	}
 }
@@ -271,12 +277,13 @@
 // ----------------------------------------------------------------------------
 // Backend servers
 
-// probeAll probes all targets once.
+// probeAll probes all targets once. Free VMs are probed in every
+// freeVMProbeRounds-th round only.
 func (d *Daemon) probeAll(ctx context.Context) {
-	probes := pool.New().WithMaxGoroutines(parallelProbes)
+	probes := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	d.probeRound++
-	for _, target := range *d.targets.Load() {
-		if target.IsFree && d.probeRound%probeFreeEvery != 0 {
+	for _, target := range *d.probeTargets.Load() {
+		if target.IsFree && d.probeRound%freeVMProbeRounds != 0 {
 			continue
 		}
 		probes.Go(func() {
@@ -286,55 +293,57 @@
 	probes.Wait()
 }
 
-// probe probes one backend server.
+// probe probes one backend server and reports the result to the controller.
 func (d *Daemon) probe(ctx context.Context, target vm.VM) {
-	began := time.Now()
+	startedAt := time.Now()
 	state, isRefused, err := d.engines.Probe(target.Address)
-	d.tell(ctx, func(c *control.Controller) {
+	d.postToControl(ctx, func(c *control.Controller) {
 		if err != nil {
-			c.LearnSilence(target.ID, began, isRefused)
+			c.LearnSilence(target.ID, startedAt, isRefused)
 			return
 		}
-		c.LearnProbe(target.ID, began, state)
+		c.LearnProbe(target.ID, startedAt, state)
 	})
 }
 
 // ----------------------------------------------------------------------------
 // Other daemons
 
-// puller remembers how far each daemon's log was read.
-type puller struct {
+// peerPuller pulls rows and reports from other daemons. It holds the position up
+// to which it has read each daemon's change log, by peer address.
+type peerPuller struct {
 	daemon    *Daemon
 	positions map[string]peer.PullRequest
-	// turn counts rounds.
-	turn int
+	// rounds counts the calls of pullAddresses that found an address.
+	rounds int
 }
 
-// newPuller returns a puller that has read nothing.
-func newPuller(d *Daemon) *puller {
-	return &puller{
+// newPeerPuller returns a puller without positions, which reads every change log
+// from its start.
+func newPeerPuller(d *Daemon) *peerPuller {
+	return &peerPuller{
 		daemon:    d,
 		positions: map[string]peer.PullRequest{},
 	}
 }
 
-// pulled is one daemon's reply.
-type pulled struct {
+// pullResult is the outcome of one pull.
+type pullResult struct {
 	address string
 	answer  peer.Answer
 	err     error
 }
 
-// round pulls from all sources once, side by side.
-func (p *puller) round(ctx context.Context) {
-	results := pool.NewWithResults[pulled]()
-	addresses, isFull := p.addresses()
+// pullAll pulls from all sources once, concurrently.
+func (p *peerPuller) pullAll(ctx context.Context) {
+	results := pool.NewWithResults[pullResult]()
+	addresses, isFullPull := p.pullAddresses()
 	for _, address := range addresses {
 		request := p.positions[address]
-		request.Full = isFull[address]
-		results.Go(func() pulled {
+		request.Full = isFullPull[address]
+		results.Go(func() pullResult {
 			answer, err := p.daemon.peers.Pull(ctx, address, request)
-			return pulled{
+			return pullResult{
 				address: address,
 				answer:  answer,
 				err:     err,
@@ -342,33 +351,35 @@
 		})
 	}
 	for _, result := range results.Wait() {
-		p.take(ctx, result)
+		p.applyResult(ctx, result)
 	}
 }
 
-// addresses returns whom to ask: the sources, or the seeds while none is known;
-// and whom to ask for all they have heard. In a small roster, where everyone
-// asks everyone, that is one of them in turn, against links that are cut.
-func (p *puller) addresses() (addresses []string, isFull map[string]bool) {
-	isFull = map[string]bool{}
-	sources := *p.daemon.sources.Load()
+// pullAddresses returns the addresses to pull from: the sources, or the seeds
+// while no source is known. isFullPull holds those that are also asked for the
+// reports that they received from others. One address per round, in rotation, is
+// always among these: in a small roster each daemon pulls from all others, and
+// the full pulls carry reports around broken links.
+func (p *peerPuller) pullAddresses() (addresses []string, isFullPull map[string]bool) {
+	isFullPull = map[string]bool{}
+	sources := *p.daemon.pullSources.Load()
 	for _, source := range sources {
 		addresses = append(addresses, source.Daemon.Peer)
-		isFull[source.Daemon.Peer] = source.Full
+		isFullPull[source.Daemon.Peer] = source.Full
 	}
 	if len(addresses) == 0 {
 		addresses = p.daemon.settings.Seeds
 	}
 	if len(addresses) > 0 {
-		p.turn++
-		isFull[addresses[p.turn%len(addresses)]] = true
+		p.rounds++
+		isFullPull[addresses[p.rounds%len(addresses)]] = true
 	}
-	return addresses, isFull
+	return addresses, isFullPull
 }
 
-// take hands a reply to control. Reports count only with a reply that holds
-// all rows of the daemon that was asked.
-func (p *puller) take(ctx context.Context, result pulled) {
+// applyResult passes a reply to the controller. Reports are applied only with the
+// reply that completes the rows of the queried daemon.
+func (p *peerPuller) applyResult(ctx context.Context, result pullResult) {
 	if result.err != nil {
 		p.daemon.log.Debug("peer: pull failed", zap.Error(result.err))
 		return
@@ -377,7 +388,7 @@
 		Incarnation: result.answer.Incarnation,
 		Position:    result.answer.Position,
 	}
-	p.daemon.tell(ctx, func(c *control.Controller) {
+	p.daemon.postToControl(ctx, func(c *control.Controller) {
 		c.LearnRows(result.answer.Rows)
 		if !result.answer.More {
 			c.LearnReports(result.answer.Reports, result.answer.Evidence)
@@ -385,7 +396,8 @@
 	})
 }
 
-// AnswerPull answers another daemon's pull.
+// AnswerPull answers a pull of another daemon. A position of another
+// incarnation, such as an earlier start of this daemon, is replaced by 0.
 func (d *Daemon) AnswerPull(_ context.Context, request peer.PullRequest) (peer.Answer, error) {
 	answer := peer.Answer{
 		Incarnation: d.self.ID,
@@ -393,8 +405,8 @@
 	if request.Incarnation != d.self.ID {
 		request.Position = 0
 	}
-	isAnswered := d.ask(func(c *control.Controller) {
-		answer.Rows, answer.Position, answer.More = c.Changes(request.Position, pullLimit)
+	isAnswered := d.runInControl(func(c *control.Controller) {
+		answer.Rows, answer.Position, answer.More = c.Changes(request.Position, pullRowLimit)
 		answer.Reports = []contact.Report{c.OwnReport()}
 		answer.Evidence = c.OwnEvidence()
 		if request.Full {
@@ -408,11 +420,11 @@
 	return answer, nil
 }
 
-// Roster returns the daemons as control sees them.
+// Roster returns the controller's current roster.
 func (d *Daemon) Roster() roster.Roster {
-	var listed roster.Roster
-	d.ask(func(c *control.Controller) {
-		listed = c.Roster()
+	var current roster.Roster
+	d.runInControl(func(c *control.Controller) {
+		current = c.Roster()
 	})
-	return listed
+	return current
 }
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -12,8 +12,8 @@
 	"headcourse/io/operator"
 )
 
-// Node is a whole daemon: control, callers' side and operators' side. Use
-// StartNode.
+// Node is a complete daemon: the control part and the servers for callers and
+// operators. StartNode creates it.
 type Node struct {
 	daemon    *Daemon
 	callers   *caller.Server
@@ -22,27 +22,28 @@
 	log       *zap.Logger
 }
 
-// StartNode starts a whole daemon. Settings have been checked.
+// StartNode starts a complete daemon. The settings must have passed
+// Settings.Check.
 func StartNode(settings Settings, log *zap.Logger) (*Node, error) {
-	started, err := Start(settings, log)
+	daemon, err := Start(settings, log)
 	if err != nil {
 		return nil, err
 	}
 	registry := metrics.NewRegistry()
-	callers, err := caller.Listen(settings.Callers, started, registry, log)
+	callers, err := caller.Listen(settings.Callers, daemon, registry, log)
 	if err != nil {
-		started.Stop()
+		daemon.Stop()
 		return nil, err
 	}
-	operators, err := operator.Listen(settings.Operators, settings.BootstrapHash, NewFleet(started, registry), log)
+	operators, err := operator.Listen(settings.Operators, settings.BootstrapHash, NewFleet(daemon, registry), log)
 	if err != nil {
 		callers.Kill()
-		started.Stop()
+		daemon.Stop()
 		return nil, err
 	}
 	log.Info("daemon: listening", zap.String("callers", callers.Address()), zap.String("operators", operators.Address()))
 	return &Node{
-		daemon:    started,
+		daemon:    daemon,
 		callers:   callers,
 		operators: operators,
 		settings:  settings,
@@ -50,28 +51,29 @@
 	}, nil
 }
 
-// Daemon returns the control part.
+// Daemon returns the control part of the daemon.
 func (n *Node) Daemon() *Daemon {
 	return n.daemon
 }
 
-// Callers returns the IP:port for callers.
+// Callers returns the IP:port on which the daemon listens for callers.
 func (n *Node) Callers() string {
 	return n.callers.Address()
 }
 
-// Operators returns the IP:port for operators.
+// Operators returns the IP:port on which the daemon listens for operators.
 func (n *Node) Operators() string {
 	return n.operators.Address()
 }
 
-// leaveTimeout bounds giving up leases and the place in the roster. Leases are
-// given up once their term has run out.
+// leaveTimeout bounds Daemon.Leave. It exceeds lease.Term because a lease is
+// released only after its term has ended.
 const leaveTimeout = lease.Term + 4*time.Second
 
-// Stop stops in order: unready to the balancer at once, no new requests after
-// UnreadyTime, every answer in flight finished within DrainTime, leases given
-// up. It returns an error if answers were cut off.
+// Stop drains and stops the daemon: it reports unready to the load balancer at
+// once, accepts requests for UnreadyTime longer, waits for answers in flight for
+// DrainTime at most, and then releases its leases. It returns an error if answers
+// were cut off.
 func (n *Node) Stop() error {
 	n.log.Info("daemon: leaving", zap.String("id", n.daemon.ID()))
 	n.callers.Unready()
@@ -84,7 +86,8 @@
 	return err
 }
 
-// Kill stops at once, as a crash would.
+// Kill stops the daemon immediately, as a crash would: nothing is drained or
+// released.
 func (n *Node) Kill() {
 	n.callers.Kill()
 	n.daemon.Stop()
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -19,23 +19,23 @@
 	"headcourse/lab/platform"
 )
 
-// operatorName is the operator of these tests.
+// operatorName is the name of the operator whose key the tests use.
 const operatorName = "turno-noche"
 
-// site is a platform and real daemons, over sockets.
-type site struct {
+// cluster is a platform of stand-ins and complete daemons, connected over TCP.
+type cluster struct {
 	t          *testing.T
 	deployment examples.Deployment
 	platform   *platform.Platform
 	nodes      []*daemon.Node
 }
 
-// start starts a deployment at its size of today behind a few daemons.
-func start(t *testing.T, daemons int) *site {
+// startCluster starts the example deployment at scale 1 and a number of daemons.
+func startCluster(t *testing.T, daemons int) *cluster {
 	t.Helper()
 	deployment, err := examples.Load("caudal-andino")
 	qt.Assert(t, err, qt.IsNil)
-	running, err := platform.Start(platform.Settings{
+	standIns, err := platform.Start(platform.Settings{
 		VMs:            deployment.VMs(),
 		Slots:          16,
 		EachToken:      time.Millisecond,
@@ -43,83 +43,84 @@
 		LoadBurst:      1000,
 	})
 	qt.Assert(t, err, qt.IsNil)
-	made := &site{
+	c := &cluster{
 		t:          t,
 		deployment: deployment,
-		platform:   running,
+		platform:   standIns,
 	}
 	t.Cleanup(func() {
-		for _, node := range made.nodes {
+		for _, node := range c.nodes {
 			node.Kill()
 		}
-		running.Stop()
+		standIns.Stop()
 	})
 	for number := range daemons {
-		made.addDaemon(number)
+		c.addDaemon(number)
 	}
-	return made
+	return c
 }
 
-// addDaemon starts one daemon.
-func (s *site) addDaemon(number int) {
+// addDaemon starts one daemon. The first daemon is the seed of the others.
+func (c *cluster) addDaemon(number int) {
 	settings := daemon.Settings{
 		ID:            fmt.Sprintf("entry-%d", number),
-		Zone:          s.deployment.Declaration.Zones[number%3].Name,
+		Zone:          c.deployment.Declaration.Zones[number%3].Name,
 		Callers:       "127.0.0.1:0",
 		Operators:     "127.0.0.1:0",
 		Peers:         "127.0.0.1:0",
-		Table:         s.platform.TableAddress(),
-		VMList:        s.platform.VMListAddress(),
+		Table:         c.platform.TableAddress(),
+		VMList:        c.platform.VMListAddress(),
 		PeerKey:       "test-peer-key-0123456789",
-		BootstrapHash: s.deployment.Declaration.Operators[1].KeyHashes[0],
+		BootstrapHash: c.deployment.Declaration.Operators[1].KeyHashes[0],
 		DrainTime:     time.Minute,
 		UnreadyTime:   time.Millisecond,
 		IdleTime:      10 * time.Second,
 	}
-	if len(s.nodes) > 0 {
-		settings.Seeds = []string{s.nodes[0].Daemon().PeerAddress()}
+	if len(c.nodes) > 0 {
+		settings.Seeds = []string{c.nodes[0].Daemon().PeerAddress()}
 	}
 	node, err := daemon.StartNode(settings, zap.NewNop())
-	qt.Assert(s.t, err, qt.IsNil)
-	s.nodes = append(s.nodes, node)
+	qt.Assert(c.t, err, qt.IsNil)
+	c.nodes = append(c.nodes, node)
 }
 
-// client returns an operator's client of a daemon.
-func (s *site) client(node *daemon.Node) *operator.Client {
+// operatorClient returns an operator's client for a daemon.
+func (c *cluster) operatorClient(node *daemon.Node) *operator.Client {
 	return operator.NewClient(node.Operators(), examples.Key(operatorName))
 }
 
-// await waits until a condition holds; a test that never gets there ends with
-// the test's own timeout.
-func await(condition func() bool) {
+// waitUntil waits until a condition holds. The timeout of the test run bounds the
+// wait.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// form applies the declaration and has all groups formed.
-func (s *site) form() {
-	reply, err := s.client(s.nodes[0]).Apply(operator.ApplyRequest{
-		Files: []declaration.File{s.deployment.File},
+// formGroups applies the declaration, confirms a plan that forms its groups, and
+// waits until every daemon sees all groups serveable.
+func (c *cluster) formGroups() {
+	reply, err := c.operatorClient(c.nodes[0]).Apply(operator.ApplyRequest{
+		Files: []declaration.File{c.deployment.File},
 	})
-	qt.Assert(s.t, err, qt.IsNil)
-	qt.Assert(s.t, reply.Revision, qt.Equals, uint64(1))
-	made, err := s.client(s.nodes[0]).Propose(plan.Intent{
+	qt.Assert(c.t, err, qt.IsNil)
+	qt.Assert(c.t, reply.Revision, qt.Equals, uint64(1))
+	proposed, err := c.operatorClient(c.nodes[0]).Propose(plan.Intent{
 		Kind: plan.Reconcile,
 	})
-	qt.Assert(s.t, err, qt.IsNil)
-	// Any daemon confirms a plan that another made.
-	_, err = s.client(s.nodes[len(s.nodes)-1]).Confirm(made.Plan.ID)
-	qt.Assert(s.t, err, qt.IsNil)
-	for _, node := range s.nodes {
-		await(func() bool {
+	qt.Assert(c.t, err, qt.IsNil)
+	// A daemon can confirm a plan that another daemon built.
+	_, err = c.operatorClient(c.nodes[len(c.nodes)-1]).Confirm(proposed.Plan.ID)
+	qt.Assert(c.t, err, qt.IsNil)
+	for _, node := range c.nodes {
+		waitUntil(func() bool {
 			return len(node.Daemon().Snapshot().Serveable("redactor", time.Now())) == 8
 		})
 	}
 }
 
-// chat sends a completion to a daemon and returns status and body.
-func (s *site) chat(node *daemon.Node) (int, string) {
+// sendChat sends a chat completion to a daemon and returns status and body.
+func (c *cluster) sendChat(node *daemon.Node) (int, string) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
@@ -128,64 +129,68 @@
 	request.Header.SetMethod("POST")
 	request.Header.Set("Authorization", "Bearer "+examples.Key("epmaps"))
 	request.SetBodyString(`{"model":"redactor","messages":[{"role":"user","content":"x"}],"max_tokens":3,"stream":true}`)
-	qt.Assert(s.t, fasthttp.Do(request, response), qt.IsNil)
+	qt.Assert(c.t, fasthttp.Do(request, response), qt.IsNil)
 	return response.StatusCode(), string(response.Body())
 }
 
-// answered returns the answer of a daemon, once it takes requests: on a slow
-// machine its evidence may lapse for a moment.
-func (s *site) answered(node *daemon.Node) string {
+// sendChatUntilOK sends chat completions to a daemon until one succeeds, and
+// returns its body. On a slow test host the daemon's evidence may expire briefly,
+// and it then refuses requests.
+func (c *cluster) sendChatUntilOK(node *daemon.Node) string {
 	body := ""
-	await(func() bool {
-		status, got := s.chat(node)
-		body = got
+	waitUntil(func() bool {
+		status, responseBody := c.sendChat(node)
+		body = responseBody
 		return status == 200
 	})
 	return body
 }
 
-// TestWholePath takes real daemons through forming, serving, a store outage, a
-// daemon started during it, and a daemon's planned stop.
-func TestWholePath(t *testing.T) {
-	s := start(t, 3)
-	s.form()
-	for _, node := range s.nodes {
-		qt.Assert(t, strings.HasSuffix(s.answered(node), "data: [DONE]\n\n"), qt.IsTrue)
+// TestDaemonsServeThroughStoreOutageJoinAndStop runs complete daemons through
+// group formation, serving, a store outage, the start of a daemon during the
+// outage, and the planned stop of a daemon.
+func TestDaemonsServeThroughStoreOutageJoinAndStop(t *testing.T) {
+	c := startCluster(t, 3)
+	c.formGroups()
+	for _, node := range c.nodes {
+		qt.Assert(t, strings.HasSuffix(c.sendChatUntilOK(node), "data: [DONE]\n\n"), qt.IsTrue)
 	}
-	_, err := operator.NewClient(s.nodes[0].Operators(), "a-wrong-key-0123").Status()
+	_, err := operator.NewClient(c.nodes[0].Operators(), "a-wrong-key-0123").Status()
 	qt.Assert(t, err, qt.IsNotNil)
 
-	s.platform.TableFaults.Set(fault.Faults{
+	c.platform.TableFaults.Set(fault.Faults{
 		Dark: true,
 	})
-	// A daemon started while the store is down learns from its peers.
-	s.addDaemon(3)
-	late := s.nodes[3]
-	await(func() bool {
-		return late.Daemon().Snapshot().Configuration.Revision == 1
+	// A daemon started during a store outage reads the configuration from its peers.
+	c.addDaemon(3)
+	lateNode := c.nodes[3]
+	waitUntil(func() bool {
+		return lateNode.Daemon().Snapshot().Configuration.Revision == 1
 	})
-	_, err = s.client(s.nodes[0]).Propose(plan.Intent{
+	_, err = c.operatorClient(c.nodes[0]).Propose(plan.Intent{
 		Kind: plan.DrainZone,
 		Zone: "ibarra",
 	})
 	qt.Assert(t, err, qt.ErrorMatches, "(?s).*table service does not answer.*")
-	s.answered(s.nodes[0])
+	c.sendChatUntilOK(c.nodes[0])
 
-	s.platform.TableFaults.Set(fault.Faults{})
-	await(func() bool {
-		return late.Daemon().Roster().Has(late.Daemon().ID())
+	c.platform.TableFaults.Set(fault.Faults{})
+	waitUntil(func() bool {
+		return lateNode.Daemon().Roster().Has(lateNode.Daemon().ID())
 	})
-	qt.Assert(t, s.nodes[1].Stop(), qt.IsNil)
-	await(func() bool {
-		return !s.nodes[0].Daemon().Roster().Has(s.nodes[1].Daemon().ID())
+	qt.Assert(t, c.nodes[1].Stop(), qt.IsNil)
+	waitUntil(func() bool {
+		return !c.nodes[0].Daemon().Roster().Has(c.nodes[1].Daemon().ID())
 	})
 }
 
-// TestOperatorsSeeTheFleet checks what the operators' commands read.
-func TestOperatorsSeeTheFleet(t *testing.T) {
-	s := start(t, 2)
-	s.form()
-	client := s.client(s.nodes[1])
+// TestOperatorClientReadsFleetState checks the replies that the operators'
+// commands print, and the refusal of an unexpected revision and of an
+// undeclared site.
+func TestOperatorClientReadsFleetState(t *testing.T) {
+	c := startCluster(t, 2)
+	c.formGroups()
+	client := c.operatorClient(c.nodes[1])
 	status, err := client.Status()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, status.Revision, qt.Equals, uint64(1))
@@ -195,12 +200,12 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, groups, qt.HasLen, 8)
 	diff, err := client.Diff(operator.ApplyRequest{
-		Files: []declaration.File{s.deployment.File},
+		Files: []declaration.File{c.deployment.File},
 	})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, diff.Differences, qt.HasLen, 0)
 	_, err = client.Apply(operator.ApplyRequest{
-		Files: []declaration.File{s.deployment.File},
+		Files: []declaration.File{c.deployment.File},
 		From:  7,
 	})
 	qt.Assert(t, operator.IsRefused(err), qt.IsTrue)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// Settings are the settings of a daemon. Each is a flag and an environment
-// variable; the tags are read by the command line.
+// Settings configures a daemon. Each field is set by a flag or an environment
+// variable; kong reads their names, defaults and help texts from the tags.
 type Settings struct {
 	ID            string        `name:"id" env:"HEADCOURSE_ID" help:"Name of this daemon, the start of its id. Default: the peer address."`
 	Zone          string        `name:"zone" env:"HEADCOURSE_ZONE" required:"" help:"Availability zone of this VM."`
@@ -27,59 +27,60 @@
 	LogLevel      string        `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged: ${enum}."`
 }
 
-// minPeerKey is the least length of a peer key.
-const minPeerKey = 16
+// minPeerKeyLength is the minimum length of a peer key in bytes.
+const minPeerKeyLength = 16
 
-// Check returns the first setting that cannot be used, with its flag and
-// variable.
+// Check returns an error for the first invalid setting, which names its flag and
+// environment variable.
 func (s Settings) Check() error {
-	check := &checker{}
-	check.address("--callers", "HEADCOURSE_CALLERS", s.Callers)
-	check.address("--operators", "HEADCOURSE_OPERATORS", s.Operators)
-	check.address("--peers", "HEADCOURSE_PEERS", s.Peers)
-	check.address("--table", "HEADCOURSE_TABLE", s.Table)
-	check.address("--vm-list", "HEADCOURSE_VM_LIST", s.VMList)
-	for _, seed := range s.Seeds {
-		check.address("--seeds", "HEADCOURSE_SEEDS", seed)
+	checker := &settingsChecker{}
+	checker.checkAddress("--callers", "HEADCOURSE_CALLERS", s.Callers)
+	checker.checkAddress("--operators", "HEADCOURSE_OPERATORS", s.Operators)
+	checker.checkAddress("--peers", "HEADCOURSE_PEERS", s.Peers)
+	checker.checkAddress("--table", "HEADCOURSE_TABLE", s.Table)
+	checker.checkAddress("--vm-list", "HEADCOURSE_VM_LIST", s.VMList)
+	for _, seedAddress := range s.Seeds {
+		checker.checkAddress("--seeds", "HEADCOURSE_SEEDS", seedAddress)
 	}
-	if len(s.PeerKey) < minPeerKey {
-		check.say("--peer-key", "HEADCOURSE_PEER_KEY", errors.Errorf("must have at least %d characters", minPeerKey))
+	if len(s.PeerKey) < minPeerKeyLength {
+		checker.record("--peer-key", "HEADCOURSE_PEER_KEY", errors.Errorf("must have at least %d characters", minPeerKeyLength))
 	}
 	if s.Zone == "" {
-		check.say("--zone", "HEADCOURSE_ZONE", errors.New("must be set"))
+		checker.record("--zone", "HEADCOURSE_ZONE", errors.New("must be set"))
 	}
-	check.duration("--drain-time", "HEADCOURSE_DRAIN_TIME", s.DrainTime)
-	check.duration("--unready-time", "HEADCOURSE_UNREADY_TIME", s.UnreadyTime)
-	check.duration("--idle-time", "HEADCOURSE_IDLE_TIME", s.IdleTime)
-	return check.first
+	checker.checkDuration("--drain-time", "HEADCOURSE_DRAIN_TIME", s.DrainTime)
+	checker.checkDuration("--unready-time", "HEADCOURSE_UNREADY_TIME", s.UnreadyTime)
+	checker.checkDuration("--idle-time", "HEADCOURSE_IDLE_TIME", s.IdleTime)
+	return checker.firstError
 }
 
-// checker keeps the first mistake.
-type checker struct {
-	first error
+// settingsChecker holds the error of the first invalid setting.
+type settingsChecker struct {
+	firstError error
 }
 
-// say notes a mistake in a setting.
-func (c *checker) say(flag, variable string, mistake error) {
-	if c.first == nil && mistake != nil {
-		c.first = errors.Wrapf(mistake, "%s (%s)", flag, variable)
+// record stores the error of a setting unless an earlier one is stored.
+func (c *settingsChecker) record(flag, variable string, err error) {
+	if c.firstError == nil && err != nil {
+		c.firstError = errors.Wrapf(err, "%s (%s)", flag, variable)
 	}
 }
 
-// address checks a setting that is IP:port.
-func (c *checker) address(flag, variable, value string) {
-	c.say(flag, variable, checkAddress(value))
+// checkAddress checks a setting of the form IP:port.
+func (c *settingsChecker) checkAddress(flag, variable, value string) {
+	c.record(flag, variable, validateAddress(value))
 }
 
-// duration checks a setting that is a time above 0.
-func (c *checker) duration(flag, variable string, value time.Duration) {
+// checkDuration checks that a setting is a duration above 0.
+func (c *settingsChecker) checkDuration(flag, variable string, value time.Duration) {
 	if value <= 0 {
-		c.say(flag, variable, errors.Errorf("must be above 0, not %s", value))
+		c.record(flag, variable, errors.Errorf("must be above 0, not %s", value))
 	}
 }
 
-// checkAddress checks that an address is an IP literal with a port.
-func checkAddress(address string) error {
+// validateAddress checks that an address is an IP literal with a port. Host names
+// are refused.
+func validateAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return errors.Errorf("%q is not IP:port", address)
@@ -87,7 +88,7 @@
 	if net.ParseIP(host) == nil {
 		return errors.Errorf("%q: %q is not an IP number; host names are not looked up", address, host)
 	}
-	if number, err := strconv.Atoi(port); err != nil || number < 0 || number > 65535 {
+	if portNumber, err := strconv.Atoi(port); err != nil || portNumber < 0 || portNumber > 65535 {
 		return errors.Errorf("%q: %q is not a port", address, port)
 	}
 	return nil
