--- a/command/apply.go
+++ b/command/apply.go
@@ -8,14 +8,16 @@
 	"headcourse/io/operator"
 )
 
-// ApplyCommand makes declaration files the next revision.
+// ApplyCommand stores declaration files as the next revision of the
+// configuration.
 type ApplyCommand struct {
 	Connection `embed:""`
 	From       uint64   `name:"from" help:"Revision that the change was reviewed against; another one in force refuses it."`
 	Files      []string `arg:"" help:"Declaration files; - is standard input."`
 }
 
-// Run applies the files and waits until a majority of the daemons hold them.
+// Run applies the files and waits until a majority of the daemons hold the new
+// revision. It returns ErrNotAccepted if they do not in time.
 func (a *ApplyCommand) Run(streams *Streams) error {
 	files, err := readFiles(a.Files, streams.In)
 	if err != nil {
@@ -29,11 +31,11 @@
 		return err
 	}
 	err = a.print(streams.Out, reply, func(table io.Writer) {
-		row(table, "REVISION", "ACCEPTED", "HELD BY")
-		row(table, reply.Revision, reply.Accepted, heldBy(reply.Holders, reply.Daemons))
+		writeRow(table, "REVISION", "ACCEPTED", "HELD BY")
+		writeRow(table, reply.Revision, reply.Accepted, formatHolders(reply.Holders, reply.Daemons))
 	})
 	if err == nil && !reply.Accepted {
-		return errors.Wrapf(ErrNotAccepted, "apply: revision %d is stored, held by %s", reply.Revision, heldBy(reply.Holders, reply.Daemons))
+		return errors.Wrapf(ErrNotAccepted, "apply: revision %d is stored, held by %s", reply.Revision, formatHolders(reply.Holders, reply.Daemons))
 	}
 	return err
 }
--- a/command/check.go
+++ b/command/check.go
@@ -8,12 +8,13 @@
 	"headcourse/core/declaration"
 )
 
-// CheckCommand checks declaration files.
+// CheckCommand checks declaration files without a daemon.
 type CheckCommand struct {
 	Files []string `arg:"" help:"Declaration files; - is standard input."`
 }
 
-// Run reports every mistake with its file, line and field.
+// Run returns an error that lists every mistake with its file, line and field, or
+// prints how many zones, organisations, models and services are declared.
 func (c *CheckCommand) Run(streams *Streams) error {
 	files, err := readFiles(c.Files, streams.In)
 	if err != nil {
--- a/command/command.go
+++ b/command/command.go
@@ -1,8 +1,10 @@
-// Package command is the command line of headcourse: one file for each
-// command, in the order usage, fields, run, and one row for each in CLI.
+// Package command is the command line of headcourse. Each command has its own
+// file, which declares its arguments and flags before its Run method, and a field
+// in CLI.
 //
-// Commands that change or show the fleet talk to any one daemon. Output is
-// written as a table or as JSON. The exit code tells the three outcomes apart:
+// Commands that change or show the fleet connect to one daemon, which may be any
+// daemon. Output is written as a table or as JSON. The exit code gives the
+// outcome:
 //
 //	0  done
 //	1  refused, or failed with nothing changed
@@ -22,7 +24,7 @@
 	"headcourse/io/operator"
 )
 
-// Exit codes.
+// Exit codes, as listed in the package comment.
 const (
 	ExitDone        = 0
 	ExitRefused     = 1
@@ -31,7 +33,8 @@
 	ExitUnknown     = 4
 )
 
-// CLI is the lookup table of commands. Adding one is a file and a row here.
+// CLI lists the commands. kong derives the names of commands from the names of
+// the fields.
 type CLI struct {
 	Serve    ServeCommand    `cmd:"" help:"Run a daemon."`
 	Entry    EntryCommand    `cmd:"" help:"Run a daemon on an entry VM of the platform."`
@@ -46,17 +49,18 @@
 	HashKey  HashKeyCommand  `cmd:"" help:"Read a key from standard input and print the hash that declarations hold."`
 }
 
-// Streams are where a command reads and writes.
+// Streams are the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// ErrNotAccepted reports that a change is stored but not held by a majority.
+// ErrNotAccepted is returned if a change is stored but not yet held by a majority
+// of the daemons.
 var ErrNotAccepted = errors.New("not accepted yet")
 
-// Main parses arguments, runs the command, and returns the exit code.
+// Main parses the arguments, runs the command and returns the exit code.
 func Main(arguments []string, in io.Reader, out, errOut io.Writer) int {
 	streams := &Streams{
 		In:  in,
@@ -77,39 +81,40 @@
 		}),
 	)
 	if err != nil {
-		return fail(errOut, err, ExitUsage)
+		return printError(errOut, err, ExitUsage)
 	}
-	context, err := parser.Parse(arguments)
+	kongContext, err := parser.Parse(arguments)
 	if exited {
 		return exitCode
 	}
 	if err != nil {
-		return fail(errOut, err, ExitUsage)
+		return printError(errOut, err, ExitUsage)
 	}
-	if err = context.Run(streams); err != nil {
-		return fail(errOut, err, codeOf(err))
+	if err = kongContext.Run(streams); err != nil {
+		return printError(errOut, err, exitCodeFor(err))
 	}
 	return ExitDone
 }
 
-// usageError is an error of the command line or of a setting.
+// usageError wraps an error in the command line or in a setting, for which the
+// exit code is ExitUsage.
 type usageError struct {
 	cause error
 }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (u usageError) Error() string {
 	return u.cause.Error()
 }
 
-// fail writes an error and returns the code.
-func fail(errOut io.Writer, err error, code int) int {
+// printError writes an error for the user and returns the exit code.
+func printError(errOut io.Writer, err error, code int) int {
 	_, _ = fmt.Fprintf(errOut, "headcourse: %s\n", err)
 	return code
 }
 
-// codeOf returns the exit code of an error.
-func codeOf(err error) int {
+// exitCodeFor returns the exit code for an error.
+func exitCodeFor(err error) int {
 	var usage usageError
 	switch {
 	case errors.As(err, &usage):
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -16,11 +16,11 @@
 	"headcourse/labcommand"
 )
 
-// update writes the expected outputs and the reference anew.
+// update makes the tests overwrite the expected outputs and the reference page.
 var update = flag.Bool("update", false, "write expected outputs and docs/REFERENCE.md anew")
 
-// TestMain takes away what a terminal or an operator's environment would change
-// in the output.
+// TestMain unsets the environment variables that change the output: the terminal
+// width and the settings of headcourse.
 func TestMain(m *testing.M) {
 	for _, variable := range os.Environ() {
 		name, _, _ := strings.Cut(variable, "=")
@@ -31,15 +31,17 @@
 	os.Exit(m.Run())
 }
 
-// run runs a command line and returns what a user would see.
-func run(arguments []string, input string) string {
+// runCommand runs a command line and returns its output, standard error included,
+// and its exit code.
+func runCommand(arguments []string, stdin string) string {
 	var out bytes.Buffer
-	code := command.Main(arguments, strings.NewReader(input), &out, &out)
+	code := command.Main(arguments, strings.NewReader(stdin), &out, &out)
 	return fmt.Sprintf("%sexit code %d\n", out.String(), code)
 }
 
-// compare compares a file with what it should hold, or writes it.
-func compare(t *testing.T, file, got string) {
+// compareWithFile checks that the output equals a file, or overwrites the file if
+// update is set.
+func compareWithFile(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
 		qt.Assert(t, os.WriteFile(file, []byte(got), 0o600), qt.IsNil)
@@ -50,29 +52,30 @@
 	qt.Assert(t, got, qt.Equals, string(expected), qt.Commentf("%s; to accept: go test ./command -update", file))
 }
 
-// TestCases runs every folder of testdata: the file command holds the arguments,
-// one a line, input is given as standard input, expected is what must come out.
-func TestCases(t *testing.T) {
-	folders, err := filepath.Glob(filepath.Join("testdata", "*"))
+// TestCommandOutputMatchesExpectedFile runs the command of each folder of
+// testdata. The file command holds the arguments, one per line; input, if there is
+// one, holds the standard input; expected holds the output and the exit code.
+func TestCommandOutputMatchesExpectedFile(t *testing.T) {
+	caseFolders, err := filepath.Glob(filepath.Join("testdata", "*"))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(folders) > 0, qt.IsTrue)
-	for _, folder := range folders {
-		t.Run(filepath.Base(folder), func(t *testing.T) {
-			t.Chdir(folder)
-			line, err := os.ReadFile("command")
+	qt.Assert(t, len(caseFolders) > 0, qt.IsTrue)
+	for _, caseFolder := range caseFolders {
+		t.Run(filepath.Base(caseFolder), func(t *testing.T) {
+			t.Chdir(caseFolder)
+			argumentLines, err := os.ReadFile("command")
 			qt.Assert(t, err, qt.IsNil)
 			input, err := os.ReadFile("input")
 			if err != nil {
 				input = nil
 			}
-			arguments := strings.Split(strings.TrimRight(string(line), "\n"), "\n")
-			compare(t, "expected", run(arguments, string(input)))
+			arguments := strings.Split(strings.TrimRight(string(argumentLines), "\n"), "\n")
+			compareWithFile(t, "expected", runCommand(arguments, string(input)))
 		})
 	}
 }
 
-// referenced are the commands of the reference, in its order.
-var referenced = [][]string{
+// documentedCommands are the commands of the reference page, in its order.
+var documentedCommands = [][]string{
 	{"serve"},
 	{"entry"},
 	{"check"},
@@ -98,8 +101,9 @@
 	{"hash-key"},
 }
 
-// labReferenced are the commands of headcourse-lab.
-var labReferenced = [][]string{
+// documentedLabCommands are the commands of headcourse-lab on the reference page;
+// the empty one is headcourse-lab itself.
+var documentedLabCommands = [][]string{
 	{},
 	{"demo"},
 	{"platform"},
@@ -113,43 +117,45 @@
 	{"compare"},
 }
 
-// TestReference makes the reference from the programs' own help.
-func TestReference(t *testing.T) {
+// TestReferencePageMatchesHelp checks that the reference page equals the help
+// texts of both programs. With update set it rewrites the page.
+func TestReferencePageMatchesHelp(t *testing.T) {
 	var page strings.Builder
 	page.WriteString("# Reference\n\nMade from the programs' own help by `go test ./command -update`.\n")
-	section := func(title string, arguments ...string) {
-		text := run(arguments, "")
+	writeSection := func(title string, arguments ...string) {
+		text := runCommand(arguments, "")
 		text = strings.TrimSuffix(text, "exit code 0\n")
 		fmt.Fprintf(&page, "\n## %s\n\n```\n%s```\n", title, text)
 	}
-	section("headcourse", "--help")
-	for _, one := range referenced {
-		section("headcourse "+strings.Join(one, " "), append(append([]string{}, one...), "--help")...)
+	writeSection("headcourse", "--help")
+	for _, commandPath := range documentedCommands {
+		writeSection("headcourse "+strings.Join(commandPath, " "), append(append([]string{}, commandPath...), "--help")...)
 	}
-	section("Reasons that are counted", "counters", "--list")
-	for _, one := range labReferenced {
+	writeSection("Reasons that are counted", "counters", "--list")
+	for _, commandPath := range documentedLabCommands {
 		var out bytes.Buffer
-		labcommand.Main(append(append([]string{}, one...), "--help"), &out, &out)
-		fmt.Fprintf(&page, "\n## %s\n\n```\n%s```\n", strings.Join(append([]string{"headcourse-lab"}, one...), " "), out.String())
+		labcommand.Main(append(append([]string{}, commandPath...), "--help"), &out, &out)
+		fmt.Fprintf(&page, "\n## %s\n\n```\n%s```\n", strings.Join(append([]string{"headcourse-lab"}, commandPath...), " "), out.String())
 	}
 	page.WriteString("\n## Counters\n\nA daemon counts each reason as `refusal.REASON`, and as `retry.REASON` when it\ntried again; outcomes as `request.ran`, `request.not_run` and\n`request.unknown`; streams taken up again as `stream.resumed`; kept answers\ngiven again as `idempotency.replayed`; bytes between daemons as\n`peer.bytes_read` and `peer.bytes_written`.\n")
-	compare(t, filepath.Join("..", "docs", "REFERENCE.md"), page.String())
+	compareWithFile(t, filepath.Join("..", "docs", "REFERENCE.md"), page.String())
 }
 
-// TestEveryCommandIsReferenced keeps the list above complete.
-func TestEveryCommandIsReferenced(t *testing.T) {
-	help := run([]string{"--help"}, "")
+// TestEveryCommandIsDocumented checks that documentedCommands has every command of
+// the help.
+func TestEveryCommandIsDocumented(t *testing.T) {
+	help := runCommand([]string{"--help"}, "")
 	var missing []string
 	for _, line := range strings.Split(help, "\n") {
 		fields := strings.Fields(line)
 		if !strings.HasPrefix(line, "  ") || strings.HasPrefix(line, "    ") || len(fields) == 0 || strings.HasPrefix(fields[0], "-") {
 			continue
 		}
-		isListed := false
-		for _, one := range referenced {
-			isListed = isListed || one[0] == fields[0]
+		isDocumented := false
+		for _, documented := range documentedCommands {
+			isDocumented = isDocumented || documented[0] == fields[0]
 		}
-		if !isListed {
+		if !isDocumented {
 			missing = append(missing, fields[0])
 		}
 	}
--- a/command/counters.go
+++ b/command/counters.go
@@ -7,7 +7,8 @@
 	"headcourse/core/outcome"
 )
 
-// CountersCommand shows counters.
+// CountersCommand shows the counters of one daemon. It repeats the fields of
+// Connection because --list needs no key.
 type CountersCommand struct {
 	Daemon string `name:"daemon" env:"HEADCOURSE_DAEMON" default:"127.0.0.1:8081" help:"IP:port for operators of the daemon."`
 	Key    string `name:"key" env:"HEADCOURSE_KEY" help:"The operator's key; prefer the variable."`
@@ -15,7 +16,7 @@
 	List   bool   `name:"list" help:"List every reason that is counted, with what it means."`
 }
 
-// Run shows the daemon's counters, or the list.
+// Run prints the daemon's counters, or with --list the reasons that are counted.
 func (c *CountersCommand) Run(streams *Streams) error {
 	connection := Connection{
 		Daemon: c.Daemon,
@@ -24,9 +25,9 @@
 	}
 	if c.List {
 		return connection.print(streams.Out, outcome.Reasons, func(table io.Writer) {
-			row(table, "REASON", "MEANING")
-			for _, known := range outcome.Reasons {
-				row(table, known.Reason, known.Meaning)
+			writeRow(table, "REASON", "MEANING")
+			for _, entry := range outcome.Reasons {
+				writeRow(table, entry.Reason, entry.Meaning)
 			}
 		})
 	}
@@ -40,9 +41,9 @@
 			names = append(names, name)
 		}
 		sort.Strings(names)
-		row(table, "COUNTER", "VALUE")
+		writeRow(table, "COUNTER", "VALUE")
 		for _, name := range names {
-			row(table, name, counters[name])
+			writeRow(table, name, counters[name])
 		}
 	})
 }
--- a/command/diff.go
+++ b/command/diff.go
@@ -13,7 +13,7 @@
 	Files      []string `arg:"" help:"Declaration files; - is standard input."`
 }
 
-// Run prints each field that differs.
+// Run prints a line for each field that differs.
 func (d *DiffCommand) Run(streams *Streams) error {
 	files, err := readFiles(d.Files, streams.In)
 	if err != nil {
@@ -26,14 +26,15 @@
 		return err
 	}
 	return d.print(streams.Out, reply, func(table io.Writer) {
-		row(table, fmt.Sprintf("against revision %d: %d differences", reply.Revision, len(reply.Differences)))
+		writeRow(table, fmt.Sprintf("against revision %d: %d differences", reply.Revision, len(reply.Differences)))
 		for _, difference := range reply.Differences {
-			row(table, "  "+difference)
+			writeRow(table, "  "+difference)
 		}
 	})
 }
 
-// heldBy returns "3 of 9 daemons".
-func heldBy(holders, daemons int) string {
+// formatHolders returns how many daemons hold a revision, as in
+// "3 of 9 daemons".
+func formatHolders(holders, daemons int) string {
 	return fmt.Sprintf("%d of %d daemons", holders, daemons)
 }
--- a/command/entry.go
+++ b/command/entry.go
@@ -14,23 +14,24 @@
 	"headcourse/platform"
 )
 
-// EntryCommand runs a daemon on an entry VM of the platform, until SIGTERM.
+// EntryCommand runs a daemon on an entry VM of the platform until SIGTERM or
+// SIGINT.
 type EntryCommand struct {
 	Settings string `name:"settings" help:"Path of the settings file. Default: where the platform says."`
 	Metrics  int    `name:"metrics-port" env:"HEADCOURSE_METRICS_PORT" default:"0" help:"Port on which metrics are served, on the VM's address; 0: none."`
 	LogLevel string `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged: ${enum}."`
 }
 
-// Times of the command.
 const (
-	// lookEvery is the time between two looks at the settings file, which may
-	// change without a signal.
-	lookEvery = time.Second
-	// flushTime bounds writing the last log lines.
-	flushTime = 200 * time.Millisecond
+	// settingsPollInterval is the interval at which the settings file is checked for
+	// changes, because it may change without a SIGHUP.
+	settingsPollInterval = time.Second
+	// logFlushTimeout bounds the time to write pending log lines at exit.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// Run runs the daemon.
+// Run starts the daemon, passes changed settings to it until a signal ends the
+// command, and stops it.
 func (e *EntryCommand) Run(streams *Streams) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -38,61 +39,63 @@
 	if path == "" {
 		path = platform.SettingsPath()
 	}
-	lines := logline.New(streams.Out)
-	defer lines.Close(flushTime)
-	log, err := logline.Logger(e.LogLevel, lines)
+	logWriter := logline.New(streams.Out)
+	defer logWriter.Close(logFlushTimeout)
+	log, err := logline.Logger(e.LogLevel, logWriter)
 	if err != nil {
 		return usageError{
 			cause: err,
 		}
 	}
-	known, err := platform.ReadSettings(path)
+	initial, err := platform.ReadSettings(path)
 	if err != nil {
 		return usageError{
 			cause: err,
 		}
 	}
-	daemon, err := entry.Start(known.WithMetricsPort(e.Metrics), log)
+	daemon, err := entry.Start(initial.WithMetricsPort(e.Metrics), log)
 	if err != nil {
 		return err
 	}
-	e.wait(signals, path, known, daemon, log)
+	e.waitForStop(signals, path, initial, daemon, log)
 	return daemon.Stop()
 }
 
-// wait returns when the daemon is to stop, and has it take changed settings
-// until then.
-func (e *EntryCommand) wait(signals <-chan os.Signal, path string, known settings.Settings, daemon *entry.Daemon, log *zap.Logger) {
-	ticker := time.NewTicker(lookEvery)
+// waitForStop returns on SIGTERM or SIGINT. Until then it reads the settings file
+// on SIGHUP and after each change of the file, and passes settings that differ
+// from the last ones to the daemon.
+func (e *EntryCommand) waitForStop(signals <-chan os.Signal, path string, current settings.Settings, daemon *entry.Daemon, log *zap.Logger) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	changedAt := changeTime(path)
+	modifiedAt := modificationTime(path)
 	for {
 		select {
-		case got := <-signals:
-			if got != syscall.SIGHUP {
+		case received := <-signals:
+			if received != syscall.SIGHUP {
 				return
 			}
 		case <-ticker.C:
-			latest := changeTime(path)
-			if latest.Equal(changedAt) {
+			latestModifiedAt := modificationTime(path)
+			if latestModifiedAt.Equal(modifiedAt) {
 				continue
 			}
-			changedAt = latest
+			modifiedAt = latestModifiedAt
 		}
 		next, err := platform.ReadSettings(path)
 		if err != nil {
-			log.Error("daemon: settings not taken, the last good ones stay in force", logline.Err(err))
+			log.Error("daemon: settings not applied, the last valid settings stay in force", logline.Err(err))
 			continue
 		}
-		if next != known {
-			known = next
+		if next != current {
+			current = next
 			daemon.Reload(next)
 		}
 	}
 }
 
-// changeTime returns when a file was last changed; zero if that is not known.
-func changeTime(path string) time.Time {
+// modificationTime returns the modification time of a file, or the zero time if it
+// cannot be read.
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/command/groups.go
+++ b/command/groups.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// GroupsCommand shows the groups.
+// GroupsCommand shows the serving groups.
 type GroupsCommand struct {
 	Connection `embed:""`
 }
 
-// Run shows each group with its members.
+// Run prints a row for each group, with the VMs of its members.
 func (g *GroupsCommand) Run(streams *Streams) error {
 	groups, err := g.client().Groups()
 	if err != nil {
 		return err
 	}
 	return g.print(streams.Out, groups, func(table io.Writer) {
-		row(table, "GROUP", "MODEL", "VERSION", "ZONE", "PHASE", "WHOLE", "GENERATION", "IN FLIGHT", "EVIDENCE S", "MEMBERS")
-		for _, one := range groups {
-			members := make([]string, len(one.Record.Members))
-			for i, member := range one.Record.Members {
+		writeRow(table, "GROUP", "MODEL", "VERSION", "ZONE", "PHASE", "WHOLE", "GENERATION", "IN FLIGHT", "EVIDENCE S", "MEMBERS")
+		for _, group := range groups {
+			members := make([]string, len(group.Record.Members))
+			for i, member := range group.Record.Members {
 				members[i] = member.VM
 			}
-			row(table, one.Record.Name, one.Record.Model, one.Record.Version, one.Record.Zone, one.Record.Phase, one.Serveable, one.Record.Generation, one.InFlight, fmt.Sprintf("%.1f", one.Age), strings.Join(members, " "))
+			writeRow(table, group.Record.Name, group.Record.Model, group.Record.Version, group.Record.Zone, group.Record.Phase, group.Serveable, group.Record.Generation, group.InFlight, fmt.Sprintf("%.1f", group.Age), strings.Join(members, " "))
 		}
 	})
 }
--- a/command/hashkey.go
+++ b/command/hashkey.go
@@ -10,22 +10,24 @@
 	"github.com/pkg/errors"
 )
 
-// HashKeyCommand turns a key into the hash that declarations hold.
+// HashKeyCommand prints the SHA-256 hash of a key, which declarations hold in
+// place of the key.
 type HashKeyCommand struct{}
 
-// minKey is the least length of a key.
-const minKey = 12
+// minKeyLength is the minimum length of a key in bytes.
+const minKeyLength = 12
 
-// Run reads the key from standard input, so that it stands in no history.
+// Run reads the key from standard input, so that it does not appear in the shell
+// history.
 func (h *HashKeyCommand) Run(streams *Streams) error {
-	read, err := io.ReadAll(streams.In)
+	input, err := io.ReadAll(streams.In)
 	if err != nil {
 		return errors.Wrap(err, "read key")
 	}
-	key := strings.TrimRight(string(read), "\r\n")
-	if len(key) < minKey {
+	key := strings.TrimRight(string(input), "\r\n")
+	if len(key) < minKeyLength {
 		return usageError{
-			cause: errors.Errorf("key: must have at least %d characters", minKey),
+			cause: errors.Errorf("key: must have at least %d characters", minKeyLength),
 		}
 	}
 	sum := sha256.Sum256([]byte(key))
--- a/command/plan.go
+++ b/command/plan.go
@@ -8,8 +8,8 @@
 	"headcourse/io/operator"
 )
 
-// PlanCommand states intents and shows and changes plans. Its first part has
-// one row for each kind of intent in plan.Kinds.
+// PlanCommand proposes plans for intents, and shows and changes existing plans.
+// The fields before List match the kinds of intent in plan.Kinds.
 type PlanCommand struct {
 	Reconcile     ReconcileIntent     `cmd:"" help:"Plan to create, change and dissolve groups until the fleet is as declared."`
 	DrainSite     DrainSiteIntent     `cmd:"" help:"Plan to move every group out of a site and close its zones."`
@@ -26,14 +26,14 @@
 	Abandon PlanAbandonCommand `cmd:"" help:"Give a plan up; the fleet stays whole."`
 }
 
-// intention is what all intents share.
-type intention struct {
+// intentCommand holds the flags of the commands that propose a plan.
+type intentCommand struct {
 	Connection `embed:""`
 	AllowFewer bool `name:"allow-fewer" help:"Let groups for which there is no room go without replacement."`
 }
 
-// propose plans an intent and prints the plan.
-func (i intention) propose(streams *Streams, intent plan.Intent) error {
+// propose asks the daemon to build a plan for an intent, and prints the plan.
+func (i intentCommand) propose(streams *Streams, intent plan.Intent) error {
 	intent.AllowFewer = i.AllowFewer
 	reply, err := i.client().Propose(intent)
 	if err != nil {
@@ -42,44 +42,45 @@
 	return i.printPlan(streams, reply)
 }
 
-// printPlan prints a plan with its steps and prediction.
+// printPlan prints a plan with its steps and predicted costs.
 func (c Connection) printPlan(streams *Streams, reply operator.PlanReply) error {
 	return c.print(streams.Out, reply, func(table io.Writer) {
-		made := reply.Plan
-		_, _ = fmt.Fprintf(table, "plan %s: %s\nstate: %s %s\nstands on revision %d\n", made.ID, made.Intent, made.State, made.Reason, made.Revision)
-		row(table, "STAGE", "STEP", "NEEDS", "DOWNTIME S", "STRANDED S")
-		for _, step := range made.Steps {
-			row(table, step.Stage, step, step.Needs, step.DowntimeSeconds, step.StrandedSeconds)
+		p := reply.Plan
+		_, _ = fmt.Fprintf(table, "plan %s: %s\nstate: %s %s\nstands on revision %d\n", p.ID, p.Intent, p.State, p.Reason, p.Revision)
+		writeRow(table, "STAGE", "STEP", "NEEDS", "DOWNTIME S", "STRANDED S")
+		for _, step := range p.Steps {
+			writeRow(table, step.Stage, step, step.Needs, step.DowntimeSeconds, step.StrandedSeconds)
 		}
 		_, _ = fmt.Fprintf(table, "predicted: %.0f group seconds of downtime, %.0f stranded accelerator seconds\n", reply.DowntimeSeconds, reply.StrandedSeconds)
-		for _, note := range made.Notes {
+		for _, note := range p.Notes {
 			_, _ = fmt.Fprintf(table, "note: %s\n", note)
 		}
-		if made.State == plan.Proposed {
-			_, _ = fmt.Fprintf(table, "nothing has changed; to carry it out: headcourse confirm %s\n", made.ID)
+		if p.State == plan.Proposed {
+			_, _ = fmt.Fprintf(table, "nothing has changed; to carry it out: headcourse confirm %s\n", p.ID)
 		}
 	})
 }
 
-// ReconcileIntent makes the fleet as declared.
+// ReconcileIntent proposes a plan that makes the fleet match the declaration.
 type ReconcileIntent struct {
-	intention `embed:""`
+	intentCommand `embed:""`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (r *ReconcileIntent) Run(streams *Streams) error {
 	return r.propose(streams, plan.Intent{
 		Kind: plan.Reconcile,
 	})
 }
 
-// DrainSiteIntent empties a site.
+// DrainSiteIntent proposes a plan that moves all groups out of a site and closes
+// its zones.
 type DrainSiteIntent struct {
-	intention `embed:""`
-	Site      string `arg:"" help:"The site."`
+	intentCommand `embed:""`
+	Site          string `arg:"" help:"The site."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (d *DrainSiteIntent) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind: plan.DrainSite,
@@ -87,13 +88,14 @@
 	})
 }
 
-// DrainZoneIntent empties a zone.
+// DrainZoneIntent proposes a plan that moves all groups out of a zone and closes
+// it.
 type DrainZoneIntent struct {
-	intention `embed:""`
-	Zone      string `arg:"" help:"The zone."`
+	intentCommand `embed:""`
+	Zone          string `arg:"" help:"The zone."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (d *DrainZoneIntent) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind: plan.DrainZone,
@@ -101,13 +103,13 @@
 	})
 }
 
-// OpenZoneIntent opens a zone.
+// OpenZoneIntent proposes a plan that opens a closed zone for groups again.
 type OpenZoneIntent struct {
-	intention `embed:""`
-	Zone      string `arg:"" help:"The zone."`
+	intentCommand `embed:""`
+	Zone          string `arg:"" help:"The zone."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (o *OpenZoneIntent) Run(streams *Streams) error {
 	return o.propose(streams, plan.Intent{
 		Kind: plan.OpenZoneAgain,
@@ -115,13 +117,13 @@
 	})
 }
 
-// RetireVMIntent takes a VM out of use.
+// RetireVMIntent proposes a plan that takes a VM out of use.
 type RetireVMIntent struct {
-	intention `embed:""`
-	VM        string `arg:"" help:"The VM's id."`
+	intentCommand `embed:""`
+	VM            string `arg:"" help:"The VM's id."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (r *RetireVMIntent) Run(streams *Streams) error {
 	return r.propose(streams, plan.Intent{
 		Kind: plan.RetireOneVM,
@@ -129,15 +131,16 @@
 	})
 }
 
-// MoveModelIntent moves a model between zones.
+// MoveModelIntent proposes a plan that moves the groups of a model from one zone
+// to another.
 type MoveModelIntent struct {
-	intention `embed:""`
-	Model     string `arg:"" help:"The model."`
-	From      string `arg:"" help:"The zone to leave."`
-	To        string `arg:"" help:"The zone to go to."`
+	intentCommand `embed:""`
+	Model         string `arg:"" help:"The model."`
+	From          string `arg:"" help:"The zone to leave."`
+	To            string `arg:"" help:"The zone to go to."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (m *MoveModelIntent) Run(streams *Streams) error {
 	return m.propose(streams, plan.Intent{
 		Kind:  plan.MoveModel,
@@ -147,13 +150,13 @@
 	})
 }
 
-// DissolveGroupIntent ends a group.
+// DissolveGroupIntent proposes a plan that dissolves a group and frees its VMs.
 type DissolveGroupIntent struct {
-	intention `embed:""`
-	Group     string `arg:"" help:"The group."`
+	intentCommand `embed:""`
+	Group         string `arg:"" help:"The group."`
 }
 
-// Run plans it.
+// Run proposes the plan and prints it.
 func (d *DissolveGroupIntent) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind:  plan.DissolveGroup,
@@ -162,34 +165,34 @@
 }
 
 // ----------------------------------------------------------------------------
-// Plans that were made
+// Existing plans
 
-// PlanListCommand lists plans.
+// PlanListCommand lists all plans.
 type PlanListCommand struct {
 	Connection `embed:""`
 }
 
-// Run lists them.
+// Run prints a row for each plan.
 func (p *PlanListCommand) Run(streams *Streams) error {
 	plans, err := p.client().Plans()
 	if err != nil {
 		return err
 	}
 	return p.print(streams.Out, plans, func(table io.Writer) {
-		row(table, "PLAN", "INTENT", "STATE", "STAGE", "OPERATOR", "REASON")
-		for _, one := range plans {
-			row(table, one.ID, one.Intent, one.State, fmt.Sprintf("%d of %d", one.Stage+1, one.LastStage()+1), one.Operator, one.Reason)
+		writeRow(table, "PLAN", "INTENT", "STATE", "STAGE", "OPERATOR", "REASON")
+		for _, item := range plans {
+			writeRow(table, item.ID, item.Intent, item.State, fmt.Sprintf("%d of %d", item.Stage+1, item.LastStage()+1), item.Operator, item.Reason)
 		}
 	})
 }
 
-// PlanShowCommand shows a plan.
+// PlanShowCommand shows one plan.
 type PlanShowCommand struct {
 	Connection `embed:""`
 	Plan       string `arg:"" help:"The plan's id."`
 }
 
-// Run shows it.
+// Run prints the plan.
 func (p *PlanShowCommand) Run(streams *Streams) error {
 	reply, err := p.client().Plan(p.Plan)
 	if err != nil {
@@ -198,14 +201,15 @@
 	return p.printPlan(streams, reply)
 }
 
-// planChange is what the commands that change a plan share.
-type planChange struct {
+// planChangeCommand holds the flags of the commands that change the state of a
+// plan.
+type planChangeCommand struct {
 	Connection `embed:""`
 	Plan       string `arg:"" help:"The plan's id."`
 }
 
-// change changes the plan and prints it.
-func (p planChange) change(streams *Streams, change plan.Change) error {
+// applyChange changes the state of the plan and prints the plan.
+func (p planChangeCommand) applyChange(streams *Streams, change plan.Change) error {
 	reply, err := p.client().Change(p.Plan, change)
 	if err != nil {
 		return err
@@ -213,32 +217,32 @@
 	return p.printPlan(streams, reply)
 }
 
-// PlanPauseCommand pauses a plan.
+// PlanPauseCommand pauses a confirmed plan.
 type PlanPauseCommand struct {
-	planChange `embed:""`
+	planChangeCommand `embed:""`
 }
 
-// Run pauses it.
+// Run pauses the plan and prints it.
 func (p *PlanPauseCommand) Run(streams *Streams) error {
-	return p.change(streams, plan.ChangePause)
+	return p.applyChange(streams, plan.ChangePause)
 }
 
-// PlanResumeCommand resumes a plan.
+// PlanResumeCommand resumes a paused plan.
 type PlanResumeCommand struct {
-	planChange `embed:""`
+	planChangeCommand `embed:""`
 }
 
-// Run resumes it.
+// Run resumes the plan and prints it.
 func (p *PlanResumeCommand) Run(streams *Streams) error {
-	return p.change(streams, plan.ChangeResume)
+	return p.applyChange(streams, plan.ChangeResume)
 }
 
 // PlanAbandonCommand abandons a plan.
 type PlanAbandonCommand struct {
-	planChange `embed:""`
+	planChangeCommand `embed:""`
 }
 
-// Run abandons it.
+// Run abandons the plan and prints it.
 func (p *PlanAbandonCommand) Run(streams *Streams) error {
-	return p.change(streams, plan.ChangeAbandon)
+	return p.applyChange(streams, plan.ChangeAbandon)
 }
--- a/command/serve.go
+++ b/command/serve.go
@@ -17,8 +17,8 @@
 	daemon.Settings `embed:""`
 }
 
-// Run runs the daemon. On a signal it becomes unready at once, finishes what
-// is in flight, and returns nil if nothing was cut off.
+// Run runs the daemon. On a signal the daemon reports unready at once and waits
+// for answers in flight. Run returns an error if answers were cut off.
 func (s *ServeCommand) Run(streams *Streams) error {
 	if err := s.Check(); err != nil {
 		return usageError{
--- a/command/status.go
+++ b/command/status.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// StatusCommand shows the fleet.
+// StatusCommand shows a daemon's view of the fleet.
 type StatusCommand struct {
 	Connection `embed:""`
 }
 
-// Run shows daemons, leases and zones.
+// Run prints a table of daemons with their leases, and one of zones.
 func (s *StatusCommand) Run(streams *Streams) error {
 	status, err := s.client().Status()
 	if err != nil {
@@ -18,18 +18,18 @@
 	}
 	return s.print(streams.Out, status, func(table io.Writer) {
 		_, _ = fmt.Fprintf(table, "revision %d, accepted %t; daemon %s serves: %t; store read %.1f s ago\n\n", status.Revision, status.Accepted, status.Daemon, status.Serving, status.StoreAge)
-		row(table, "DAEMON", "ZONE", "HEARD S AGO", "HOLDS REVISION", "LEASES")
+		writeRow(table, "DAEMON", "ZONE", "HEARD S AGO", "HOLDS REVISION", "LEASES")
 		leases := map[string]int{}
 		for _, lease := range status.Leases {
 			leases[lease.Holder]++
 		}
 		for _, daemon := range status.Daemons {
-			row(table, daemon.ID, daemon.Zone, fmt.Sprintf("%.1f", daemon.HeardAge), daemon.HoldsRevision, leases[daemon.ID])
+			writeRow(table, daemon.ID, daemon.Zone, fmt.Sprintf("%.1f", daemon.HeardAge), daemon.HoldsRevision, leases[daemon.ID])
 		}
-		row(table)
-		row(table, "ZONE", "CLOSED", "VMS", "LEAVING", "FREE", "GROUPS", "WHOLE", "ACCELERATORS", "STRANDED")
+		writeRow(table)
+		writeRow(table, "ZONE", "CLOSED", "VMS", "LEAVING", "FREE", "GROUPS", "WHOLE", "ACCELERATORS", "STRANDED")
 		for _, zone := range status.Zones {
-			row(table, zone.Zone, zone.Closed, zone.VMs, zone.Leaving, zone.Free, zone.Groups, zone.Whole, zone.Accelerators, zone.Stranded)
+			writeRow(table, zone.Zone, zone.Closed, zone.VMs, zone.Leaving, zone.Free, zone.Groups, zone.Whole, zone.Accelerators, zone.Stranded)
 		}
 	})
 }
