--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -14,8 +14,7 @@
 	"headcourse/platform/journal"
 )
 
-// CompareCommand compares runs that were made for two purposes, day by day and seed by
-// seed.
+// CompareCommand compares the runs of two purposes, paired by site, day and seed.
 type CompareCommand struct {
 	Journal string `default:"journal" help:"Folder of the bench's journal."`
 	Before  string `required:"" help:"Purpose of the runs to compare with, as the journal has it."`
@@ -24,17 +23,17 @@
 	As      string `default:"text" enum:"text,csv,svg" help:"What is written: text, csv, or svg, a plot of worth before and after."`
 }
 
-// Run writes the pairs and what they say.
+// Run writes the pairs. As text it adds a summary with a verdict for each site.
 func (c *CompareCommand) Run(streams *Streams) error {
 	runs, err := journal.Read(c.Journal)
 	if err != nil {
 		return err
 	}
-	before, err := c.daysOf(runs, "--before", c.Before)
+	before, err := c.daysForPurpose(runs, "--before", c.Before)
 	if err != nil {
 		return err
 	}
-	after, err := c.daysOf(runs, "--after", c.After)
+	after, err := c.daysForPurpose(runs, "--after", c.After)
 	if err != nil {
 		return err
 	}
@@ -43,15 +42,16 @@
 		return errors.Errorf("--before, --after: no day was played with the same seed for both %q and %q", c.Before, c.After)
 	}
 	writers := map[string]func(io.Writer, []comparison.Pair) error{
-		"text": writePairs,
+		"text": writePairsText,
 		"csv":  writePairsCSV,
-		"svg":  drawPairs,
+		"svg":  plotPairs,
 	}
 	return writers[c.As](streams.Out, pairs)
 }
 
-// daysOf returns the days that were played for a purpose, which a flag has named.
-func (c *CompareCommand) daysOf(runs []journal.Run, flag, purpose string) ([]comparison.Day, error) {
+// daysForPurpose returns the days of all runs with a purpose, at c.Site if it is
+// set. Errors begin with the flag that gave the purpose.
+func (c *CompareCommand) daysForPurpose(runs []journal.Run, flag, purpose string) ([]comparison.Day, error) {
 	var days []comparison.Day
 	for _, run := range runs {
 		if run.Purpose != purpose || (c.Site != "" && run.Site != c.Site) {
@@ -67,21 +67,22 @@
 		}
 	}
 	if len(days) == 0 {
-		return nil, errors.Errorf("%s: the journal %s has no run of %q for %q", flag, c.Journal, orAll(c.Site), purpose)
+		return nil, errors.Errorf("%s: the journal %s has no run of %q for %q", flag, c.Journal, siteLabel(c.Site), purpose)
 	}
 	return days, nil
 }
 
-// orAll names a site, or all of them.
-func orAll(site string) string {
+// siteLabel returns the name of a site for messages.
+func siteLabel(site string) string {
 	if site == "" {
 		return "any site"
 	}
 	return site
 }
 
-// writePairs writes a line for each pair, and one for each site and for all.
-func writePairs(out io.Writer, pairs []comparison.Pair) error {
+// writePairsText writes a table of the pairs, and one of summaries: a row for each
+// site, and one for all pairs if there are several sites.
+func writePairsText(out io.Writer, pairs []comparison.Pair) error {
 	const padding = 2
 	table := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 	_, _ = fmt.Fprintln(table, "site\tday\tseed\tbefore\tafter\tdifference")
@@ -89,9 +90,9 @@
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\n", pair.Site, pair.Name, pair.Seed, pair.Before, pair.After, pair.Difference())
 	}
 	_, _ = fmt.Fprintln(table, "\nsite\tpairs\tbefore\tafter\tdifference\tstandard error\tverdict")
-	sites := sitesOf(pairs)
+	sites := sortedSites(pairs)
 	for _, site := range sites {
-		writeSummary(table, site, ofSite(pairs, site))
+		writeSummary(table, site, pairsForSite(pairs, site))
 	}
 	if len(sites) > 1 {
 		writeSummary(table, "all", pairs)
@@ -99,14 +100,14 @@
 	return errors.Wrap(table.Flush(), "write comparison")
 }
 
-// writeSummary writes what pairs say.
+// writeSummary writes the summary of pairs as a table row.
 func writeSummary(out io.Writer, name string, pairs []comparison.Pair) {
-	sum := comparison.Summarise(pairs)
-	_, _ = fmt.Fprintf(out, "%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%s\n", name, sum.Pairs, sum.Before, sum.After, sum.Difference, sum.Error, sum.Verdict())
+	summary := comparison.Summarise(pairs)
+	_, _ = fmt.Fprintf(out, "%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%s\n", name, summary.Pairs, summary.Before, summary.After, summary.Difference, summary.Error, summary.Verdict())
 }
 
-// sitesOf returns the sites of pairs, ordered.
-func sitesOf(pairs []comparison.Pair) []string {
+// sortedSites returns the distinct sites of pairs in alphabetical order.
+func sortedSites(pairs []comparison.Pair) []string {
 	var sites []string
 	for _, pair := range pairs {
 		sites = append(sites, pair.Site)
@@ -115,18 +116,18 @@
 	return slices.Compact(sites)
 }
 
-// ofSite returns the pairs of a site.
-func ofSite(pairs []comparison.Pair, site string) []comparison.Pair {
-	var own []comparison.Pair
+// pairsForSite returns the pairs of one site.
+func pairsForSite(pairs []comparison.Pair, site string) []comparison.Pair {
+	var selected []comparison.Pair
 	for _, pair := range pairs {
 		if pair.Site == site {
-			own = append(own, pair)
+			selected = append(selected, pair)
 		}
 	}
-	return own
+	return selected
 }
 
-// writePairsCSV writes a row for each pair.
+// writePairsCSV writes the pairs as comma-separated values.
 func writePairsCSV(out io.Writer, pairs []comparison.Pair) error {
 	rows := [][]string{
 		{
@@ -151,8 +152,9 @@
 	return errors.Wrap(csv.NewWriter(out).WriteAll(rows), "write comparison")
 }
 
-// drawPairs draws a point for each pair.
-func drawPairs(out io.Writer, pairs []comparison.Pair) error {
+// plotPairs writes a plot of the worth after against the worth before, with a
+// point for each pair.
+func plotPairs(out io.Writer, pairs []comparison.Pair) error {
 	var points []point
 	for _, pair := range pairs {
 		points = append(points, point{
@@ -160,5 +162,5 @@
 			y: pair.After,
 		})
 	}
-	return draw(out, "worth before", "worth after", points)
+	return writePlot(out, "worth before", "worth after", points)
 }
--- a/labcommand/days.go
+++ b/labcommand/days.go
@@ -11,43 +11,44 @@
 	"headcourse/platform/journal"
 )
 
-// DaysCommand writes what the standard days of a site were worth, score by score,
-// as comma-separated values that plot draws.
+// DaysCommand writes the worth of a site's standard days in each score run, as
+// comma-separated values that the plot command reads.
 type DaysCommand struct {
 	Journal string `default:"journal" help:"Folder of the bench's journal."`
 	Site    string `required:"" help:"Site whose scores are written."`
 }
 
-// Run writes a row for each score.
+// Run writes a row for each score run of the site.
 func (d *DaysCommand) Run(streams *Streams) error {
 	runs, err := journal.Read(d.Journal)
 	if err != nil {
 		return err
 	}
-	scores := slices.DeleteFunc(runs, func(run journal.Run) bool {
+	scoreRuns := slices.DeleteFunc(runs, func(run journal.Run) bool {
 		return run.Site != d.Site || !run.IsScore || len(run.Days) == 0
 	})
-	if len(scores) == 0 {
+	if len(scoreRuns) == 0 {
 		return errors.Errorf("--site: the journal %s has no score of %q", d.Journal, d.Site)
 	}
-	return writeDays(streams.Out, scores)
+	return writeDays(streams.Out, scoreRuns)
 }
 
-// writeDays writes the scores that played all days of the last one.
-func writeDays(out io.Writer, scores []journal.Run) error {
-	names := standardDays(scores[len(scores)-1])
+// writeDays writes a row for each score run that has all standard days of the last
+// one. Other runs are left out.
+func writeDays(out io.Writer, scoreRuns []journal.Run) error {
+	dayNames := standardDayNames(scoreRuns[len(scoreRuns)-1])
 	writer := csv.NewWriter(out)
-	rows := [][]string{slices.Concat([]string{"run", "id", "mean"}, names, []string{"purpose"})}
-	for _, score := range scores {
-		if row, ok := dayRow(len(rows), score, names); ok {
+	rows := [][]string{slices.Concat([]string{"run", "id", "mean"}, dayNames, []string{"purpose"})}
+	for _, scoreRun := range scoreRuns {
+		if row, ok := scoreRow(len(rows), scoreRun, dayNames); ok {
 			rows = append(rows, row)
 		}
 	}
 	return errors.Wrap(writer.WriteAll(rows), "write days")
 }
 
-// standardDays returns the names of a run's standard days, ordered.
-func standardDays(run journal.Run) []string {
+// standardDayNames returns the names of a run's standard days in alphabetical order.
+func standardDayNames(run journal.Run) []string {
 	var names []string
 	for _, day := range run.Days {
 		if day.IsStandard() {
@@ -58,27 +59,28 @@
 	return names
 }
 
-// dayRow returns the row of one score, and whether it played all days.
-func dayRow(number int, score journal.Run, names []string) ([]string, bool) {
-	worth := map[string]float64{}
-	for _, day := range score.Days {
-		worth[day.Name] = day.Worth
+// scoreRow returns the row of a score run, or false if the run lacks one of the
+// days.
+func scoreRow(runNumber int, scoreRun journal.Run, dayNames []string) ([]string, bool) {
+	worthByDay := map[string]float64{}
+	for _, day := range scoreRun.Days {
+		worthByDay[day.Name] = day.Worth
 	}
 	sum := 0.0
 	var cells []string
-	for _, name := range names {
-		value, ok := worth[name]
+	for _, name := range dayNames {
+		dayWorth, ok := worthByDay[name]
 		if !ok {
 			return nil, false
 		}
-		sum += value
-		cells = append(cells, formatWorth(value))
+		sum += dayWorth
+		cells = append(cells, formatWorth(dayWorth))
 	}
-	mean := formatWorth(sum / float64(len(names)))
-	return slices.Concat([]string{strconv.Itoa(number), score.ID, mean}, cells, []string{score.Purpose}), true
+	mean := formatWorth(sum / float64(len(dayNames)))
+	return slices.Concat([]string{strconv.Itoa(runNumber), scoreRun.ID, mean}, cells, []string{scoreRun.Purpose}), true
 }
 
-// formatWorth returns a worth as it stands in tables.
+// formatWorth formats a worth with the three decimals of all tables.
 func formatWorth(value float64) string {
 	return strconv.FormatFloat(value, 'f', 3, 64)
 }
--- a/labcommand/days_test.go
+++ b/labcommand/days_test.go
@@ -10,12 +10,12 @@
 	"headcourse/labcommand"
 )
 
-// entries are the journal's own test entries.
-var entries = filepath.Join("..", "platform", "journal", "testdata")
+// journalFolder holds the test entries of package journal.
+var journalFolder = filepath.Join("..", "platform", "journal", "testdata")
 
-func TestDaysOfAllScoresAreWritten(t *testing.T) {
+func TestDaysWritesOneRowPerScore(t *testing.T) {
 	var out, errOut bytes.Buffer
-	code := labcommand.Main([]string{"days", "--journal", entries, "--site", "river"}, &out, &errOut)
+	code := labcommand.Main([]string{"days", "--journal", journalFolder, "--site", "river"}, &out, &errOut)
 	qt.Assert(t, errOut.String(), qt.Equals, "")
 	qt.Assert(t, code, qt.Equals, 0)
 	qt.Assert(t, out.String(), qt.Equals, "run,id,mean,quiet-1,trouble-1,purpose\n"+
@@ -23,9 +23,9 @@
 		"2,aaaa0002,0.800,0.900,0.700,\"after, a change\"\n")
 }
 
-func TestUnknownSiteIsNamed(t *testing.T) {
+func TestDaysFailsForUnknownSite(t *testing.T) {
 	var out, errOut bytes.Buffer
-	code := labcommand.Main([]string{"days", "--journal", entries, "--site", "lake"}, &out, &errOut)
+	code := labcommand.Main([]string{"days", "--journal", journalFolder, "--site", "lake"}, &out, &errOut)
 	qt.Assert(t, code, qt.Equals, 1)
 	qt.Assert(t, errOut.String(), qt.Matches, "headcourse-lab: --site: the journal .* has no score of \"lake\"\n")
 }
--- a/labcommand/demo.go
+++ b/labcommand/demo.go
@@ -8,7 +8,7 @@
 	"headcourse/lab/examples"
 )
 
-// DemoCommand plays the demo.
+// DemoCommand runs the demo.
 type DemoCommand struct {
 	Deployment []string      `name:"deployment" help:"Deployments to play; all where none is named."`
 	Rate       float64       `name:"rate" default:"60" help:"Callers' requests a second."`
@@ -17,9 +17,10 @@
 	LogLevel   string        `name:"log-level" default:"error" help:"Least level that daemons log: debug, info, warn, error."`
 }
 
-// Run plays each deployment.
+// Run runs the demo of each deployment, one after the other, and stops at the
+// first error.
 func (d *DemoCommand) Run(streams *Streams) error {
-	log, err := newLog(d.LogLevel, streams.Err)
+	log, err := newLogger(d.LogLevel, streams.Err)
 	if err != nil {
 		return err
 	}
--- a/labcommand/fleet.go
+++ b/labcommand/fleet.go
@@ -11,12 +11,12 @@
 	"headcourse/lab/fleetlog"
 )
 
-// FleetCommand reads daemons' logs.
+// FleetCommand summarises the logs of a fleet's daemons.
 type FleetCommand struct {
 	Log string `arg:"" help:"File with lines of daemons: a time in seconds, the daemon's name, and what it wrote."`
 }
 
-// Run writes a table of what the logs tell.
+// Run reads the logs and writes the tables of their summary.
 func (f *FleetCommand) Run(streams *Streams) error {
 	file, err := os.Open(f.Log)
 	if err != nil {
@@ -27,28 +27,30 @@
 	if err != nil {
 		return errors.Wrapf(err, "LOG %s", f.Log)
 	}
-	_, err = fmt.Fprint(streams.Out, fleetTable(summary))
+	_, err = fmt.Fprint(streams.Out, formatSummary(summary))
 	return errors.Wrap(err, "write table")
 }
 
-// fleetTable returns the tables of a summary, as text.
-func fleetTable(summary fleetlog.Summary) string {
+// formatSummary returns the tables of a summary: calls to the store, and the times
+// at which daemons applied configurations and became ready.
+func formatSummary(summary fleetlog.Summary) string {
 	text := "calls to the store\nstart role    daemons    calls call\n"
-	for _, one := range summary.Calls {
-		text += fmt.Sprintf("%5d %-7s %7d %8d %s\n", one.Start, one.Role, one.Daemons, one.Count, one.Call)
+	for _, call := range summary.Calls {
+		text += fmt.Sprintf("%5d %-7s %7d %8d %s\n", call.Start, call.Role, call.Daemons, call.Count, call.Call)
 	}
 	text += "\nconfiguration taken, s\nversion daemons    first   middle     last\n"
 	for _, version := range slices.Sorted(maps.Keys(summary.Configurations)) {
-		text += fmt.Sprintf("%7d %s\n", version, spreadText(summary.Configurations[version]))
+		text += fmt.Sprintf("%7d %s\n", version, formatSpread(summary.Configurations[version]))
 	}
 	text += "\nready, s\n  start daemons    first   middle     last\n"
 	for _, start := range slices.Sorted(maps.Keys(summary.Ready)) {
-		text += fmt.Sprintf("%7d %s\n", start, spreadText(summary.Ready[start]))
+		text += fmt.Sprintf("%7d %s\n", start, formatSpread(summary.Ready[start]))
 	}
 	return text
 }
 
-// spreadText returns a spread as a part of a line.
-func spreadText(one fleetlog.Spread) string {
-	return fmt.Sprintf("%7d %8.3f %8.3f %8.3f", one.Daemons, one.First, one.Middle, one.Last)
+// formatSpread returns the table cells of a spread: the number of daemons, and the
+// times of the first, the median and the last one in seconds.
+func formatSpread(spread fleetlog.Spread) string {
+	return fmt.Sprintf("%7d %8.3f %8.3f %8.3f", spread.Daemons, spread.First, spread.Middle, spread.Last)
 }
--- a/labcommand/labcommand.go
+++ b/labcommand/labcommand.go
@@ -1,6 +1,6 @@
-// Package labcommand is the command line of headcourse-lab: the stand-ins of
-// the platform, the demo, load, and the measurements. Each command is a file
-// and a row in CLI.
+// Package labcommand is the command line of headcourse-lab, which runs the
+// stand-ins of the platform, the demo, the load generator and the measurements.
+// Each command has its own file and a field in CLI.
 package labcommand
 
 import (
@@ -12,7 +12,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// CLI is the lookup table of commands.
+// CLI lists the commands. kong derives the names of commands from the names of
+// the fields.
 type CLI struct {
 	Demo     DemoCommand     `cmd:"" help:"Play both deployments in one process, with failures, and check every answer."`
 	Platform PlatformCommand `cmd:"" help:"Run the stand-ins of one deployment, for daemons in other processes."`
@@ -28,15 +29,15 @@
 	Soak     SoakCommand     `cmd:"" help:"Play random faults against daemons that soak/run starts, and check every answer."`
 }
 
-// Streams are where a command writes.
+// Streams are the output streams of a command.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// Main parses arguments, runs the command, and returns the exit code: 0 when
-// it ended well, 1 when it failed or found a broken promise, 2 for a wrong
-// command line.
+// Main parses the arguments, runs the command and returns the exit code: 0 for
+// success, 1 if the command failed or found a violated guarantee, and 2 for an
+// invalid command line.
 func Main(arguments []string, out, errOut io.Writer) int {
 	var cli CLI
 	exited, exitCode := false, 0
@@ -52,7 +53,7 @@
 		_, _ = fmt.Fprintf(errOut, "headcourse-lab: %s\n", err)
 		return 2
 	}
-	context, err := parser.Parse(arguments)
+	kongContext, err := parser.Parse(arguments)
 	if exited {
 		return exitCode
 	}
@@ -60,7 +61,7 @@
 		_, _ = fmt.Fprintf(errOut, "headcourse-lab: %s\n", err)
 		return 2
 	}
-	if err = context.Run(&Streams{
+	if err = kongContext.Run(&Streams{
 		Out: out,
 		Err: errOut,
 	}); err != nil {
@@ -70,12 +71,12 @@
 	return 0
 }
 
-// newLog returns a log of lines at or above a level.
-func newLog(level string, out io.Writer) (*zap.Logger, error) {
-	parsed, err := zapcore.ParseLevel(level)
+// newLogger returns a logger that writes lines at or above a level.
+func newLogger(level string, out io.Writer) (*zap.Logger, error) {
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	encoder := zap.NewDevelopmentEncoderConfig()
-	return zap.New(zapcore.NewCore(zapcore.NewConsoleEncoder(encoder), zapcore.Lock(zapcore.AddSync(out)), parsed)), nil
+	encoderConfig := zap.NewDevelopmentEncoderConfig()
+	return zap.New(zapcore.NewCore(zapcore.NewConsoleEncoder(encoderConfig), zapcore.Lock(zapcore.AddSync(out)), minLevel)), nil
 }
--- a/labcommand/load.go
+++ b/labcommand/load.go
@@ -11,7 +11,7 @@
 	"headcourse/lab/load"
 )
 
-// LoadCommand sends callers' load.
+// LoadCommand sends generated requests of callers to daemons.
 type LoadCommand struct {
 	Deployment string        `name:"deployment" default:"caudal-andino" help:"Deployment whose organisations send."`
 	Daemons    []string      `name:"daemons" default:"127.0.0.1:8080" help:"IP:port for callers of the daemons."`
@@ -24,7 +24,8 @@
 	Charges    float64       `name:"charges" default:"0.1" help:"Part of the requests that may not be repeated."`
 }
 
-// Run sends the load and prints what became of it.
+// Run sends the load and prints counts of outcomes and reasons, and latencies. It
+// fails if an answer was meant for another request or was cut without an error.
 func (l *LoadCommand) Run(streams *Streams) error {
 	deployment, err := examples.Load(l.Deployment)
 	if err != nil {
@@ -55,7 +56,7 @@
 		return err
 	}
 	for _, quantile := range []float64{50, 95, 99} {
-		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", quantile, ms(report.First.ValueAtQuantile(quantile)), ms(report.Total.ValueAtQuantile(quantile)), ms(report.Gap.ValueAtQuantile(quantile)))
+		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", quantile, toMilliseconds(report.First.ValueAtQuantile(quantile)), toMilliseconds(report.Total.ValueAtQuantile(quantile)), toMilliseconds(report.Gap.ValueAtQuantile(quantile)))
 		if err != nil {
 			return err
 		}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// ms turns microseconds into milliseconds.
-func ms(microseconds int64) float64 {
+// toMilliseconds converts microseconds to milliseconds.
+func toMilliseconds(microseconds int64) float64 {
 	return float64(microseconds) / 1000
 }
--- a/labcommand/measures.go
+++ b/labcommand/measures.go
@@ -12,15 +12,17 @@
 	"headcourse/lab/measures"
 )
 
-// MeasuresCommand compares the two measures of the brief with baselines.
+// MeasuresCommand compares headcourse's policy for repairs and moves with
+// baselines, by group downtime and stranded accelerators.
 type MeasuresCommand struct {
 	Hours    float64       `name:"hours" default:"8" help:"Virtual time of each run."`
 	Seeds    []uint64      `name:"seeds" default:"1,2,3" help:"Seeds of the failures."`
 	LoadTime time.Duration `name:"load-time" default:"90s" help:"Time that a model loads."`
 }
 
-// Run prints a row for each operator's weights, policy and seed, and the range
-// over the seeds. It fails if the oracle saw a promise broken.
+// Run prints a row for each combination of operator weights, policy and seed. It
+// fails if the oracle saw a violated guarantee. measures.Compare ends the process,
+// with exit code 1 on failure, so that Run does not return after it.
 func (m *MeasuresCommand) Run(streams *Streams) error {
 	var operators []measures.Weights
 	for _, name := range examples.Names() {
@@ -43,20 +45,21 @@
 	return nil
 }
 
-// writeMeasures writes a row for each run.
+// writeMeasures writes a row for each run, and returns an error that lists the
+// violated guarantees.
 func writeMeasures(out io.Writer, results []measures.Result) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "WEIGHTS\tPOLICY\tSEED\tGROUP DOWNTIME S\tSTRANDED ACCELERATOR H\tCOST")
-	var broken []string
+	var violations []string
 	for _, result := range results {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%.1f\t%.0f\n", result.Weights.Name, result.Policy.Name, result.Seed, result.Downtime, result.Stranded, result.Cost)
-		broken = append(broken, result.Broken...)
+		violations = append(violations, result.Broken...)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if len(broken) > 0 {
-		return errors.Errorf("promises broken: %v", broken)
+	if len(violations) > 0 {
+		return errors.Errorf("promises broken: %v", violations)
 	}
 	return nil
 }
--- a/labcommand/platform.go
+++ b/labcommand/platform.go
@@ -15,7 +15,7 @@
 	"headcourse/lab/platform"
 )
 
-// PlatformCommand runs the stand-ins of one deployment.
+// PlatformCommand runs the stand-ins of the platform for one deployment.
 type PlatformCommand struct {
 	Deployment  string        `name:"deployment" default:"caudal-andino" help:"Deployment whose VMs are there."`
 	Scale       int           `name:"scale" default:"1" help:"Multiplies fabric domains."`
@@ -30,7 +30,8 @@
 	Loads       float64       `name:"loads-per-second" default:"20" help:"Rate of the weight store."`
 }
 
-// Run runs the stand-ins until SIGTERM or SIGINT.
+// Run runs the stand-ins until SIGTERM or SIGINT. The table service listens on the
+// first port, the VM list on the next, and the VMs on those after it.
 func (p *PlatformCommand) Run(streams *Streams) error {
 	if net.ParseIP(p.Host) == nil {
 		return errors.Errorf("--host: %q is not an IP number", p.Host)
@@ -41,12 +42,12 @@
 	}
 	vms := deployment.WithScale(max(1, p.Scale)).VMs()
 	for i := range vms {
-		vms[i].Address = p.address(2 + i)
+		vms[i].Address = p.addressAt(2 + i)
 	}
-	running, err := platform.Start(platform.Settings{
+	standIns, err := platform.Start(platform.Settings{
 		VMs:            vms,
-		TableAddress:   p.address(0),
-		VMListAddress:  p.address(1),
+		TableAddress:   p.addressAt(0),
+		VMListAddress:  p.addressAt(1),
 		ListLag:        p.ListLag,
 		Slots:          p.Slots,
 		LoadTime:       p.LoadTime,
@@ -59,8 +60,8 @@
 	if err != nil {
 		return err
 	}
-	defer running.Stop()
-	_, err = fmt.Fprintf(streams.Out, "table service %s\nVM list %s\n%d VMs from %s on\nfaults of any: POST {\"down\":true} to /lab/faults\n", running.TableAddress(), running.VMListAddress(), len(running.VMs), running.VMs[0].Address)
+	defer standIns.Stop()
+	_, err = fmt.Fprintf(streams.Out, "table service %s\nVM list %s\n%d VMs from %s on\nfaults of any: POST {\"down\":true} to /lab/faults\n", standIns.TableAddress(), standIns.VMListAddress(), len(standIns.VMs), standIns.VMs[0].Address)
 	if err != nil {
 		return err
 	}
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// address returns IP:port with the port at an offset.
-func (p *PlatformCommand) address(offset int) string {
-	return net.JoinHostPort(p.Host, strconv.Itoa(p.Port+offset))
+// addressAt returns the IP:port at an offset from the first port.
+func (p *PlatformCommand) addressAt(portOffset int) string {
+	return net.JoinHostPort(p.Host, strconv.Itoa(p.Port+portOffset))
 }
--- a/labcommand/relay.go
+++ b/labcommand/relay.go
@@ -8,7 +8,8 @@
 	"headcourse/lab/relaybench"
 )
 
-// RelayCommand measures what a daemon adds to streams.
+// RelayCommand measures the latency and processor time that a daemon adds to
+// streams.
 type RelayCommand struct {
 	Rate      float64       `name:"rate" default:"40" help:"Streams begun a second."`
 	Tokens    int           `name:"tokens" default:"100" help:"Events of each stream."`
@@ -17,7 +18,8 @@
 	Turns     int           `name:"turns" default:"3" help:"Turns of each path, alternating."`
 }
 
-// Run prints a row for each turn, and the daemon's own cost of each pair.
+// Run prints three rows for each turn: the direct path, the path through a daemon,
+// and the difference, which is the daemon's own cost.
 func (r *RelayCommand) Run(streams *Streams) error {
 	bench, err := relaybench.Start(r.EachToken)
 	if err != nil {
@@ -35,7 +37,7 @@
 			Seed:      uint64(turn + 1), //nolint:gosec // small and not negative
 		}
 		direct := bench.Direct(settings)
-		through := bench.Through(settings)
+		throughDaemon := bench.Through(settings)
 		for _, path := range []struct {
 			name    string
 			figures relaybench.Figures
@@ -44,18 +46,19 @@
 			figures: direct,
 		}, {
 			name:    "through a daemon",
-			figures: through,
+			figures: throughDaemon,
 		}} {
 			f := path.figures
-			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(f.Events)/f.Seconds, f.Broken, perEvent(f), ms(f.First.ValueAtQuantile(50)), ms(f.First.ValueAtQuantile(99)), ms(f.Gap.ValueAtQuantile(50)), ms(f.Gap.ValueAtQuantile(99)))
+			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(f.Events)/f.Seconds, f.Broken, cpuMicrosecondsPerEvent(f), toMilliseconds(f.First.ValueAtQuantile(50)), toMilliseconds(f.First.ValueAtQuantile(99)), toMilliseconds(f.Gap.ValueAtQuantile(50)), toMilliseconds(f.Gap.ValueAtQuantile(99)))
 		}
-		own := perEvent(through) - perEvent(direct)
-		_, _ = fmt.Fprintf(table, "%d\tthe daemon alone\t\t\t%.1f\t\t%.2f\t\t%.2f\n", turn+1, own, ms(through.First.ValueAtQuantile(99)-direct.First.ValueAtQuantile(99)), ms(through.Gap.ValueAtQuantile(99)-direct.Gap.ValueAtQuantile(99)))
+		addedCPU := cpuMicrosecondsPerEvent(throughDaemon) - cpuMicrosecondsPerEvent(direct)
+		_, _ = fmt.Fprintf(table, "%d\tthe daemon alone\t\t\t%.1f\t\t%.2f\t\t%.2f\n", turn+1, addedCPU, toMilliseconds(throughDaemon.First.ValueAtQuantile(99)-direct.First.ValueAtQuantile(99)), toMilliseconds(throughDaemon.Gap.ValueAtQuantile(99)-direct.Gap.ValueAtQuantile(99)))
 	}
 	return table.Flush()
 }
 
-// perEvent returns microseconds of processor time for each event.
-func perEvent(figures relaybench.Figures) float64 {
+// cpuMicrosecondsPerEvent returns the mean processor time per event in
+// microseconds.
+func cpuMicrosecondsPerEvent(figures relaybench.Figures) float64 {
 	return figures.CPU / float64(max(1, figures.Events)) * 1e6
 }
--- a/labcommand/routes.go
+++ b/labcommand/routes.go
@@ -8,7 +8,7 @@
 	"headcourse/lab/routebench"
 )
 
-// RoutesCommand compares routing policies.
+// RoutesCommand compares routing policies on the same load in virtual time.
 type RoutesCommand struct {
 	Daemons  int           `name:"daemons" default:"9" help:"Daemons that route independently."`
 	Groups   int           `name:"groups" default:"12" help:"Serving groups."`
@@ -21,7 +21,7 @@
 	Deadline time.Duration `name:"deadline" default:"1100ms" help:"Deadline of the first token."`
 }
 
-// Run prints a row for each rate, seed and policy.
+// Run prints a row for each combination of rate, seed and policy.
 func (r *RoutesCommand) Run(streams *Streams) error {
 	table := tabwriter.NewWriter(streams.Out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "RATE\tSEED\tPOLICY\tFIRST 50% MS\t95% MS\t99% MS\tIN TIME %\tCACHED %\tREFUSED %")
@@ -38,8 +38,8 @@
 				Lag:      r.Lag,
 				Deadline: r.Deadline,
 			}) {
-				all := float64(result.Requests) / 100
-				_, _ = fmt.Fprintf(table, "%.0f\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\n", rate, seed, result.Policy, ms(result.First.ValueAtQuantile(50)), ms(result.First.ValueAtQuantile(95)), ms(result.First.ValueAtQuantile(99)), float64(result.Good)/all, float64(result.Hits)/all, float64(result.Refused)/all)
+				onePercent := float64(result.Requests) / 100
+				_, _ = fmt.Fprintf(table, "%.0f\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\n", rate, seed, result.Policy, toMilliseconds(result.First.ValueAtQuantile(50)), toMilliseconds(result.First.ValueAtQuantile(95)), toMilliseconds(result.First.ValueAtQuantile(99)), float64(result.Good)/onePercent, float64(result.Hits)/onePercent, float64(result.Refused)/onePercent)
 			}
 		}
 	}
--- a/labcommand/slopes.go
+++ b/labcommand/slopes.go
@@ -12,7 +12,8 @@
 	"headcourse/lab/slopes"
 )
 
-// SlopesCommand measures what control costs a daemon at rest.
+// SlopesCommand measures the resources that an idle daemon uses for control, for
+// several numbers of daemons.
 type SlopesCommand struct {
 	Deployment string        `name:"deployment" default:"caudal-andino" help:"Deployment that the platform runs."`
 	Scale      int           `name:"scale" default:"1" help:"Scale that the platform runs at."`
@@ -24,7 +25,7 @@
 	Measure    time.Duration `name:"measure" default:"10s" help:"Time of each measurement."`
 }
 
-// Run writes a line of comma-separated values for each run.
+// Run writes a row of comma-separated values for each run.
 func (s *SlopesCommand) Run(streams *Streams) error {
 	deployment, err := examples.Load(s.Deployment)
 	if err != nil {
@@ -34,23 +35,23 @@
 	table := csv.NewWriter(streams.Out)
 	defer table.Flush()
 	err = table.Write([]string{"daemons", "vms", "groups", "run", "cpu_percent_of_a_core", "memory_kb", "peer_bytes_per_s", "store_reads_per_s_all", "store_commits_per_s_all", "spread_s"})
-	for _, count := range s.Daemons {
-		for run := 1; run <= s.Runs && err == nil; run++ {
-			figures, measureErr := slopes.Measure(slopes.Settings{
+	for _, daemonCount := range s.Daemons {
+		for runNumber := 1; runNumber <= s.Runs && err == nil; runNumber++ {
+			measured, measureErr := slopes.Measure(slopes.Settings{
 				Deployment: deployment,
 				Table:      s.Table,
 				VMList:     s.VMList,
-				Daemons:    count,
+				Daemons:    daemonCount,
 				Settle:     s.Settle,
 				Measure:    s.Measure,
 			})
 			if measureErr != nil {
-				return errors.Wrapf(measureErr, "%d daemons", count)
+				return errors.Wrapf(measureErr, "%d daemons", daemonCount)
 			}
 			err = table.Write([]string{
-				strconv.Itoa(figures.Daemons), strconv.Itoa(figures.VMs), strconv.Itoa(figures.Groups), strconv.Itoa(run),
-				fmt.Sprintf("%.3f", 100*figures.CPU), fmt.Sprintf("%.0f", figures.Memory/1024), fmt.Sprintf("%.0f", figures.Peer),
-				fmt.Sprintf("%.2f", figures.Reads), fmt.Sprintf("%.2f", figures.Commits), fmt.Sprintf("%.2f", figures.Spread),
+				strconv.Itoa(measured.Daemons), strconv.Itoa(measured.VMs), strconv.Itoa(measured.Groups), strconv.Itoa(runNumber),
+				fmt.Sprintf("%.3f", 100*measured.CPU), fmt.Sprintf("%.0f", measured.Memory/1024), fmt.Sprintf("%.0f", measured.Peer),
+				fmt.Sprintf("%.2f", measured.Reads), fmt.Sprintf("%.2f", measured.Commits), fmt.Sprintf("%.2f", measured.Spread),
 			})
 			table.Flush()
 		}
--- a/labcommand/soak.go
+++ b/labcommand/soak.go
@@ -9,7 +9,7 @@
 	"headcourse/lab/soak"
 )
 
-// SoakCommand plays random faults against daemons that soak/run starts.
+// SoakCommand injects random faults into daemons that soak/run starts.
 type SoakCommand struct {
 	Seed    uint64        `name:"seed" default:"1" help:"Seed of all choices."`
 	Length  time.Duration `name:"length" default:"20s" help:"How long faults come."`
@@ -18,9 +18,10 @@
 	Dir     string        `name:"dir" required:"" help:"Folder for settings files and process ids, shared with the script that runs the daemons."`
 }
 
-// Run plays the soak. It fails if something happened that never must.
+// Run runs the soak test and prints the violated guarantees. It fails if there are
+// any.
 func (c *SoakCommand) Run(streams *Streams) error {
-	broken, err := soak.Play(soak.Options{
+	violations, err := soak.Play(soak.Options{
 		Seed:    c.Seed,
 		Length:  c.Length,
 		Daemons: c.Daemons,
@@ -31,13 +32,13 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range broken {
-		if _, err = fmt.Fprintf(streams.Out, "BROKEN: %s\n", one); err != nil {
+	for _, violation := range violations {
+		if _, err = fmt.Fprintf(streams.Out, "BROKEN: %s\n", violation); err != nil {
 			return errors.Wrap(err, "write result")
 		}
 	}
-	if len(broken) > 0 {
-		return errors.Errorf("seed %d: %d promises broken", c.Seed, len(broken))
+	if len(violations) > 0 {
+		return errors.Errorf("seed %d: %d promises broken", c.Seed, len(violations))
 	}
 	return nil
 }
