--- a/cmd/headcourse-lab/main.go
+++ b/cmd/headcourse-lab/main.go
@@ -1,5 +1,5 @@
-// Command headcourse-lab runs the stand-ins of the platform, the demo, and the
-// measurements.
+// Command headcourse-lab runs the stand-ins of the platform, the demo, the load
+// generator and the measurements.
 package main
 
 import (
--- a/cmd/headcourse/main.go
+++ b/cmd/headcourse/main.go
@@ -1,4 +1,4 @@
-// Command headcourse is the daemon and the operator's command line.
+// Command headcourse runs a daemon, and is the operators' command line.
 package main
 
 import (
