--- a/tools/literalcheck/main.go
+++ b/tools/literalcheck/main.go
@@ -1,12 +1,14 @@
-// Command literalcheck checks struct literals against the house style: every
-// field is named, and a literal with two fields or more has one a line.
+// Command literalcheck checks struct literals against the code style of the
+// project: every field is named and is on a line of its own.
 //
 //	literalcheck DIR...
 //
-// It knows structs by syntax alone: a literal of a named type whose elements
-// are keyed by identifiers, or not keyed although the type is not a slice or a
-// map of this syntax. Names of slice and map types are told apart by the
-// declarations in the folders it reads.
+// It prints each violation with its position. The exit code is 0 for none, 1 for
+// some, and 2 if a file cannot be parsed.
+//
+// It uses syntax only, without type information. A literal of a named type counts
+// as a struct literal unless a type of that name, in any of the folders, is
+// declared as something other than a struct.
 package main
 
 import (
@@ -21,124 +23,130 @@
 )
 
 func main() {
-	checker := &checker{
-		files:      token.NewFileSet(),
-		notStructs: map[string]bool{},
+	checker := &literalChecker{
+		fileSet:        token.NewFileSet(),
+		nonStructTypes: map[string]bool{},
 	}
 	for _, root := range os.Args[1:] {
-		if err := checker.read(root); err != nil {
+		if err := checker.parseFolder(root); err != nil {
 			fmt.Fprintln(os.Stderr, "literalcheck:", err)
 			os.Exit(2)
 		}
 	}
-	if checker.report() > 0 {
+	if checker.reportViolations() > 0 {
 		os.Exit(1)
 	}
 }
 
-// checker holds the parsed files.
-type checker struct {
-	files *token.FileSet
-	trees []*ast.File
-	// notStructs names declared types that are not structs.
-	notStructs map[string]bool
+// literalChecker holds the parsed files.
+type literalChecker struct {
+	fileSet     *token.FileSet
+	syntaxTrees []*ast.File
+	// nonStructTypes holds the names of declared types that are not structs,
+	// without their packages.
+	nonStructTypes map[string]bool
 }
 
-// read parses all Go files below a folder.
-func (c *checker) read(root string) error {
+// parseFolder parses all Go files below a folder and collects the names of their
+// types that are not structs.
+func (c *literalChecker) parseFolder(root string) error {
 	return filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
 			return err
 		}
-		tree, err := parser.ParseFile(c.files, path, nil, parser.SkipObjectResolution)
+		syntaxTree, err := parser.ParseFile(c.fileSet, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
-		c.trees = append(c.trees, tree)
-		ast.Inspect(tree, c.noteType)
+		c.syntaxTrees = append(c.syntaxTrees, syntaxTree)
+		ast.Inspect(syntaxTree, c.recordNonStructType)
 		return nil
 	})
 }
 
-// noteType notes declared types that are not structs.
-func (c *checker) noteType(node ast.Node) bool {
+// recordNonStructType stores the name of a declared type that is not a struct. It
+// returns true, so that ast.Inspect also visits the node's children.
+func (c *literalChecker) recordNonStructType(node ast.Node) bool {
 	declared, ok := node.(*ast.TypeSpec)
 	if !ok {
 		return true
 	}
 	if _, isStruct := declared.Type.(*ast.StructType); !isStruct {
-		c.notStructs[declared.Name.Name] = true
+		c.nonStructTypes[declared.Name.Name] = true
 	}
 	return true
 }
 
-// report prints every offence and returns their number.
-func (c *checker) report() int {
-	found := 0
-	for _, tree := range c.trees {
-		ast.Inspect(tree, func(node ast.Node) bool {
+// reportViolations prints every violation and returns how many there are.
+func (c *literalChecker) reportViolations() int {
+	violations := 0
+	for _, syntaxTree := range c.syntaxTrees {
+		ast.Inspect(syntaxTree, func(node ast.Node) bool {
 			literal, ok := node.(*ast.CompositeLit)
 			if !ok {
 				return true
 			}
-			found += c.check(literal, literal.Type)
+			violations += c.checkLiteral(literal, literal.Type)
 			return true
 		})
 	}
-	return found
+	return violations
 }
 
-// check checks one literal of a type, and, for lists, the elements that leave
-// their type out.
-func (c *checker) check(literal *ast.CompositeLit, typ ast.Expr) int {
-	switch shape := typ.(type) {
+// checkLiteral checks a literal of a type and returns the number of violations.
+// For arrays, slices and maps it checks the elements whose type is omitted; the
+// other elements are visited as literals of their own.
+func (c *literalChecker) checkLiteral(literal *ast.CompositeLit, literalType ast.Expr) int {
+	switch concreteType := literalType.(type) {
 	case *ast.ArrayType:
-		return c.checkElements(literal, shape.Elt)
+		return c.checkElements(literal, concreteType.Elt)
 	case *ast.MapType:
-		return c.checkElements(literal, shape.Value)
+		return c.checkElements(literal, concreteType.Value)
 	case *ast.StructType:
 		return c.checkStruct(literal)
 	case *ast.Ident:
-		if !c.notStructs[shape.Name] {
+		if !c.nonStructTypes[concreteType.Name] {
 			return c.checkStruct(literal)
 		}
 	case *ast.SelectorExpr:
-		if !c.notStructs[shape.Sel.Name] {
+		if !c.nonStructTypes[concreteType.Sel.Name] {
 			return c.checkStruct(literal)
 		}
 	}
 	return 0
 }
 
-// checkElements checks the elements of a list or map that leave out their type.
-func (c *checker) checkElements(literal *ast.CompositeLit, element ast.Expr) int {
-	found := 0
-	for _, one := range literal.Elts {
-		if pair, ok := one.(*ast.KeyValueExpr); ok {
-			one = pair.Value
+// checkElements checks the elements of an array, slice or map literal whose type
+// is omitted. For maps these are the values.
+func (c *literalChecker) checkElements(literal *ast.CompositeLit, elementType ast.Expr) int {
+	violations := 0
+	for _, element := range literal.Elts {
+		if pair, ok := element.(*ast.KeyValueExpr); ok {
+			element = pair.Value
 		}
-		inner, ok := one.(*ast.CompositeLit)
-		if ok && inner.Type == nil {
-			found += c.check(inner, element)
+		untypedLiteral, ok := element.(*ast.CompositeLit)
+		if ok && untypedLiteral.Type == nil {
+			violations += c.checkLiteral(untypedLiteral, elementType)
 		}
 	}
-	return found
+	return violations
 }
 
-// checkStruct checks one struct literal.
-func (c *checker) checkStruct(literal *ast.CompositeLit) int {
-	lines := map[int]bool{c.files.Position(literal.Lbrace).Line: true}
+// checkStruct checks a struct literal and returns 1 at its first violation. A
+// field on the line of the opening brace is one.
+func (c *literalChecker) checkStruct(literal *ast.CompositeLit) int {
+	occupiedLines := map[int]bool{c.fileSet.Position(literal.Lbrace).Line: true}
 	for _, element := range literal.Elts {
-		position := c.files.Position(element.Pos())
+		position := c.fileSet.Position(element.Pos())
 		if _, ok := element.(*ast.KeyValueExpr); !ok {
 			fmt.Printf("%s: struct literal without field names\n", position)
 			return 1
 		}
-		if lines[position.Line] {
+		if occupiedLines[position.Line] {
 			fmt.Printf("%s: struct literal with fields on one line\n", position)
 			return 1
 		}
-		lines[position.Line] = true
+		occupiedLines[position.Line] = true
 	}
 	return 0
 }
