--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -23,7 +23,7 @@
 // applied declaration.
 const acceptanceTimeout = 12 * time.Second
 
-// Fleet implements the operators' requests to a daemon (operator.Fleet).
+// Fleet implements the operators' requests to a daemon, for operator.Listen.
 type Fleet struct {
 	daemon   *Daemon
 	registry metrics.Registry
@@ -228,7 +228,7 @@
 }
 
 // ----------------------------------------------------------------------------
-// Fleet status
+// Status of the fleet
 
 // Status returns this daemon's view of the daemons, leases and zones.
 func (f *Fleet) Status() operator.Status {
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -318,8 +318,8 @@
 	rounds int
 }
 
-// newPeerPuller returns a puller without positions, which reads every change log
-// from its start.
+// newPeerPuller returns a puller without positions. Its first pulls read the change
+// logs from the start.
 func newPeerPuller(d *Daemon) *peerPuller {
 	return &peerPuller{
 		daemon:    d,
--- a/labcommand/days.go
+++ b/labcommand/days.go
@@ -33,8 +33,8 @@
 	return writeDays(streams.Out, scoreRuns)
 }
 
-// writeDays writes a row for each score run that has all standard days of the last
-// one. Other runs are left out.
+// writeDays writes a row for each score run that has all standard days of the
+// latest one. It leaves out other runs. The runs are ordered by time.
 func writeDays(out io.Writer, scoreRuns []journal.Run) error {
 	dayNames := standardDayNames(scoreRuns[len(scoreRuns)-1])
 	writer := csv.NewWriter(out)
--- a/labcommand/load.go
+++ b/labcommand/load.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return err
 	}
-	for _, quantile := range []float64{50, 95, 99} {
-		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", quantile, toMilliseconds(report.First.ValueAtQuantile(quantile)), toMilliseconds(report.Total.ValueAtQuantile(quantile)), toMilliseconds(report.Gap.ValueAtQuantile(quantile)))
+	for _, percentile := range []float64{50, 95, 99} {
+		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", percentile, toMilliseconds(report.First.ValueAtQuantile(percentile)), toMilliseconds(report.Total.ValueAtQuantile(percentile)), toMilliseconds(report.Gap.ValueAtQuantile(percentile)))
 		if err != nil {
 			return err
 		}
