--- a/lab/comparison/comparison.go
+++ b/lab/comparison/comparison.go
@@ -1,10 +1,10 @@
-// Package comparison tells whether one of two ways of deciding is better, from runs of the
-// same days with the same seeds.
+// Package comparison decides from paired runs whether one of two policies scores better than
+// the other.
 //
-// Days differ far more than ways do, and one run of a day varies by 0.03 of its worth. So
-// runs are paired by site, day and seed, and the differences of the pairs are judged: their
-// mean and its standard error. Where the mean lies less than two standard errors from
-// nothing, the ways are not told apart.
+// Scores differ far more between days than between policies, and repeated runs of one day vary
+// by 0.03 of its score. Runs are therefore paired by site, day and seed, and the verdict rests
+// on the mean of the pairs' differences and its standard error. If the mean is less than two
+// standard errors from zero, the comparison is inconclusive.
 package comparison
 
 import (
@@ -13,7 +13,7 @@
 	"slices"
 )
 
-// Day is what a run of one day was worth.
+// Day holds the score of one run of one day.
 type Day struct {
 	Site  string
 	Name  string
@@ -21,24 +21,24 @@
 	Worth float64
 }
 
-// key names what is paired.
-type key struct {
+// pairKey identifies the runs that are paired.
+type pairKey struct {
 	site string
 	name string
 	seed int64
 }
 
-// key returns what the day is paired by.
-func (d Day) key() key {
-	return key{
+// pairKey returns the key by which the run is paired.
+func (d Day) pairKey() pairKey {
+	return pairKey{
 		site: d.Site,
 		name: d.Name,
 		seed: d.Seed,
 	}
 }
 
-// Pair is a day as it was worth before and after, on the mean where it was played more
-// than once.
+// Pair holds the scores of one day before and after a change. Each score is the mean of all
+// runs with the same site, name and seed.
 type Pair struct {
 	Site   string
 	Name   string
@@ -47,26 +47,26 @@
 	After  float64
 }
 
-// Difference returns how much more the day is worth after.
+// Difference returns the score after the change minus the score before it.
 func (p Pair) Difference() float64 {
 	return p.After - p.Before
 }
 
-// Pairs returns the days that were played before and after, by site, name and seed.
+// Pairs pairs the runs that exist both before and after, sorted by site, name and seed.
 func Pairs(before, after []Day) []Pair {
-	former, latter := means(before), means(after)
+	scoresBefore, scoresAfter := meanScores(before), meanScores(after)
 	var pairs []Pair
-	for at, worth := range former {
-		other, isPlayed := latter[at]
-		if !isPlayed {
+	for key, scoreBefore := range scoresBefore {
+		scoreAfter, inBoth := scoresAfter[key]
+		if !inBoth {
 			continue
 		}
 		pairs = append(pairs, Pair{
-			Site:   at.site,
-			Name:   at.name,
-			Seed:   at.seed,
-			Before: worth,
-			After:  other,
+			Site:   key.site,
+			Name:   key.name,
+			Seed:   key.seed,
+			Before: scoreBefore,
+			After:  scoreAfter,
 		})
 	}
 	slices.SortFunc(pairs, func(a, b Pair) int {
@@ -79,73 +79,74 @@
 	return pairs
 }
 
-// means returns the mean worth of each day.
-func means(days []Day) map[key]float64 {
-	sums := map[key]float64{}
-	counts := map[key]float64{}
+// meanScores returns the mean score of each day.
+func meanScores(days []Day) map[pairKey]float64 {
+	sums := map[pairKey]float64{}
+	counts := map[pairKey]float64{}
 	for _, day := range days {
-		sums[day.key()] += day.Worth
-		counts[day.key()]++
+		sums[day.pairKey()] += day.Worth
+		counts[day.pairKey()]++
 	}
-	for at := range sums {
-		sums[at] /= counts[at]
+	for key := range sums {
+		sums[key] /= counts[key]
 	}
 	return sums
 }
 
-// Verdict is what pairs say of two ways.
+// Verdict is the result of a comparison.
 type Verdict string
 
-// The verdicts.
+// Verdicts of a comparison.
 const (
 	Better       Verdict = "better"
 	Worse        Verdict = "worse"
 	NotToldApart Verdict = "not told apart"
 )
 
-// errorsApart is how many standard errors from nothing a mean must be to say something.
-const errorsApart = 2
+// minStandardErrors is the distance of the mean from zero, in standard errors, from which a
+// difference counts as significant.
+const minStandardErrors = 2
 
-// Summary sums up pairs.
+// Summary holds the means over all pairs.
 type Summary struct {
 	Pairs  int
 	Before float64
 	After  float64
-	// Difference is the mean of the pairs' differences, Error its standard error; 0 for a
-	// single pair.
+	// Difference is the mean difference of the pairs and Error the standard error of that
+	// mean. Error is 0 for a single pair.
 	Difference float64
 	Error      float64
 }
 
-// Summarise returns the summary of pairs.
+// Summarise returns the summary of the pairs.
 func Summarise(pairs []Pair) Summary {
-	sum := Summary{
+	summary := Summary{
 		Pairs: len(pairs),
 	}
 	if len(pairs) == 0 {
-		return sum
+		return summary
 	}
 	count := float64(len(pairs))
 	for _, pair := range pairs {
-		sum.Before += pair.Before / count
-		sum.After += pair.After / count
-		sum.Difference += pair.Difference() / count
+		summary.Before += pair.Before / count
+		summary.After += pair.After / count
+		summary.Difference += pair.Difference() / count
 	}
 	if len(pairs) == 1 {
-		return sum
+		return summary
 	}
 	squares := 0.0
 	for _, pair := range pairs {
-		squares += math.Pow(pair.Difference()-sum.Difference, 2)
+		squares += math.Pow(pair.Difference()-summary.Difference, 2)
 	}
-	sum.Error = math.Sqrt(squares / (count - 1) / count)
-	return sum
+	summary.Error = math.Sqrt(squares / (count - 1) / count)
+	return summary
 }
 
-// Verdict returns what the pairs say. A single pair says nothing.
+// Verdict returns the verdict on the pairs. Fewer than two pairs are always inconclusive.
 func (s Summary) Verdict() Verdict {
 	switch {
-	case s.Pairs < 2 || math.Abs(s.Difference) < errorsApart*s.Error || s.Difference == 0:
+	case s.Pairs < 2 || math.Abs(s.Difference) < minStandardErrors*s.Error || s.Difference == 0:
 		return NotToldApart
 	case s.Difference > 0:
 		return Better
--- a/lab/comparison/comparison_test.go
+++ b/lab/comparison/comparison_test.go
@@ -9,17 +9,17 @@
 	"headcourse/lab/comparison"
 )
 
-// day returns a run of a day of one site.
-func day(name string, seed int64, worth float64) comparison.Day {
+// day returns a run of one day at a fixed site.
+func day(name string, seed int64, score float64) comparison.Day {
 	return comparison.Day{
 		Site:  "river",
 		Name:  name,
 		Seed:  seed,
-		Worth: worth,
+		Worth: score,
 	}
 }
 
-func TestOnlyTheSameDaysAndSeedsArePaired(t *testing.T) {
+func TestPairsMatchOnlySameDayAndSeed(t *testing.T) {
 	before := []comparison.Day{
 		day("quiet", 1, 0.8),
 		day("quiet", 1, 0.9),
@@ -38,7 +38,7 @@
 	qt.Assert(t, math.Abs(pairs[1].Difference()-0.2) < 1e-9, qt.IsTrue)
 }
 
-func TestVerdictNeedsTwoStandardErrors(t *testing.T) {
+func TestVerdictIsInconclusiveWithinTwoStandardErrors(t *testing.T) {
 	pairs := func(differences ...float64) []comparison.Pair {
 		var all []comparison.Pair
 		for i, difference := range differences {
@@ -50,11 +50,12 @@
 		}
 		return all
 	}
-	sum := comparison.Summarise(pairs(0.02, 0.04, 0.03, 0.03))
-	qt.Assert(t, sum.Verdict(), qt.Equals, comparison.Better)
-	qt.Assert(t, math.Abs(sum.Difference-0.03) < 1e-9, qt.IsTrue)
-	// The deviation of the four is 0.0082, the error of their mean half of it.
-	qt.Assert(t, math.Abs(sum.Error-0.00408) < 1e-5, qt.IsTrue, qt.Commentf("%v", sum.Error))
+	summary := comparison.Summarise(pairs(0.02, 0.04, 0.03, 0.03))
+	qt.Assert(t, summary.Verdict(), qt.Equals, comparison.Better)
+	qt.Assert(t, math.Abs(summary.Difference-0.03) < 1e-9, qt.IsTrue)
+	// The standard deviation of the four differences is 0.0082, and the standard error of
+	// their mean is half of it.
+	qt.Assert(t, math.Abs(summary.Error-0.00408) < 1e-5, qt.IsTrue, qt.Commentf("%v", summary.Error))
 	qt.Assert(t, comparison.Summarise(pairs(-0.02, -0.04)).Verdict(), qt.Equals, comparison.Worse)
 	qt.Assert(t, comparison.Summarise(pairs(0.1, -0.08, 0.03)).Verdict(), qt.Equals, comparison.NotToldApart)
 	qt.Assert(t, comparison.Summarise(pairs(0.4)).Verdict(), qt.Equals, comparison.NotToldApart)
