--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo plays both deployments in one process: stand-ins, daemons,
-// callers' load, failures and a drained zone, and checks what every caller was
-// told against what the backend servers ran.
+// Package demo runs an example deployment in one process. It starts stand-ins and daemons,
+// sends callers' load, injects failures and drains a zone. It then compares the outcomes
+// reported to callers with what the backend servers ran.
 package demo
 
 import (
@@ -20,7 +20,7 @@
 	"headcourse/lab/platform"
 )
 
-// Settings are the properties of a demo.
+// Settings configure a demo.
 type Settings struct {
 	Rate     float64
 	Duration time.Duration
@@ -28,49 +28,49 @@
 	Log      *zap.Logger
 }
 
-// ErrBroken reports that a promise was broken.
-var ErrBroken = errors.New("the account shows broken promises")
+// ErrBroken is returned if an outcome reported to a caller violates a guarantee.
+var ErrBroken = errors.New("outcomes reported to callers violate a guarantee")
 
-// stage is one deployment being played.
-type stage struct {
+// session is the demo of one deployment.
+type session struct {
 	settings   Settings
 	out        io.Writer
 	deployment examples.Deployment
 	platform   *platform.Platform
 	nodes      []*daemon.Node
 	operator   *operator.Client
-	began      time.Time
+	startedAt  time.Time
 }
 
-// Play plays a deployment and writes the account to out. It returns ErrBroken
-// where a promise was broken.
+// Play runs the demo of a deployment and writes its report to out. It returns ErrBroken if a
+// guarantee was violated.
 func Play(ctx context.Context, name string, settings Settings, out io.Writer) error {
 	deployment, err := examples.Load(name)
 	if err != nil {
 		return err
 	}
-	one := &stage{
+	s := &session{
 		settings:   settings,
 		out:        out,
 		deployment: deployment,
-		began:      time.Now(),
+		startedAt:  time.Now(),
 	}
-	defer one.stop()
-	if err = one.start(); err != nil {
+	defer s.stop()
+	if err = s.start(); err != nil {
 		return err
 	}
-	if err = one.declare(); err != nil {
+	if err = s.applyDeclaration(); err != nil {
 		return err
 	}
-	return one.perform(ctx)
+	return s.runScenario(ctx)
 }
 
-// say writes a line with the time since the start.
-func (s *stage) say(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(s.out, "%6.1fs  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, arguments...))
+// printf writes a line that begins with the time since the start of the demo.
+func (s *session) printf(format string, arguments ...any) {
+	_, _ = fmt.Fprintf(s.out, "%6.1fs  %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// Figures of the stand-ins in the demo.
+// Settings of the stand-ins.
 const (
 	listLag     = time.Second
 	slots       = 32
@@ -83,8 +83,8 @@
 )
 
 // start starts the stand-ins and the daemons.
-func (s *stage) start() error {
-	running, err := platform.Start(platform.Settings{
+func (s *session) start() error {
+	started, err := platform.Start(platform.Settings{
 		VMs:            s.deployment.VMs(),
 		ListLag:        listLag,
 		Slots:          slots,
@@ -98,27 +98,27 @@
 	if err != nil {
 		return err
 	}
-	s.platform = running
+	s.platform = started
 	zones := s.deployment.Declaration.Zones
-	for number := range s.deployment.Daemons {
-		node, startErr := daemon.StartNode(s.nodeSettings(number, zones[number%len(zones)].Name), s.settings.Log)
+	for index := range s.deployment.Daemons {
+		node, startErr := daemon.StartNode(s.nodeSettings(index, zones[index%len(zones)].Name), s.settings.Log)
 		if startErr != nil {
 			return startErr
 		}
 		s.nodes = append(s.nodes, node)
 	}
 	s.operator = operator.NewClient(s.nodes[0].Operators(), examples.Key(operatorName))
-	s.say("%s: %d VMs, %d daemons", s.deployment.Declaration.Deployment, len(s.platform.VMs), len(s.nodes))
+	s.printf("%s: %d VMs, %d daemons", s.deployment.Declaration.Deployment, len(s.platform.VMs), len(s.nodes))
 	return nil
 }
 
-// operatorName is the operator who runs the demo.
+// operatorName is the operator whose key the demo uses.
 const operatorName = "turno-noche"
 
 // nodeSettings returns the settings of one daemon.
-func (s *stage) nodeSettings(number int, zone string) daemon.Settings {
+func (s *session) nodeSettings(index int, zone string) daemon.Settings {
 	settings := daemon.Settings{
-		ID:            fmt.Sprintf("entry-%d", number+1),
+		ID:            fmt.Sprintf("entry-%d", index+1),
 		Zone:          zone,
 		Callers:       "127.0.0.1:0",
 		Operators:     "127.0.0.1:0",
@@ -137,18 +137,18 @@
 	return settings
 }
 
-// bootstrapHash returns the hash of the key of the demo's operator.
+// bootstrapHash returns the key hash of the demo's operator.
 func bootstrapHash(deployment examples.Deployment) string {
-	for _, known := range deployment.Declaration.Operators {
-		if known.Name == operatorName {
-			return known.KeyHashes[0]
+	for _, declared := range deployment.Declaration.Operators {
+		if declared.Name == operatorName {
+			return declared.KeyHashes[0]
 		}
 	}
 	return ""
 }
 
-// stop stops everything at once.
-func (s *stage) stop() {
+// stop kills all daemons and stops the stand-ins.
+func (s *session) stop() {
 	for _, node := range s.nodes {
 		node.Kill()
 	}
@@ -157,25 +157,26 @@
 	}
 }
 
-// declare applies the declaration and has the groups created by plan.
-func (s *stage) declare() error {
+// applyDeclaration applies the declaration and executes a plan that creates the declared
+// groups.
+func (s *session) applyDeclaration() error {
 	applied, err := s.operator.Apply(operator.ApplyRequest{
-		Files: filesOf(s.deployment),
+		Files: declarationFiles(s.deployment),
 	})
 	if err != nil {
 		return errors.Wrap(err, "apply")
 	}
-	s.say("applied: revision %d, accepted=%t, held by %d of %d daemons", applied.Revision, applied.Accepted, applied.Holders, applied.Daemons)
-	if err = s.carryOut(plan.Intent{
+	s.printf("applied: revision %d, accepted=%t, held by %d of %d daemons", applied.Revision, applied.Accepted, applied.Holders, applied.Daemons)
+	if err = s.executePlan(plan.Intent{
 		Kind: plan.Reconcile,
 	}); err != nil {
 		return err
 	}
-	return s.awaitWhole(s.declaredGroups(), 30*time.Second)
+	return s.waitForServing(s.declaredGroupCount(), 30*time.Second)
 }
 
-// declaredGroups returns how many groups are declared.
-func (s *stage) declaredGroups() int {
+// declaredGroupCount returns the number of declared groups.
+func (s *session) declaredGroupCount() int {
 	count := 0
 	for _, model := range s.deployment.Declaration.Models {
 		for _, replicas := range model.Replicas {
@@ -185,85 +186,85 @@
 	return count
 }
 
-// planTimeout bounds the carrying out of one plan.
+// planTimeout limits the execution of one plan.
 const planTimeout = 90 * time.Second
 
-// carryOut plans an intent, confirms it and waits until it is done.
-func (s *stage) carryOut(intent plan.Intent) error {
+// executePlan proposes a plan for an intent, confirms it and waits until it is done.
+func (s *session) executePlan(intent plan.Intent) error {
 	proposed, err := s.operator.Propose(intent)
 	if err != nil {
 		return errors.Wrapf(err, "plan %s", intent)
 	}
-	s.say("plan %s: %s", proposed.Plan.ID, intent)
+	s.printf("plan %s: %s", proposed.Plan.ID, intent)
 	for _, step := range proposed.Plan.Steps {
-		s.say("    stage %d  %s", step.Stage, step)
+		s.printf("    stage %d  %s", step.Stage, step)
 	}
-	s.say("    predicted: %.0f s of group downtime, %.0f stranded accelerator seconds", proposed.DowntimeSeconds, proposed.StrandedSeconds)
+	s.printf("    predicted: %.0f s of group downtime, %.0f stranded accelerator seconds", proposed.DowntimeSeconds, proposed.StrandedSeconds)
 	if _, err = s.operator.Confirm(proposed.Plan.ID); err != nil {
 		return errors.Wrapf(err, "confirm plan %s", proposed.Plan.ID)
 	}
 	deadline := time.Now().Add(planTimeout)
 	for time.Now().Before(deadline) {
-		shown, showErr := s.operator.Plan(proposed.Plan.ID)
-		if showErr == nil && shown.Plan.State.IsFinal() {
-			s.say("plan %s: %s %s", shown.Plan.ID, shown.Plan.State, shown.Plan.Reason)
-			if shown.Plan.State != plan.Done {
-				return errors.Errorf("plan %s: %s: %s", shown.Plan.ID, shown.Plan.State, shown.Plan.Reason)
+		current, readErr := s.operator.Plan(proposed.Plan.ID)
+		if readErr == nil && current.Plan.State.IsFinal() {
+			s.printf("plan %s: %s %s", current.Plan.ID, current.Plan.State, current.Plan.Reason)
+			if current.Plan.State != plan.Done {
+				return errors.Errorf("plan %s: %s: %s", current.Plan.ID, current.Plan.State, current.Plan.Reason)
 			}
 			return nil
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	s.showGroups()
+	s.printGroups()
 	return errors.Errorf("plan %s: not done after %s", proposed.Plan.ID, planTimeout)
 }
 
-// showGroups writes what the operator's daemon knows of each group and lease.
-func (s *stage) showGroups() {
+// printGroups prints the groups and lease holders known to the operator's daemon.
+func (s *session) printGroups() {
 	groups, err := s.operator.Groups()
 	if err != nil {
-		s.say("groups: %s", err)
+		s.printf("groups: %s", err)
 		return
 	}
-	for _, one := range groups {
-		s.say("    %s %s generation %d, whole %t, evidence %.1f s old, plan %q", one.Record.Name, one.Record.Phase, one.Record.Generation, one.Serveable, one.Age, one.Record.Plan)
+	for _, status := range groups {
+		s.printf("    %s %s generation %d, whole %t, evidence %.1f s old, plan %q", status.Record.Name, status.Record.Phase, status.Record.Generation, status.Serveable, status.Age, status.Record.Plan)
 	}
-	status, err := s.operator.Status()
+	daemonStatus, err := s.operator.Status()
 	if err != nil {
-		s.say("status: %s", err)
+		s.printf("status: %s", err)
 		return
 	}
-	for _, lease := range status.Leases {
-		s.say("    shard %d: %s", lease.Shard, lease.Holder)
+	for _, lease := range daemonStatus.Leases {
+		s.printf("    shard %d: %s", lease.Shard, lease.Holder)
 	}
 }
 
-// whole returns how many groups exist and how many may be given requests, as
-// the operator's daemon sees them.
-func (s *stage) whole() (groups, whole int) {
+// countServing returns the number of existing groups and the number of groups that can receive
+// requests, according to the operator's daemon.
+func (s *session) countServing() (groups, serving int) {
 	snapshot := s.nodes[0].Daemon().Snapshot()
 	for _, model := range s.deployment.Declaration.Models {
-		whole += len(snapshot.Serveable(model.Name, time.Now()))
+		serving += len(snapshot.Serveable(model.Name, time.Now()))
 	}
-	return len(snapshot.Groups), whole
+	return len(snapshot.Groups), serving
 }
 
-// awaitWhole waits until a number of groups serve.
-func (s *stage) awaitWhole(count int, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+// waitForServing waits until the wanted number of groups can receive requests.
+func (s *session) waitForServing(wanted int, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
-		if _, whole := s.whole(); whole >= count {
-			s.say("%d groups serve", whole)
+		if _, serving := s.countServing(); serving >= wanted {
+			s.printf("%d groups serve", serving)
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	groups, whole := s.whole()
-	return errors.Errorf("only %d of %d groups (%d known) serve after %s", whole, count, groups, patience)
+	groups, serving := s.countServing()
+	return errors.Errorf("only %d of %d groups serve (%d exist) after %s", serving, wanted, groups, timeout)
 }
 
-// loadSettings returns the callers' load.
-func (s *stage) loadSettings() load.Settings {
+// loadSettings returns the settings of the callers' load.
+func (s *session) loadSettings() load.Settings {
 	declared := s.deployment.Declaration
 	keys := make([]string, len(declared.Organisations))
 	for i, organisation := range declared.Organisations {
--- a/lab/demo/perform.go
+++ b/lab/demo/perform.go
@@ -16,13 +16,13 @@
 	"headcourse/lab/load"
 )
 
-// filesOf returns the files of a deployment's declaration.
-func filesOf(deployment examples.Deployment) []declaration.File {
+// declarationFiles returns the files of a deployment's declaration.
+func declarationFiles(deployment examples.Deployment) []declaration.File {
 	return []declaration.File{deployment.File}
 }
 
-// perform sends the load while things fail, then writes the account.
-func (s *stage) perform(ctx context.Context) error {
+// runScenario injects failures while the load runs, then prints the report.
+func (s *session) runScenario(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	addresses := make([]string, len(s.nodes))
@@ -34,44 +34,43 @@
 	go func() {
 		reports <- load.Run(ctx, s.loadSettings(), balancer)
 	}()
-	measured := s.measure(ctx)
-	s.say("load: %.0f requests/s for %s", s.settings.Rate, s.settings.Duration)
-	if err := s.disturb(); err != nil {
+	sums := s.sampleMeasures(ctx)
+	s.printf("load: %.0f requests/s for %s", s.settings.Rate, s.settings.Duration)
+	if err := s.injectFaults(); err != nil {
 		return err
 	}
 	report := <-reports
 	cancel()
-	return s.account(report, <-measured)
+	return s.reportOutcomes(report, <-sums)
 }
 
-// pause between two disturbances.
-const calm = 3 * time.Second
+// faultInterval is the pause between two injected failures.
+const faultInterval = 3 * time.Second
 
-// disturb brings about the failures and the operator's work, one after the
-// other.
-func (s *stage) disturb() error {
-	time.Sleep(calm)
+// injectFaults injects the failures and runs the operator's plans, one after the other.
+func (s *session) injectFaults() error {
+	time.Sleep(faultInterval)
 	if err := s.killMember(); err != nil {
 		return err
 	}
-	time.Sleep(calm)
+	time.Sleep(faultInterval)
 	zone := s.deployment.Declaration.Zones[len(s.deployment.Declaration.Zones)-1]
-	if err := s.carryOut(plan.Intent{
+	if err := s.executePlan(plan.Intent{
 		Kind: plan.DrainZone,
 		Zone: zone.Name,
 	}); err != nil {
 		return err
 	}
-	time.Sleep(calm)
+	time.Sleep(faultInterval)
 	s.killDaemon()
-	time.Sleep(calm)
+	time.Sleep(faultInterval)
 	s.replaceDaemon()
-	s.storeOutage()
-	return s.awaitWhole(s.declaredGroups(), 60*time.Second)
+	s.takeStoreDown()
+	return s.waitForServing(s.declaredGroupCount(), 60*time.Second)
 }
 
-// killMember kills one VM of a serving group and waits for the repair.
-func (s *stage) killMember() error {
+// killMember kills one VM of a serving group and waits until the group is repaired.
+func (s *session) killMember() error {
 	snapshot := s.nodes[0].Daemon().Snapshot()
 	names := make([]string, 0, len(snapshot.Groups))
 	byName := map[string]group.Record{}
@@ -82,77 +81,77 @@
 	sort.Strings(names)
 	victim := byName[names[0]]
 	member := victim.Members[len(victim.Members)-1]
-	s.say("kill: VM %s, member of %s", member.VM, victim.Name)
+	s.printf("kill: VM %s, member of %s", member.VM, victim.Name)
 	s.platform.Engines[member.VM].Kill()
-	killed := time.Now()
+	killedAt := time.Now()
 	time.Sleep(2 * time.Second)
-	if err := s.awaitWhole(s.declaredGroups(), 60*time.Second); err != nil {
+	if err := s.waitForServing(s.declaredGroupCount(), 60*time.Second); err != nil {
 		return err
 	}
-	s.say("repaired %.1f s after the loss", time.Since(killed).Seconds())
-	s.say("back: VM %s, empty", member.VM)
+	s.printf("repaired %.1f s after the loss", time.Since(killedAt).Seconds())
+	s.printf("back: VM %s, empty", member.VM)
 	return s.platform.Engines[member.VM].Revive()
 }
 
-// killDaemon kills one daemon.
-func (s *stage) killDaemon() {
+// killDaemon kills one daemon without warning.
+func (s *session) killDaemon() {
 	victim := s.nodes[len(s.nodes)-1]
-	s.say("kill: daemon %s", victim.Daemon().ID())
+	s.printf("kill: daemon %s", victim.Daemon().ID())
 	victim.Kill()
 	s.nodes = s.nodes[:len(s.nodes)-1]
 }
 
-// replaceDaemon stops one daemon as planned.
-func (s *stage) replaceDaemon() {
+// replaceDaemon stops one daemon gracefully and starts another.
+func (s *session) replaceDaemon() {
 	last := len(s.nodes) - 1
 	leaving := s.nodes[last]
 	s.nodes = s.nodes[:last]
-	s.say("stop: daemon %s, as planned", leaving.Daemon().ID())
+	s.printf("stop: daemon %s, as planned", leaving.Daemon().ID())
 	if err := leaving.Stop(); err != nil {
-		s.say("    %s", err)
+		s.printf("    %s", err)
 	}
 	zone := s.deployment.Declaration.Zones[0].Name
 	node, err := daemon.StartNode(s.nodeSettings(last+10, zone), s.settings.Log)
 	if err != nil {
-		s.say("    replacement failed: %s", err)
+		s.printf("    replacement failed: %s", err)
 		return
 	}
 	s.nodes = append(s.nodes, node)
-	s.say("    replaced by %s", node.Daemon().ID())
+	s.printf("    replaced by %s", node.Daemon().ID())
 }
 
-// outage is how long the table service is down; it is longer than a lease and
-// than the time after which a daemon that hears nobody stops.
-const outage = 14 * time.Second
+// outageDuration is how long the table service is down. It is longer than a lease and longer
+// than the time after which a daemon without contact stops.
+const outageDuration = 14 * time.Second
 
-// storeOutage takes the table service down for a while.
-func (s *stage) storeOutage() {
-	s.say("table service down for %s", outage)
+// takeStoreDown makes the table service unavailable for outageDuration.
+func (s *session) takeStoreDown() {
+	s.printf("table service down for %s", outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{
 		Dark: true,
 	})
-	time.Sleep(outage)
+	time.Sleep(outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{})
-	_, whole := s.whole()
-	s.say("table service back; %d groups served meanwhile", whole)
+	_, serving := s.countServing()
+	s.printf("table service back; %d groups served meanwhile", serving)
 }
 
 // ----------------------------------------------------------------------------
-// The account
+// Report
 
-// measures are the two measures of the brief, summed over the load.
+// measures are group downtime and stranded accelerators, summed over the load.
 type measures struct {
-	downtime float64
-	stranded float64
-	seconds  float64
+	groupDowntimeSeconds       float64
+	strandedAcceleratorSeconds float64
+	elapsedSeconds             float64
 }
 
-// sampleEvery is the time between two samples of the measures.
-const sampleEvery = 200 * time.Millisecond
+// sampleInterval is the time between two samples of the measures.
+const sampleInterval = 200 * time.Millisecond
 
-// measure samples the measures until ctx ends: groups that are declared but
-// may not be given requests, and accelerators in no such group.
-func (s *stage) measure(ctx context.Context) <-chan measures {
+// sampleMeasures samples until ctx ends. It counts the declared groups that cannot receive
+// requests, and the accelerators outside groups that can.
+func (s *session) sampleMeasures(ctx context.Context) <-chan measures {
 	sums := make(chan measures, 1)
 	observer := s.nodes[0].Daemon()
 	accelerators := 0
@@ -161,12 +160,12 @@
 	}
 	go func() {
 		var sum measures
-		last := time.Now()
+		lastSampleAt := time.Now()
 		for ctx.Err() == nil {
-			time.Sleep(sampleEvery)
+			time.Sleep(sampleInterval)
 			now := time.Now()
-			passed := now.Sub(last).Seconds()
-			last = now
+			elapsed := now.Sub(lastSampleAt).Seconds()
+			lastSampleAt = now
 			serving, used := 0, 0
 			for _, model := range s.deployment.Declaration.Models {
 				for _, record := range observer.Snapshot().Serveable(model.Name, now) {
@@ -174,41 +173,41 @@
 					used += record.Accelerators()
 				}
 			}
-			sum.downtime += passed * float64(max(0, s.declaredGroups()-serving))
-			sum.stranded += passed * float64(accelerators-used)
-			sum.seconds += passed
+			sum.groupDowntimeSeconds += elapsed * float64(max(0, s.declaredGroupCount()-serving))
+			sum.strandedAcceleratorSeconds += elapsed * float64(accelerators-used)
+			sum.elapsedSeconds += elapsed
 		}
 		sums <- sum
 	}()
 	return sums
 }
 
-// account checks what callers were told against the ledgers of the backend
-// servers, and writes the sums.
-func (s *stage) account(report *load.Report, sum measures) error {
-	runs, charges := s.platform.RunsOf(), s.platform.ServiceRuns()
-	lied, doubled, lost := 0, 0, 0
-	for _, one := range report.Outcomes {
-		ran := runs[one.RequestID] + charges[one.Charge]
-		if one.Verdict == load.NotRun && ran > 0 {
-			lied++
+// reportOutcomes compares the outcomes reported to callers with the ledgers of the backend
+// servers and prints the totals.
+func (s *session) reportOutcomes(report *load.Report, totals measures) error {
+	engineRuns, serviceRuns := s.platform.RunsOf(), s.platform.ServiceRuns()
+	falseNotRun, duplicated, lost := 0, 0, 0
+	for _, outcome := range report.Outcomes {
+		executions := engineRuns[outcome.RequestID] + serviceRuns[outcome.Charge]
+		if outcome.Verdict == load.NotRun && executions > 0 {
+			falseNotRun++
 		}
-		if one.Charge != "" && charges[one.Charge] > 1 {
-			doubled++
+		if outcome.Charge != "" && serviceRuns[outcome.Charge] > 1 {
+			duplicated++
 		}
-		if one.Charge != "" && one.Verdict == load.Whole && charges[one.Charge] == 0 {
+		if outcome.Charge != "" && outcome.Verdict == load.Whole && serviceRuns[outcome.Charge] == 0 {
 			lost++
 		}
 	}
-	s.say("account of %s over %.0f s:", s.deployment.Declaration.Deployment, sum.seconds)
-	s.say("    requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d", len(report.Outcomes), report.Count(load.Whole), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Broken), report.Count(load.Unreached))
+	s.printf("account of %s over %.0f s:", s.deployment.Declaration.Deployment, totals.elapsedSeconds)
+	s.printf("    requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d", len(report.Outcomes), report.Count(load.Whole), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Broken), report.Count(load.Unreached))
 	for _, reason := range report.Reasons() {
-		s.say("        %-40s %4d  from %.1f s to %.1f s of the load", reason.Name, reason.Count, reason.First.Seconds(), reason.Last.Seconds())
+		s.printf("        %-40s %4d  from %.1f s to %.1f s of the load", reason.Name, reason.Count, reason.First.Seconds(), reason.Last.Seconds())
 	}
-	s.say("    promises: lost %d, doubled %d, foreign %d, cut %d, told not run but ran %d", lost, doubled, report.Count(load.Foreign), report.Count(load.Cut), lied)
-	s.say("    group downtime %.1f group seconds; stranded %.1f accelerators on average", sum.downtime, sum.stranded/sum.seconds)
-	s.say("    first token %d / %d / %d ms at 50 / 95 / 99%%; between tokens %d ms at 95%%", report.First.ValueAtQuantile(50)/1000, report.First.ValueAtQuantile(95)/1000, report.First.ValueAtQuantile(99)/1000, report.Gap.ValueAtQuantile(95)/1000)
-	if lied+doubled+lost+report.Count(load.Foreign)+report.Count(load.Cut) > 0 {
+	s.printf("    promises: lost %d, doubled %d, foreign %d, cut %d, told not run but ran %d", lost, duplicated, report.Count(load.Foreign), report.Count(load.Cut), falseNotRun)
+	s.printf("    group downtime %.1f group seconds; stranded %.1f accelerators on average", totals.groupDowntimeSeconds, totals.strandedAcceleratorSeconds/totals.elapsedSeconds)
+	s.printf("    first token %d / %d / %d ms at 50 / 95 / 99%%; between tokens %d ms at 95%%", report.First.ValueAtQuantile(50)/1000, report.First.ValueAtQuantile(95)/1000, report.First.ValueAtQuantile(99)/1000, report.Gap.ValueAtQuantile(95)/1000)
+	if falseNotRun+duplicated+lost+report.Count(load.Foreign)+report.Count(load.Cut) > 0 {
 		return errors.Wrap(ErrBroken, s.deployment.Declaration.Deployment)
 	}
 	return nil
