--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -1,11 +1,11 @@
 // Package engine is the stand-in for a model engine on one VM.
 //
-// It obeys fenced orders, reports its state, answers chat completions whole or
-// as server-sent events, lets streams be resumed and cancelled, and batches as
-// many requests as it has slots. The first member of a group answers for it,
-// and stops when any other member stops answering, as a real replica would.
-// What it answers depends only on the request, so that a caller can check that
-// it got its own answer and all of it.
+// It applies orders that carry a fencing token, reports its state, and answers chat
+// completions in one body or as server-sent events. Streams can be resumed and cancelled. It
+// runs up to Settings.Slots requests at once. The first member of a group answers for the
+// group and aborts its requests when another member stops answering, as a real replica would.
+// An answer depends only on the request, so that a caller can verify that an answer is
+// complete and its own.
 package engine
 
 import (
@@ -22,24 +22,24 @@
 	"headcourse/lab/weightstore"
 )
 
-// Settings are the properties of one engine.
+// Settings configure one engine.
 type Settings struct {
 	VM string
-	// Address is IP:port; port 0 picks a free one.
+	// Address is IP:port; port 0 selects a free port.
 	Address string
-	// ChecksOrders tells whether orders and requests are checked against the
-	// generation.
+	// ChecksOrders makes the engine reject stale orders and requests for another generation.
 	ChecksOrders bool
 	Slots        int
-	// LoadTime is how long a load takes after the weights were fetched.
+	// LoadTime is the duration of a load after the weights are fetched.
 	LoadTime time.Duration
-	// FirstToken and EachToken are the times of an uncached answer.
+	// FirstToken is the delay of the first token, and EachToken the interval between later
+	// tokens.
 	FirstToken time.Duration
 	EachToken  time.Duration
 	Weights    *weightstore.Store
 }
 
-// Engine is one running stand-in. Use Start.
+// Engine is a running stand-in. Use Start.
 type Engine struct {
 	settings Settings
 	server   *server.Server
@@ -49,16 +49,16 @@
 	fence   order.Fence
 	current order.Order
 	loaded  bool
-	// whole is false when another member was found missing.
-	whole  bool
-	life   context.CancelFunc
-	runs   map[string]*run
-	active int
-	ledger map[string]int
-	stale  int
+	// complete is false while another member is missing from the group.
+	complete    bool
+	cancel      context.CancelFunc
+	runs        map[string]*run
+	inFlight    int
+	ledger      map[string]int
+	staleOrders int
 }
 
-// Start runs an engine until Stop.
+// Start starts an engine.
 func Start(settings Settings) (*Engine, error) {
 	started := &Engine{
 		settings: settings,
@@ -73,34 +73,34 @@
 	return started, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the engine listens on.
 func (e *Engine) Address() string {
 	return e.server.Address()
 }
 
-// Faults returns the engine's faults, to be set.
+// Faults returns the switch that injects faults into the engine.
 func (e *Engine) Faults() *fault.Switch {
 	return &e.faults
 }
 
-// Kill stops the engine as a crash would: connections are cut, state is lost.
+// Kill simulates a crash: it closes all connections and discards the state.
 func (e *Engine) Kill() {
 	e.server.Kill()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.endLife()
-	e.cutRuns()
+	e.cancelCurrentOrder()
+	e.abortRuns()
 	e.fence = order.Fence{}
 	e.current = order.Order{}
 	e.loaded = false
 }
 
-// Revive starts a killed engine again, empty.
+// Revive restarts a killed engine without its former state.
 func (e *Engine) Revive() error {
 	return e.server.Revive()
 }
 
-// State returns what the engine says of itself.
+// State returns the state that the engine reports to probes.
 func (e *Engine) State() order.State {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -111,12 +111,12 @@
 		Model:      e.current.Model,
 		Version:    e.current.Version,
 		Loaded:     e.loaded,
-		InFlight:   e.active,
+		InFlight:   e.inFlight,
 		Slots:      e.settings.Slots,
 	}
 }
 
-// Ledger returns how often each request was run, by request id.
+// Ledger returns the number of executions of each request, by request id.
 func (e *Engine) Ledger() map[string]int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// writeJSON writes a value with a status.
+// writeJSON writes a JSON value with a status code.
 func writeJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -161,26 +161,26 @@
 // ----------------------------------------------------------------------------
 // Orders
 
-// serveOrder obeys an order, or refuses a stale one.
+// serveOrder applies an order, or rejects it as stale.
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var received order.Order
 	if err := json.Unmarshal(ctx.PostBody(), &received); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if !e.obey(received) {
+	if !e.applyOrder(received) {
 		ctx.Error("stale order", fasthttp.StatusConflict)
 		return
 	}
 	writeJSON(ctx, fasthttp.StatusOK, e.State())
 }
 
-// obey carries out an order and tells whether it was admitted.
-func (e *Engine) obey(received order.Order) bool {
+// applyOrder applies an order and reports whether the fencing token admitted it.
+func (e *Engine) applyOrder(received order.Order) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.settings.ChecksOrders && !e.fence.Admits(received) {
-		e.stale++
+		e.staleOrders++
 		return false
 	}
 	e.fence = order.Fence{
@@ -191,21 +191,21 @@
 	if received.Verb == order.Load && isSame {
 		return true
 	}
-	e.endLife()
-	e.cutRuns()
+	e.cancelCurrentOrder()
+	e.abortRuns()
 	e.loaded = false
 	e.current = order.Order{}
 	if received.Verb == order.Load {
 		e.current = received
 		ctx, cancel := context.WithCancel(context.Background())
-		e.life = cancel
+		e.cancel = cancel
 		go e.load(ctx, received)
 	}
 	return true
 }
 
-// load fetches the weights, then makes the engine ready and, on the first
-// member, watches the others.
+// load fetches the weights and marks the engine as loaded. The first member then checks the
+// other members.
 func (e *Engine) load(ctx context.Context, received order.Order) {
 	if e.settings.Weights != nil && e.settings.Weights.Fetch(ctx) != nil {
 		return
@@ -219,29 +219,30 @@
 		return
 	}
 	e.loaded = true
-	e.whole = true
+	e.complete = true
 	e.mutex.Unlock()
 	if len(received.Members) > 0 && received.Members[0] == e.settings.VM {
 		e.watchMembers(ctx, received)
 	}
 }
 
-// endLife ends the loading or watching of the present group. The mutex is held.
-func (e *Engine) endLife() {
-	if e.life != nil {
-		e.life()
-		e.life = nil
+// cancelCurrentOrder cancels the load or the member checks of the current order. The mutex is
+// held.
+func (e *Engine) cancelCurrentOrder() {
+	if e.cancel != nil {
+		e.cancel()
+		e.cancel = nil
 	}
 }
 
-// cutRuns breaks every stream under way. The mutex is held.
-func (e *Engine) cutRuns() {
-	for _, one := range e.runs {
-		one.cut()
+// abortRuns aborts every run in flight. The mutex is held.
+func (e *Engine) abortRuns() {
+	for _, active := range e.runs {
+		active.abort()
 	}
 }
 
-// sleep waits for d, and tells whether ctx is still alive.
+// sleep waits for d and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -253,43 +254,44 @@
 	}
 }
 
-// watchEvery is the time between two looks at the other members.
-const watchEvery = 150 * time.Millisecond
+// memberCheckInterval is the time between two checks of the other members.
+const memberCheckInterval = 150 * time.Millisecond
 
-// missLimit is how often in a row another member may not answer.
-const missLimit = 3
+// maxConsecutiveMisses is the number of check rounds in a row with an unanswered check after
+// which the group counts as incomplete.
+const maxConsecutiveMisses = 3
 
-// watchMembers cuts all work as soon as another member is missing: when it
-// says that it is not part of the group, or has not answered missLimit times.
+// watchMembers aborts all runs when the group is incomplete: a member reports another group or
+// generation, or some member did not answer in maxConsecutiveMisses check rounds in a row.
 func (e *Engine) watchMembers(ctx context.Context, received order.Order) {
 	client := &fasthttp.Client{
-		ReadTimeout:  4 * watchEvery,
-		WriteTimeout: 4 * watchEvery,
+		ReadTimeout:  4 * memberCheckInterval,
+		WriteTimeout: 4 * memberCheckInterval,
 	}
 	misses := 0
-	for sleep(ctx, watchEvery) {
-		isWhole, isAnswered := true, true
+	for sleep(ctx, memberCheckInterval) {
+		isComplete, allAnswered := true, true
 		for _, address := range received.Addresses[1:] {
-			isPart, err := answersFor(client, address, received)
-			isAnswered = isAnswered && err == nil
-			isWhole = isWhole && (isPart || err != nil)
+			isMember, err := isMemberOf(client, address, received)
+			allAnswered = allAnswered && err == nil
+			isComplete = isComplete && (isMember || err != nil)
 		}
 		misses++
-		if isAnswered {
+		if allAnswered {
 			misses = 0
 		}
-		isWhole = isWhole && misses < missLimit
+		isComplete = isComplete && misses < maxConsecutiveMisses
 		e.mutex.Lock()
-		if !isWhole && ctx.Err() == nil {
-			e.cutRuns()
+		if !isComplete && ctx.Err() == nil {
+			e.abortRuns()
 		}
-		e.whole = isWhole
+		e.complete = isComplete
 		e.mutex.Unlock()
 	}
 }
 
-// answersFor tells whether a member says that it is part of the group.
-func answersFor(client *fasthttp.Client, address string, received order.Order) (bool, error) {
+// isMemberOf reports whether a server's state names the group and generation of an order.
+func isMemberOf(client *fasthttp.Client, address string, received order.Order) (bool, error) {
 	_, body, err := client.Get(nil, "http://"+address+"/state")
 	if err != nil {
 		return false, err
--- a/lab/engine/run.go
+++ b/lab/engine/run.go
@@ -15,13 +15,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// streamsPath is where streams are resumed (GET) and cancelled (DELETE).
+// streamsPath is the prefix of paths that resume (GET) or cancel (DELETE) a stream.
 const streamsPath = "/v1/streams/"
 
-// keepRuns is how long an ended stream can be resumed.
-const keepRuns = 20 * time.Second
+// endedRunRetention is how long an ended stream can be resumed.
+const endedRunRetention = 20 * time.Second
 
-// Completion is the request body that the stand-in reads.
+// Completion is the part of a request body that the stand-in reads.
 type Completion struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -35,11 +35,11 @@
 	Content string `json:"content"`
 }
 
-// defaultTokens is the length of an answer when the request names none.
+// defaultTokens is the number of tokens of an answer if the request does not set max_tokens.
 const defaultTokens = 16
 
-// Answer returns the tokens of the answer to a request: they depend on its
-// messages alone.
+// Answer returns the tokens of the answer to a request. They depend only on the messages and
+// the maximum number of tokens.
 func Answer(request Completion) []string {
 	hash := xxhash.New()
 	for _, message := range request.Messages {
@@ -57,169 +57,170 @@
 	return tokens
 }
 
-// run is one request being answered. Events are made by one goroutine and read
-// by the connections that follow the stream.
+// run is the execution of one request. One goroutine generates its tokens; every connection
+// that follows the stream reads them.
 type run struct {
-	id      string
-	tokens  []string
-	mutex   sync.Mutex
-	changed *sync.Cond
-	made    int
-	done    bool
-	broken  bool
-	endedAt time.Time
+	id        string
+	tokens    []string
+	mutex     sync.Mutex
+	changed   *sync.Cond
+	generated int
+	done      bool
+	aborted   bool
+	endedAt   time.Time
 }
 
-// newRun returns a run that has made nothing yet.
+// newRun returns a run without generated tokens.
 func newRun(id string, tokens []string) *run {
-	made := &run{
+	created := &run{
 		id:     id,
 		tokens: tokens,
 	}
-	made.changed = sync.NewCond(&made.mutex)
-	return made
+	created.changed = sync.NewCond(&created.mutex)
+	return created
 }
 
-// cut breaks the run.
-func (r *run) cut() {
+// abort aborts a run that is not done.
+func (r *run) abort() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.done {
-		r.broken = true
+		r.aborted = true
 		r.changed.Broadcast()
 	}
 }
 
-// advance makes one more token, and tells whether to go on.
-func (r *run) advance() bool {
+// generateToken generates one token and reports whether more tokens follow.
+func (r *run) generateToken() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.broken {
+	if r.aborted {
 		return false
 	}
-	r.made++
-	r.done = r.made == len(r.tokens)
+	r.generated++
+	r.done = r.generated == len(r.tokens)
 	r.changed.Broadcast()
 	return !r.done
 }
 
-// waitFor waits until more than position tokens are made, or the run ended.
-func (r *run) waitFor(position int) (made int, done, broken bool) {
+// waitPast waits until more than position tokens are generated, or the run is done or aborted.
+func (r *run) waitPast(position int) (generated int, done, aborted bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for r.made <= position && !r.done && !r.broken {
+	for r.generated <= position && !r.done && !r.aborted {
 		r.changed.Wait()
 	}
-	return r.made, r.done, r.broken
+	return r.generated, r.done, r.aborted
 }
 
 // ----------------------------------------------------------------------------
-// Serving
+// Requests
 
-// refusal is the body of an answer that says that nothing was run.
-type refusal struct {
+// rejection is the body of an answer to a request that was not executed.
+type rejection struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
 }
 
-// refuse answers that nothing was run.
-func refuse(ctx *fasthttp.RequestCtx, status int, reason string) {
-	writeJSON(ctx, status, refusal{
+// reject answers that the request was not executed.
+func reject(ctx *fasthttp.RequestCtx, status int, reason string) {
+	writeJSON(ctx, status, rejection{
 		Outcome: "not_run",
 		Reason:  reason,
 	})
 }
 
-// serveCompletion runs a request, unless the group is not as the caller thinks.
+// serveCompletion executes a request, or rejects it if the group is incomplete, of another
+// generation or busy.
 func (e *Engine) serveCompletion(ctx *fasthttp.RequestCtx) {
 	var request Completion
 	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
-		refuse(ctx, fasthttp.StatusBadRequest, "bad_request")
+		reject(ctx, fasthttp.StatusBadRequest, "bad_request")
 		return
 	}
 	id := string(ctx.Request.Header.Peek("X-Request-Id"))
 	generation, _ := strconv.ParseUint(string(ctx.Request.Header.Peek("X-Generation")), 10, 64)
-	started, status, reason := e.begin(id, string(ctx.Request.Header.Peek("X-Group")), generation, request)
+	started, status, reason := e.startRun(id, string(ctx.Request.Header.Peek("X-Group")), generation, request)
 	if started == nil {
-		refuse(ctx, status, reason)
+		reject(ctx, status, reason)
 		return
 	}
 	if request.Stream {
-		follow(ctx, started, 0)
+		streamRun(ctx, started, 0)
 		return
 	}
-	e.answerWhole(ctx, started, request)
+	e.answerUnstreamed(ctx, started, request)
 }
 
-// begin starts a run, or says why not.
-func (e *Engine) begin(id, group string, generation uint64, request Completion) (started *run, status int, reason string) {
+// startRun starts a run, or returns the status and reason of its rejection.
+func (e *Engine) startRun(id, group string, generation uint64, request Completion) (started *run, status int, reason string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	isOther := group != e.current.Group || generation != e.current.Generation
+	isMismatch := group != e.current.Group || generation != e.current.Generation
 	switch {
-	case !e.loaded || !e.whole:
+	case !e.loaded || !e.complete:
 		return nil, fasthttp.StatusConflict, "not_whole"
-	case e.settings.ChecksOrders && isOther:
+	case e.settings.ChecksOrders && isMismatch:
 		return nil, fasthttp.StatusConflict, "other_generation"
-	case e.active >= e.settings.Slots:
+	case e.inFlight >= e.settings.Slots:
 		return nil, fasthttp.StatusTooManyRequests, "busy"
 	}
 	e.ledger[id]++
-	e.active++
-	e.forgetEnded()
+	e.inFlight++
+	e.evictEndedRuns()
 	started = newRun(id, Answer(request))
 	e.runs[id] = started
 	go e.generate(started)
 	return started, 0, ""
 }
 
-// forgetEnded drops runs that ended long ago. The mutex is held.
-func (e *Engine) forgetEnded() {
-	for id, one := range e.runs {
-		one.mutex.Lock()
-		isOld := !one.endedAt.IsZero() && time.Since(one.endedAt) > keepRuns
-		one.mutex.Unlock()
-		if isOld {
+// evictEndedRuns removes runs that ended more than endedRunRetention ago. The mutex is held.
+func (e *Engine) evictEndedRuns() {
+	for id, ended := range e.runs {
+		ended.mutex.Lock()
+		isExpired := !ended.endedAt.IsZero() && time.Since(ended.endedAt) > endedRunRetention
+		ended.mutex.Unlock()
+		if isExpired {
 			delete(e.runs, id)
 		}
 	}
 }
 
-// generate makes the tokens of a run at the engine's speed.
-func (e *Engine) generate(one *run) {
+// generate generates the tokens of a run at the configured intervals.
+func (e *Engine) generate(active *run) {
 	time.Sleep(e.settings.FirstToken)
-	for one.advance() {
+	for active.generateToken() {
 		e.faults.WaitWhilePaused()
-		slow := time.Duration(e.faults.Get().SlowMS) * time.Millisecond
-		time.Sleep(e.settings.EachToken + slow/10)
+		slowdown := time.Duration(e.faults.Get().SlowMS) * time.Millisecond
+		time.Sleep(e.settings.EachToken + slowdown/10)
 	}
-	one.mutex.Lock()
-	one.endedAt = time.Now()
-	one.mutex.Unlock()
+	active.mutex.Lock()
+	active.endedAt = time.Now()
+	active.mutex.Unlock()
 	e.mutex.Lock()
-	e.active--
+	e.inFlight--
 	e.mutex.Unlock()
 }
 
-// answerWhole answers without streaming.
-func (e *Engine) answerWhole(ctx *fasthttp.RequestCtx, one *run, request Completion) {
+// answerUnstreamed waits for the end of a run and answers with the whole completion.
+func (e *Engine) answerUnstreamed(ctx *fasthttp.RequestCtx, active *run, request Completion) {
 	position := 0
 	for {
-		made, done, broken := one.waitFor(position)
-		if broken {
-			breakOff(ctx)
+		generated, done, aborted := active.waitPast(position)
+		if aborted {
+			closeWithoutAnswer(ctx)
 			return
 		}
 		if done {
 			break
 		}
-		position = made
+		position = generated
 	}
-	writeJSON(ctx, fasthttp.StatusOK, wholeAnswer(one, request))
+	writeJSON(ctx, fasthttp.StatusOK, completionBody(active, request))
 }
 
-// wholeAnswer is the body of a completion that is not streamed.
-func wholeAnswer(one *run, request Completion) any {
+// completionBody returns the body of a completion that is not streamed.
+func completionBody(finished *run, request Completion) any {
 	type choice struct {
 		Index        int     `json:"index"`
 		Message      Message `json:"message"`
@@ -231,21 +232,21 @@
 		Model   string   `json:"model"`
 		Choices []choice `json:"choices"`
 	}{
-		ID:     one.id,
+		ID:     finished.id,
 		Object: "chat.completion",
 		Model:  request.Model,
 		Choices: []choice{{
 			Message: Message{
 				Role:    "assistant",
-				Content: strings.Join(one.tokens, ""),
+				Content: strings.Join(finished.tokens, ""),
 			},
 			FinishReason: "stop",
 		}},
 	}
 }
 
-// breakOff ends a connection without an answer.
-func breakOff(ctx *fasthttp.RequestCtx) {
+// closeWithoutAnswer closes the connection without an answer.
+func closeWithoutAnswer(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(conn net.Conn) {
 		_ = conn.Close()
@@ -255,66 +256,66 @@
 // serveStream resumes or cancels a stream.
 func (e *Engine) serveStream(ctx *fasthttp.RequestCtx, id string) {
 	e.mutex.Lock()
-	one := e.runs[id]
+	target := e.runs[id]
 	e.mutex.Unlock()
-	if one == nil {
+	if target == nil {
 		ctx.Error("no such stream", fasthttp.StatusNotFound)
 		return
 	}
 	if ctx.IsDelete() {
-		one.cut()
+		target.abort()
 		ctx.SetStatusCode(fasthttp.StatusNoContent)
 		return
 	}
 	position, _ := strconv.Atoi(string(ctx.Request.Header.Peek("Last-Event-ID")))
-	follow(ctx, one, position)
+	streamRun(ctx, target, position)
 }
 
-// follow streams a run from a position as server-sent events.
-func follow(ctx *fasthttp.RequestCtx, one *run, position int) {
+// streamRun streams a run as server-sent events, beginning after a position.
+func streamRun(ctx *fasthttp.RequestCtx, source *run, position int) {
 	ctx.SetContentType("text/event-stream")
-	ctx.SetBodyStream(&follower{
-		run:      one,
+	ctx.SetBodyStream(&eventReader{
+		run:      source,
 		position: position,
 	}, -1)
 }
 
-// follower reads a run as server-sent events. Each event's id is its position
-// from 1, and the last event's data is [DONE].
-type follower struct {
+// eventReader encodes a run as server-sent events. The id of an event is its position,
+// beginning at 1, and the data of the last event is [DONE].
+type eventReader struct {
 	run      *run
 	position int
 	buffered []byte
-	ended    bool
+	atEnd    bool
 }
 
-// Read returns the next events.
-func (f *follower) Read(target []byte) (int, error) {
-	if len(f.buffered) == 0 {
-		if err := f.fill(); err != nil {
+// Read returns the next bytes of encoded events.
+func (r *eventReader) Read(target []byte) (int, error) {
+	if len(r.buffered) == 0 {
+		if err := r.fill(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(target, f.buffered)
-	f.buffered = f.buffered[n:]
+	n := copy(target, r.buffered)
+	r.buffered = r.buffered[n:]
 	return n, nil
 }
 
-// fill waits for events and encodes them.
-func (f *follower) fill() error {
-	if f.ended {
+// fill waits for new tokens and encodes them as events.
+func (r *eventReader) fill() error {
+	if r.atEnd {
 		return io.EOF
 	}
-	made, done, broken := f.run.waitFor(f.position)
-	if broken {
+	generated, done, aborted := r.run.waitPast(r.position)
+	if aborted {
 		return io.ErrUnexpectedEOF
 	}
-	for ; f.position < made; f.position++ {
-		f.buffered = appendEvent(f.buffered, f.position+1, f.run.id, f.run.tokens[f.position])
+	for ; r.position < generated; r.position++ {
+		r.buffered = appendEvent(r.buffered, r.position+1, r.run.id, r.run.tokens[r.position])
 	}
-	if done && f.position == len(f.run.tokens) {
-		f.buffered = append(f.buffered, "data: [DONE]\n\n"...)
-		f.ended = true
+	if done && r.position == len(r.run.tokens) {
+		r.buffered = append(r.buffered, "data: [DONE]\n\n"...)
+		r.atEnd = true
 	}
 	return nil
 }
@@ -325,9 +326,9 @@
 	return fmt.Appendf(buffer, "id: %d\ndata: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%s}}]}\n\n", position, id, content)
 }
 
-// ReadEvents reads server-sent events from r and calls visit with each one's
-// position and data; it returns the error that ended the stream, io.EOF where
-// it was whole.
+// ReadEvents reads server-sent events from r and calls visit with the position and data of
+// each event. It returns the error that ended the stream, which is io.EOF for a complete
+// stream.
 func ReadEvents(r io.Reader, visit func(position int, data string)) error {
 	reader := bufio.NewReader(r)
 	position := 0
