--- a/lab/examples/examples.go
+++ b/lab/examples/examples.go
@@ -1,6 +1,5 @@
-// Package examples holds the declarations of the two deployments at their size
-// of today. The stand-ins and the demo use them, and operators may start from
-// them.
+// Package examples holds the declarations of two deployments at their current size. The
+// stand-ins and the demo use them, and operators can use them as templates.
 package examples
 
 import (
@@ -16,17 +15,18 @@
 //go:embed *.yaml
 var files embed.FS
 
-// Deployment is a declaration and the VMs that the platform gives it.
+// Deployment holds a declaration and the number and shape of its VMs.
 type Deployment struct {
 	File        declaration.File
 	Declaration declaration.Declaration
-	// DomainsPerZone and VMsPerDomain are the fabric domains of each zone.
+	// DomainsPerZone is the number of fabric domains in each zone, and VMsPerDomain the number
+	// of VMs in each domain.
 	DomainsPerZone int
 	VMsPerDomain   int
 	Accelerators   int
-	// ServersPerZone is the number of VMs of plain services in each zone.
+	// ServersPerZone is the number of VMs in each zone for each plain service.
 	ServersPerZone int
-	// Daemons is the number of entry VMs.
+	// Daemons is the number of daemons, one on each entry VM.
 	Daemons int
 }
 
@@ -35,11 +35,11 @@
 	return []string{"caudal-andino", "valdeserna"}
 }
 
-// Load returns a deployment by its name.
+// Load returns the deployment with a name.
 func Load(name string) (Deployment, error) {
 	content, err := files.ReadFile(name + ".yaml")
 	if err != nil {
-		return Deployment{}, errors.Errorf("deployment %q is not known; there are %v", name, Names())
+		return Deployment{}, errors.Errorf("deployment %q does not exist; existing deployments: %v", name, Names())
 	}
 	file := declaration.File{
 		Name:    name + ".yaml",
@@ -66,13 +66,12 @@
 	return deployment, nil
 }
 
-// Key returns the key of an organisation or operator of the examples.
+// Key returns the API key of an organisation or operator of the examples.
 func Key(name string) string {
 	return "demo-key-" + name
 }
 
-// WithScale returns the deployment with its fabric domains and replicas
-// multiplied.
+// WithScale returns the deployment with its fabric domains and replicas multiplied by scale.
 func (d Deployment) WithScale(scale int) Deployment {
 	d.DomainsPerZone *= scale
 	models := append([]declaration.Model(nil), d.Declaration.Models...)
@@ -87,7 +86,7 @@
 	return d
 }
 
-// VMs returns the VMs of a deployment, without addresses.
+// VMs returns the VMs of the deployment, without addresses.
 func (d Deployment) VMs() []vm.VM {
 	var vms []vm.VM
 	for _, zone := range d.Declaration.Zones {
