--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet plays a fleet of daemons in one goroutine on the runtime's
-// clock: the real controllers of package control, a table in memory, and fake
-// backend servers. Only I/O is faked. Stateful tests bring about failures in
-// it and look at Broken, which the oracle fills; the measures are taken in it
-// as well. It is to be used on a paused clock.
+// Package fleet simulates a fleet of daemons in one goroutine. It runs the real controllers of
+// package control against an in-memory table and fake backend servers; only I/O is simulated.
+// Stateful tests inject failures and check Broken, to which the oracle appends violations.
+// Package measures uses the simulation as well. It must run on the paused clock of
+// testing/synctest.
 package fleet
 
 import (
@@ -21,211 +21,215 @@
 	"headcourse/lab/tablestore"
 )
 
-// Figures of the fleet.
 const (
-	// Tick is the time between two rounds of everything.
+	// Tick is the interval between two simulation steps.
 	Tick = 250 * time.Millisecond
 	// Zones is the number of zones, each with two fabric domains.
 	Zones = 3
 
-	loadTime  = 2 * time.Second
-	maxTravel = 2 * time.Second
+	defaultLoadTime = 2 * time.Second
+	maxOrderDelay   = 2 * time.Second
 )
 
-// StoreFault is what is wrong with the store, as one daemon sees it.
+// StoreFault is the fault that one daemon sees when it accesses the store.
 type StoreFault int
 
 const (
-	// StoreFine is: nothing is wrong.
+	// StoreFine means that the store works.
 	StoreFine StoreFault = iota
-	// StoreDown is: refused before anything is done.
+	// StoreDown means that the store rejects every operation before it is executed.
 	StoreDown
-	// StoreLosesAnswers is: done, but the daemon does not hear of it.
+	// StoreLosesAnswers means that the store executes a commit but the daemon receives no
+	// answer.
 	StoreLosesAnswers
-	// StoreDelays is: done later, or never, and the daemon does not hear of it.
+	// StoreDelays means that the store executes a commit late, and that the daemon receives no
+	// answer.
 	StoreDelays
 )
 
-// Host is one daemon of the fleet.
+// Host is one simulated daemon.
 type Host struct {
 	Controller *control.Controller
 	Fault      StoreFault
 	Paused     bool
-	CutOff     bool
-	after      uint64
-	polledAt   time.Time
-	positions  map[string]int
-	pending    []pendingCommit
-	sends      []control.Send
-	config     uint64
+	// CutOff daemons exchange nothing with other daemons.
+	CutOff         bool
+	scannedVersion uint64
+	polledAt       time.Time
+	peerPositions  map[string]int
+	pendingCommits []pendingCommit
+	queuedOrders   []control.Send
+	configVersion  uint64
 }
 
-// pendingCommit is a commit whose outcome the daemon does not know yet.
+// pendingCommit is a commit with an unknown outcome.
 type pendingCommit struct {
-	commit control.Commit
-	marker string
-	tries  int
+	commit   control.Commit
+	marker   string
+	attempts int
 }
 
-// travelling is an order on its way.
-type travelling struct {
-	send    control.Send
-	arrives time.Time
+// orderInFlight is an order that has not reached its server yet.
+type orderInFlight struct {
+	send      control.Send
+	arrivesAt time.Time
 }
 
-// delayed is a transaction that reaches the store late.
-type delayed struct {
+// delayedCommit is a transaction that reaches the store late.
+type delayedCommit struct {
 	transaction table.Transaction
-	arrives     time.Time
+	arrivesAt   time.Time
 }
 
-// heard is what one daemon once said to another, which may hear it again later.
-type heard struct {
-	by       *Host
+// peerExchange is what one daemon read from another. It can be redelivered later.
+type peerExchange struct {
+	receiver *Host
 	rows     []table.Row
 	reports  []contact.Report
 	evidence []presence.Evidence
 }
 
-// Fleet is everything.
+// Fleet is a simulated fleet with its store, its backend servers and its daemons.
 type Fleet struct {
 	settings Settings
-	memory   *tablestore.Memory
+	store    *tablestore.Memory
+	// StoreOut makes the store unavailable to all daemons.
 	StoreOut bool
 	Servers  map[string]*Server
 	IDs      []string
-	List     map[string]vm.VM
-	Hosts    []*Host
-	orders   []travelling
-	late     []delayed
-	heard    []heard
-	born     int
-	numbered int
-	// delay draws how long an order or a delayed transaction travels.
+	// List is the platform's VM list, by id.
+	List            map[string]vm.VM
+	Hosts           []*Host
+	ordersInFlight  []orderInFlight
+	delayedCommits  []delayedCommit
+	pastExchanges   []peerExchange
+	daemonsStarted  int
+	lastTransaction int
+	// Delay draws the delay of an order or of a delayed transaction, up to a limit.
 	Delay func(limit time.Duration) time.Duration
-	// accepted holds when each configuration was first seen accepted.
-	accepted map[uint64]time.Time
-	Broken   []string
+	// acceptedAt holds the time when each configuration was first observed as accepted.
+	acceptedAt map[uint64]time.Time
+	// Broken holds the violations that the oracle found.
+	Broken []string
 }
 
-// fault is the store as one daemon reaches it.
+// faultyStore is the store with the faults of one daemon.
 type faultyStore struct {
-	fleet *Fleet
-	host  *Host
+	fleet  *Fleet
+	daemon *Host
 }
 
-// Commit commits as the daemon's fault lets it.
+// Commit commits a transaction, subject to the daemon's store fault.
 func (f faultyStore) Commit(ctx context.Context, transaction table.Transaction) (uint64, error) {
 	switch {
-	case f.fleet.StoreOut || f.host.Fault == StoreDown:
+	case f.fleet.StoreOut || f.daemon.Fault == StoreDown:
 		return 0, table.ErrUnavailable
-	case f.host.Fault == StoreLosesAnswers:
-		_, _ = f.fleet.memory.Commit(ctx, transaction)
+	case f.daemon.Fault == StoreLosesAnswers:
+		_, _ = f.fleet.store.Commit(ctx, transaction)
 		return 0, table.ErrUnknown
-	case f.host.Fault == StoreDelays:
-		f.fleet.late = append(f.fleet.late, delayed{
+	case f.daemon.Fault == StoreDelays:
+		f.fleet.delayedCommits = append(f.fleet.delayedCommits, delayedCommit{
 			transaction: transaction,
-			arrives:     time.Now().Add(f.fleet.Delay(20 * time.Second)),
+			arrivesAt:   time.Now().Add(f.fleet.Delay(20 * time.Second)),
 		})
 		return 0, table.ErrUnknown
 	default:
-		return f.fleet.memory.Commit(ctx, transaction)
+		return f.fleet.store.Commit(ctx, transaction)
 	}
 }
 
-// Read reads unless the store cannot be reached.
+// Read reads a row, unless the store is unavailable.
 func (f faultyStore) Read(ctx context.Context, key string) (table.Row, error) {
-	if f.fleet.StoreOut || f.host.Fault == StoreDown {
+	if f.fleet.StoreOut || f.daemon.Fault == StoreDown {
 		return table.Row{}, table.ErrUnavailable
 	}
-	return f.fleet.memory.Read(ctx, key)
+	return f.fleet.store.Read(ctx, key)
 }
 
-// Scan scans unless the store cannot be reached.
+// Scan scans the rows, unless the store is unavailable.
 func (f faultyStore) Scan(ctx context.Context, request table.ScanRequest) (table.ScanResult, error) {
-	if f.fleet.StoreOut || f.host.Fault == StoreDown {
+	if f.fleet.StoreOut || f.daemon.Fault == StoreDown {
 		return table.ScanResult{}, table.ErrUnavailable
 	}
-	return f.fleet.memory.Scan(ctx, request)
+	return f.fleet.store.Scan(ctx, request)
 }
 
-// Settings are the properties of a fleet. Fields left out have the defaults of
-// the stateful tests.
+// Settings configure a fleet. LoadTime and Repairer have defaults for the stateful tests.
 type Settings struct {
 	Daemons      int
 	VMsPerDomain int
 	ChecksOrders bool
-	// LoadTime is how long a server loads a model.
+	// LoadTime is how long a server takes to load a model.
 	LoadTime time.Duration
 	// Repairer is the repair policy of every daemon.
 	Repairer control.Repairer
 }
 
-// New returns a fleet of daemons before zones with two domains each.
+// New returns a fleet with settings.Daemons daemons and two fabric domains in each zone.
 func New(settings Settings) *Fleet {
 	if settings.LoadTime == 0 {
-		settings.LoadTime = loadTime
+		settings.LoadTime = defaultLoadTime
 	}
 	if settings.Repairer == nil {
 		settings.Repairer = placement.Weighed{}
 	}
-	made := &Fleet{
-		settings: settings,
-		memory:   &tablestore.Memory{},
-		Servers:  map[string]*Server{},
-		List:     map[string]vm.VM{},
-		accepted: map[uint64]time.Time{},
+	created := &Fleet{
+		settings:   settings,
+		store:      &tablestore.Memory{},
+		Servers:    map[string]*Server{},
+		List:       map[string]vm.VM{},
+		acceptedAt: map[uint64]time.Time{},
 		Delay: func(time.Duration) time.Duration {
 			return Tick
 		},
 	}
 	for zone := range Zones {
 		for domain := range 2 {
-			for number := range settings.VMsPerDomain {
+			for index := range settings.VMsPerDomain {
 				listed := vm.VM{
-					ID:           fmt.Sprintf("z%d-d%d-%d", zone, domain, number),
+					ID:           fmt.Sprintf("z%d-d%d-%d", zone, domain, index),
 					Zone:         fmt.Sprintf("z%d", zone),
 					Domain:       fmt.Sprintf("z%d-d%d", zone, domain),
-					Address:      fmt.Sprintf("10.0.%d.%d:1", zone, domain*100+number),
+					Address:      fmt.Sprintf("10.0.%d.%d:1", zone, domain*100+index),
 					Accelerators: 8,
 					State:        vm.Live,
 					ChecksOrders: settings.ChecksOrders,
 				}
-				made.IDs = append(made.IDs, listed.ID)
-				made.List[listed.ID] = listed
-				made.Servers[listed.ID] = &Server{
-					loadTime: settings.LoadTime,
-					VM:       listed,
-					goodAt:   map[string]time.Time{},
+				created.IDs = append(created.IDs, listed.ID)
+				created.List[listed.ID] = listed
+				created.Servers[listed.ID] = &Server{
+					loadTime:     settings.LoadTime,
+					VM:           listed,
+					lastLoadedAt: map[string]time.Time{},
 				}
 			}
 		}
 	}
-	made.memory.OnCommit = made.checkCommit
+	created.store.OnCommit = created.checkCommit
 	for range settings.Daemons {
-		made.AddDaemon()
+		created.AddDaemon()
 	}
-	return made
+	return created
 }
 
 // AddDaemon starts a daemon.
 func (f *Fleet) AddDaemon() {
-	f.born++
-	born := control.New(roster.Daemon{
-		ID:   fmt.Sprintf("daemon-%02d", f.born),
-		Zone: fmt.Sprintf("z%d", f.born%Zones),
-		Peer: fmt.Sprintf("10.1.0.%d:1", f.born),
+	f.daemonsStarted++
+	controller := control.New(roster.Daemon{
+		ID:   fmt.Sprintf("daemon-%02d", f.daemonsStarted),
+		Zone: fmt.Sprintf("z%d", f.daemonsStarted%Zones),
+		Peer: fmt.Sprintf("10.1.0.%d:1", f.daemonsStarted),
 	})
-	born.RepairBy(f.settings.Repairer)
+	controller.RepairBy(f.settings.Repairer)
 	f.Hosts = append(f.Hosts, &Host{
-		Controller: born,
-		positions:  map[string]int{},
+		Controller:    controller,
+		peerPositions: map[string]int{},
 	})
 }
 
-// Declared is the declaration of the tests.
+// Declared returns the declaration that the tests use.
 func Declared(replicas map[string]int, version string) declaration.Declaration {
-	made := declaration.Declaration{
+	declared := declaration.Declaration{
 		Deployment: "test",
 		Weights: declaration.Weights{
 			GroupDowntime:        10,
@@ -243,18 +247,18 @@
 		}},
 	}
 	for zone := range Zones {
-		made.Zones = append(made.Zones, declaration.Zone{
+		declared.Zones = append(declared.Zones, declaration.Zone{
 			Name: fmt.Sprintf("z%d", zone),
 			Site: fmt.Sprintf("s%d", zone),
 		})
 	}
-	return made
+	return declared
 }
 
 // ----------------------------------------------------------------------------
 // Time
 
-// Run lets d pass, a tick at a time.
+// Run advances the simulation by d, one tick at a time.
 func (f *Fleet) Run(d time.Duration) {
 	for range d / Tick {
 		time.Sleep(Tick)
@@ -262,16 +266,17 @@
 	}
 }
 
-// step lets everything that runs do its work once.
+// step runs one simulation step of all servers, orders and daemons, then checks the
+// invariants.
 func (f *Fleet) step() {
 	now := time.Now()
 	for _, id := range f.IDs {
 		f.Servers[id].advance(now)
 	}
 	f.deliver(now)
-	for _, one := range f.Hosts {
-		if !one.Paused {
-			f.stepHost(one, now)
+	for _, daemon := range f.Hosts {
+		if !daemon.Paused {
+			f.stepDaemon(daemon, now)
 		}
 	}
 	f.checkServing(now)
@@ -279,27 +284,27 @@
 	f.checkConfiguration(now)
 }
 
-// deliver lets orders and late transactions arrive.
+// deliver delivers the orders and delayed transactions that are due.
 func (f *Fleet) deliver(now time.Time) {
-	var onWay []travelling
-	for _, one := range f.orders {
-		if now.Before(one.arrives) {
-			onWay = append(onWay, one)
+	var inFlight []orderInFlight
+	for _, arriving := range f.ordersInFlight {
+		if now.Before(arriving.arrivesAt) {
+			inFlight = append(inFlight, arriving)
 			continue
 		}
-		if target := f.Servers[one.send.VM]; target.answers() {
-			f.checkOrder(target, one.send.Order)
-			target.obey(one.send.Order)
+		if target := f.Servers[arriving.send.VM]; target.isAnswering() {
+			f.checkOrder(target, arriving.send.Order)
+			target.applyOrder(arriving.send.Order)
 		}
 	}
-	f.orders = onWay
-	var late []delayed
-	for _, one := range f.late {
-		if now.Before(one.arrives) {
-			late = append(late, one)
+	f.ordersInFlight = inFlight
+	var waiting []delayedCommit
+	for _, arriving := range f.delayedCommits {
+		if now.Before(arriving.arrivesAt) {
+			waiting = append(waiting, arriving)
 			continue
 		}
-		_, _ = f.memory.Commit(context.Background(), one.transaction)
+		_, _ = f.store.Commit(context.Background(), arriving.transaction)
 	}
-	f.late = late
+	f.delayedCommits = waiting
 }
--- a/lab/fleet/host.go
+++ b/lab/fleet/host.go
@@ -11,163 +11,164 @@
 	"headcourse/core/vm"
 )
 
-// stepHost is one round of one daemon.
-func (f *Fleet) stepHost(one *Host, now time.Time) {
+// stepDaemon runs one step of one daemon.
+func (f *Fleet) stepDaemon(daemon *Host, now time.Time) {
 	store := &table.Settling{
 		Store: faultyStore{
-			fleet: f,
-			host:  one,
+			fleet:  f,
+			daemon: daemon,
 		},
 	}
-	f.sendOrders(one)
-	f.settlePending(one, store)
-	f.poll(one, store, now)
-	f.pull(one)
-	f.probe(one, now)
-	actions := one.Controller.Step()
+	f.sendOrders(daemon)
+	f.settlePending(daemon, store)
+	f.poll(daemon, store, now)
+	f.pullFromPeers(daemon)
+	f.probe(daemon, now)
+	actions := daemon.Controller.Step()
 	if actions.Refresh {
-		one.polledAt = time.Time{}
+		daemon.polledAt = time.Time{}
 	}
 	for _, commit := range actions.Commits {
-		commit.Transaction.ID = fmt.Sprintf("%s/%d", one.Controller.Self().ID, f.nextID())
+		commit.Transaction.ID = fmt.Sprintf("%s/%d", daemon.Controller.Self().ID, f.nextTransactionID())
 		marked, marker := table.Mark(commit.Transaction)
 		version, err := store.Store.Commit(context.Background(), marked)
 		if table.IsCertain(err) {
-			f.memory.Drop(marker)
-			one.Controller.Committed(commit, version, err)
+			f.store.Drop(marker)
+			daemon.Controller.Committed(commit, version, err)
 			continue
 		}
-		one.pending = append(one.pending, pendingCommit{
+		daemon.pendingCommits = append(daemon.pendingCommits, pendingCommit{
 			commit: commit,
 			marker: marker,
 		})
 	}
-	one.sends = append(one.sends, actions.Sends...)
+	daemon.queuedOrders = append(daemon.queuedOrders, actions.Sends...)
 }
 
-// nextID numbers transactions.
-func (f *Fleet) nextID() int {
-	f.numbered++
-	return f.numbered
+// nextTransactionID returns the number of the next transaction.
+func (f *Fleet) nextTransactionID() int {
+	f.lastTransaction++
+	return f.lastTransaction
 }
 
-// maxSettles is how often a daemon tries to settle before it gives up.
-const maxSettles = 24
+// maxSettleAttempts is the number of attempts to determine the outcome of a commit before a
+// daemon gives up.
+const maxSettleAttempts = 24
 
-// settlePending settles commits whose answers were lost.
-func (f *Fleet) settlePending(one *Host, store *table.Settling) {
-	var left []pendingCommit
-	for _, pending := range one.pending {
+// settlePending determines the outcome of commits whose answers were lost.
+func (f *Fleet) settlePending(daemon *Host, store *table.Settling) {
+	var unsettled []pendingCommit
+	for _, pending := range daemon.pendingCommits {
 		version, err := store.SettleOnce(context.Background(), pending.marker)
-		pending.tries++
-		if !table.IsCertain(err) && pending.tries < maxSettles {
-			left = append(left, pending)
+		pending.attempts++
+		if !table.IsCertain(err) && pending.attempts < maxSettleAttempts {
+			unsettled = append(unsettled, pending)
 			continue
 		}
-		one.Controller.Committed(pending.commit, version, err)
+		daemon.Controller.Committed(pending.commit, version, err)
 	}
-	one.pending = left
+	daemon.pendingCommits = unsettled
 }
 
-// sendOrders sends the orders decided in the round before, if the lease that
-// each was decided under still holds: a daemon may have been paused between.
-func (f *Fleet) sendOrders(one *Host) {
-	for _, send := range one.sends {
+// sendOrders sends the orders of the previous step. It drops an order if the lease under which
+// it was decided no longer holds, because the daemon can have been paused in between.
+func (f *Fleet) sendOrders(daemon *Host) {
+	for _, send := range daemon.queuedOrders {
 		if send.Lease.Check(lease.OrderMargin) == nil {
-			f.orders = append(f.orders, travelling{
-				send:    send,
-				arrives: time.Now().Add(f.Delay(maxTravel)),
+			f.ordersInFlight = append(f.ordersInFlight, orderInFlight{
+				send:      send,
+				arrivesAt: time.Now().Add(f.Delay(maxOrderDelay)),
 			})
 		}
 	}
-	one.sends = nil
+	daemon.queuedOrders = nil
 }
 
-// poll reads the store when it is time.
-func (f *Fleet) poll(one *Host, store *table.Settling, now time.Time) {
-	if now.Sub(one.polledAt) < 2500*time.Millisecond {
+// poll reads the changed rows and the VM list if the poll interval has passed.
+func (f *Fleet) poll(daemon *Host, store *table.Settling, now time.Time) {
+	if now.Sub(daemon.polledAt) < 2500*time.Millisecond {
 		return
 	}
-	one.polledAt = now
+	daemon.polledAt = now
 	result, err := store.Scan(context.Background(), table.ScanRequest{
 		Prefix: catalog.Prefix,
-		After:  one.after,
+		After:  daemon.scannedVersion,
 	})
 	if err != nil {
 		return
 	}
-	one.after = result.Version
-	one.Controller.LearnStore(result.Rows, result.Version, now)
+	daemon.scannedVersion = result.Version
+	daemon.Controller.LearnStore(result.Rows, result.Version, now)
 	listed := make([]vm.VM, 0, len(f.List))
 	for _, id := range f.IDs {
 		if entry, ok := f.List[id]; ok {
 			listed = append(listed, entry)
 		}
 	}
-	one.Controller.LearnVMs(listed)
+	daemon.Controller.LearnVMs(listed)
 }
 
-// pull learns from the other daemons that can be reached.
-func (f *Fleet) pull(one *Host) {
-	if one.CutOff {
+// pullFromPeers reads changes, reports and evidence from every reachable daemon.
+func (f *Fleet) pullFromPeers(daemon *Host) {
+	if daemon.CutOff {
 		return
 	}
-	for _, other := range f.Hosts {
-		if other == one || other.Paused || other.CutOff {
+	for _, peer := range f.Hosts {
+		if peer == daemon || peer.Paused || peer.CutOff {
 			continue
 		}
-		id := other.Controller.Self().ID
-		rows, next, _ := other.Controller.Changes(one.positions[id], 10000)
-		one.positions[id] = next
-		one.Controller.LearnRows(rows)
-		said := heard{
-			by:       one,
+		id := peer.Controller.Self().ID
+		rows, next, _ := peer.Controller.Changes(daemon.peerPositions[id], 10000)
+		daemon.peerPositions[id] = next
+		daemon.Controller.LearnRows(rows)
+		received := peerExchange{
+			receiver: daemon,
 			rows:     rows,
-			reports:  append(other.Controller.Contact().Reports(), other.Controller.OwnReport()),
-			evidence: other.Controller.AllEvidence(),
+			reports:  append(peer.Controller.Contact().Reports(), peer.Controller.OwnReport()),
+			evidence: peer.Controller.AllEvidence(),
 		}
-		one.Controller.LearnReports(said.reports, said.evidence)
-		if f.heard = append(f.heard, said); len(f.heard) > 400 {
-			f.heard = f.heard[200:]
+		daemon.Controller.LearnReports(received.reports, received.evidence)
+		if f.pastExchanges = append(f.pastExchanges, received); len(f.pastExchanges) > 400 {
+			f.pastExchanges = f.pastExchanges[200:]
 		}
 	}
 }
 
-// HearAgain lets a daemon hear once more what was said before.
-func (f *Fleet) HearAgain(one *Host, index int) {
-	said := f.heard[index%len(f.heard)]
-	if said.by != one {
+// HearAgain redelivers a past exchange to the daemon that received it.
+func (f *Fleet) HearAgain(daemon *Host, index int) {
+	past := f.pastExchanges[index%len(f.pastExchanges)]
+	if past.receiver != daemon {
 		return
 	}
-	one.Controller.LearnRows(said.rows)
-	one.Controller.LearnReports(said.reports, said.evidence)
+	daemon.Controller.LearnRows(past.rows)
+	daemon.Controller.LearnReports(past.reports, past.evidence)
 }
 
-// Request lets a caller's request begin at a group that a daemon would route
-// to, if the group's first member takes it.
-func (f *Fleet) Request(one *Host, index int, takes time.Duration) {
-	snapshot := one.Controller.Snapshot()
+// Request starts a caller's request at a group that a daemon would route to, if the group's
+// first member accepts it.
+func (f *Fleet) Request(daemon *Host, index int, duration time.Duration) {
+	snapshot := daemon.Controller.Snapshot()
 	groups := snapshot.Serveable("m", time.Now())
 	if len(groups) == 0 {
 		return
 	}
 	record := groups[index%len(groups)]
 	leader := f.Servers[record.Members[0].VM]
-	isPart := leader.State.Group == record.Name && leader.State.Generation == record.Generation
-	if leader.answers() && (isPart || !leader.VM.ChecksOrders) && leader.State.Loaded {
-		leader.Ends = append(leader.Ends, time.Now().Add(takes))
+	isMember := leader.State.Group == record.Name && leader.State.Generation == record.Generation
+	if leader.isAnswering() && (isMember || !leader.VM.ChecksOrders) && leader.State.Loaded {
+		leader.Ends = append(leader.Ends, time.Now().Add(duration))
 		leader.State.InFlight = len(leader.Ends)
 	}
 }
 
-// probe probes the daemon's targets.
-func (f *Fleet) probe(one *Host, now time.Time) {
-	for _, target := range one.Controller.Targets() {
-		found := f.Servers[target.ID]
-		if found.answers() {
-			one.Controller.LearnProbe(target.ID, now, found.State)
+// probe probes the servers that the daemon has to probe.
+func (f *Fleet) probe(daemon *Host, now time.Time) {
+	for _, target := range daemon.Controller.Targets() {
+		server := f.Servers[target.ID]
+		if server.isAnswering() {
+			daemon.Controller.LearnProbe(target.ID, now, server.State)
 		} else {
-			one.Controller.LearnSilence(target.ID, now, found.Dead)
+			daemon.Controller.LearnSilence(target.ID, now, server.Dead)
 		}
 	}
 }
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -14,70 +14,71 @@
 // ----------------------------------------------------------------------------
 // Operators
 
-// Apply commits a declaration as the operators' side does.
-func (f *Fleet) Apply(one *Host, next declaration.Declaration) error {
-	world := one.Controller.World()
+// Apply commits a declaration in the way the operator API does.
+func (f *Fleet) Apply(daemon *Host, declared declaration.Declaration) error {
+	world := daemon.Controller.World()
 	change := table.Transaction{}
 	change = change.WithCondition(plan.ConfigKey, world.Catalog.Row(plan.ConfigKey).Version)
 	change = change.WithWrite(table.Put(plan.ConfigKey, plan.Configuration{
 		Revision:    world.Configuration.Revision + 1,
-		Declaration: next,
+		Declaration: declared,
 	}))
-	_, err := f.memory.Commit(context.Background(), change)
+	_, err := f.store.Commit(context.Background(), change)
 	return err
 }
 
-// Propose stores the plan that one daemon makes of an intent.
-func (f *Fleet) Propose(one *Host, id string, intent plan.Intent) (plan.Plan, error) {
-	made, err := plan.Build(id, "operator", intent, one.Controller.World())
+// Propose stores the plan that a daemon builds for an intent.
+func (f *Fleet) Propose(daemon *Host, id string, intent plan.Intent) (plan.Plan, error) {
+	proposed, err := plan.Build(id, "operator", intent, daemon.Controller.World())
 	if err != nil {
-		return made, err
+		return proposed, err
 	}
 	change := table.Transaction{}
 	change = change.WithCondition(plan.Key(id), 0)
-	change = change.WithWrite(table.Put(plan.Key(id), made))
-	_, err = f.memory.Commit(context.Background(), change)
-	return made, err
+	change = change.WithWrite(table.Put(plan.Key(id), proposed))
+	_, err = f.store.Commit(context.Background(), change)
+	return proposed, err
 }
 
-// Confirm confirms a plan with the world as one daemon sees it.
-func (f *Fleet) Confirm(one *Host, id string) error {
+// Confirm confirms a plan, based on one daemon's view of the fleet.
+func (f *Fleet) Confirm(daemon *Host, id string) error {
 	found, err := f.Plan(id)
 	if err != nil {
 		return err
 	}
-	change, err := plan.Confirm(found, one.Controller.World())
+	change, err := plan.Confirm(found, daemon.Controller.World())
 	if err != nil {
 		return err
 	}
-	_, err = f.memory.Commit(context.Background(), change)
+	_, err = f.store.Commit(context.Background(), change)
 	return err
 }
 
 // Plan reads a plan from the table.
 func (f *Fleet) Plan(id string) (plan.Plan, error) {
 	var found plan.Plan
-	row, err := f.memory.Read(context.Background(), plan.Key(id))
+	row, err := f.store.Read(context.Background(), plan.Key(id))
 	if err != nil || row.Version == 0 {
-		return found, errors.Errorf("no plan %q", id)
+		return found, errors.Errorf("plan %q does not exist", id)
 	}
 	return found, row.Decode(&found)
 }
 
-// Rewrite changes a stored plan, as no operator can; baselines are made so.
+// Rewrite overwrites a stored plan unconditionally, which no operator can do. The baselines of
+// package measures are built with it.
 func (f *Fleet) Rewrite(id string, rewrite func(plan.Plan) plan.Plan) error {
 	found, err := f.Plan(id)
 	if err != nil {
 		return err
 	}
 	write := table.Transaction{}.WithWrite(table.Put(plan.Key(id), rewrite(found)))
-	_, err = f.memory.Commit(context.Background(), write)
+	_, err = f.store.Commit(context.Background(), write)
 	return err
 }
 
 // Change pauses, resumes or abandons a plan.
 func (f *Fleet) Change(id string, change plan.Change) error {
-	row, err := f.memory.Read(context.Background(), plan.Key(id))
+	row, err := f.store.Read(context.Background(), plan.Key(id))
 	if err != nil {
 		return err
 	}
@@ -92,11 +93,12 @@
 	write := table.Transaction{}
 	write = write.WithCondition(row.Key, row.Version)
 	write = write.WithWrite(table.Put(row.Key, next))
-	_, err = f.memory.Commit(context.Background(), write)
+	_, err = f.store.Commit(context.Background(), write)
 	return err
 }
 
-// StartDeclared brings a fleet to where three zones have two groups each.
+// StartDeclared declares two groups in each of the three zones and runs the fleet until the
+// plan that creates them is done.
 func (f *Fleet) StartDeclared() error {
 	f.Run(5 * time.Second)
 	if err := f.Apply(f.Hosts[0], Declared(map[string]int{"z0": 2, "z1": 2, "z2": 2}, "1")); err != nil {
--- a/lab/fleet/oracle.go
+++ b/lab/fleet/oracle.go
@@ -19,10 +19,10 @@
 )
 
 // ----------------------------------------------------------------------------
-// The oracle
+// Oracle
 
-// fail notes a broken promise.
-func (f *Fleet) fail(format string, arguments ...any) {
+// recordViolation records that an invariant was violated.
+func (f *Fleet) recordViolation(format string, arguments ...any) {
 	f.Broken = append(f.Broken, fmt.Sprintf(format, arguments...))
 }
 
@@ -41,110 +41,111 @@
 	return found
 }
 
-// checkCommit checks, after every commit, that no VM is in two groups, that
-// claims and members agree, that a daemon changed groups and plans only while
-// it held their shard, and that no two plans under way change one group, zone or VM.
+// checkCommit runs after every commit. It checks that no VM is in two groups, that claims
+// match the members, that a daemon changes groups and plans only while it holds a lease, and
+// that no two active plans change one group, zone or VM.
 func (f *Fleet) checkCommit(transaction table.Transaction, rows map[string]table.Row) {
 	owner := map[string]string{}
 	for _, record := range groupsIn(rows) {
 		for _, member := range record.Members {
-			if first, ok := owner[member.VM]; ok {
-				f.fail("VM %s is in %s and in %s", member.VM, first, record.Name)
+			if other, ok := owner[member.VM]; ok {
+				f.recordViolation("VM %s is a member of both %s and %s", member.VM, other, record.Name)
 			}
 			owner[member.VM] = record.Name
 			var claim vm.Claim
 			row := rows[vm.Key(member.VM)]
 			if row.Version == 0 || row.Decode(&claim) != nil || claim.Group != record.Name {
-				f.fail("VM %s is a member of %s but claimed by %q", member.VM, record.Name, claim.Group)
+				f.recordViolation("VM %s is a member of %s but is claimed by %q", member.VM, record.Name, claim.Group)
 			}
 		}
 	}
-	f.checkAuthor(transaction, rows)
+	f.checkLeaseHeld(transaction, rows)
 	f.checkPlans(rows)
 }
 
-// checkAuthor checks that a daemon that changed a group or a plan held a lease
-// that the change was conditional on.
-func (f *Fleet) checkAuthor(transaction table.Transaction, rows map[string]table.Row) {
+// checkLeaseHeld checks that a commit of a daemon that changes a group or a plan is
+// conditional on a lease held by that daemon.
+func (f *Fleet) checkLeaseHeld(transaction table.Transaction, rows map[string]table.Row) {
 	author, _, isDaemon := strings.Cut(transaction.ID, "/")
 	if !isDaemon {
 		return
 	}
 	isHolder := false
-	for _, held := range transaction.Conditions {
+	for _, condition := range transaction.Conditions {
 		var grant lease.Grant
-		row := rows[held.Key]
-		isLease := strings.HasPrefix(held.Key, lease.KeyPrefix)
+		row := rows[condition.Key]
+		isLease := strings.HasPrefix(condition.Key, lease.KeyPrefix)
 		isHolder = isHolder || (isLease && row.Decode(&grant) == nil && grant.Holder == author)
 	}
 	for _, write := range transaction.Writes {
 		isGroup := strings.HasPrefix(write.Key, group.KeyPrefix)
 		isPlan := strings.HasPrefix(write.Key, plan.KeyPrefix)
 		if (isGroup || isPlan) && !isHolder {
-			f.fail("%s wrote %s without holding a lease", author, write.Key)
+			f.recordViolation("%s wrote %s without holding a lease", author, write.Key)
 		}
 	}
 }
 
-// checkPlans checks that no group, zone or VM is changed by two plans under way.
+// checkPlans checks that no two active plans change one group, zone or VM. A plan is active if
+// it is confirmed or paused.
 func (f *Fleet) checkPlans(rows map[string]table.Row) {
 	changedBy := map[string]string{}
 	for key, row := range rows {
-		var one plan.Plan
-		if !strings.HasPrefix(key, plan.KeyPrefix) || row.Decode(&one) != nil {
+		var candidate plan.Plan
+		if !strings.HasPrefix(key, plan.KeyPrefix) || row.Decode(&candidate) != nil {
 			continue
 		}
-		if one.State != plan.Confirmed && one.State != plan.Paused {
+		if candidate.State != plan.Confirmed && candidate.State != plan.Paused {
 			continue
 		}
-		for _, step := range one.Steps {
+		for _, step := range candidate.Steps {
 			if step.Verb == plan.Form {
 				continue
 			}
 			object := step.Group + step.Zone + step.VM
-			if first, ok := changedBy[object]; ok && first != one.ID {
-				f.fail("%s is changed by plans %s and %s", object, first, one.ID)
+			if other, ok := changedBy[object]; ok && other != candidate.ID {
+				f.recordViolation("%s is changed by both plan %s and plan %s", object, other, candidate.ID)
 			}
-			changedBy[object] = one.ID
+			changedBy[object] = candidate.ID
 		}
 	}
 }
 
-// checkServing checks that whatever a daemon would route to was whole within
-// the bound on evidence.
+// checkServing checks that all members of each group that a daemon routes to were loaded
+// within the maximum age of evidence.
 func (f *Fleet) checkServing(now time.Time) {
-	for _, one := range f.Hosts {
-		snapshot := one.Controller.Snapshot()
+	for _, daemon := range f.Hosts {
+		snapshot := daemon.Controller.Snapshot()
 		for _, record := range snapshot.Serveable("m", now) {
 			for _, member := range record.Members {
-				good := f.Servers[member.VM].goodAt[partKey(record.Name, record.Generation)]
-				if now.Sub(good) > presence.MaxAge {
-					f.fail("%s routes to %s generation %d though %s was last part of it %s ago", one.Controller.Self().ID, record.Name, record.Generation, member.VM, now.Sub(good))
+				loadedAt := f.Servers[member.VM].lastLoadedAt[assignmentKey(record.Name, record.Generation)]
+				if now.Sub(loadedAt) > presence.MaxAge {
+					f.recordViolation("%s routes to %s generation %d, but its member %s was last loaded %s ago", daemon.Controller.Self().ID, record.Name, record.Generation, member.VM, now.Sub(loadedAt))
 				}
 			}
 		}
 	}
 }
 
-// checkLeases checks that no two daemons may send orders for one shard.
+// checkLeases checks that no two daemons hold a usable lease on one shard.
 func (f *Fleet) checkLeases() {
 	holder := map[int]string{}
-	for _, one := range f.Hosts {
-		for _, held := range one.Controller.Usable() {
-			if first, ok := holder[held.Shard]; ok {
-				f.fail("shard %d is held by %s and %s", held.Shard, first, one.Controller.Self().ID)
+	for _, daemon := range f.Hosts {
+		for _, held := range daemon.Controller.Usable() {
+			if other, ok := holder[held.Shard]; ok {
+				f.recordViolation("shard %d is held by both %s and %s", held.Shard, other, daemon.Controller.Self().ID)
 			}
-			holder[held.Shard] = one.Controller.Self().ID
+			holder[held.Shard] = daemon.Controller.Self().ID
 		}
 	}
 }
 
-// checkOrder checks that an order that arrives is not older than what the
-// server has obeyed, where the server does not check this itself, and that it
-// cuts off no request of a group whose members have all been well.
+// checkOrder checks that a server without order checks of its own receives no stale order. It
+// also checks that an order aborts no request of a group whose members are listed and had no
+// fault in the last minute.
 func (f *Fleet) checkOrder(target *Server, o order.Order) {
 	if !target.VM.ChecksOrders && !target.fence.Admits(o) {
-		f.fail("server %s gets order %s %s generation %d sequence %d after %v", target.VM.ID, o.Verb, o.Group, o.Generation, o.Sequence, target.fence)
+		f.recordViolation("server %s received stale order %s %s generation %d sequence %d after %v", target.VM.ID, o.Verb, o.Group, o.Generation, o.Sequence, target.fence)
 	}
 	isSame := o.Verb == order.Load && target.State.Group == o.Group && target.State.Generation == o.Generation
 	if len(target.Ends) == 0 || isSame || (target.VM.ChecksOrders && !target.fence.Admits(o)) {
@@ -152,63 +153,64 @@
 	}
 	for _, id := range target.members {
 		_, isListed := f.List[id]
-		if time.Since(f.Servers[id].troubledAt) < time.Minute || !isListed {
+		if time.Since(f.Servers[id].lastFaultAt) < time.Minute || !isListed {
 			return
 		}
 	}
-	f.fail("order %s %s generation %d cuts off %d requests of %s at %s", o.Verb, o.Group, o.Generation, len(target.Ends), target.State.Group, target.VM.ID)
+	f.recordViolation("order %s %s generation %d aborts %d requests of %s at %s", o.Verb, o.Group, o.Generation, len(target.Ends), target.State.Group, target.VM.ID)
 }
 
-// checkConfiguration checks that no daemon's configuration goes back, and that
-// whoever may serve holds all that was accepted longer than the bound ago.
+// checkConfiguration checks that no daemon reverts to an older configuration. It also checks
+// that no daemon serves without a configuration that was accepted more than contact.Bound ago.
 func (f *Fleet) checkConfiguration(now time.Time) {
-	for _, one := range f.Hosts {
-		if one.Paused {
+	for _, daemon := range f.Hosts {
+		if daemon.Paused {
 			continue
 		}
-		own := one.Controller.ConfigVersion()
-		if own < one.config {
-			f.fail("%s went back from configuration %d to %d", one.Controller.Self().ID, one.config, own)
+		version := daemon.Controller.ConfigVersion()
+		if version < daemon.configVersion {
+			f.recordViolation("%s reverted from configuration %d to %d", daemon.Controller.Self().ID, daemon.configVersion, version)
 		}
-		one.config = own
-		ids := one.Controller.Roster().IDs()
-		if _, ok := f.accepted[own]; !ok && own > 0 && one.Controller.Contact().Accepted(one.Controller.Self().ID, own, ids, own) {
-			f.accepted[own] = now
+		daemon.configVersion = version
+		ids := daemon.Controller.Roster().IDs()
+		if _, ok := f.acceptedAt[version]; !ok && version > 0 && daemon.Controller.Contact().Accepted(daemon.Controller.Self().ID, version, ids, version) {
+			f.acceptedAt[version] = now
 		}
 	}
-	for _, one := range f.Hosts {
-		if !now.Before(one.Controller.Snapshot().ServeUntil) {
+	for _, daemon := range f.Hosts {
+		if !now.Before(daemon.Controller.Snapshot().ServeUntil) {
 			continue
 		}
-		for version, since := range f.accepted {
-			if one.Controller.ConfigVersion() < version && now.Sub(since) > contact.Bound {
-				f.fail("%s serves under configuration %d though %d was accepted %s ago", one.Controller.Self().ID, one.Controller.ConfigVersion(), version, now.Sub(since))
+		for version, since := range f.acceptedAt {
+			if daemon.Controller.ConfigVersion() < version && now.Sub(since) > contact.Bound {
+				f.recordViolation("%s serves with configuration %d, but configuration %d was accepted %s ago", daemon.Controller.Self().ID, daemon.Controller.ConfigVersion(), version, now.Sub(since))
 			}
 		}
 	}
 }
 
-// Serving returns how many groups every running daemon would route to.
+// Serving returns the lowest number of groups that any running daemon would route to.
 func (f *Fleet) Serving() int {
-	least := -1
-	for _, one := range f.Hosts {
-		if one.Paused {
+	fewest := -1
+	for _, daemon := range f.Hosts {
+		if daemon.Paused {
 			continue
 		}
-		snapshot := one.Controller.Snapshot()
-		if count := len(snapshot.Serveable("m", time.Now())); least < 0 || count < least {
-			least = count
+		snapshot := daemon.Controller.Snapshot()
+		if count := len(snapshot.Serveable("m", time.Now())); fewest < 0 || count < fewest {
+			fewest = count
 		}
 	}
-	return least
+	return fewest
 }
 
-// Unrest returns what has not come to rest yet.
+// Unrest returns an error if a plan, group, zone or claim has not settled, and names one of
+// them.
 func (f *Fleet) Unrest() error {
 	world := f.Hosts[0].Controller.World()
-	for _, one := range world.Plans {
-		if one.State != plan.Proposed && !one.State.IsFinal() {
-			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", one.ID, one.Intent, one.State, one.Stage, one.StepsOf(one.Stage), world.Groups, world.Claims)
+	for _, current := range world.Plans {
+		if current.State != plan.Proposed && !current.State.IsFinal() {
+			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", current.ID, current.Intent, current.State, current.Stage, current.StepsOf(current.Stage), world.Groups, world.Claims)
 		}
 	}
 	for _, record := range world.Groups {
@@ -216,24 +218,24 @@
 			return errors.Errorf("group %s is %s (plan %q)", record.Name, record.Phase, record.Plan)
 		}
 		if record.Plan != "" {
-			return errors.Errorf("group %s is marked by plan %s", record.Name, record.Plan)
+			return errors.Errorf("group %s is still marked by plan %s", record.Name, record.Plan)
 		}
 	}
 	if len(world.ZonePlans) > 0 {
-		return errors.Errorf("zones are marked by plans: %v", world.ZonePlans)
+		return errors.Errorf("zones are still marked by plans: %v", world.ZonePlans)
 	}
 	for id, claim := range world.Claims {
 		if claim.Plan != "" {
-			return errors.Errorf("VM %s is reserved by plan %s", id, claim.Plan)
+			return errors.Errorf("VM %s is still reserved by plan %s", id, claim.Plan)
 		}
 		if record, ok := world.Group(claim.Group); claim.Group != "" && (!ok || !record.Has(id)) {
-			return errors.Errorf("VM %s is claimed by %s, which does not have it", id, claim.Group)
+			return errors.Errorf("VM %s is claimed by %s, which does not list it as a member", id, claim.Group)
 		}
 	}
 	return nil
 }
 
-// HealServers lets every server answer again.
+// HealServers makes every server answer again.
 func (f *Fleet) HealServers() {
 	for _, id := range f.IDs {
 		f.Servers[id].Dead = false
@@ -241,20 +243,20 @@
 	}
 }
 
-// ResumeAll resumes paused plans.
+// ResumeAll resumes all paused plans.
 func (f *Fleet) ResumeAll() {
-	for _, one := range f.Hosts[0].Controller.World().Plans {
-		if one.State == plan.Paused {
-			_ = f.Change(one.ID, plan.ChangeResume)
+	for _, candidate := range f.Hosts[0].Controller.World().Plans {
+		if candidate.State == plan.Paused {
+			_ = f.Change(candidate.ID, plan.ChangeResume)
 		}
 	}
 }
 
-// Leases returns the holders of all shards as the table has them.
+// Leases returns the contents of all lease rows in the table.
 func (f *Fleet) Leases() string {
 	text := ""
 	for shard := range lease.Shards {
-		row, _ := f.memory.Read(context.Background(), lease.Key(shard))
+		row, _ := f.store.Read(context.Background(), lease.Key(shard))
 		text += fmt.Sprintf("%d@%d:%s ", shard, row.Version, row.Value)
 	}
 	return text
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -10,58 +10,62 @@
 
 // Server is a fake backend server.
 type Server struct {
-	VM      vm.VM
-	Dead    bool
-	Paused  bool
-	fence   order.Fence
-	State   order.State
-	loading time.Time
-	// loadTime is how long a load takes.
+	VM     vm.VM
+	Dead   bool
+	Paused bool
+	fence  order.Fence
+	State  order.State
+	// loadDoneAt is when the load under way completes, or zero if there is none.
+	loadDoneAt time.Time
+	// loadTime is how long the server takes to load a model.
 	loadTime time.Duration
-	// goodAt is when it was last present and loaded, by group and generation.
-	goodAt map[string]time.Time
-	// ends holds when the requests in flight will be finished.
+	// lastLoadedAt is the last time the server was answering and loaded, by group and
+	// generation.
+	lastLoadedAt map[string]time.Time
+	// Ends holds the end times of the requests in flight.
 	Ends []time.Time
-	// troubledAt is when it last was dead, paused or out of the list.
-	troubledAt time.Time
-	members    []string
+	// lastFaultAt is the last time the server was dead or paused.
+	lastFaultAt time.Time
+	// members are the members of the group in the last applied load order.
+	members []string
 }
 
-// partKey names a part that a server plays.
-func partKey(name string, generation uint64) string {
-	return fmt.Sprintf("%s/%d", name, generation)
+// assignmentKey returns the key of a server's assignment to a generation of a group.
+func assignmentKey(group string, generation uint64) string {
+	return fmt.Sprintf("%s/%d", group, generation)
 }
 
-// answers tells whether a probe is answered now.
-func (s *Server) answers() bool {
+// isAnswering reports whether the server answers a probe now.
+func (s *Server) isAnswering() bool {
 	return !s.Dead && !s.Paused
 }
 
-// advance finishes a load whose time has come, and notes presence.
+// advance finishes requests and loads that are due and records when the server was last
+// loaded.
 func (s *Server) advance(now time.Time) {
-	if !s.answers() {
-		s.troubledAt = now
+	if !s.isAnswering() {
+		s.lastFaultAt = now
 		return
 	}
-	var left []time.Time
+	var unfinished []time.Time
 	for _, end := range s.Ends {
 		if now.Before(end) {
-			left = append(left, end)
+			unfinished = append(unfinished, end)
 		}
 	}
-	s.Ends = left
-	s.State.InFlight = len(left)
-	if !s.loading.IsZero() && !now.Before(s.loading) {
+	s.Ends = unfinished
+	s.State.InFlight = len(unfinished)
+	if !s.loadDoneAt.IsZero() && !now.Before(s.loadDoneAt) {
 		s.State.Loaded = true
-		s.loading = time.Time{}
+		s.loadDoneAt = time.Time{}
 	}
 	if s.State.Loaded {
-		s.goodAt[partKey(s.State.Group, s.State.Generation)] = now
+		s.lastLoadedAt[assignmentKey(s.State.Group, s.State.Generation)] = now
 	}
 }
 
-// obey carries out an order like the stand-in engine does.
-func (s *Server) obey(o order.Order) {
+// applyOrder applies an order as the stand-in engine does.
+func (s *Server) applyOrder(o order.Order) {
 	if s.VM.ChecksOrders && !s.fence.Admits(o) {
 		return
 	}
@@ -77,23 +81,23 @@
 		Slots: 8,
 	}
 	s.Ends = nil
-	s.loading = time.Time{}
+	s.loadDoneAt = time.Time{}
 	if o.Verb == order.Load {
 		s.members = o.Members
 		s.State.Group = o.Group
 		s.State.Generation = o.Generation
-		s.loading = time.Now().Add(s.loadTime)
+		s.loadDoneAt = time.Now().Add(s.loadTime)
 	}
 }
 
-// Die loses all state.
+// Die simulates a crash: the server stops answering and loses all state.
 func (s *Server) Die() {
 	s.Dead = true
 	s.Paused = false
-	s.troubledAt = time.Now()
+	s.lastFaultAt = time.Now()
 	s.Ends = nil
 	s.fence = order.Fence{}
-	s.loading = time.Time{}
+	s.loadDoneAt = time.Time{}
 	s.State = order.State{
 		VM:    s.VM.ID,
 		Slots: 8,
