--- a/lab/fuzz/fuzz.go
+++ b/lab/fuzz/fuzz.go
@@ -1,7 +1,7 @@
-// Package fuzz fixes the seeds of stateful tests, so that a run in CI always
-// reaches the same verdict. For fresh seeds, set HEADCOURSE_FUZZ_SEED to 0 or
-// to a seed of one's own, HEADCOURSE_FUZZ_CHECKS to how many runs to make, and
-// HEADCOURSE_FUZZ_STEPS to about how many actions each run takes.
+// Package fuzz fixes the seeds of stateful tests, so that runs in CI are reproducible. For
+// other seeds, set HEADCOURSE_FUZZ_SEED to a seed, or to 0 for a random one.
+// HEADCOURSE_FUZZ_CHECKS sets the number of runs, and HEADCOURSE_FUZZ_STEPS the approximate
+// number of actions in each run.
 package fuzz
 
 import (
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// Environment variables, and their defaults in CI.
+// Environment variables and their defaults in CI.
 const (
 	seedVariable   = "HEADCOURSE_FUZZ_SEED"
 	checksVariable = "HEADCOURSE_FUZZ_CHECKS"
@@ -24,25 +24,26 @@
 	defaultSteps   = "40"
 )
 
-// Main is to be called by TestMain of a package with stateful tests.
+// Main sets the flags and runs the tests of a package. TestMain of a package with stateful
+// tests calls it.
 func Main(m *testing.M) int {
-	set("rapid.seed", orDefault(seedVariable, defaultSeed))
-	set("rapid.checks", orDefault(checksVariable, defaultChecks))
-	set("rapid.steps", orDefault(stepsVariable, defaultSteps))
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.seed", envOr(seedVariable, defaultSeed))
+	setFlag("rapid.checks", envOr(checksVariable, defaultChecks))
+	setFlag("rapid.steps", envOr(stepsVariable, defaultSteps))
+	setFlag("rapid.nofailfile", "true")
 	return m.Run()
 }
 
-// orDefault returns a variable's value, or a default.
-func orDefault(variable, value string) string {
-	if found := os.Getenv(variable); found != "" {
-		return found
+// envOr returns the value of an environment variable, or a default if it is unset or empty.
+func envOr(variable, value string) string {
+	if configured := os.Getenv(variable); configured != "" {
+		return configured
 	}
 	return value
 }
 
-// set sets a flag of the stateful test library, if it is linked in.
-func set(name, value string) {
+// setFlag sets a flag of package rapid, if the package is linked in.
+func setFlag(name, value string) {
 	if flag.Lookup(name) != nil {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -50,13 +51,13 @@
 	}
 }
 
-// withoutDeadline is a test that has no deadline: the clock in a bubble is not
-// the clock that deadlines are set by.
+// withoutDeadline hides the deadline of a test from package rapid. The deadline is set by the
+// real clock, which differs from the paused clock of a synctest bubble.
 type withoutDeadline struct {
 	rapid.TB
 }
 
-// Check runs a property on the paused clock.
+// Check checks a property on the paused clock.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -66,26 +67,26 @@
 	})
 }
 
-// CheckSeed runs a property once, with the draws of one seed: of a case that broke it.
+// CheckSeed checks a property once with the seed of a case that failed before.
 func CheckSeed(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
-	former := map[string]string{}
+	previous := map[string]string{}
 	for name, value := range map[string]string{
 		"rapid.seed":   strconv.FormatUint(seed, 10),
 		"rapid.checks": "1",
 	} {
-		former[name] = flag.Lookup(name).Value.String()
-		set(name, value)
+		previous[name] = flag.Lookup(name).Value.String()
+		setFlag(name, value)
 	}
 	defer func() {
-		for name, value := range former {
-			set(name, value)
+		for name, value := range previous {
+			setFlag(name, value)
 		}
 	}()
 	Check(t, property)
 }
 
-// Exit runs the tests of a package and ends the process, as TestMain does.
+// Exit runs the tests of a package and exits with their result, for use in TestMain.
 func Exit(m *testing.M) {
 	os.Exit(Main(m))
 }
