--- a/lab/load/body.go
+++ b/lab/load/body.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// bodyOf reads the rest of an answer.
-func bodyOf(response *fasthttp.Response) []byte {
+// readBody reads the rest of a response body, or returns nil on an error.
+func readBody(response *fasthttp.Response) []byte {
 	body, err := io.ReadAll(response.BodyStream())
 	if err != nil {
 		return nil
@@ -16,7 +16,7 @@
 	return body
 }
 
-// asError is errors.As.
+// asError wraps errors.As.
 func asError(err error, target any) bool {
 	return errors.As(err, target)
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends callers' requests at a rate that does not depend on the
-// answers (an open loop), counts latency from the intended start, and checks
-// every answer: whole, one's own, and with the outcome that it claims.
+// Package load sends callers' requests in an open loop: the rate does not depend on the
+// answers. It measures latency from the intended start of a request, and checks that every
+// answer is complete, belongs to its request and has the outcome that it reports.
 package load
 
 import (
@@ -23,83 +23,84 @@
 	"headcourse/lab/engine"
 )
 
-// Settings are the properties of a load.
+// Settings configure a load.
 type Settings struct {
-	// Rate is requests a second, over Duration; arrivals are exponential from
-	// Seed.
+	// Rate is the number of requests a second during Duration. Inter-arrival times are
+	// exponential and drawn from Seed.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Model    string
-	// ServicePrefix is of the plain service, ChargePath its endpoint that may
-	// not be repeated.
+	// ServicePrefix is the path prefix of the plain service, and ChargePath the path of its
+	// endpoint that must not be repeated.
 	ServicePrefix string
 	ChargePath    string
-	// Keys are the organisations' keys; Deadline is sent with each request.
+	// Keys are the organisations' API keys. Deadline is sent with each request.
 	Keys     []string
 	Tokens   int
 	Deadline time.Duration
-	// PlainShare and ChargeShare are the parts of plain reads and of requests
-	// that may not be repeated; the rest are streamed completions.
+	// PlainShare is the share of plain reads, and ChargeShare the share of requests that must
+	// not be repeated. All other requests are streamed completions.
 	PlainShare  float64
 	ChargeShare float64
 }
 
-// Verdict is what became of one request, as its caller saw and checked it.
+// Verdict is the result of one request, as its caller observed and checked it.
 type Verdict string
 
-// The verdicts.
+// Verdicts of a request.
 const (
-	// Whole: the whole answer to this very request.
+	// Whole means that the caller received the complete answer to its own request.
 	Whole Verdict = "whole"
-	// NotRun and Unknown: an error that says so.
+	// NotRun and Unknown mean that the caller received an error with that outcome.
 	NotRun  Verdict = "not_run"
 	Unknown Verdict = "unknown"
-	// Foreign: an answer to something else.
+	// Foreign means that the answer belongs to another request.
 	Foreign Verdict = "foreign"
-	// Cut: an answer that ended as if whole but was not.
+	// Cut means that the answer ended without an error but was incomplete.
 	Cut Verdict = "cut"
-	// Broken: the connection broke and the caller could tell.
+	// Broken means that the connection failed in a way that the caller could detect.
 	Broken Verdict = "broken"
-	// Unreached: no connection to a daemon; nothing was sent.
+	// Unreached means that no daemon could be reached and nothing was sent.
 	Unreached Verdict = "unreached"
 )
 
-// Outcome is one request's verdict with what it takes to check the claim.
+// Outcome holds the verdict of one request and the data needed to verify it.
 type Outcome struct {
 	Verdict   Verdict
 	Reason    string
 	RequestID string
-	// At is when the request was meant to start, from the start of the load.
+	// At is the intended start of the request, relative to the start of the load.
 	At time.Duration
-	// Charge names the request in the plain services' ledgers, if it was one.
+	// Charge is the key of the request in the ledgers of the plain services. It is empty for
+	// requests that can be repeated.
 	Charge string
 }
 
-// Report is the sum of a load.
+// Report holds the results of a load.
 type Report struct {
 	Outcomes []Outcome
-	// First and Total are latencies in microseconds from the intended start,
-	// of streams and of all whole answers.
+	// Latencies of the first event of a stream and of all complete answers, in microseconds
+	// from the intended start.
 	First *hdrhistogram.Histogram
 	Total *hdrhistogram.Histogram
 	// Gap is the time between two events of a stream, in microseconds.
 	Gap *hdrhistogram.Histogram
 }
 
-// Count returns how many requests had a verdict.
+// Count returns the number of requests with a verdict.
 func (r *Report) Count(verdict Verdict) int {
 	count := 0
-	for _, one := range r.Outcomes {
-		if one.Verdict == verdict {
+	for _, outcome := range r.Outcomes {
+		if outcome.Verdict == verdict {
 			count++
 		}
 	}
 	return count
 }
 
-// Reason sums up the requests that failed for one reason: how many, and when
-// the first and the last of them were meant to start.
+// Reason summarises the requests that failed for one reason, with the earliest and the latest
+// intended start.
 type Reason struct {
 	Name  string
 	Count int
@@ -107,26 +108,26 @@
 	Last  time.Duration
 }
 
-// Reasons returns the reasons of failures in the order of their names.
+// Reasons returns the reasons of failures, sorted by name.
 func (r *Report) Reasons() []Reason {
 	byName := map[string]Reason{}
-	for _, one := range r.Outcomes {
-		if one.Reason == "" {
+	for _, outcome := range r.Outcomes {
+		if outcome.Reason == "" {
 			continue
 		}
-		name := string(one.Verdict) + " " + one.Reason
-		sum, ok := byName[name]
+		name := string(outcome.Verdict) + " " + outcome.Reason
+		reason, ok := byName[name]
 		if !ok {
-			sum.Name, sum.First = name, one.At
+			reason.Name, reason.First = name, outcome.At
 		}
-		sum.Count++
-		sum.First = min(sum.First, one.At)
-		sum.Last = max(sum.Last, one.At)
-		byName[name] = sum
+		reason.Count++
+		reason.First = min(reason.First, outcome.At)
+		reason.Last = max(reason.Last, outcome.At)
+		byName[name] = reason
 	}
 	reasons := make([]Reason, 0, len(byName))
-	for _, sum := range byName {
-		reasons = append(reasons, sum)
+	for _, reason := range byName {
+		reasons = append(reasons, reason)
 	}
 	sort.Slice(reasons, func(i, j int) bool {
 		return reasons[i].Name < reasons[j].Name
@@ -134,31 +135,30 @@
 	return reasons
 }
 
-// maxLatency is the largest latency recorded, in microseconds.
-const maxLatency = 10 * 60 * 1000 * 1000
+// maxLatencyMicroseconds is the largest latency that the histograms record.
+const maxLatencyMicroseconds = 10 * 60 * 1000 * 1000
 
 // newHistogram returns a histogram of microseconds.
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency, 3)
+	return hdrhistogram.New(1, maxLatencyMicroseconds, 3)
 }
 
-// runner is one load being run.
+// runner runs one load.
 type runner struct {
-	settings Settings
-	balancer *Balancer
-	client   *http1.Client
-	began    time.Time
-	mutex    sync.Mutex
-	report   *Report
+	settings  Settings
+	balancer  *Balancer
+	client    *http1.Client
+	startedAt time.Time
+	mutex     sync.Mutex
+	report    *Report
 }
 
-// Run sends the load through the balancer and returns when every request has
-// ended.
+// Run sends the load through the balancer and returns when every request has ended.
 func Run(ctx context.Context, settings Settings, balancer *Balancer) *Report {
-	one := &runner{
-		settings: settings,
-		balancer: balancer,
-		began:    time.Now(),
+	current := &runner{
+		settings:  settings,
+		balancer:  balancer,
+		startedAt: time.Now(),
 		client: &http1.Client{
 			IdleTimeout: settings.Deadline + 5*time.Second,
 		},
@@ -168,12 +168,12 @@
 			Gap:   newHistogram(),
 		},
 	}
-	one.arrive(ctx)
-	return one.report
+	current.sendAll(ctx)
+	return current.report
 }
 
-// arrive starts requests at their times.
-func (r *runner) arrive(ctx context.Context) {
+// sendAll sends the requests at their intended start times.
+func (r *runner) sendAll(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.settings.Seed, 1)) //nolint:gosec // reproducible load, no secret
 	var running conc.WaitGroup
 	defer running.Wait()
@@ -190,112 +190,112 @@
 			return
 		}
 		draw, key, intended := random.Float64(), r.settings.Keys[random.IntN(len(r.settings.Keys))], next
-		topic := random.IntN(topics)
+		topic := random.IntN(promptTopics)
 		running.Go(func() {
-			r.one(draw, key, topic, intended)
+			r.sendOne(draw, key, topic, intended)
 		})
 	}
 }
 
-// topics is how many different beginnings prompts have.
-const topics = 20
+// promptTopics is the number of distinct prompt prefixes.
+const promptTopics = 20
 
-// one sends one request of the kind drawn and notes its outcome.
-func (r *runner) one(draw float64, key string, topic int, intended time.Time) {
+// sendOne sends one request of the drawn kind and records its outcome.
+func (r *runner) sendOne(draw float64, key string, topic int, intended time.Time) {
 	var outcome Outcome
 	switch {
 	case draw < r.settings.ChargeShare:
-		outcome = r.charge(key, intended)
+		outcome = r.sendNonRepeatable(key, intended)
 	case draw < r.settings.ChargeShare+r.settings.PlainShare:
-		outcome = r.plain(key, intended)
+		outcome = r.sendPlainRead(key, intended)
 	default:
-		outcome = r.chat(key, topic, intended)
+		outcome = r.sendChat(key, topic, intended)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	outcome.At = intended.Sub(r.began)
+	outcome.At = intended.Sub(r.startedAt)
 	r.report.Outcomes = append(r.report.Outcomes, outcome)
 }
 
-// record notes a latency in a histogram.
-func (r *runner) record(histogram *hdrhistogram.Histogram, latency time.Duration) {
+// recordLatency adds a latency to a histogram.
+func (r *runner) recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	_ = histogram.RecordValue(max(1, latency.Microseconds()))
 }
 
-// exchange is one request and its answer's head.
+// exchange holds one request and the head of its response.
 type exchange struct {
 	request  *fasthttp.Request
 	response *fasthttp.Response
 }
 
-// free gives the buffers back.
-func (e exchange) free() {
+// release closes the response body and returns the buffers to their pools.
+func (e exchange) release() {
 	_ = e.response.CloseBodyStream()
 	fasthttp.ReleaseRequest(e.request)
 	fasthttp.ReleaseResponse(e.response)
 }
 
-// begin sends a request to a daemon. The outcome is set where that failed.
-func (r *runner) begin(method, path, key string, body []byte, headers [][2]string) (exchange, *Outcome) {
-	made := exchange{
+// send sends a request to a daemon. It returns an outcome if the request failed.
+func (r *runner) send(method, path, key string, body []byte, headers [][2]string) (exchange, *Outcome) {
+	sent := exchange{
 		request:  fasthttp.AcquireRequest(),
 		response: fasthttp.AcquireResponse(),
 	}
 	address, ok := r.balancer.Pick()
 	if !ok {
-		return made, &Outcome{
+		return sent, &Outcome{
 			Verdict: Unreached,
 			Reason:  "no_ready_daemon",
 		}
 	}
-	made.request.SetRequestURI(path)
-	made.request.Header.SetMethod(method)
-	made.request.Header.Set("Authorization", "Bearer "+key)
-	made.request.Header.Set("X-Deadline-Ms", fmt.Sprint(r.settings.Deadline.Milliseconds()))
+	sent.request.SetRequestURI(path)
+	sent.request.Header.SetMethod(method)
+	sent.request.Header.Set("Authorization", "Bearer "+key)
+	sent.request.Header.Set("X-Deadline-Ms", fmt.Sprint(r.settings.Deadline.Milliseconds()))
 	for _, header := range headers {
-		made.request.Header.Set(header[0], header[1])
+		sent.request.Header.Set(header[0], header[1])
 	}
 	if body != nil {
-		made.request.Header.SetContentType("application/json")
-		made.request.SetBodyRaw(body)
+		sent.request.Header.SetContentType("application/json")
+		sent.request.SetBodyRaw(body)
 	}
-	err := r.client.Do(address, made.request, made.response, false, true)
-	var failed *http1.Error
+	err := r.client.Do(address, sent.request, sent.response, false, true)
+	var failure *http1.Error
 	if err != nil {
 		outcome := &Outcome{
 			Verdict: Broken,
 			Reason:  "connection",
 		}
-		if asError(err, &failed) && !failed.Sent {
+		if asError(err, &failure) && !failure.Sent {
 			outcome.Verdict = Unreached
 		}
-		return made, outcome
+		return sent, outcome
 	}
-	return made, nil
+	return sent, nil
 }
 
-// refusal is an error answer of a daemon.
-type refusal struct {
+// errorBody is the body of an error response of a daemon.
+type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
 		Outcome string `json:"outcome"`
 	} `json:"error"`
 }
 
-// refused returns the outcome that an error answer claims.
-func refused(body []byte, requestID string) Outcome {
-	var said refusal
+// errorOutcome returns the outcome that an error response reports.
+func errorOutcome(body []byte, requestID string) Outcome {
+	var parsed errorBody
 	outcome := Outcome{
 		Verdict:   Cut,
 		RequestID: requestID,
 	}
-	if json.Unmarshal(body, &said) != nil {
+	if json.Unmarshal(body, &parsed) != nil {
 		return outcome
 	}
-	outcome.Reason = said.Error.Code
-	switch said.Error.Outcome {
+	outcome.Reason = parsed.Error.Code
+	switch parsed.Error.Outcome {
 	case "not_run":
 		outcome.Verdict = NotRun
 	case "unknown":
@@ -304,8 +304,8 @@
 	return outcome
 }
 
-// chat sends a streamed completion and checks every event.
-func (r *runner) chat(key string, topic int, intended time.Time) Outcome {
+// sendChat sends a streamed completion and checks every event.
+func (r *runner) sendChat(key string, topic int, intended time.Time) Outcome {
 	request := engine.Completion{
 		Model: r.settings.Model,
 		Messages: []engine.Message{{
@@ -325,145 +325,145 @@
 			Reason:  err.Error(),
 		}
 	}
-	made, failed := r.begin("POST", "/v1/chat/completions", key, body, nil)
-	defer made.free()
-	if failed != nil {
-		return *failed
+	sent, failure := r.send("POST", "/v1/chat/completions", key, body, nil)
+	defer sent.release()
+	if failure != nil {
+		return *failure
 	}
-	requestID := string(made.response.Header.Peek("X-Request-Id"))
-	if made.response.StatusCode() != fasthttp.StatusOK {
-		return refused(bodyOf(made.response), requestID)
+	requestID := string(sent.response.Header.Peek("X-Request-Id"))
+	if sent.response.StatusCode() != fasthttp.StatusOK {
+		return errorOutcome(readBody(sent.response), requestID)
 	}
-	return r.follow(made, engine.Answer(request), requestID, intended)
+	return r.readStream(sent, engine.Answer(request), requestID, intended)
 }
 
-// follow reads a stream to its end.
-func (r *runner) follow(made exchange, expected []string, requestID string, intended time.Time) Outcome {
+// readStream reads a stream to its end and checks that it has the expected tokens.
+func (r *runner) readStream(sent exchange, expected []string, requestID string, intended time.Time) Outcome {
 	outcome := Outcome{
 		Verdict:   Broken,
 		RequestID: requestID,
 	}
-	got, isDone, isForeign := 0, false, false
-	last := time.Time{}
-	var said *Outcome
-	_ = engine.ReadEvents(made.response.BodyStream(), func(_ int, data string) {
+	received, isDone, isMismatched := 0, false, false
+	lastEventAt := time.Time{}
+	var reported *Outcome
+	_ = engine.ReadEvents(sent.response.BodyStream(), func(_ int, data string) {
 		now := time.Now()
 		switch {
 		case data == "[DONE]":
 			isDone = true
 			return
 		case strings.Contains(data, `"headcourse_error"`):
-			claimed := refused([]byte(data), requestID)
-			said = &claimed
+			claimed := errorOutcome([]byte(data), requestID)
+			reported = &claimed
 			return
-		case last.IsZero():
-			r.record(r.report.First, now.Sub(intended))
+		case lastEventAt.IsZero():
+			r.recordLatency(r.report.First, now.Sub(intended))
 		default:
-			r.record(r.report.Gap, now.Sub(last))
+			r.recordLatency(r.report.Gap, now.Sub(lastEventAt))
 		}
-		last = now
-		isForeign = isForeign || got >= len(expected) || !strings.Contains(data, expected[got])
-		got++
+		lastEventAt = now
+		isMismatched = isMismatched || received >= len(expected) || !strings.Contains(data, expected[received])
+		received++
 	})
 	switch {
-	case isForeign:
+	case isMismatched:
 		outcome.Verdict = Foreign
-	case isDone && got == len(expected):
+	case isDone && received == len(expected):
 		outcome.Verdict = Whole
-		r.record(r.report.Total, time.Since(intended))
+		r.recordLatency(r.report.Total, time.Since(intended))
 	case isDone:
 		outcome.Verdict = Cut
-	case said != nil:
-		outcome = *said
+	case reported != nil:
+		outcome = *reported
 	}
 	return outcome
 }
 
-// echo is the answer of a plain service.
-type echo struct {
+// echoBody is the answer of a plain service.
+type echoBody struct {
 	Path string `json:"path"`
 	Echo string `json:"echo"`
 }
 
-// plain reads from the plain service.
-func (r *runner) plain(key string, intended time.Time) Outcome {
+// sendPlainRead sends a read to the plain service.
+func (r *runner) sendPlainRead(key string, intended time.Time) Outcome {
 	path := r.settings.ServicePrefix + "/status/" + uuid.NewString()
-	return r.service("GET", path, key, nil, nil, intended)
+	return r.sendToService("GET", path, key, nil, nil, intended)
 }
 
-// charge sends a request that may not be repeated.
-func (r *runner) charge(key string, intended time.Time) Outcome {
+// sendNonRepeatable sends a request that must not be repeated, with an idempotency key.
+func (r *runner) sendNonRepeatable(key string, intended time.Time) Outcome {
 	body := []byte(uuid.NewString())
-	outcome := r.service("POST", r.settings.ChargePath, key, body, [][2]string{{"Idempotency-Key", string(body)}}, intended)
+	outcome := r.sendToService("POST", r.settings.ChargePath, key, body, [][2]string{{"Idempotency-Key", string(body)}}, intended)
 	outcome.Charge = "POST " + r.settings.ChargePath + " " + string(body)
 	return outcome
 }
 
-// service sends a request to the plain service and checks the answer.
-func (r *runner) service(method, path, key string, body []byte, headers [][2]string, intended time.Time) Outcome {
-	made, failed := r.begin(method, path, key, body, headers)
-	defer made.free()
-	if failed != nil {
-		return *failed
+// sendToService sends a request to the plain service and checks the answer.
+func (r *runner) sendToService(method, path, key string, body []byte, headers [][2]string, intended time.Time) Outcome {
+	sent, failure := r.send(method, path, key, body, headers)
+	defer sent.release()
+	if failure != nil {
+		return *failure
 	}
-	answer := bodyOf(made.response)
-	requestID := string(made.response.Header.Peek("X-Request-Id"))
-	if made.response.StatusCode() != fasthttp.StatusOK {
-		return refused(answer, requestID)
+	answer := readBody(sent.response)
+	requestID := string(sent.response.Header.Peek("X-Request-Id"))
+	if sent.response.StatusCode() != fasthttp.StatusOK {
+		return errorOutcome(answer, requestID)
 	}
 	outcome := Outcome{
 		Verdict:   Whole,
 		RequestID: requestID,
 	}
-	var said echo
+	var parsed echoBody
 	switch {
-	case json.Unmarshal(answer, &said) != nil:
+	case json.Unmarshal(answer, &parsed) != nil:
 		outcome.Verdict = Cut
-	case said.Path != path || said.Echo != string(body):
+	case parsed.Path != path || parsed.Echo != string(body):
 		outcome.Verdict = Foreign
 	default:
-		r.record(r.report.Total, time.Since(intended))
+		r.recordLatency(r.report.Total, time.Since(intended))
 	}
 	return outcome
 }
 
-// Balancer stands in for the platform's: it sends to daemons that say they are
-// ready, in turn. Use NewBalancer.
+// Balancer is the stand-in for the platform's load balancer. It selects ready daemons in
+// round-robin order. Use NewBalancer.
 type Balancer struct {
-	client *http1.Client
-	mutex  sync.Mutex
-	all    []string
-	ready  []string
-	next   atomic.Uint64
+	client  *http1.Client
+	mutex   sync.Mutex
+	daemons []string
+	ready   []string
+	next    atomic.Uint64
 }
 
-// checkEvery is the time between two health checks.
-const checkEvery = 250 * time.Millisecond
+// healthCheckInterval is the time between two health checks.
+const healthCheckInterval = 250 * time.Millisecond
 
-// NewBalancer returns a balancer of daemons at IP:port that checks them until
-// ctx ends.
+// NewBalancer returns a balancer for daemons at IP:port that checks their health until ctx
+// ends.
 func NewBalancer(ctx context.Context, daemons []string) *Balancer {
 	balancer := &Balancer{
 		client: &http1.Client{
-			ConnectTimeout: checkEvery,
+			ConnectTimeout: healthCheckInterval,
 			IdleTimeout:    time.Second,
 		},
-		all: daemons,
+		daemons: daemons,
 	}
-	balancer.check()
+	balancer.checkHealth()
 	go func() {
 		for ctx.Err() == nil {
-			time.Sleep(checkEvery)
-			balancer.check()
+			time.Sleep(healthCheckInterval)
+			balancer.checkHealth()
 		}
 	}()
 	return balancer
 }
 
-// check asks every daemon whether it is ready.
-func (b *Balancer) check() {
+// checkHealth checks the readiness of every daemon.
+func (b *Balancer) checkHealth() {
 	var ready []string
-	for _, address := range b.all {
+	for _, address := range b.daemons {
 		status, _, err := b.client.JSON(address, "/health/ready", nil)
 		if err == nil && status == fasthttp.StatusOK {
 			ready = append(ready, address)
@@ -474,7 +474,7 @@
 	b.ready = ready
 }
 
-// Pick returns the next ready daemon.
+// Pick returns the next ready daemon, or false if none is ready.
 func (b *Balancer) Pick() (string, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
