--- a/lab/measures/measures.go
+++ b/lab/measures/measures.go
@@ -1,10 +1,9 @@
-// Package measures plays a seeded sequence of failures and one migration
-// against the real decision code, and sums up the two measures of the brief:
-// group downtime and stranded accelerators.
+// Package measures runs a seeded sequence of failures and one migration against the real
+// decision code, and sums up two measures: group downtime and stranded accelerators.
 //
-// It runs on the runtime's paused clock, so hours pass in seconds. Each run has
-// a fleet of fakes of its own (package fleet); all policies of a seed meet the
-// same failures at the same times.
+// The runs use a paused clock, so that simulated hours take seconds. Each run has its own
+// simulated fleet of package fleet. All policies with the same seed meet the same failures at
+// the same times.
 package measures
 
 import (
@@ -25,27 +24,27 @@
 	"headcourse/lab/fleet"
 )
 
-// Settings are the properties of a comparison.
+// Settings configure a comparison.
 type Settings struct {
 	Hours    float64
 	Seeds    []uint64
 	LoadTime time.Duration
 }
 
-// Weights of one operator.
+// Weights holds the weights of one operator.
 type Weights struct {
 	Name    string
 	Weights declaration.Weights
 }
 
-// Policy is what is compared: how groups are repaired and how they are moved.
+// Policy is a combination of a repair policy and an order of migration steps.
 type Policy struct {
 	Name            string
 	Repairer        control.Repairer
 	BreakBeforeMake bool
 }
 
-// Policies returns headcourse and the baselines.
+// Policies returns the policy of headcourse and the baselines.
 func Policies() []Policy {
 	return []Policy{{
 		Name:     "headcourse",
@@ -63,24 +62,23 @@
 	}}
 }
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Policy  Policy
 	Weights Weights
 	Seed    uint64
-	// Downtime is in group seconds, Stranded in accelerator hours.
+	// Group downtime is in group seconds, stranded accelerators are in accelerator hours.
 	Downtime float64
 	Stranded float64
-	// Cost is both under the weights.
+	// Cost is the weighted sum of group seconds and stranded accelerator seconds.
 	Cost float64
-	// Broken holds promises that the oracle saw broken.
+	// Broken holds the invariant violations that the oracle found.
 	Broken []string
 }
 
-// Compare runs every policy for all weights and seeds, several at a time, gives
-// the results to report, and ends the process: the paused clock belongs to the
-// testing package, whose main function does so. The exit code is 1 when report
-// fails.
+// Compare runs every policy with all weights and seeds in parallel and passes the results to
+// report. It then ends the process, because the paused clock requires the main function of
+// package testing. The exit code is 1 if report returns an error.
 func Compare(settings Settings, operators []Weights, report func([]Result) error) {
 	testing.Init()
 	if err := flag.CommandLine.Parse(nil); err != nil {
@@ -91,7 +89,7 @@
 	}, []testing.InternalTest{{
 		Name: "measures",
 		F: func(t *testing.T) {
-			results := compare(t, settings, operators)
+			results := runAll(t, settings, operators)
 			if err := report(results); err != nil {
 				t.Fatal(err)
 			}
@@ -99,8 +97,8 @@
 	}}, nil, nil)
 }
 
-// compare runs everything and returns the results in order.
-func compare(t *testing.T, settings Settings, operators []Weights) []Result {
+// runAll runs all combinations and returns the results in a fixed order.
+func runAll(t *testing.T, settings Settings, operators []Weights) []Result {
 	var results []Result
 	for _, weights := range operators {
 		for _, policy := range Policies() {
@@ -126,7 +124,6 @@
 	return results
 }
 
-// Figures of a run.
 const (
 	daemons      = 3
 	vmsPerDomain = 9
@@ -134,272 +131,276 @@
 	accelerators = 8
 )
 
-// declared is the declaration of a run.
-func declared(settings Settings, weights Weights) declaration.Declaration {
-	made := fleet.Declared(map[string]int{
+// runDeclaration returns the declaration of a run.
+func runDeclaration(settings Settings, weights Weights) declaration.Declaration {
+	declared := fleet.Declared(map[string]int{
 		"z0": 3,
 		"z1": 3,
 		"z2": 2,
 	}, "1")
-	made.Weights = weights.Weights
-	made.Models[0].VMsPerReplica = vmsPerGroup
-	made.Models[0].LoadTime = declaration.Duration(settings.LoadTime.String())
-	return made
+	declared.Weights = weights.Weights
+	declared.Models[0].VMsPerReplica = vmsPerGroup
+	declared.Models[0].LoadTime = declaration.Duration(settings.LoadTime.String())
+	return declared
 }
 
-// wanted is how many groups are declared.
-const wanted = 8
+// declaredGroups is the number of declared groups.
+const declaredGroups = 8
 
-// run plays one policy.
+// run runs one policy with one seed.
 func run(settings Settings, result Result) Result {
 	policy := result.Policy
-	f := fleet.New(fleet.Settings{
+	simulated := fleet.New(fleet.Settings{
 		Daemons:      daemons,
 		VMsPerDomain: vmsPerDomain,
 		ChecksOrders: true,
 		LoadTime:     settings.LoadTime,
 		Repairer:     policy.Repairer,
 	})
-	one := &player{
-		fleet:  f,
-		policy: policy,
-		back:   map[string]time.Time{},
+	current := &simulation{
+		fleet:    simulated,
+		policy:   policy,
+		returnAt: map[string]time.Time{},
 	}
-	f.Run(5 * time.Second)
-	_ = f.Apply(f.Hosts[0], declared(settings, result.Weights))
-	f.Run(6 * time.Second)
-	one.carryOut(plan.Intent{
+	simulated.Run(5 * time.Second)
+	_ = simulated.Apply(simulated.Hosts[0], runDeclaration(settings, result.Weights))
+	simulated.Run(6 * time.Second)
+	current.executePlan(plan.Intent{
 		Kind: plan.Reconcile,
 	})
-	f.Run(5*time.Minute + 3*settings.LoadTime)
-	one.play(settings, result.Seed)
-	result.Downtime = one.downtime
-	result.Stranded = one.stranded / 3600
-	result.Cost = result.Weights.Weights.GroupDowntime*one.downtime + result.Weights.Weights.StrandedAccelerators*one.stranded
-	result.Broken = f.Broken
+	simulated.Run(5*time.Minute + 3*settings.LoadTime)
+	current.playEvents(settings, result.Seed)
+	result.Downtime = current.groupDowntimeSeconds
+	result.Stranded = current.strandedAcceleratorSeconds / 3600
+	result.Cost = result.Weights.Weights.GroupDowntime*current.groupDowntimeSeconds + result.Weights.Weights.StrandedAccelerators*current.strandedAcceleratorSeconds
+	result.Broken = simulated.Broken
 	return result
 }
 
-// player plays the sequence of one run and sums up the measures.
-type player struct {
-	fleet    *fleet.Fleet
-	policy   Policy
-	plans    int
-	downtime float64
-	stranded float64
-	// back holds when what is out returns.
-	back      map[string]time.Time
-	storeBack time.Time
+// simulation runs the event sequence of one run and sums up the measures.
+type simulation struct {
+	fleet                      *fleet.Fleet
+	policy                     Policy
+	planCount                  int
+	groupDowntimeSeconds       float64
+	strandedAcceleratorSeconds float64
+	// returnAt holds when a VM that is down answers again and, under "list " and its id, when
+	// a leaving VM is listed as live again.
+	returnAt       map[string]time.Time
+	storeReturnsAt time.Time
 }
 
-// happening is one event of the sequence.
-type happening struct {
-	at time.Duration
-	do func()
+// event is one event of the sequence.
+type event struct {
+	offset time.Duration
+	apply  func()
 }
 
-// play lets the hours pass and brings about what the seed says.
-func (p *player) play(settings Settings, seed uint64) {
+// playEvents advances the simulation for the configured hours and applies the events drawn
+// from the seed.
+func (s *simulation) playEvents(settings Settings, seed uint64) {
 	span := time.Duration(settings.Hours * float64(time.Hour))
-	sequence := p.sequence(seed, span)
-	began := time.Now()
-	for time.Since(began) < span {
-		for len(sequence) > 0 && time.Since(began) >= sequence[0].at {
-			sequence[0].do()
-			sequence = sequence[1:]
+	events := s.drawEvents(seed, span)
+	startedAt := time.Now()
+	for time.Since(startedAt) < span {
+		for len(events) > 0 && time.Since(startedAt) >= events[0].offset {
+			events[0].apply()
+			events = events[1:]
 		}
-		p.restore()
-		p.fleet.Run(fleet.Tick)
-		p.sample()
+		s.endDueFaults()
+		s.fleet.Run(fleet.Tick)
+		s.sample()
 	}
 }
 
-// Rates of the failures, a day: those of a fleet of this size, but for deaths
-// and restarts, which come as often as to a fleet thirty times larger, so that
-// a run of hours sees enough of them.
+// Rates of the failures, per day. The rates are those of a fleet of this size, except for
+// crashes and restarts. These are as frequent as in a fleet thirty times larger, so that a run
+// of some hours has enough of them. drainZoneAfter and reopenZoneAfter are fractions of the
+// run.
 const (
-	deathsADay    = 40
-	restartsADay  = 40
-	pausesADay    = 60
-	leavingADay   = 8
-	domainsADay   = 3
-	storesADay    = 3
-	daemonsADay   = 12
-	migrationPart = 0.4
-	returnPart    = 0.7
+	crashesPerDay            = 40
+	restartsPerDay           = 40
+	pausesPerDay             = 60
+	leavingVMsPerDay         = 8
+	domainOutagesPerDay      = 3
+	storeOutagesPerDay       = 3
+	daemonReplacementsPerDay = 12
+	drainZoneAfter           = 0.4
+	reopenZoneAfter          = 0.7
 )
 
-// sequence draws the events.
-func (p *player) sequence(seed uint64, span time.Duration) []happening {
+// drawEvents draws the event sequence of a run.
+func (s *simulation) drawEvents(seed uint64, span time.Duration) []event {
 	random := rand.New(rand.NewPCG(seed, 3)) //nolint:gosec // reproducible sequence, no secret
 	days := span.Hours() / 24
-	var all []happening
-	draw := func(rate float64, do func(random *rand.Rand)) {
+	var events []event
+	draw := func(rate float64, apply func(random *rand.Rand)) {
 		for range int(rate*days + 0.5) {
-			own := rand.New(rand.NewPCG(random.Uint64(), 5)) //nolint:gosec // reproducible sequence, no secret
-			all = append(all, happening{
-				at: time.Duration(random.Float64() * float64(span)),
-				do: func() {
-					do(own)
+			eventRandom := rand.New(rand.NewPCG(random.Uint64(), 5)) //nolint:gosec // reproducible sequence, no secret
+			events = append(events, event{
+				offset: time.Duration(random.Float64() * float64(span)),
+				apply: func() {
+					apply(eventRandom)
 				},
 			})
 		}
 	}
-	draw(deathsADay, func(random *rand.Rand) {
-		p.kill(p.anyVM(random), exponential(random, 25*time.Minute))
+	draw(crashesPerDay, func(random *rand.Rand) {
+		s.crash(s.drawVM(random), exponentialDuration(random, 25*time.Minute))
 	})
-	draw(restartsADay, func(random *rand.Rand) {
-		p.kill(p.anyVM(random), 20*time.Second+exponential(random, 40*time.Second))
+	draw(restartsPerDay, func(random *rand.Rand) {
+		s.crash(s.drawVM(random), 20*time.Second+exponentialDuration(random, 40*time.Second))
 	})
-	draw(pausesADay, func(random *rand.Rand) {
-		p.pause(p.anyVM(random), exponential(random, 15*time.Second))
+	draw(pausesPerDay, func(random *rand.Rand) {
+		s.pause(s.drawVM(random), exponentialDuration(random, 15*time.Second))
 	})
-	draw(leavingADay, func(random *rand.Rand) {
-		p.leave(p.anyVM(random), 30*time.Minute)
+	draw(leavingVMsPerDay, func(random *rand.Rand) {
+		s.markLeaving(s.drawVM(random), 30*time.Minute)
 	})
-	draw(domainsADay, func(random *rand.Rand) {
-		p.dark(p.anyVM(random), exponential(random, 4*time.Minute))
+	draw(domainOutagesPerDay, func(random *rand.Rand) {
+		s.pauseDomain(s.drawVM(random), exponentialDuration(random, 4*time.Minute))
 	})
-	draw(storesADay, func(random *rand.Rand) {
-		p.fleet.StoreOut = true
-		p.storeBack = time.Now().Add(exponential(random, 15*time.Minute))
+	draw(storeOutagesPerDay, func(random *rand.Rand) {
+		s.fleet.StoreOut = true
+		s.storeReturnsAt = time.Now().Add(exponentialDuration(random, 15*time.Minute))
 	})
-	draw(daemonsADay, func(random *rand.Rand) {
-		p.replaceDaemon(random.IntN(len(p.fleet.Hosts)))
+	draw(daemonReplacementsPerDay, func(random *rand.Rand) {
+		s.replaceDaemon(random.IntN(len(s.fleet.Hosts)))
 	})
-	all = append(all, happening{
-		at: time.Duration(migrationPart * float64(span)),
-		do: func() {
-			p.carryOut(plan.Intent{
+	events = append(events, event{
+		offset: time.Duration(drainZoneAfter * float64(span)),
+		apply: func() {
+			s.executePlan(plan.Intent{
 				Kind:       plan.DrainZone,
 				Zone:       "z2",
 				AllowFewer: true,
 			})
 		},
-	}, happening{
-		at: time.Duration(returnPart * float64(span)),
-		do: func() {
-			p.carryOut(plan.Intent{
+	}, event{
+		offset: time.Duration(reopenZoneAfter * float64(span)),
+		apply: func() {
+			s.executePlan(plan.Intent{
 				Kind: plan.OpenZoneAgain,
 				Zone: "z2",
 			})
 		},
 	})
-	sort.SliceStable(all, func(i, j int) bool {
-		return all[i].at < all[j].at
+	sort.SliceStable(events, func(i, j int) bool {
+		return events[i].offset < events[j].offset
 	})
-	return all
+	return events
 }
 
-// exponential draws a time with a mean.
-func exponential(random *rand.Rand, mean time.Duration) time.Duration {
+// exponentialDuration draws a duration from an exponential distribution with a mean.
+func exponentialDuration(random *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(random.ExpFloat64() * float64(mean))
 }
 
-// anyVM draws a VM.
-func (p *player) anyVM(random *rand.Rand) string {
-	return p.fleet.IDs[random.IntN(len(p.fleet.IDs))]
+// drawVM returns the id of a random VM.
+func (s *simulation) drawVM(random *rand.Rand) string {
+	return s.fleet.IDs[random.IntN(len(s.fleet.IDs))]
 }
 
-// kill lets a VM's server die for a time.
-func (p *player) kill(id string, away time.Duration) {
-	p.fleet.Servers[id].Die()
-	p.back[id] = time.Now().Add(away)
+// crash crashes a VM's server, which answers again after a duration.
+func (s *simulation) crash(id string, duration time.Duration) {
+	s.fleet.Servers[id].Die()
+	s.returnAt[id] = time.Now().Add(duration)
 }
 
-// pause lets a VM's server stop answering for a time, with its state kept.
-func (p *player) pause(id string, away time.Duration) {
-	if !p.fleet.Servers[id].Dead {
-		p.fleet.Servers[id].Paused = true
-		p.back[id] = time.Now().Add(away)
+// pause makes a VM's server stop answering for a duration without losing its state.
+func (s *simulation) pause(id string, duration time.Duration) {
+	if !s.fleet.Servers[id].Dead {
+		s.fleet.Servers[id].Paused = true
+		s.returnAt[id] = time.Now().Add(duration)
 	}
 }
 
-// dark pauses the whole fabric domain of a VM.
-func (p *player) dark(id string, away time.Duration) {
-	for _, other := range p.fleet.IDs {
-		if p.fleet.Servers[other].VM.Domain == p.fleet.Servers[id].VM.Domain {
-			p.pause(other, away)
+// pauseDomain pauses all servers in the fabric domain of a VM.
+func (s *simulation) pauseDomain(id string, duration time.Duration) {
+	for _, other := range s.fleet.IDs {
+		if s.fleet.Servers[other].VM.Domain == s.fleet.Servers[id].VM.Domain {
+			s.pause(other, duration)
 		}
 	}
 }
 
-// leave puts a VM on the leaving list for a time.
-func (p *player) leave(id string, away time.Duration) {
-	listed := p.fleet.List[id]
+// markLeaving lists a VM as leaving for a duration.
+func (s *simulation) markLeaving(id string, duration time.Duration) {
+	listed := s.fleet.List[id]
 	listed.State = vm.Leaving
-	p.fleet.List[id] = listed
-	p.back["list "+id] = time.Now().Add(away)
+	s.fleet.List[id] = listed
+	s.returnAt["list "+id] = time.Now().Add(duration)
 }
 
-// replaceDaemon stops one daemon and starts another.
-func (p *player) replaceDaemon(index int) {
-	p.fleet.Hosts = append(p.fleet.Hosts[:index], p.fleet.Hosts[index+1:]...)
-	p.fleet.AddDaemon()
+// replaceDaemon removes one daemon and starts another.
+func (s *simulation) replaceDaemon(index int) {
+	s.fleet.Hosts = append(s.fleet.Hosts[:index], s.fleet.Hosts[index+1:]...)
+	s.fleet.AddDaemon()
 }
 
-// restore brings back what returns now.
-func (p *player) restore() {
+// endDueFaults ends the faults whose duration has passed.
+func (s *simulation) endDueFaults() {
 	now := time.Now()
-	if p.fleet.StoreOut && now.After(p.storeBack) {
-		p.fleet.StoreOut = false
+	if s.fleet.StoreOut && now.After(s.storeReturnsAt) {
+		s.fleet.StoreOut = false
 	}
-	for _, id := range p.fleet.IDs {
-		if at, ok := p.back[id]; ok && now.After(at) {
-			p.fleet.Servers[id].Dead = false
-			p.fleet.Servers[id].Paused = false
-			delete(p.back, id)
+	for _, id := range s.fleet.IDs {
+		if due, ok := s.returnAt[id]; ok && now.After(due) {
+			s.fleet.Servers[id].Dead = false
+			s.fleet.Servers[id].Paused = false
+			delete(s.returnAt, id)
 		}
-		if at, ok := p.back["list "+id]; ok && now.After(at) {
-			p.fleet.List[id] = p.fleet.Servers[id].VM
-			delete(p.back, "list "+id)
+		if due, ok := s.returnAt["list "+id]; ok && now.After(due) {
+			s.fleet.List[id] = s.fleet.Servers[id].VM
+			delete(s.returnAt, "list "+id)
 		}
 	}
 }
 
 // sample adds one tick to the measures.
-func (p *player) sample() {
-	snapshot := p.fleet.Hosts[0].Controller.Snapshot()
+func (s *simulation) sample() {
+	snapshot := s.fleet.Hosts[0].Controller.Snapshot()
 	serving := snapshot.Serveable("m", time.Now())
 	powered := 0
-	for _, id := range p.fleet.IDs {
-		if !p.fleet.Servers[id].Dead {
+	for _, id := range s.fleet.IDs {
+		if !s.fleet.Servers[id].Dead {
 			powered += accelerators
 		}
 	}
 	used := len(serving) * vmsPerGroup * accelerators
-	p.downtime += fleet.Tick.Seconds() * float64(max(0, wanted-len(serving)))
-	p.stranded += fleet.Tick.Seconds() * float64(powered-used)
+	s.groupDowntimeSeconds += fleet.Tick.Seconds() * float64(max(0, declaredGroups-len(serving)))
+	s.strandedAcceleratorSeconds += fleet.Tick.Seconds() * float64(powered-used)
 }
 
-// carryOut plans and confirms an intent at a daemon that can.
-func (p *player) carryOut(intent plan.Intent) {
-	p.plans++
-	id := fmt.Sprintf("plan-%d", p.plans)
-	host := p.fleet.Hosts[0]
-	if _, err := p.fleet.Propose(host, id, intent); err != nil {
+// executePlan proposes a plan for an intent and confirms it. It does nothing if the plan
+// cannot be built.
+func (s *simulation) executePlan(intent plan.Intent) {
+	s.planCount++
+	id := fmt.Sprintf("plan-%d", s.planCount)
+	proposer := s.fleet.Hosts[0]
+	if _, err := s.fleet.Propose(proposer, id, intent); err != nil {
 		return
 	}
-	if p.policy.BreakBeforeMake {
-		_ = p.fleet.Rewrite(id, breakFirst)
+	if s.policy.BreakBeforeMake {
+		_ = s.fleet.Rewrite(id, drainFirst)
 	}
-	p.fleet.Run(4 * time.Second)
-	_ = p.fleet.Confirm(host, id)
+	s.fleet.Run(4 * time.Second)
+	_ = s.fleet.Confirm(proposer, id)
 }
 
-// breakFirst swaps every stage of forms with the stage of drains behind it.
-func breakFirst(made plan.Plan) plan.Plan {
+// drainFirst swaps each stage that forms groups with the draining stage that follows it.
+func drainFirst(changed plan.Plan) plan.Plan {
 	hasDrain := map[int]bool{}
-	for _, step := range made.Steps {
+	for _, step := range changed.Steps {
 		hasDrain[step.Stage] = hasDrain[step.Stage] || step.Verb == plan.Drain
 	}
-	for i, step := range made.Steps {
+	for i, step := range changed.Steps {
 		switch {
 		case step.Verb == plan.Form && hasDrain[step.Stage+1]:
-			made.Steps[i].Stage++
+			changed.Steps[i].Stage++
 		case step.Verb == plan.Drain && step.Stage > 0:
-			made.Steps[i].Stage--
+			changed.Steps[i].Stage--
 		}
 	}
-	return made
+	return changed
 }
