--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -1,6 +1,6 @@
-// Package plainservice is the stand-in for a plain application service on one
-// VM: it answers JSON under any path, and keeps a ledger of what it ran, so
-// that doubled requests can be found.
+// Package plainservice is the stand-in for a plain application service on one VM. It answers
+// any path with JSON, and keeps a ledger of the requests that it ran, so that duplicate
+// executions can be found.
 package plainservice
 
 import (
@@ -15,23 +15,23 @@
 	"headcourse/lab/server"
 )
 
-// Service is one running stand-in. Use Start.
+// Service is a running stand-in. Use Start.
 type Service struct {
-	vm     string
-	took   time.Duration
-	server *server.Server
-	faults fault.Switch
-	mutex  sync.Mutex
-	active int
-	ledger map[string]int
+	vm          string
+	answerDelay time.Duration
+	server      *server.Server
+	faults      fault.Switch
+	mutex       sync.Mutex
+	inFlight    int
+	ledger      map[string]int
 }
 
-// Start runs the service of a VM on an address; each answer takes took.
-func Start(vm, address string, took time.Duration) (*Service, error) {
+// Start starts the service of a VM on an address. Each answer is delayed by answerDelay.
+func Start(vm, address string, answerDelay time.Duration) (*Service, error) {
 	started := &Service{
-		vm:     vm,
-		took:   took,
-		ledger: map[string]int{},
+		vm:          vm,
+		answerDelay: answerDelay,
+		ledger:      map[string]int{},
 	}
 	running, err := server.Start(address, started.faults.Wrap(started.serve))
 	if err != nil {
@@ -41,27 +41,27 @@
 	return started, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP:port that the service listens on.
 func (s *Service) Address() string {
 	return s.server.Address()
 }
 
-// Faults returns the service's faults, to be set.
+// Faults returns the switch that injects faults into the service.
 func (s *Service) Faults() *fault.Switch {
 	return &s.faults
 }
 
-// Kill stops the service as a crash would.
+// Kill simulates a crash of the service.
 func (s *Service) Kill() {
 	s.server.Kill()
 }
 
-// Revive starts a killed service again.
+// Revive restarts a killed service.
 func (s *Service) Revive() error {
 	return s.server.Revive()
 }
 
-// Ledger returns how often each body was run by method and path.
+// Ledger returns the number of executions of each request, by method, path and body.
 func (s *Service) Ledger() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,27 +72,27 @@
 	return copied
 }
 
-// echo is the body of an answer.
-type echo struct {
+// answerBody is the body of an answer.
+type answerBody struct {
 	Path string `json:"path"`
 	Echo string `json:"echo"`
 }
 
-// serve answers one request with what it asked.
+// serve records a request in the ledger and echoes its path and body.
 func (s *Service) serve(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/state" {
 		s.serveState(ctx)
 		return
 	}
 	s.mutex.Lock()
-	s.active++
+	s.inFlight++
 	s.ledger[string(ctx.Method())+" "+string(ctx.Path())+" "+string(ctx.PostBody())]++
 	s.mutex.Unlock()
-	time.Sleep(s.took)
+	time.Sleep(s.answerDelay)
 	s.mutex.Lock()
-	s.active--
+	s.inFlight--
 	s.mutex.Unlock()
-	body, err := json.Marshal(echo{
+	body, err := json.Marshal(answerBody{
 		Path: string(ctx.Path()),
 		Echo: string(ctx.PostBody()),
 	})
@@ -107,12 +107,12 @@
 // serveState answers a probe.
 func (s *Service) serveState(ctx *fasthttp.RequestCtx) {
 	s.mutex.Lock()
-	active := s.active
+	inFlight := s.inFlight
 	s.mutex.Unlock()
 	body, err := json.Marshal(order.State{
 		VM:       s.vm,
 		Loaded:   true,
-		InFlight: active,
+		InFlight: inFlight,
 	})
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
