--- a/lab/relaybench/relaybench.go
+++ b/lab/relaybench/relaybench.go
@@ -1,10 +1,9 @@
-// Package relaybench measures what a daemon adds to a stream: processor time
-// for each event, and latency, against a direct connection to the same
-// stand-in engine, in one run.
+// Package relaybench measures what a daemon adds to a stream, compared with a direct
+// connection to the same stand-in engine: processor time for each event, and latency.
 //
-// Client, engine and daemon share the process. The same load is sent directly
-// and through the daemon in turns; the daemon's processor time is the
-// difference. Latencies are counted from each request's intended start.
+// Client, engine and daemon share one process. In one run, the same load is sent alternately to
+// the engine and through the daemon, and the processor time of the daemon is the difference.
+// Latency is measured from the intended start of each request.
 package relaybench
 
 import (
@@ -32,9 +31,10 @@
 	"headcourse/lab/usage"
 )
 
-// Settings are the properties of a measurement.
+// Settings configure a measurement.
 type Settings struct {
-	// Rate is streams begun a second, each of Tokens events EachToken apart.
+	// Rate is the number of streams begun a second. Each stream has Tokens events at intervals
+	// of EachToken.
 	Rate      float64
 	Tokens    int
 	EachToken time.Duration
@@ -42,26 +42,27 @@
 	Seed      uint64
 }
 
-// Figures are those of one path.
+// Figures holds the results of one path.
 type Figures struct {
 	Events  int
 	Streams int
 	Broken  int
-	// CPU is the process's time in seconds, of client and engine too.
+	// CPU is the processor time of the whole process in seconds, including client and engine.
 	CPU     float64
 	Seconds float64
-	// First is the time to the first event, Gap between events, in microseconds.
+	// First is the time to the first event and Gap the time between two events, both in
+	// microseconds.
 	First *hdrhistogram.Histogram
 	Gap   *hdrhistogram.Histogram
 }
 
-// Bench is a running engine and daemon. Use Start.
+// Bench is a running engine with a daemon. Use Start.
 type Bench struct {
-	platform *platform.Platform
-	node     *daemon.Node
-	group    string
-	leader   string
-	number   uint64
+	platform      *platform.Platform
+	node          *daemon.Node
+	group         string
+	leaderAddress string
+	generation    uint64
 }
 
 const (
@@ -69,8 +70,9 @@
 	readyTimeout = time.Minute
 )
 
-// Start starts one engine, one daemon, and a group of the one engine.
-func Start(each time.Duration) (*Bench, error) {
+// Start starts one engine and one daemon, and creates a group with the engine as its only
+// member.
+func Start(tokenInterval time.Duration) (*Bench, error) {
 	running, err := platform.Start(platform.Settings{
 		VMs: []vm.VM{{
 			ID:           "vm-1",
@@ -81,20 +83,20 @@
 			ChecksOrders: true,
 		}},
 		Slots:          100000,
-		EachToken:      each,
+		EachToken:      tokenInterval,
 		LoadsPerSecond: 10,
 		LoadBurst:      10,
 	})
 	if err != nil {
 		return nil, err
 	}
-	made := &Bench{
+	bench := &Bench{
 		platform: running,
 	}
-	return made, made.startDaemon()
+	return bench, bench.startDaemon()
 }
 
-// startDaemon starts the daemon and brings the group up.
+// startDaemon starts the daemon and waits until the group serves.
 func (b *Bench) startDaemon() error {
 	deployment, err := examples.Load("caudal-andino")
 	if err != nil {
@@ -117,23 +119,23 @@
 	if err != nil {
 		return err
 	}
-	if err = b.declare(declared); err != nil {
+	if err = b.applyDeclaration(declared); err != nil {
 		return err
 	}
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		for _, record := range b.node.Daemon().Snapshot().Serveable("redactor", time.Now()) {
-			b.group, b.leader, b.number = record.Name, record.Leader(), record.Generation
+			b.group, b.leaderAddress, b.generation = record.Name, record.Leader(), record.Generation
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("the group did not come to serve")
+	return errors.New("group did not start to serve before the timeout")
 }
 
-// declare stores a declaration of one group for one organisation without
-// limits that matter, and has the group formed.
-func (b *Bench) declare(declared declaration.Declaration) error {
+// applyDeclaration applies a declaration with one group and one organisation whose limits are
+// too high to matter, and confirms the plan that creates the group.
+func (b *Bench) applyDeclaration(declared declaration.Declaration) error {
 	declared.Models[0].VMsPerReplica = 1
 	declared.Models[0].Replicas = map[string]int{
 		"quito-a": 1,
@@ -146,7 +148,7 @@
 		return err
 	}
 	client := operator.NewClient(b.node.Operators(), examples.Key(operatorName))
-	// JSON is YAML.
+	// JSON is a subset of YAML, the format of declaration files.
 	if _, err = client.Apply(operator.ApplyRequest{
 		Files: []declaration.File{{
 			Name:    "bench.yaml",
@@ -155,17 +157,17 @@
 	}); err != nil {
 		return err
 	}
-	made, err := client.Propose(plan.Intent{
+	proposed, err := client.Propose(plan.Intent{
 		Kind: plan.Reconcile,
 	})
 	if err != nil {
 		return err
 	}
-	_, err = client.Confirm(made.Plan.ID)
+	_, err = client.Confirm(proposed.Plan.ID)
 	return err
 }
 
-// Stop stops everything.
+// Stop kills the daemon and stops the stand-ins.
 func (b *Bench) Stop() {
 	if b.node != nil {
 		b.node.Kill()
@@ -173,11 +175,11 @@
 	b.platform.Stop()
 }
 
-// Direct measures the direct path, Through the one through the daemon.
+// Direct measures the direct path to the engine.
 func (b *Bench) Direct(settings Settings) Figures {
-	return b.measure(settings, b.leader, [][2]string{
+	return b.measure(settings, b.leaderAddress, [][2]string{
 		{"X-Group", b.group},
-		{"X-Generation", fmt.Sprint(b.number)},
+		{"X-Generation", fmt.Sprint(b.generation)},
 	})
 }
 
@@ -188,9 +190,9 @@
 	})
 }
 
-// measure sends the load to an address.
+// measure sends the load to an address and returns its results.
 func (b *Bench) measure(settings Settings, address string, headers [][2]string) Figures {
-	one := &sender{
+	s := &sender{
 		settings: settings,
 		address:  address,
 		headers:  headers,
@@ -200,11 +202,11 @@
 			Gap:   hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 		},
 	}
-	cpu, began := usage.ProcessorTime(), time.Now()
-	one.send()
-	one.figures.CPU = usage.ProcessorTime() - cpu
-	one.figures.Seconds = time.Since(began).Seconds()
-	return one.figures
+	cpuBefore, startedAt := usage.ProcessorTime(), time.Now()
+	s.send()
+	s.figures.CPU = usage.ProcessorTime() - cpuBefore
+	s.figures.Seconds = time.Since(startedAt).Seconds()
+	return s.figures
 }
 
 // sender sends the load of one path.
@@ -217,7 +219,7 @@
 	figures  Figures
 }
 
-// send begins streams at seeded times and waits for all of them.
+// send begins streams at times drawn from the seed and waits until all of them end.
 func (s *sender) send() {
 	random := rand.New(rand.NewPCG(s.settings.Seed, 11)) //nolint:gosec // reproducible load, no secret
 	var streams conc.WaitGroup
@@ -232,13 +234,13 @@
 		time.Sleep(time.Until(next))
 		intended := next
 		streams.Go(func() {
-			s.stream(number, intended)
+			s.sendStream(number, intended)
 		})
 	}
 }
 
-// stream follows one stream.
-func (s *sender) stream(number int, intended time.Time) {
+// sendStream sends one request and reads its stream to the end.
+func (s *sender) sendStream(number int, intended time.Time) {
 	body, err := json.Marshal(engine.Completion{
 		Model: "redactor",
 		Messages: []engine.Message{{
@@ -260,33 +262,33 @@
 	if err == nil {
 		err = s.client.Do(s.address, request, response, false, true)
 	}
-	isWhole, gaps, first := false, []time.Duration(nil), time.Duration(0)
-	last := time.Time{}
+	isComplete, gaps, first := false, []time.Duration(nil), time.Duration(0)
+	lastEventAt := time.Time{}
 	if err == nil {
 		_ = engine.ReadEvents(response.BodyStream(), func(_ int, data string) {
 			now := time.Now()
 			switch {
 			case data == "[DONE]":
-				isWhole = true
+				isComplete = true
 				return
-			case last.IsZero():
+			case lastEventAt.IsZero():
 				first = now.Sub(intended)
 			default:
-				gaps = append(gaps, now.Sub(last))
+				gaps = append(gaps, now.Sub(lastEventAt))
 			}
-			last = now
+			lastEventAt = now
 		})
 		_ = response.CloseBodyStream()
 	}
-	s.note(isWhole, first, gaps)
+	s.recordStream(isComplete, first, gaps)
 }
 
-// note adds one stream to the figures.
-func (s *sender) note(isWhole bool, first time.Duration, gaps []time.Duration) {
+// recordStream adds one stream to the results.
+func (s *sender) recordStream(isComplete bool, first time.Duration, gaps []time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.figures.Streams++
-	if !isWhole {
+	if !isComplete {
 		s.figures.Broken++
 		return
 	}
