--- a/lab/routebench/routebench.go
+++ b/lab/routebench/routebench.go
@@ -1,10 +1,10 @@
 // Package routebench compares routing policies on the same seeded load.
 //
-// It plays the policies of package route against a small model of engines in
-// virtual time: an engine reads prompts one after the other, skips the part
-// whose prefix it has cached, holds few prefixes, and then makes tokens for all
-// its requests at once, each slower the more there are. Several daemons route
-// independently and see engines' loads only as reported, late.
+// It runs the policies of package route in virtual time against a simple model of engines. An
+// engine reads one prompt at a time, skips a prefix that it has cached, and caches only a few
+// prefixes. It generates tokens for all its requests at once, and more slowly the more
+// requests it has. Several daemons route independently and see the load of an engine only in
+// delayed reports.
 package routebench
 
 import (
@@ -20,69 +20,71 @@
 	"headcourse/core/route"
 )
 
-// Settings are the properties of a comparison.
+// Settings configure a comparison.
 type Settings struct {
-	Daemons  int
-	Groups   int
+	Daemons int
+	Groups  int
+	// Rate is the number of requests a second.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// Topics is how many prefixes there are; Skew is how uneven their use is.
+	// Topics is the number of prompt prefixes. Skew is the exponent of their Zipf
+	// distribution; 0 is uniform.
 	Topics int
 	Skew   float64
-	// Lag is the age that reported loads have at most.
+	// Lag is the maximum age of reported loads.
 	Lag time.Duration
-	// Deadline is for the first token.
+	// Deadline is the deadline for the first token.
 	Deadline time.Duration
 }
 
-// Figures of the engine model.
+// Parameters of the engine model.
 const (
-	slots         = 48
-	cachedTopics  = 6
-	prefixTokens  = 3000
-	ownTokens     = 300
-	readPerSecond = 12000.0
-	answerTokens  = 150
-	baseStep      = 0.020
-	stepPerActive = 0.0004
+	slots                  = 48
+	maxCachedTopics        = 6
+	prefixTokens           = 3000
+	uniqueTokens           = 300
+	prefillTokensPerSecond = 12000.0
+	answerTokens           = 150
+	baseStepSeconds        = 0.020
+	stepSecondsPerRequest  = 0.0004
 )
 
-// Result is how one policy did.
+// Result is the result of one policy.
 type Result struct {
 	Policy   string
 	Requests int
 	// First is the time to the first token, in microseconds.
 	First *hdrhistogram.Histogram
-	// Good counts first tokens within the deadline, Hits cached prefixes and
+	// Good counts first tokens within the deadline, Hits requests with a cached prefix, and
 	// Refused requests for which every group was full.
 	Good    int
 	Hits    int
 	Refused int
 }
 
-// model is one engine.
-type model struct {
-	name     string
-	readFree float64
-	cache    []int
-	active   int
-	// reports are the loads at past times; only the last that is old enough is
-	// seen by a daemon.
-	reported   int
-	reportedAt float64
-	nextReport float64
+// engineModel is the model of one engine.
+type engineModel struct {
+	name          string
+	prefillFreeAt float64
+	cachedTopics  []int
+	inFlight      int
+	// reported is the load at reportedAt, the only load that the daemons see until the next
+	// report.
+	reported     int
+	reportedAt   float64
+	nextReportAt float64
 }
 
-// arrival is one request of the load.
+// arrival is one request of the load. All times of the model are in seconds of virtual time.
 type arrival struct {
-	at     float64
-	daemon int
-	topic  int
+	arrivesAt float64
+	daemon    int
+	topic     int
 }
 
-// Load returns the seeded arrivals.
-func (s Settings) load() []arrival {
+// drawArrivals returns the arrivals drawn from the seed.
+func (s Settings) drawArrivals() []arrival {
 	random := rand.New(rand.NewPCG(s.Seed, 7)) //nolint:gosec // reproducible load, no secret
 	weights := make([]float64, s.Topics)
 	total := 0.0
@@ -91,23 +93,23 @@
 		total += weights[i]
 	}
 	var arrivals []arrival
-	for at := random.ExpFloat64() / s.Rate; at < s.Duration.Seconds(); at += random.ExpFloat64() / s.Rate {
+	for arrivesAt := random.ExpFloat64() / s.Rate; arrivesAt < s.Duration.Seconds(); arrivesAt += random.ExpFloat64() / s.Rate {
 		draw, topic := random.Float64()*total, 0
 		for draw -= weights[0]; draw > 0 && topic < s.Topics-1; draw -= weights[topic] {
 			topic++
 		}
 		arrivals = append(arrivals, arrival{
-			at:     at,
-			daemon: random.IntN(s.Daemons),
-			topic:  topic,
+			arrivesAt: arrivesAt,
+			daemon:    random.IntN(s.Daemons),
+			topic:     topic,
 		})
 	}
 	return arrivals
 }
 
-// Compare plays each policy on the same load.
+// Compare runs each policy on the same load.
 func Compare(settings Settings) []Result {
-	arrivals := settings.load()
+	arrivals := settings.drawArrivals()
 	policies := []struct {
 		name string
 		make func() route.Policy
@@ -130,57 +132,56 @@
 	}}
 	results := make([]Result, len(policies))
 	for i, policy := range policies {
-		results[i] = play(settings, arrivals, policy.make)
+		results[i] = simulate(settings, arrivals, policy.make)
 		results[i].Policy = policy.name
 	}
 	return results
 }
 
-// ended is a request that ends at a time.
-type ended struct {
-	at     float64
-	engine int
-	daemon int
-	began  float64
+// endingRequest is a running request with the time when it ends.
+type endingRequest struct {
+	endsAt    float64
+	engine    int
+	daemon    int
+	startedAt float64
 }
 
-// endings is a heap of requests by the time they end.
-type endings []ended
+// endingHeap is a heap of running requests, ordered by the time when they end.
+type endingHeap []endingRequest
 
-// Len, Less, Swap, Push and Pop make endings a heap.
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+// Len, Less and Swap implement sort.Interface, a part of heap.Interface.
+func (h endingHeap) Len() int           { return len(h) }
+func (h endingHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
+func (h endingHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds an ending.
-func (e *endings) Push(one any) {
-	if ending, ok := one.(ended); ok {
-		*e = append(*e, ending)
+// Push adds a request at the end.
+func (h *endingHeap) Push(added any) {
+	if ending, ok := added.(endingRequest); ok {
+		*h = append(*h, ending)
 	}
 }
 
-// Pop removes the last ending.
-func (e *endings) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+// Pop removes the last request.
+func (h *endingHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// player is one policy being played.
-type player struct {
+// simulation is the run of one policy.
+type simulation struct {
 	settings Settings
-	engines  []*model
+	engines  []*engineModel
 	policies []route.Policy
-	// sent holds, for each daemon and engine, when its requests in flight
-	// began.
-	sent    [][][]float64
-	running endings
-	result  Result
+	// inFlightSince holds the start times of the requests in flight, by daemon and engine.
+	inFlightSince [][][]float64
+	running       endingHeap
+	result        Result
 }
 
-// play plays one policy.
-func play(settings Settings, arrivals []arrival, policy func() route.Policy) Result {
-	one := &player{
+// simulate runs one policy.
+func simulate(settings Settings, arrivals []arrival, policy func() route.Policy) Result {
+	s := &simulation{
 		settings: settings,
 		result: Result{
 			Requests: len(arrivals),
@@ -188,47 +189,47 @@
 		},
 	}
 	for group := range settings.Groups {
-		one.engines = append(one.engines, &model{
+		s.engines = append(s.engines, &engineModel{
 			name: fmt.Sprintf("group-%d", group),
 		})
 	}
 	for range settings.Daemons {
-		one.policies = append(one.policies, policy())
-		one.sent = append(one.sent, make([][]float64, settings.Groups))
+		s.policies = append(s.policies, policy())
+		s.inFlightSince = append(s.inFlightSince, make([][]float64, settings.Groups))
 	}
 	for _, next := range arrivals {
-		one.advance(next.at)
-		one.route(next)
+		s.advance(next.arrivesAt)
+		s.route(next)
 	}
-	return one.result
+	return s.result
 }
 
-// advance ends what ends before a time and takes reports.
-func (p *player) advance(now float64) {
-	for len(p.running) > 0 && p.running[0].at <= now {
-		over, ok := heap.Pop(&p.running).(ended)
+// advance ends the requests that are due and refreshes the reported loads.
+func (s *simulation) advance(now float64) {
+	for len(s.running) > 0 && s.running[0].endsAt <= now {
+		done, ok := heap.Pop(&s.running).(endingRequest)
 		if !ok {
 			return
 		}
-		p.engines[over.engine].active--
-		times := p.sent[over.daemon][over.engine]
-		place := slices.Index(times, over.began)
-		p.sent[over.daemon][over.engine] = slices.Delete(times, place, place+1)
+		s.engines[done.engine].inFlight--
+		times := s.inFlightSince[done.daemon][done.engine]
+		position := slices.Index(times, done.startedAt)
+		s.inFlightSince[done.daemon][done.engine] = slices.Delete(times, position, position+1)
 	}
-	for _, engine := range p.engines {
-		if now >= engine.nextReport {
-			engine.reported = engine.active
+	for _, engine := range s.engines {
+		if now >= engine.nextReportAt {
+			engine.reported = engine.inFlight
 			engine.reportedAt = now
-			engine.nextReport = now + p.settings.Lag.Seconds()
+			engine.nextReportAt = now + s.settings.Lag.Seconds()
 		}
 	}
 }
 
 // route sends one request to the engine that the daemon's policy picks.
-func (p *player) route(next arrival) {
-	candidates := make([]route.Candidate, len(p.engines))
+func (s *simulation) route(next arrival) {
+	candidates := make([]route.Candidate, len(s.engines))
 	index := map[string]int{}
-	for i, engine := range p.engines {
+	for i, engine := range s.engines {
 		index[engine.name] = i
 		candidates[i] = route.Candidate{
 			Group:    engine.name,
@@ -237,57 +238,57 @@
 		}
 	}
 	prefix := route.Prefix("org", fmt.Appendf(nil, "topic %d", next.topic))
-	picked, ok := p.policies[next.daemon].Pick(prefix, candidates, func(candidate route.Candidate) int {
-		return p.loadOf(next.daemon, index[candidate.Group])
+	picked, ok := s.policies[next.daemon].Pick(prefix, candidates, func(candidate route.Candidate) int {
+		return s.estimatedLoad(next.daemon, index[candidate.Group])
 	})
 	if !ok {
-		p.result.Refused++
+		s.result.Refused++
 		return
 	}
-	p.run(next, index[picked.Group])
+	s.startRequest(next, index[picked.Group])
 }
 
-// loadOf is the load of an engine as a daemon knows it, the same sum as that of
-// route.Tracker.
-func (p *player) loadOf(daemon, engine int) int {
-	since := 0
-	for _, began := range p.sent[daemon][engine] {
-		if began > p.engines[engine].reportedAt {
-			since++
+// estimatedLoad returns the load of an engine as a daemon estimates it. It uses the same
+// formula as route.Tracker.
+func (s *simulation) estimatedLoad(daemon, engine int) int {
+	unreported := 0
+	for _, startedAt := range s.inFlightSince[daemon][engine] {
+		if startedAt > s.engines[engine].reportedAt {
+			unreported++
 		}
 	}
-	return max(p.engines[engine].reported+since, len(p.sent[daemon][engine]))
+	return max(s.engines[engine].reported+unreported, len(s.inFlightSince[daemon][engine]))
 }
 
-// run runs a request at an engine.
-func (p *player) run(next arrival, index int) {
-	engine := p.engines[index]
-	tokens := float64(ownTokens)
-	if place := slices.Index(engine.cache, next.topic); place >= 0 {
-		p.result.Hits++
-		engine.cache = slices.Delete(engine.cache, place, place+1)
+// startRequest starts a request at an engine.
+func (s *simulation) startRequest(next arrival, index int) {
+	engine := s.engines[index]
+	tokens := float64(uniqueTokens)
+	if position := slices.Index(engine.cachedTopics, next.topic); position >= 0 {
+		s.result.Hits++
+		engine.cachedTopics = slices.Delete(engine.cachedTopics, position, position+1)
 	} else {
 		tokens += prefixTokens
 	}
-	engine.cache = append(engine.cache, next.topic)
-	if len(engine.cache) > cachedTopics {
-		engine.cache = engine.cache[1:]
+	engine.cachedTopics = append(engine.cachedTopics, next.topic)
+	if len(engine.cachedTopics) > maxCachedTopics {
+		engine.cachedTopics = engine.cachedTopics[1:]
 	}
-	start := max(next.at, engine.readFree)
-	first := start + tokens/readPerSecond
-	engine.readFree = first
-	engine.active++
-	step := baseStep + stepPerActive*float64(engine.active)
-	p.sent[next.daemon][index] = append(p.sent[next.daemon][index], next.at)
-	heap.Push(&p.running, ended{
-		at:     first + answerTokens*step,
-		engine: index,
-		daemon: next.daemon,
-		began:  next.at,
+	start := max(next.arrivesAt, engine.prefillFreeAt)
+	firstTokenAt := start + tokens/prefillTokensPerSecond
+	engine.prefillFreeAt = firstTokenAt
+	engine.inFlight++
+	stepSeconds := baseStepSeconds + stepSecondsPerRequest*float64(engine.inFlight)
+	s.inFlightSince[next.daemon][index] = append(s.inFlightSince[next.daemon][index], next.arrivesAt)
+	heap.Push(&s.running, endingRequest{
+		endsAt:    firstTokenAt + answerTokens*stepSeconds,
+		engine:    index,
+		daemon:    next.daemon,
+		startedAt: next.arrivesAt,
 	})
-	waited := first - next.at
-	_ = p.result.First.RecordValue(int64(waited * 1e6))
-	if waited <= p.settings.Deadline.Seconds() {
-		p.result.Good++
+	timeToFirstToken := firstTokenAt - next.arrivesAt
+	_ = s.result.First.RecordValue(int64(timeToFirstToken * 1e6))
+	if timeToFirstToken <= s.settings.Deadline.Seconds() {
+		s.result.Good++
 	}
 }
