--- a/lab/tablestore/flaky.go
+++ b/lab/tablestore/flaky.go
@@ -6,23 +6,21 @@
 	"headcourse/core/table"
 )
 
-// Flaky is a table that refuses, loses answers, and lets commits arrive late,
-// as drawn. Nothing arrives after another commit of its own unless Arrive lets
-// it.
+// Flaky is a table that randomly rejects operations, loses answers and delays commits. A
+// delayed commit is applied only when Arrive is called, which Commit does at random.
 type Flaky struct {
 	*Memory
-	// Draw returns a number from 0 to below n, for the purpose named.
+	// Draw returns a number from 0 to below n, for the named purpose.
 	Draw func(name string, n int) int
-	// Between, where set, is called before a commit, for what others do
-	// meanwhile.
+	// Between, if set, is called before a commit, to simulate concurrent writes.
 	Between func()
-	late    []table.Transaction
+	delayed []table.Transaction
 }
 
-// Out of how many commits and reads one goes wrong in each way.
-const flakyOf = 8
+// faultOdds is the inverse probability of each kind of fault: one in faultOdds operations.
+const faultOdds = 8
 
-// Commit commits now, later or not at all, and answers or does not.
+// Commit commits a transaction, rejects it, loses its answer or delays it, as drawn.
 func (f *Flaky) Commit(ctx context.Context, transaction table.Transaction) (uint64, error) {
 	if f.Between != nil {
 		f.Between()
@@ -30,34 +28,34 @@
 	if f.Draw("arrives", 2) == 0 {
 		f.Arrive(ctx)
 	}
-	switch f.Draw("commit", flakyOf) {
+	switch f.Draw("commit", faultOdds) {
 	case 0:
 		return 0, table.ErrUnavailable
 	case 1:
 		_, _ = f.Memory.Commit(ctx, transaction)
 		return 0, table.ErrUnknown
 	case 2:
-		f.late = append(f.late, transaction)
+		f.delayed = append(f.delayed, transaction)
 		return 0, table.ErrUnknown
 	default:
 		return f.Memory.Commit(ctx, transaction)
 	}
 }
 
-// Read answers or does not.
+// Read reads a row, or fails as drawn.
 func (f *Flaky) Read(ctx context.Context, key string) (table.Row, error) {
-	if f.Draw("read", flakyOf) == 0 {
+	if f.Draw("read", faultOdds) == 0 {
 		return table.Row{}, table.ErrUnavailable
 	}
 	return f.Memory.Read(ctx, key)
 }
 
-// Arrive lets one late transaction arrive, and tells whether there was one.
+// Arrive applies the oldest delayed transaction and reports whether there was one.
 func (f *Flaky) Arrive(ctx context.Context) bool {
-	if len(f.late) == 0 {
+	if len(f.delayed) == 0 {
 		return false
 	}
-	_, _ = f.Memory.Commit(ctx, f.late[0])
-	f.late = f.late[1:]
+	_, _ = f.Memory.Commit(ctx, f.delayed[0])
+	f.delayed = f.delayed[1:]
 	return true
 }
--- a/lab/tablestore/tablestore.go
+++ b/lab/tablestore/tablestore.go
@@ -1,8 +1,8 @@
 // Package tablestore is the stand-in for the platform's table service.
 //
-// Memory keeps the rows and implements table.Store directly, for tests that
-// need no sockets. Handler serves the same over HTTP as JSON. Both count reads
-// and writes, which the capacity figures are measured from.
+// Memory holds the rows and implements table.Store directly, for tests without sockets.
+// Handler serves it as JSON over HTTP. Both count reads and writes, on which the capacity
+// figures are based.
 package tablestore
 
 import (
@@ -19,7 +19,7 @@
 	"headcourse/core/table"
 )
 
-// Counts are the operations served so far.
+// Counts holds the number of operations served so far.
 type Counts struct {
 	Commits   int64 `json:"commits"`
 	Conflicts int64 `json:"conflicts"`
@@ -27,16 +27,16 @@
 	RowsRead  int64 `json:"rows_read"`
 }
 
-// Memory is a table in memory. The zero value is empty. Deleted rows leave a
-// tombstone where catalogs look for changes, and nothing elsewhere.
+// Memory is an in-memory table. The zero value is empty. A deleted row leaves a tombstone if
+// its key has the prefix of catalogs, which scan for changes. Other deleted rows leave none.
 type Memory struct {
-	mutex   sync.Mutex
-	rows    map[string]table.Row
-	order   []string
-	version uint64
-	counts  Counts
-	// OnCommit, where set, is called with every commit that landed, under the
-	// table's lock; tests check promises in it.
+	mutex      sync.Mutex
+	rows       map[string]table.Row
+	writeOrder []string
+	version    uint64
+	counts     Counts
+	// OnCommit, if set, is called after every successful commit, with the table's mutex held.
+	// Tests check invariants in it.
 	OnCommit func(transaction table.Transaction, rows map[string]table.Row)
 }
 
@@ -46,13 +46,13 @@
 	defer m.mutex.Unlock()
 	for _, condition := range transaction.Conditions {
 		row := m.rows[condition.Key]
-		present := row.Version
+		currentVersion := row.Version
 		if row.Deleted {
-			present = 0
+			currentVersion = 0
 		}
-		if present != condition.Version {
+		if currentVersion != condition.Version {
 			m.counts.Conflicts++
-			return 0, errors.Wrapf(table.ErrConflict, "row %q is at %d, not %d", condition.Key, present, condition.Version)
+			return 0, errors.Wrapf(table.ErrConflict, "row %q is at %d, not %d", condition.Key, currentVersion, condition.Version)
 		}
 	}
 	m.counts.Commits++
@@ -71,22 +71,22 @@
 			Value:   append(json.RawMessage(nil), write.Value...),
 			Deleted: write.Delete,
 		}
-		m.order = append(m.order, write.Key)
+		m.writeOrder = append(m.writeOrder, write.Key)
 	}
-	m.compactOrder()
+	m.compactWriteOrder()
 	if m.OnCommit != nil {
 		m.OnCommit(transaction, m.rows)
 	}
 	return m.version, nil
 }
 
-// slackOrder is how many superseded entries the order of writes may hold.
-const slackOrder = 1024
+// maxSupersededEntries is the number of superseded entries that the write order can always
+// hold. The limit grows with the number of rows.
+const maxSupersededEntries = 1024
 
-// compactOrder drops superseded entries from the order of writes. The mutex is
-// held.
-func (m *Memory) compactOrder() {
-	if len(m.order) <= slackOrder+2*len(m.rows) {
+// compactWriteOrder removes superseded entries from the write order. The mutex is held.
+func (m *Memory) compactWriteOrder() {
+	if len(m.writeOrder) <= maxSupersededEntries+2*len(m.rows) {
 		return
 	}
 	keys := make([]string, 0, len(m.rows))
@@ -96,17 +96,17 @@
 	sort.Slice(keys, func(i, j int) bool {
 		return m.rows[keys[i]].Version < m.rows[keys[j]].Version
 	})
-	m.order = keys
+	m.writeOrder = keys
 }
 
-// Drop removes a row without a trace; tests drop markers that nobody needs.
+// Drop removes a row without a tombstone. Tests remove markers that are no longer needed.
 func (m *Memory) Drop(key string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	delete(m.rows, key)
 }
 
-// Read returns a row; one never written has version 0.
+// Read returns a row. A row that was never written has version 0.
 func (m *Memory) Read(_ context.Context, key string) (table.Row, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -142,7 +142,7 @@
 		Version: m.version,
 	}
 	if request.Limit > 0 && len(found) > request.Limit {
-		found, result.More = cutAtVersion(found, request.Limit), true
+		found, result.More = truncateAtVersion(found, request.Limit), true
 		result.Version = found[len(found)-1].Version
 	}
 	result.Rows = found
@@ -150,13 +150,13 @@
 	return result, nil
 }
 
-// changedAfter returns the rows changed after a version, from the end of the
-// order of writes, as an index on the version would.
+// changedAfter returns the rows that changed after a version. It reads the write order from
+// its end, as an index on the version would.
 func (m *Memory) changedAfter(after uint64) []table.Row {
 	var changed []table.Row
 	seen := map[string]bool{}
-	for i := len(m.order) - 1; i >= 0; i-- {
-		row, ok := m.rows[m.order[i]]
+	for i := len(m.writeOrder) - 1; i >= 0; i-- {
+		row, ok := m.rows[m.writeOrder[i]]
 		if !ok || seen[row.Key] {
 			continue
 		}
@@ -169,8 +169,8 @@
 	return changed
 }
 
-// cutAtVersion cuts rows to about limit, never within one commit.
-func cutAtVersion(rows []table.Row, limit int) []table.Row {
+// truncateAtVersion truncates rows to limit, or later if the limit is within one commit.
+func truncateAtVersion(rows []table.Row, limit int) []table.Row {
 	end := limit
 	for end < len(rows) && rows[end].Version == rows[end-1].Version {
 		end++
@@ -178,14 +178,15 @@
 	return rows[:end]
 }
 
-// Counts returns the operations served so far.
+// Counts returns the number of operations served so far.
 func (m *Memory) Counts() Counts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.counts
 }
 
-// Rows returns the number of rows, and of those under a prefix.
+// Rows returns the number of rows including tombstones, and the number of rows under a prefix
+// without them.
 func (m *Memory) Rows(prefix string) (all, under int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -208,7 +209,7 @@
 			serveCommit(ctx, memory)
 		case "/read":
 			row, err := memory.Read(ctx, string(ctx.QueryArgs().Peek("key")))
-			reply(ctx, row, err)
+			writeReply(ctx, row, err)
 		case "/scan":
 			var request table.ScanRequest
 			if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
@@ -216,9 +217,9 @@
 				return
 			}
 			result, err := memory.Scan(ctx, request)
-			reply(ctx, result, err)
+			writeReply(ctx, result, err)
 		case "/lab/counts":
-			reply(ctx, memory.Counts(), nil)
+			writeReply(ctx, memory.Counts(), nil)
 		default:
 			ctx.Error("no such path", fasthttp.StatusNotFound)
 		}
@@ -233,18 +234,18 @@
 		return
 	}
 	version, err := memory.Commit(ctx, transaction)
-	reply(ctx, CommitReply{
+	writeReply(ctx, CommitReply{
 		Version: version,
 	}, err)
 }
 
-// CommitReply is the answer to a commit that landed.
+// CommitReply is the answer to a successful commit.
 type CommitReply struct {
 	Version uint64 `json:"version"`
 }
 
-// reply writes a value as JSON, or an error.
-func reply(ctx *fasthttp.RequestCtx, value any, err error) {
+// writeReply writes a value as JSON, or an error.
+func writeReply(ctx *fasthttp.RequestCtx, value any, err error) {
 	if errors.Is(err, table.ErrConflict) {
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
 		return
