--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage reads what the process has used of the machine.
+// Package usage reads the resource usage of the process.
 package usage
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ProcessorTime returns the process's time in seconds, user and system.
+// ProcessorTime returns the processor time of the process in seconds, user and system.
 func ProcessorTime() float64 {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) != nil {
@@ -16,7 +16,7 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano()).Seconds()
 }
 
-// Memory returns the live heap and the stacks after a collection, in bytes.
+// Memory returns the bytes of heap and stacks in use after a garbage collection.
 func Memory() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
