--- a/lab/vmlist/vmlist.go
+++ b/lab/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the stand-in for the platform's list of live and leaving
-// VMs. Changes show only after a lag.
+// Package vmlist is the stand-in for the platform's list of live and leaving VMs. Changes
+// become visible after a lag.
 package vmlist
 
 import (
@@ -13,68 +13,68 @@
 	"headcourse/core/vm"
 )
 
-// change is an entry that shows from a time on; gone removes the VM.
-type change struct {
-	entry vm.VM
-	gone  bool
-	from  time.Time
+// pendingChange replaces or removes an entry when visibleAt is reached.
+type pendingChange struct {
+	entry     vm.VM
+	isRemoval bool
+	visibleAt time.Time
 }
 
-// List is the list. Use New.
+// List is the VM list. Use New.
 type List struct {
 	lag     time.Duration
 	mutex   sync.Mutex
-	shown   map[string]vm.VM
-	pending []change
+	visible map[string]vm.VM
+	pending []pendingChange
 }
 
-// New returns a list of VMs whose later changes show after lag.
+// New returns a list of VMs. Later changes become visible after lag.
 func New(lag time.Duration, vms []vm.VM) *List {
-	shown := map[string]vm.VM{}
+	visible := map[string]vm.VM{}
 	for _, entry := range vms {
-		shown[entry.ID] = entry
+		visible[entry.ID] = entry
 	}
 	return &List{
-		lag:   lag,
-		shown: shown,
+		lag:     lag,
+		visible: visible,
 	}
 }
 
-// SetState changes a VM's state after the lag.
+// SetState changes the state of a VM after the lag.
 func (l *List) SetState(id string, state vm.State) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	entry, ok := l.shown[id]
+	entry, ok := l.visible[id]
 	if !ok {
 		return
 	}
 	entry.State = state
-	l.pending = append(l.pending, change{
-		entry: entry,
-		from:  time.Now().Add(l.lag),
+	l.pending = append(l.pending, pendingChange{
+		entry:     entry,
+		visibleAt: time.Now().Add(l.lag),
 	})
 }
 
-// Remove takes a VM off the list after the lag.
+// Remove removes a VM from the list after the lag.
 func (l *List) Remove(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.pending = append(l.pending, change{
+	l.pending = append(l.pending, pendingChange{
 		entry: vm.VM{
 			ID: id,
 		},
-		gone: true,
-		from: time.Now().Add(l.lag),
+		isRemoval: true,
+		visibleAt: time.Now().Add(l.lag),
 	})
 }
 
-// VMs returns the list as it shows now, in the order of ids.
+// VMs returns the visible entries, sorted by id.
 func (l *List) VMs() []vm.VM {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.applyDue(time.Now())
-	vms := make([]vm.VM, 0, len(l.shown))
-	for _, entry := range l.shown {
+	vms := make([]vm.VM, 0, len(l.visible))
+	for _, entry := range l.visible {
 		vms = append(vms, entry)
 	}
 	sort.Slice(vms, func(i, j int) bool {
@@ -83,24 +83,24 @@
 	return vms
 }
 
-// applyDue shows the changes whose lag has passed. The mutex is held.
+// applyDue applies the changes whose lag has passed. The mutex is held.
 func (l *List) applyDue(now time.Time) {
-	var left []change
-	for _, one := range l.pending {
+	var waiting []pendingChange
+	for _, due := range l.pending {
 		switch {
-		case now.Before(one.from):
-			left = append(left, one)
-		case one.gone:
-			delete(l.shown, one.entry.ID)
+		case now.Before(due.visibleAt):
+			waiting = append(waiting, due)
+		case due.isRemoval:
+			delete(l.visible, due.entry.ID)
 		default:
-			l.shown[one.entry.ID] = one.entry
+			l.visible[due.entry.ID] = due.entry
 		}
 	}
-	l.pending = left
+	l.pending = waiting
 }
 
-// Handler serves the list as JSON over HTTP. POST /lab/state?vm=ID&state=leaving
-// changes a VM.
+// Handler serves the list as JSON over HTTP. POST /lab/state?vm=ID&state=leaving changes
+// the state of a VM, and POST /lab/remove?vm=ID removes it.
 func Handler(list *List) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
