--- a/lab/weightstore/weightstore.go
+++ b/lab/weightstore/weightstore.go
@@ -1,6 +1,5 @@
-// Package weightstore is the stand-in for the platform's rate-limited store of
-// model weights. Every load takes its share of one rate, so that many loads at
-// once are slow for all.
+// Package weightstore is the stand-in for the platform's rate-limited store of model weights.
+// All loads share one rate limit, so that many concurrent loads slow each other down.
 package weightstore
 
 import (
@@ -14,15 +13,15 @@
 	limiter *rate.Limiter
 }
 
-// New returns a store that finishes loadsPerSecond loads a second, with burst
-// of them at once.
+// New returns a store that completes loadsPerSecond loads a second, and up to burst loads at
+// once.
 func New(loadsPerSecond float64, burst int) *Store {
 	return &Store{
 		limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), burst),
 	}
 }
 
-// Fetch waits until one load's weights have been read.
+// Fetch waits until the weights of one load are read.
 func (s *Store) Fetch(ctx context.Context) error {
 	return s.limiter.Wait(ctx)
 }
