--- a/command/command.go
+++ b/command/command.go
@@ -26,11 +26,11 @@
 
 // Exit codes, as listed in the package comment.
 const (
-	ExitDone        = 0
-	ExitRefused     = 1
-	ExitUsage       = 2
-	ExitNotAccepted = 3
-	ExitUnknown     = 4
+	ExitSuccess        = 0
+	ExitFailed         = 1
+	ExitUsage          = 2
+	ExitNotAccepted    = 3
+	ExitOutcomeUnknown = 4
 )
 
 // CLI lists the commands. kong derives the names of commands from the names of
@@ -93,7 +93,7 @@
 	if err = kongContext.Run(streams); err != nil {
 		return printError(errOut, err, exitCodeFor(err))
 	}
-	return ExitDone
+	return ExitSuccess
 }
 
 // usageError wraps an error in the command line or in a setting, for which the
@@ -122,8 +122,8 @@
 	case errors.Is(err, ErrNotAccepted):
 		return ExitNotAccepted
 	case errors.Is(err, table.ErrUnknown), errors.Is(err, operator.ErrNoAnswer):
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	default:
-		return ExitRefused
+		return ExitFailed
 	}
 }
--- a/command/entry.go
+++ b/command/entry.go
@@ -83,7 +83,7 @@
 		}
 		next, err := platform.ReadSettings(path)
 		if err != nil {
-			log.Error("daemon: settings not applied, the last valid settings stay in force", logline.Err(err))
+			log.Error("daemon: settings not applied, the last valid settings stay in force", logline.ErrorField(err))
 			continue
 		}
 		if next != current {
--- a/command/groups.go
+++ b/command/groups.go
@@ -24,7 +24,7 @@
 			for i, member := range group.Record.Members {
 				members[i] = member.VM
 			}
-			writeRow(table, group.Record.Name, group.Record.Model, group.Record.Version, group.Record.Zone, group.Record.Phase, group.Serveable, group.Record.Generation, group.InFlight, fmt.Sprintf("%.1f", group.Age), strings.Join(members, " "))
+			writeRow(table, group.Record.Name, group.Record.Model, group.Record.Version, group.Record.Zone, group.Record.Phase, group.Serveable, group.Record.Generation, group.InFlight, fmt.Sprintf("%.1f", group.EvidenceAgeSeconds), strings.Join(members, " "))
 		}
 	})
 }
--- a/command/plan.go
+++ b/command/plan.go
@@ -112,7 +112,7 @@
 // Run proposes the plan and prints it.
 func (o *OpenZoneIntent) Run(streams *Streams) error {
 	return o.propose(streams, plan.Intent{
-		Kind: plan.OpenZoneAgain,
+		Kind: plan.ReopenZone,
 		Zone: o.Zone,
 	})
 }
@@ -126,7 +126,7 @@
 // Run proposes the plan and prints it.
 func (r *RetireVMIntent) Run(streams *Streams) error {
 	return r.propose(streams, plan.Intent{
-		Kind: plan.RetireOneVM,
+		Kind: plan.RetireVMIntent,
 		VM:   r.VM,
 	})
 }
--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -27,9 +27,9 @@
 	Priority int
 	// Daemons is the number of daemons that share the organisation's limits.
 	Daemons int
-	// Try chooses a backend server and takes a place there. It returns false if no server has
+	// TryPlace chooses a backend server and takes a place there. It returns false if no server has
 	// capacity. It is called with the queue's mutex held.
-	Try func() bool
+	TryPlace func() bool
 }
 
 // Queue holds the waiting requests. The zero value is empty. It is safe for concurrent use.
@@ -84,10 +84,10 @@
 	defer q.mutex.Unlock()
 	owner := q.accountOf(request)
 	if !owner.limiter.Allow() {
-		return nil, outcome.Refuse(outcome.ReasonRateLimit, "admit request")
+		return nil, outcome.NotRunFailure(outcome.ReasonRateLimit, "admit request")
 	}
 	if owner.queued >= perDaemonLimit(request.Organisation.MaxQueued, request.Daemons) {
-		return nil, outcome.Refuse(outcome.ReasonQueueFull, "admit request")
+		return nil, outcome.NotRunFailure(outcome.ReasonQueueFull, "admit request")
 	}
 	q.arrivals++
 	w := &waiter{
@@ -161,7 +161,7 @@
 	w.hasLeft = true
 	w.account.queued--
 	q.remove(w)
-	return nil, outcome.Refuse(outcome.ReasonQueueDeadline, "admit request")
+	return nil, outcome.NotRunFailure(outcome.ReasonQueueDeadline, "admit request")
 }
 
 // remove removes a waiter from its pool. The mutex must be held.
@@ -187,9 +187,9 @@
 	})
 }
 
-// Wake dispatches all queues again after an external change: a group is back, or a new report
+// DispatchAll dispatches all queues again after an external change: a group is back, or a new report
 // shows capacity.
-func (q *Queue) Wake() {
+func (q *Queue) DispatchAll() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for pool := range q.pools {
@@ -201,7 +201,7 @@
 func (q *Queue) dispatch(pool string) {
 	for {
 		next := q.next(pool)
-		if next == nil || !next.request.Try() {
+		if next == nil || !next.request.TryPlace() {
 			return
 		}
 		owner := next.account
@@ -246,13 +246,13 @@
 // rejection.
 func RetryAfter(reason outcome.Reason) time.Duration {
 	switch reason {
-	case outcome.ReasonRateLimit, outcome.ReasonLeaving:
+	case outcome.ReasonRateLimit, outcome.ReasonDaemonLeaving:
 		return time.Second
 	case outcome.ReasonQueueFull, outcome.ReasonQueueDeadline, outcome.ReasonEngineBusy:
 		return 2 * time.Second
-	case outcome.ReasonNoGroup, outcome.ReasonNoServer, outcome.ReasonKeyInProgress, outcome.ReasonKeyStoreDown, outcome.ReasonCutOff, outcome.ReasonNotConfigured:
+	case outcome.ReasonNoGroup, outcome.ReasonNoServer, outcome.ReasonKeyInProgress, outcome.ReasonIdempotencyStoreUnavailable, outcome.ReasonDaemonCutOff, outcome.ReasonDaemonNotConfigured:
 		return 5 * time.Second
-	case outcome.ReasonConnect, outcome.ReasonRetryBudget, outcome.ReasonEngineRefused:
+	case outcome.ReasonBackendConnectFailed, outcome.ReasonRetryBudget, outcome.ReasonEngineRefused:
 		return time.Second
 	default:
 		return 0
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -51,7 +51,7 @@
 					Organisation: from,
 					Priority:     priority,
 					Daemons:      1,
-					Try:          backend.try,
+					TryPlace:     backend.try,
 				})
 				qt.Check(t, refusal == nil, qt.IsTrue)
 				order <- from.Name
@@ -67,13 +67,13 @@
 		served := map[string]int{}
 		for range 50 {
 			backend.places = 1
-			queue.Wake()
+			queue.DispatchAll()
 			served[<-order]++
 		}
 		// With shares of 4 and 1, a fifth of the places belongs to the small organisation.
 		qt.Assert(t, served["small"], qt.Equals, 10)
 		backend.places = 60
-		queue.Wake()
+		queue.DispatchAll()
 		synctest.Wait()
 		qt.Assert(t, queue.Waiting(), qt.Equals, 0)
 	})
@@ -90,7 +90,7 @@
 					Organisation: organisation("o", 1),
 					Priority:     priority,
 					Daemons:      1,
-					Try:          backend.try,
+					TryPlace:     backend.try,
 				})
 				qt.Check(t, refusal == nil, qt.IsTrue)
 				order <- priority
@@ -99,7 +99,7 @@
 		}
 		for _, expected := range []int{9, 5, 1} {
 			backend.places = 1
-			queue.Wake()
+			queue.DispatchAll()
 			qt.Assert(t, <-order, qt.Equals, expected)
 		}
 	})
@@ -112,7 +112,7 @@
 	_, refusal := queue.Admit(ctx, admission.Request{
 		Organisation: from,
 		Daemons:      2,
-		Try: func() bool {
+		TryPlace: func() bool {
 			return false
 		},
 	})
@@ -153,7 +153,7 @@
 		return queue.Admit(ctx, admission.Request{
 			Organisation: limited,
 			Daemons:      1,
-			Try: func() bool {
+			TryPlace: func() bool {
 				return true
 			},
 		})
--- a/core/assembly/adopt.go
+++ b/core/assembly/adopt.go
@@ -9,7 +9,7 @@
 // store was restored from a copy without them. Such a group must be complete and keeps the
 // epoch that its members know. Servers leave groups that were not open yet, and form new
 // ones.
-func (c *Controller) adopt(input World, plan *Plan) {
+func (c *Controller) adopt(input Input, plan *Plan) {
 	for _, head := range input.Fleet.Servers() {
 		if !c.mayAdopt(head, input) {
 			continue
@@ -30,24 +30,24 @@
 			c.pendingRecords = map[string]Record{}
 		}
 		c.pendingRecords[record.Name] = record
-		plan.Create = append(plan.Create, record)
-		plan.Notes = append(plan.Notes, Note{
-			Group:  record.Name,
-			Epoch:  record.Epoch,
-			Model:  record.Model,
-			What:   "group adopted",
-			Reason: "the group serves, but the restored store has no record of it",
+		plan.NewRecords = append(plan.NewRecords, record)
+		plan.Events = append(plan.Events, Event{
+			Group:   record.Name,
+			Epoch:   record.Epoch,
+			Model:   record.Model,
+			Message: "group adopted",
+			Reason:  "the group serves, but the restored store has no record of it",
 		})
 	}
 }
 
 // mayAdopt reports whether a server is the head of an open group of a former era that has
 // no record, and no record of it is being written.
-func (c *Controller) mayAdopt(head fleet.Server, input World) bool {
+func (c *Controller) mayAdopt(head fleet.Server, input Input) bool {
 	m := head.Membership
 	_, hasRecord := c.groups[m.Group]
 	isOpenHead := m.State == fleet.Open && m.Rank == 0 && len(head.Models) > 0
-	isFormer := rowstore.EraOf(m.Epoch) < input.Era
+	isFormer := rowstore.EraOfOrdinal(m.Epoch) < input.Era
 	return isOpenHead && isFormer && isConfiguredEngine(input.Config, head) && !hasRecord && !c.isAdopting(m)
 }
 
@@ -60,12 +60,12 @@
 // completeMembers returns the members of a head's group by rank, and whether the group is
 // complete: as many servers as the model requires report membership, each with its own
 // rank.
-func completeMembers(head fleet.Server, input World) ([]fleet.Server, bool) {
+func completeMembers(head fleet.Server, input Input) ([]fleet.Server, bool) {
 	model, isKnown := input.Config.Service(head.Service).Engine.Model(head.Models[0])
 	if !isKnown {
 		return nil, false
 	}
-	members := make([]fleet.Server, model.Size)
+	members := make([]fleet.Server, model.GroupSize)
 	count := 0
 	for _, server := range input.Fleet.Members(head.Membership) {
 		m := server.Membership
--- a/core/assembly/allocate.go
+++ b/core/assembly/allocate.go
@@ -36,23 +36,23 @@
 	groups := map[string]int{}
 	if !s.isDemandSufficient() {
 		for _, model := range s.service.Engine.Models {
-			servers := model.Share * s.serverBudget(model)
-			groups[model.Name] = max(1, int(math.Round(servers/float64(model.Size))))
+			servers := model.InitialShare * s.serverBudget(model)
+			groups[model.Name] = max(1, int(math.Round(servers/float64(model.GroupSize))))
 		}
 		return groups
 	}
 	serversLeft := 0.0
 	for _, model := range s.service.Engine.Models {
-		serversLeft += s.demands[model.Name].groups.InTime * float64(model.Size) / s.neededServers() * s.serverBudget(model)
+		serversLeft += s.demands[model.Name].groups.OnTime * float64(model.GroupSize) / s.neededServers() * s.serverBudget(model)
 		groups[model.Name] = 1
 	}
 	for _, model := range s.service.Engine.Models {
-		serversLeft -= float64(model.Size)
+		serversLeft -= float64(model.GroupSize)
 	}
 	for {
 		best, bestGain := config.Model{}, -1.0
 		for _, model := range s.service.Engine.Models {
-			fits := serversLeft >= minGroupFraction*float64(model.Size)
+			fits := serversLeft >= minGroupFraction*float64(model.GroupSize)
 			if gain := s.gainPerServer(model, groups[model.Name]); fits && gain > bestGain {
 				best, bestGain = model, gain
 			}
@@ -61,7 +61,7 @@
 			break
 		}
 		groups[best.Name]++
-		serversLeft -= float64(best.Size)
+		serversLeft -= float64(best.GroupSize)
 	}
 	s.improveAllocation(groups, serversLeft)
 	return groups
@@ -78,7 +78,7 @@
 		}
 		groups[best.from.Name] -= best.givenUp
 		groups[best.to.Name]++
-		serversLeft += float64(best.givenUp*best.from.Size - best.to.Size)
+		serversLeft += float64(best.givenUp*best.from.GroupSize - best.to.GroupSize)
 	}
 }
 
@@ -96,8 +96,8 @@
 	var best exchange
 	for _, from := range s.service.Engine.Models {
 		for _, to := range s.service.Engine.Models {
-			missing := minGroupFraction*float64(to.Size) - serversLeft
-			givenUp := max(1, int(math.Ceil(missing/float64(from.Size))))
+			missing := minGroupFraction*float64(to.GroupSize) - serversLeft
+			givenUp := max(1, int(math.Ceil(missing/float64(from.GroupSize))))
 			if from.Name == to.Name || groups[from.Name] <= givenUp {
 				continue
 			}
@@ -118,7 +118,7 @@
 
 // serverBudget returns how many servers groups would use if all were of one model.
 func (s *serviceState) serverBudget(model config.Model) float64 {
-	return groupedFraction * float64(s.totalServers) * (1 + extraFractionPerMember*float64(model.Size))
+	return groupedFraction * float64(s.totalServers) * (1 + extraFractionPerMember*float64(model.GroupSize))
 }
 
 // neededServers returns how many servers are needed to serve the demand for all models in
@@ -126,7 +126,7 @@
 func (s *serviceState) neededServers() float64 {
 	sum := 0.0
 	for _, model := range s.service.Engine.Models {
-		sum += s.demands[model.Name].groups.InTime * float64(model.Size)
+		sum += s.demands[model.Name].groups.OnTime * float64(model.GroupSize)
 	}
 	return sum
 }
--- a/core/assembly/assembly.go
+++ b/core/assembly/assembly.go
@@ -100,15 +100,15 @@
 	return r
 }
 
-// Kind is the operation that an order requests of a server.
-type Kind int
+// OrderKind is the operation that an order requests of a server.
+type OrderKind int
 
 // The kinds of orders.
 const (
 	// Join makes a server a member; it loads the model first if necessary.
-	Join Kind = iota
+	Join OrderKind = iota
 	// Open lets a ready head serve. Close makes an open head ready again, after its work
-	// or, with Cutoff, immediately. Leave ends a membership immediately.
+	// or, with IsImmediate, immediately. Leave ends a membership immediately.
 	Open
 	Close
 	Leave
@@ -117,66 +117,66 @@
 )
 
 // String returns the name of the kind in logs.
-func (k Kind) String() string {
+func (k OrderKind) String() string {
 	return [...]string{"join", "open", "close", "leave", "stage"}[k]
 }
 
 // Order is an order to one incarnation of a server.
 type Order struct {
-	Server  fleet.Server
-	Kind    Kind
-	Group   string
-	Epoch   int64
-	Model   string
-	Members []string
-	Cutoff  bool
+	Server      fleet.Server
+	Kind        OrderKind
+	Group       string
+	Epoch       int64
+	Model       string
+	Members     []string
+	IsImmediate bool
 	// Reason is why the order is given, for the log.
 	Reason string
 }
 
-// Result is the outcome of an order.
-type Result int
+// OrderResult is the outcome of an order.
+type OrderResult int
 
 // The results of orders. After NoAnswer the order may have been carried out, or may be
 // carried out later.
 const (
-	Taken Result = iota
+	Accepted OrderResult = iota
 	NoAnswer
-	Unfit
+	InvalidState
 	Fenced
-	NotKnown
-	OtherServer
+	UnknownResult
+	WrongServer
 )
 
 // String returns the name of the result in logs.
-func (r Result) String() string {
+func (r OrderResult) String() string {
 	return [...]string{"taken", "no_answer", "unfit", "fenced", "not_known", "other_server"}[r]
 }
 
-// World is the input of a step.
-type World struct {
+// Input is the input of a step.
+type Input struct {
 	Config *config.Config
 	Fleet  fleet.View
-	// Evacuated are the zones whose groups get no requests, or soon will get none.
-	Evacuated evacuation.Zones
+	// EvacuatedZones are the zones whose groups get no requests, or soon will get none.
+	EvacuatedZones evacuation.Zones
 	// Era is the store's era in which this daemon leads.
 	Era int64
-	// IsSteady is true once the store has been available for long enough that a missing
+	// IsStoreStable is true once the store has been available for long enough that a missing
 	// entry means a missing server.
-	IsSteady bool
-	// IsStart is true while the whole system has just started and no client has sent a
+	IsStoreStable bool
+	// IsStartupPhase is true while the whole system has just started and no client has sent a
 	// request: loads are quick then and delay no requests.
-	IsStart bool
-	// IsIdle is true while, as far as known, no client of any daemon has sent a request
-	// since the whole system started. It lasts longer than IsStart, and limits on loads
+	IsStartupPhase bool
+	// IsBeforeFirstRequest is true while, as far as known, no client of any daemon has sent a request
+	// since the whole system started. It lasts longer than IsStartupPhase, and limits on loads
 	// apply.
-	IsIdle bool
-	// StallTime is how long a group that lacks a member stalls before its head breaks.
-	StallTime time.Duration
-	// LoadWindow and LoadExcess limit how many loads may start: LoadWindow is the period
-	// over which loads are counted, LoadExcess a factor on the rate.
-	LoadWindow time.Duration
-	LoadExcess float64
-	// Asked, if set, returns the demand for a model, and whether it is known.
-	Asked func(service, model string) (rate usage.Rate, isKnown bool)
+	IsBeforeFirstRequest bool
+	// StallTimeout is how long a group that lacks a member stalls before its head breaks.
+	StallTimeout time.Duration
+	// LoadWindow and LoadLimitFactor limit how many loads may start: LoadWindow is the period
+	// over which loads are counted, LoadLimitFactor a factor on the rate.
+	LoadWindow      time.Duration
+	LoadLimitFactor float64
+	// DemandOf, if set, returns the demand for a model, and whether it is known.
+	DemandOf func(service, model string) (rate usage.Rate, isKnown bool)
 }
--- a/core/assembly/check.go
+++ b/core/assembly/check.go
@@ -13,7 +13,7 @@
 
 // advanceGroup moves a group one step closer to serving, or starts to end it if it can no
 // longer serve.
-func (c *Controller) advanceGroup(g *group, input World, plan *Plan) {
+func (c *Controller) advanceGroup(g *group, input Input, plan *Plan) {
 	reason, isGraceful := c.findEndReason(g, input, plan)
 	if reason != "" {
 		g.end(reason, isGraceful)
@@ -43,7 +43,7 @@
 
 // joinMembers orders members that are not in the group to join, and reports whether all
 // members report that they are ready.
-func (c *Controller) joinMembers(g *group, input World, plan *Plan) bool {
+func (c *Controller) joinMembers(g *group, input Input, plan *Plan) bool {
 	isReady := true
 	for _, id := range g.record.Members {
 		member, ok := input.Fleet.Server(id)
@@ -52,7 +52,7 @@
 			continue
 		}
 		m := member.Membership
-		if !m.In(g.record.Name, g.record.Epoch) {
+		if !m.Matches(g.record.Name, g.record.Epoch) {
 			isReady = false
 			c.orderJoin(g, member, plan)
 			continue
@@ -65,7 +65,7 @@
 // orderJoin orders a member to join. Repeating an order that may still be carried out is
 // harmless: it names the same group, epoch and members.
 func (c *Controller) orderJoin(g *group, member fleet.Server, plan *Plan) {
-	if !member.CanRejoin(g.record.Model) && !member.HasStaged(g.record.Model) {
+	if !member.CanJoinWithoutLoading(g.record.Model) && !member.HasStaged(g.record.Model) {
 		if _, ok := g.lastOrders[member.ID]; !ok {
 			c.loadStarts = append(c.loadStarts, time.Now())
 			g.loadingMembers[member.ID] = true
@@ -76,9 +76,9 @@
 
 // findEndReason returns why a group must end, or an empty string. isGraceful lets the group
 // finish its work.
-func (c *Controller) findEndReason(g *group, input World, plan *Plan) (reason string, isGraceful bool) {
+func (c *Controller) findEndReason(g *group, input Input, plan *Plan) (reason string, isGraceful bool) {
 	head, hasHead := input.Fleet.Server(g.record.Members[0])
-	isHeadIn := hasHead && head.Membership.In(g.record.Name, g.record.Epoch)
+	isHeadIn := hasHead && head.Membership.Matches(g.record.Name, g.record.Epoch)
 	switch {
 	case g.wasOpen && hasHead && !isHeadIn:
 		return "the head has left", false
@@ -90,7 +90,7 @@
 			return reason, isGraceful
 		}
 	}
-	if !g.wasOpen && !isHeadOpen(g, head) && rowstore.EraOf(g.record.Epoch) < input.Era {
+	if !g.wasOpen && !isHeadOpen(g, head) && rowstore.EraOfOrdinal(g.record.Epoch) < input.Era {
 		// Its record may have been removed since the copy was made, and orders from that
 		// time may still arrive.
 		return "the store was restored before the group served", false
@@ -106,7 +106,7 @@
 
 // isHeadOpen reports whether a group's head reports that it serves.
 func isHeadOpen(g *group, head fleet.Server) bool {
-	return head.Membership.In(g.record.Name, g.record.Epoch) && head.Membership.State == fleet.Open
+	return head.Membership.Matches(g.record.Name, g.record.Epoch) && head.Membership.State == fleet.Open
 }
 
 // formTimeout returns how long a group may take to form: its members may wait for each
@@ -118,7 +118,7 @@
 		return formTimeoutMargin
 	}
 	model, _ := service.Engine.Model(record.Model)
-	return sequentialLoads*model.Load + formTimeoutMargin
+	return sequentialLoads*model.LoadTime + formTimeoutMargin
 }
 
 // joinTimeoutMargin is how much longer than its load a member with staged weights may take
@@ -130,7 +130,7 @@
 // group, if its weights were staged and a free server can replace it; otherwise an empty
 // string. Such a member may have lost only its connection to the store, so it answers
 // probes but reports nothing: eleven servers once waited 11 s for one.
-func (c *Controller) overdueMember(g *group, input World, plan *Plan) string {
+func (c *Controller) overdueMember(g *group, input Input, plan *Plan) string {
 	if g.wasOpen || g.record.IsWarmUp {
 		return ""
 	}
@@ -139,12 +139,12 @@
 		return ""
 	}
 	model, _ := service.Engine.Model(g.record.Model)
-	if time.Since(g.knownSince) < model.Warm+joinTimeoutMargin {
+	if time.Since(g.knownSince) < model.WarmLoadTime+joinTimeoutMargin {
 		return ""
 	}
 	for _, id := range g.record.Members {
 		member, ok := input.Fleet.Server(id)
-		if !ok || member.Membership.In(g.record.Name, g.record.Epoch) || g.loadingMembers[id] {
+		if !ok || member.Membership.Matches(g.record.Name, g.record.Epoch) || g.loadingMembers[id] {
 			continue
 		}
 		if c.hasSpareFor(g, id, input, plan) {
@@ -156,9 +156,9 @@
 }
 
 // memberLossReason returns why a member is lost to its group, or an empty string.
-func (c *Controller) memberLossReason(g *group, id string, isHead bool, input World, plan *Plan) (reason string, isGraceful bool) {
+func (c *Controller) memberLossReason(g *group, id string, isHead bool, input Input, plan *Plan) (reason string, isGraceful bool) {
 	member, ok := input.Fleet.Server(id)
-	if !ok && !g.wasOpen && input.IsSteady {
+	if !ok && !g.wasOpen && input.IsStoreStable {
 		// The member could not report that it is ready. The others need not wait for it.
 		return "member " + id + " has no entry", false
 	}
@@ -168,7 +168,7 @@
 	if member.Draining {
 		return "member " + id + " is leaving", true
 	}
-	if g.wasOpen && !member.Membership.In(g.record.Name, g.record.Epoch) {
+	if g.wasOpen && !member.Membership.Matches(g.record.Name, g.record.Epoch) {
 		return "member " + id + " is no longer in the group", false
 	}
 	if member.Membership.Epoch > g.record.Epoch {
@@ -180,14 +180,14 @@
 // missingEntryReason returns why a server without an entry is lost, or an empty string. An
 // entry also expires if its server loses only its connection to the store: a member that
 // answers is still in the group, but a head without an entry must not get requests.
-func (c *Controller) missingEntryReason(id string, isHead bool, input World, plan *Plan) (reason string, isGraceful bool) {
-	if !input.IsSteady {
+func (c *Controller) missingEntryReason(id string, isHead bool, input Input, plan *Plan) (reason string, isGraceful bool) {
+	if !input.IsStoreStable {
 		return "", false
 	}
 	if isHead {
 		return "the head's entry is gone", true
 	}
-	server, ok := input.Fleet.Known(id)
+	server, ok := input.Fleet.ServerOrRemoved(id)
 	if !ok {
 		return "member " + id + " is gone", false
 	}
--- a/core/assembly/check_test.go
+++ b/core/assembly/check_test.go
@@ -29,7 +29,7 @@
 		s, _ := newStartedFleet(6)
 		joined, left := s.orderCounts["join"], s.orderCounts["leave"]
 		next := &assembly.Controller{}
-		next.Load(s.storedRecords())
+		next.LoadRecords(s.storedRecords())
 
 		runFor(s, next, false, 5*time.Second)
 
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -72,9 +72,9 @@
 	since   time.Time
 }
 
-// Load replaces the groups by the records in the store. What is known about servers is
+// LoadRecords replaces the groups by the records in the store. Message is known about servers is
 // kept; the state of earlier orders is observed from the servers again.
-func (c *Controller) Load(records []Record) {
+func (c *Controller) LoadRecords(records []Record) {
 	groups := map[string]*group{}
 	for _, record := range records {
 		previous, ok := c.groups[record.Name]
@@ -94,8 +94,8 @@
 	return slices.Sorted(maps.Keys(groups))
 }
 
-// Created handles the confirmation that records were written at a version.
-func (c *Controller) Created(records []Record, version int64) {
+// RecordsCreated handles the confirmation that records were written at a version.
+func (c *Controller) RecordsCreated(records []Record, version int64) {
 	if c.groups == nil {
 		c.groups = map[string]*group{}
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// Removed handles the confirmation that the records of groups were removed.
-func (c *Controller) Removed(names []string) {
+// RecordsRemoved handles the confirmation that the records of groups were removed.
+func (c *Controller) RecordsRemoved(names []string) {
 	if c.closedGroups == nil {
 		c.closedGroups = map[groupKey]closedGroup{}
 	}
@@ -123,10 +123,10 @@
 	}
 }
 
-// Ordered handles the result of an order.
-func (c *Controller) Ordered(order Order, result Result) {
+// OrderCompleted handles the result of an order.
+func (c *Controller) OrderCompleted(order Order, result OrderResult) {
 	if order.Kind == Stage {
-		if result == Unfit || result == NotKnown || result == OtherServer {
+		if result == InvalidState || result == UnknownResult || result == WrongServer {
 			c.stageOrders[order.Server.ID] = stageOrder{
 				expiresAt: time.Now().Add(stageRetryInterval),
 			}
@@ -137,16 +137,16 @@
 	if !ok || g.record.Epoch != order.Epoch {
 		return
 	}
-	if order.Kind == Leave && result == Taken && order.Server.ID == g.record.Members[0] {
+	if order.Kind == Leave && result == Accepted && order.Server.ID == g.record.Members[0] {
 		g.hasHeadTakenLeave = true
 	}
-	if order.Kind == Join && (result == Fenced || result == OtherServer) && g.endReason == "" {
+	if order.Kind == Join && (result == Fenced || result == WrongServer) && g.endReason == "" {
 		g.end("member refused to join: "+result.String(), false)
 	}
 }
 
 // Step returns the next plan.
-func (c *Controller) Step(input World) Plan {
+func (c *Controller) Step(input Input) Plan {
 	var plan Plan
 	if input.Config == nil {
 		return plan
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -75,10 +75,10 @@
 // convert ends groups of models with a better service level for a model that lacks groups
 // and has no servers to form them. Each step starts at most one conversion, in a domain
 // without one.
-func (c *Controller) convert(state *serviceState, input World, plan *Plan) {
+func (c *Controller) convert(state *serviceState, input Input, plan *Plan) {
 	c.pruneConversions(state)
 	model, ok := state.neediestModel(true)
-	if !ok || input.IsStart || !input.IsSteady || !c.isDemandKnown(state) {
+	if !ok || input.IsStartupPhase || !input.IsStoreStable || !c.isDemandKnown(state) {
 		return
 	}
 	for _, other := range state.service.Engine.Models {
@@ -104,7 +104,7 @@
 
 // bestConversion returns the conversion for a model that ends the fewest groups, among
 // those that may start now.
-func (c *Controller) bestConversion(state *serviceState, model config.Model, input World) conversion {
+func (c *Controller) bestConversion(state *serviceState, model config.Model, input Input) conversion {
 	mayEndWorkingGroups := c.mayStartConversion(state)
 	best := conversion{}
 	for _, domain := range state.domains {
@@ -150,7 +150,7 @@
 
 // conversionInDomain returns the conversion that lets a group of a model form in a domain;
 // the zero value if that is impossible or gains nothing.
-func (c *Controller) conversionInDomain(state *serviceState, domain string, model config.Model, input World) conversion {
+func (c *Controller) conversionInDomain(state *serviceState, domain string, model config.Model, input Input) conversion {
 	found := conversion{
 		service: state.service.Name,
 		domain:  domain,
@@ -158,7 +158,7 @@
 		// No group has been chosen yet.
 		endsOnlySlow: true,
 	}
-	missing := model.Size - countUsable(state.freeServers[domain], model)
+	missing := model.GroupSize - countUsable(state.freeServers[domain], model)
 	ended := map[string]int{}
 	for _, g := range state.openGroups[domain] {
 		if missing <= 0 {
@@ -211,7 +211,7 @@
 }
 
 // reusableMembers returns the members of a group that could be members of another.
-func (c *Controller) reusableMembers(g *group, input World) []fleet.Server {
+func (c *Controller) reusableMembers(g *group, input Input) []fleet.Server {
 	var members []fleet.Server
 	for _, id := range g.record.Members {
 		server, ok := input.Fleet.Server(id)
@@ -224,7 +224,7 @@
 
 // countUpcomingGroups counts the groups of a model that can form from servers that are free
 // or soon will be: members of ending groups and of warm-up groups.
-func (c *Controller) countUpcomingGroups(state *serviceState, model config.Model, input World) int {
+func (c *Controller) countUpcomingGroups(state *serviceState, model config.Model, input Input) int {
 	servers := map[string]int{}
 	for _, domain := range state.domains {
 		servers[domain] = countUsable(state.freeServers[domain], model)
@@ -240,7 +240,7 @@
 	}
 	groups := 0
 	for _, servers := range servers {
-		groups += servers / model.Size
+		groups += servers / model.GroupSize
 	}
 	return groups
 }
--- a/core/assembly/decode_fuzz_test.go
+++ b/core/assembly/decode_fuzz_test.go
@@ -34,7 +34,7 @@
 		}
 		s := newSimFleet(1)
 		c := &assembly.Controller{}
-		c.Load([]assembly.Record{record})
+		c.LoadRecords([]assembly.Record{record})
 		s.step(c, false, deliverPromptly)
 	})
 }
@@ -44,10 +44,10 @@
 	f.Add([]byte(`{"domain":"d0","models":{"i-001":"large"}}`))
 	f.Add([]byte(`{"models":[]}`))
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		recent, err := assembly.DecodeRecent(value)
+		recent, err := assembly.DecodeRecentModels(value)
 		if err != nil {
 			return
 		}
-		newSimFleet(1).observe().WithRecent(recent.Models)
+		newSimFleet(1).observe().WithLastModels(recent.Models)
 	})
 }
--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -30,7 +30,7 @@
 
 // demand is the number of groups that a model needs to serve its callers.
 type demand struct {
-	groups config.Groups
+	groups config.GroupsNeeded
 	// requestsPerSecond is the rate of requests from callers.
 	requestsPerSecond float64
 	updatedAt         time.Time
@@ -39,19 +39,19 @@
 // updateDemands updates the estimates for the models of a service. Just after an outage of
 // the store or at the start the demand is not measured: all callers return at once then,
 // which says nothing about the later demand.
-func (c *Controller) updateDemands(service *config.Service, input World) {
-	if !input.IsSteady || input.IsStart || input.Asked == nil {
+func (c *Controller) updateDemands(service *config.Service, input Input) {
+	if !input.IsStoreStable || input.IsStartupPhase || input.DemandOf == nil {
 		return
 	}
 	if c.demands == nil {
 		c.demands = map[modelKey]demand{}
 	}
 	for _, model := range service.Engine.Models {
-		rate, isKnown := input.Asked(service.Name, model.Name)
+		rate, isKnown := input.DemandOf(service.Name, model.Name)
 		if !isKnown {
 			continue
 		}
-		groups, isKnownCapacity := service.Engine.Groups(model, rate)
+		groups, isKnownCapacity := service.Engine.GroupsNeeded(model, rate)
 		if !isKnownCapacity {
 			continue
 		}
@@ -92,10 +92,10 @@
 			continue
 		}
 		c.reportedTargets[key] = want
-		plan.Notes = append(plan.Notes, Note{
-			Model:  model.Name,
-			What:   "number of groups changed",
-			Reason: fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
+		plan.Events = append(plan.Events, Event{
+			Model:   model.Name,
+			Message: "number of groups changed",
+			Reason:  fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
 		})
 	}
 }
@@ -109,14 +109,14 @@
 		return observed
 	}
 	constant := fallTimeConstant
-	if observed.groups.InTime > d.groups.InTime {
+	if observed.groups.OnTime > d.groups.OnTime {
 		constant = riseTimeConstant
 	}
 	weight := 1 - math.Exp(-now.Sub(d.updatedAt).Seconds()/constant.Seconds())
 	return demand{
-		groups: config.Groups{
-			Least:  d.groups.Least + weight*(observed.groups.Least-d.groups.Least),
-			InTime: d.groups.InTime + weight*(observed.groups.InTime-d.groups.InTime),
+		groups: config.GroupsNeeded{
+			MinStable: d.groups.MinStable + weight*(observed.groups.MinStable-d.groups.MinStable),
+			OnTime:    d.groups.OnTime + weight*(observed.groups.OnTime-d.groups.OnTime),
 		},
 		requestsPerSecond: d.requestsPerSecond + weight*(observed.requestsPerSecond-d.requestsPerSecond),
 		updatedAt:         now,
--- a/core/assembly/evacuated_test.go
+++ b/core/assembly/evacuated_test.go
@@ -33,7 +33,7 @@
 	for _, record := range s.storedRecords() {
 		head := s.servers[record.Members[0]]
 		isServing := record.Model == model && s.isServing(head)
-		if isServing && !s.evacuated.Has(s.zoneOfDomain[head.domain]) {
+		if isServing && !s.evacuated.Contains(s.zoneOfDomain[head.domain]) {
 			count++
 		}
 	}
--- a/core/assembly/finish.go
+++ b/core/assembly/finish.go
@@ -24,7 +24,7 @@
 
 // finishEnding completes the end of a group: the head is closed and leaves, and the record
 // is removed once the head is known not to serve.
-func (c *Controller) finishEnding(g *group, input World, plan *Plan) {
+func (c *Controller) finishEnding(g *group, input Input, plan *Plan) {
 	if g.isRemovalPending {
 		return
 	}
@@ -33,15 +33,15 @@
 	}
 	g.isRemovalPending = true
 	g.addEvent("group ended", g.endReason, plan)
-	plan.Remove = append(plan.Remove, g.record.Name)
+	plan.RemovedGroups = append(plan.RemovedGroups, g.record.Name)
 	planRecentModels(g.record, input, plan)
 }
 
 // withdrawHead makes the head leave its group and reports whether it is known to have left.
-func (c *Controller) withdrawHead(g *group, input World, plan *Plan) bool {
+func (c *Controller) withdrawHead(g *group, input Input, plan *Plan) bool {
 	id := g.record.Members[0]
 	head, ok := input.Fleet.Server(id)
-	hasLeft := ok && !head.Membership.In(g.record.Name, g.record.Epoch)
+	hasLeft := ok && !head.Membership.Matches(g.record.Name, g.record.Epoch)
 	if hasLeft || g.hasHeadTakenLeave {
 		// A restarted head may rejoin through an order to its former incarnation, so the
 		// members have to leave before they join other groups.
@@ -72,8 +72,8 @@
 // if its entry could not show it. Therefore both the head and the members are ordered to
 // leave: without members the head stalls, and has broken after the stall time whether it is
 // alive or not.
-func (c *Controller) withdrawLostHead(g *group, id string, input World, plan *Plan) bool {
-	if server, ok := input.Fleet.Known(id); ok {
+func (c *Controller) withdrawLostHead(g *group, id string, input Input, plan *Plan) bool {
+	if server, ok := input.Fleet.ServerOrRemoved(id); ok {
 		c.probe(server, plan)
 		isDead, _ := c.isDead(id)
 		mayBeServing := !isDead || c.isRefusedRecently(id)
@@ -87,18 +87,18 @@
 	if c.withdrawMembers(g, input, plan) || isAbandoned(g, input) {
 		return true
 	}
-	return !g.incompleteSince.IsZero() && time.Since(g.incompleteSince) > input.StallTime+stallMargin
+	return !g.incompleteSince.IsZero() && time.Since(g.incompleteSince) > input.StallTimeout+stallMargin
 }
 
 // isAbandoned reports whether no member has been known for so long that the group's record
 // is removed, because a whole domain was lost. If its servers come back, they leave the
 // group without a record before they are reused.
-func isAbandoned(g *group, input World) bool {
-	if !input.IsSteady || time.Since(g.endingSince) < abandonTimeout {
+func isAbandoned(g *group, input Input) bool {
+	if !input.IsStoreStable || time.Since(g.endingSince) < abandonTimeout {
 		return false
 	}
 	for _, id := range g.record.Members {
-		if _, ok := input.Fleet.Known(id); ok {
+		if _, ok := input.Fleet.ServerOrRemoved(id); ok {
 			return false
 		}
 	}
@@ -109,12 +109,12 @@
 // group is certain to lack a member. It reports whether at least one member has left and no
 // present member is still in the group, so that none can be in two groups. A member without
 // an entry may come back and still be in the group; it leaves before it is reused.
-func (c *Controller) withdrawMembers(g *group, input World, plan *Plan) bool {
+func (c *Controller) withdrawMembers(g *group, input Input, plan *Plan) bool {
 	leftCount, presentCount := 0, 0
 	for _, id := range g.record.Members[1:] {
 		member, ok := input.Fleet.Server(id)
 		switch {
-		case ok && member.Membership.In(g.record.Name, g.record.Epoch):
+		case ok && member.Membership.Matches(g.record.Name, g.record.Epoch):
 			g.planOrder(member, Leave, false, g.endReason, plan)
 			if c.isUnresponsive(member, plan) {
 				continue
@@ -145,7 +145,7 @@
 // orderOrphansToLeave orders servers to leave groups without a record: remaining members of a
 // group whose head was lost, or memberships from delayed orders. Members of a group whose
 // head is known to have left are skipped: they join another group directly.
-func (c *Controller) orderOrphansToLeave(input World, plan *Plan) {
+func (c *Controller) orderOrphansToLeave(input Input, plan *Plan) {
 	if c.orphanLeaveAt == nil {
 		c.orphanLeaveAt = map[string]time.Time{}
 	}
@@ -194,7 +194,7 @@
 	for key, head := range c.closedGroups {
 		server, _ := view.Server(head.headID)
 		switch {
-		case !server.Membership.In(key.group, key.epoch):
+		case !server.Membership.Matches(key.group, key.epoch):
 			head.wasHeadObservedOut = true
 			c.closedGroups[key] = head
 		case head.wasHeadObservedOut:
--- a/core/assembly/form.go
+++ b/core/assembly/form.go
@@ -29,7 +29,7 @@
 )
 
 // formGroups plans new groups and stages weights, for every service of engines.
-func (c *Controller) formGroups(input World, plan *Plan) {
+func (c *Controller) formGroups(input Input, plan *Plan) {
 	if c.pendingRecords == nil {
 		c.pendingRecords = map[string]Record{}
 	}
@@ -63,11 +63,11 @@
 }
 
 // planService plans one service.
-func (c *Controller) planService(service *config.Service, input World, plan *Plan) {
+func (c *Controller) planService(service *config.Service, input Input, plan *Plan) {
 	c.updateDemands(service, input)
 	state := c.newServiceState(service, input, plan)
 	c.reportTargets(state, plan)
-	if input.IsStart && !c.hasSettled(state) {
+	if input.IsStartupPhase && !c.hasSettled(state) {
 		return
 	}
 	for {
@@ -86,7 +86,7 @@
 
 // formGroup plans a group of a model in the domain where it forms soonest, and reports
 // whether it did.
-func (c *Controller) formGroup(state *serviceState, model config.Model, input World, plan *Plan) bool {
+func (c *Controller) formGroup(state *serviceState, model config.Model, input Input, plan *Plan) bool {
 	var best []fleet.Server
 	bestLoads, bestGroups := math.MaxInt, math.MaxInt
 	for _, domain := range state.domains {
@@ -99,10 +99,10 @@
 			best, bestLoads, bestGroups = candidate.members, candidate.loads, groups
 		}
 	}
-	if best == nil || (bestLoads > 0 && !input.IsStart) || !c.mayLoad(bestLoads, state.service.Engine, input) {
+	if best == nil || (bestLoads > 0 && !input.IsStartupPhase) || !c.mayLoad(bestLoads, state.service.Engine, input) {
 		return false
 	}
-	if !input.IsStart && !c.haveAllAnswered(best, plan) {
+	if !input.IsStartupPhase && !c.haveAllAnswered(best, plan) {
 		// The servers have been probed and stay reserved for this group until they answer.
 		// Without the reservation a group of another model took half of the servers of a
 		// lost group, which came back by a conversion 2 s later.
@@ -117,7 +117,7 @@
 }
 
 // planRecord plans the record of a group of free servers.
-func (c *Controller) planRecord(record Record, state *serviceState, members []fleet.Server, input World, plan *Plan) {
+func (c *Controller) planRecord(record Record, state *serviceState, members []fleet.Server, input Input, plan *Plan) {
 	c.lastGroupNumber++
 	record.Era = input.Era
 	record.Name = groupName(rowstore.Revision{
@@ -131,7 +131,7 @@
 	}
 	state.removeFree(members[0].Domain, record.Members)
 	c.pendingRecords[record.Name] = record
-	plan.Create = append(plan.Create, record)
+	plan.NewRecords = append(plan.NewRecords, record)
 }
 
 // serverIDs returns the IDs of servers.
@@ -161,7 +161,7 @@
 
 // chooseMembers returns the free servers that would form a group of a model soonest.
 func chooseMembers(free []fleet.Server, model config.Model) memberChoice {
-	if len(free) < model.Size {
+	if len(free) < model.GroupSize {
 		return memberChoice{}
 	}
 	ranked := slices.Clone(free)
@@ -169,7 +169,7 @@
 		return cmp.Compare(joinRank(a, model.Name), joinRank(b, model.Name))
 	})
 	chosen := memberChoice{
-		members: ranked[:model.Size],
+		members: ranked[:model.GroupSize],
 	}
 	for _, member := range chosen.members {
 		if joinRank(member, model.Name) >= rankMustLoad {
@@ -186,7 +186,7 @@
 // load, servers without staged weights come first.
 func joinRank(server fleet.Server, model string) int {
 	switch {
-	case server.CanRejoin(model):
+	case server.CanJoinWithoutLoading(model):
 		return 0
 	case server.HasStaged(model):
 		return 1
@@ -199,8 +199,8 @@
 
 // mayLoad reports whether this many loads may start now. Loads before the first request do
 // not count, according to the platform's documentation.
-func (c *Controller) mayLoad(loads int, engine *config.Engine, input World) bool {
-	if loads == 0 || input.IsStart {
+func (c *Controller) mayLoad(loads int, engine *config.Engine, input Input) bool {
+	if loads == 0 || input.IsStartupPhase {
 		return true
 	}
 	now := time.Now()
@@ -213,8 +213,8 @@
 
 // loadLimit returns how many loads this leader may start in a window. The weight store's
 // limit applies to all leaders of a window together.
-func (c *Controller) loadLimit(engine *config.Engine, input World, now time.Time) int {
-	limit := int(engine.LoadsPerSecond*input.LoadWindow.Seconds()*max(1, input.LoadExcess)) + loadBurst
+func (c *Controller) loadLimit(engine *config.Engine, input Input, now time.Time) int {
+	limit := int(engine.LoadsPerSecond*input.LoadWindow.Seconds()*max(1, input.LoadLimitFactor)) + loadBurst
 	takeoverLimit := max(1, int(takeoverFraction*float64(limit)))
 	if now.Sub(c.firstStepAt) <= input.LoadWindow+loadWindowMargin {
 		return takeoverLimit
--- a/core/assembly/fuzz_test.go
+++ b/core/assembly/fuzz_test.go
@@ -60,7 +60,7 @@
 // the current leader.
 func runRandomFaultsWith(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int, atEachStep func(*assembly.Controller) *assembly.Controller) {
 	formerLeader := &assembly.Controller{}
-	formerLeader.Load(s.storedRecords())
+	formerLeader.LoadRecords(s.storedRecords())
 	steps := rapid.IntRange(50, maxSteps).Draw(rt, "steps")
 	faultRate := rapid.Float64Range(0, 0.5).Draw(rt, "fault rate")
 	deliveryOf := func(order assembly.Order) delivery {
@@ -111,10 +111,10 @@
 		// Another daemon leads for one step with an outdated view, like a daemon that was
 		// paused; then the leader reads the records again.
 		next := &assembly.Controller{}
-		next.Load(s.storedRecords())
+		next.LoadRecords(s.storedRecords())
 		s.step(next, false, deliverPromptly)
 		*formerLeader = next
-		c.Load(s.storedRecords())
+		c.LoadRecords(s.storedRecords())
 	case 9:
 		// A daemon reports a member that does not answer it but may answer others.
 		c.Suspect(record.Name, record.Epoch, id)
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -40,7 +40,7 @@
 
 // sentOrder is the last order given to a member.
 type sentOrder struct {
-	kind   Kind
+	kind   OrderKind
 	sentAt time.Time
 }
 
@@ -67,7 +67,7 @@
 }
 
 // planOrder adds an order to a member to the plan unless the same order was given recently.
-func (g *group) planOrder(server fleet.Server, kind Kind, isImmediate bool, reason string, plan *Plan) {
+func (g *group) planOrder(server fleet.Server, kind OrderKind, isImmediate bool, reason string, plan *Plan) {
 	last, ok := g.lastOrders[server.ID]
 	if ok && last.kind == kind && time.Since(last.sentAt) < orderRetryInterval {
 		return
@@ -77,12 +77,12 @@
 		sentAt: time.Now(),
 	}
 	order := Order{
-		Server: server,
-		Kind:   kind,
-		Group:  g.record.Name,
-		Epoch:  g.record.Epoch,
-		Cutoff: isImmediate,
-		Reason: reason,
+		Server:      server,
+		Kind:        kind,
+		Group:       g.record.Name,
+		Epoch:       g.record.Epoch,
+		IsImmediate: isImmediate,
+		Reason:      reason,
 	}
 	if kind == Join {
 		order.Model = g.record.Model
@@ -93,11 +93,11 @@
 
 // addEvent adds a state change of the group to the plan.
 func (g *group) addEvent(message, reason string, plan *Plan) {
-	plan.Notes = append(plan.Notes, Note{
-		Group:  g.record.Name,
-		Epoch:  g.record.Epoch,
-		Model:  g.record.Model,
-		What:   message,
-		Reason: reason,
+	plan.Events = append(plan.Events, Event{
+		Group:   g.record.Name,
+		Epoch:   g.record.Epoch,
+		Model:   g.record.Model,
+		Message: message,
+		Reason:  reason,
 	})
 }
--- a/core/assembly/large_groups_test.go
+++ b/core/assembly/large_groups_test.go
@@ -27,31 +27,31 @@
 			{
 				Name: "engines",
 				Engine: &config.Engine{
-					Capacity:       48,
-					Step:           6450 * time.Microsecond,
-					StepPerRequest: 96700 * time.Nanosecond,
-					ReadPerSecond:  56_100,
-					Chunk:          2048,
-					TokensPerEvent: 5,
-					LoadsPerSecond: 14,
-					LoadsAtOnce:    20,
-					StagedModels:   1,
+					Capacity:               48,
+					StepTime:               6450 * time.Microsecond,
+					StepTimePerRequest:     96700 * time.Nanosecond,
+					PrefillTokensPerSecond: 56_100,
+					PrefillChunkTokens:     2048,
+					TokensPerEvent:         5,
+					LoadsPerSecond:         14,
+					FullSpeedLoads:         20,
+					StagedModels:           1,
 					Models: []config.Model{
 						{
-							Name:  "large",
-							Size:  12,
-							Share: 0.5,
-							Pace:  1,
-							Load:  16 * time.Second,
-							Warm:  1600 * time.Millisecond,
+							Name:         "large",
+							GroupSize:    12,
+							InitialShare: 0.5,
+							TimeFactor:   1,
+							LoadTime:     16 * time.Second,
+							WarmLoadTime: 1600 * time.Millisecond,
 						},
 						{
-							Name:  "small",
-							Size:  6,
-							Share: 0.5,
-							Pace:  0.6,
-							Load:  simLoad,
-							Warm:  1100 * time.Millisecond,
+							Name:         "small",
+							GroupSize:    6,
+							InitialShare: 0.5,
+							TimeFactor:   0.6,
+							LoadTime:     simLoad,
+							WarmLoadTime: 1100 * time.Millisecond,
 						},
 					},
 				},
@@ -79,14 +79,14 @@
 // setUserDemand sets the user's demand for each model, multiplied by a factor for the small
 // one.
 func (s *simFleet) setUserDemand(smallFactor float64) {
-	s.demand["large"] = usage.Of(usage.Size{
+	s.demand["large"] = usage.PerRequest(usage.Size{
 		Prompt: 2000,
 		Answer: 100,
-	}, 400*time.Millisecond).Times(largeRequestsPerSecond)
-	s.demand["small"] = usage.Of(usage.Size{
+	}, 400*time.Millisecond).Scale(largeRequestsPerSecond)
+	s.demand["small"] = usage.PerRequest(usage.Size{
 		Prompt: 714,
 		Answer: 148,
-	}, 300*time.Millisecond).Times(smallFactor * smallRequestsPerSecond)
+	}, 300*time.Millisecond).Scale(smallFactor * smallRequestsPerSecond)
 }
 
 // minServing runs a fleet for a duration and returns the minimum number of groups of each
@@ -194,7 +194,7 @@
 		s, c := newLargeGroupFleet(6)
 		// All six large groups are needed, and no more small ones than exist.
 		s.setUserDemand(0.8)
-		s.demand["large"] = s.demand["large"].Times(1.4)
+		s.demand["large"] = s.demand["large"].Scale(1.4)
 		runFor(s, c, false, 5*time.Second)
 		before := s.countServing("large")
 		head := openHeadOf(s, "large")
--- a/core/assembly/need.go
+++ b/core/assembly/need.go
@@ -33,7 +33,7 @@
 	if estimate, ok := s.demands[model.Name]; ok && estimate.requestsPerSecond > 0 {
 		return estimate.requestsPerSecond
 	}
-	return s.neededGroups(model) * float64(model.Size)
+	return s.neededGroups(model) * float64(model.GroupSize)
 }
 
 // lateWeight returns the fraction of a model's requests that are late with this many
@@ -45,7 +45,7 @@
 // missedPerSecond returns the expected number of a model's requests a second that are not
 // served in time with this many groups, some of which are unavailable at random.
 func (s *serviceState) missedPerSecond(model config.Model, groups int) float64 {
-	unavailability := min(maxGroupUnavailability, memberUnavailability*float64(model.Size))
+	unavailability := min(maxGroupUnavailability, memberUnavailability*float64(model.GroupSize))
 	probability := math.Pow(1-unavailability, float64(groups))
 	expected := 0.0
 	for unavailable := 0; unavailable <= groups; unavailable++ {
@@ -63,7 +63,7 @@
 	best := 0.0
 	current := s.missedPerSecond(model, groups)
 	for added := 1; added <= maxAdded; added++ {
-		best = max(best, (current-s.missedPerSecond(model, groups+added))/float64(added*model.Size))
+		best = max(best, (current-s.missedPerSecond(model, groups+added))/float64(added*model.GroupSize))
 	}
 	return best
 }
@@ -74,7 +74,7 @@
 	if !ok {
 		return float64(s.plannedGroups(model))
 	}
-	return max(minNeededGroups, estimate.groups.InTime)
+	return max(minNeededGroups, estimate.groups.OnTime)
 }
 
 // minGroups returns how many groups keep up with a model's requests.
@@ -83,7 +83,7 @@
 	if !ok {
 		return defaultMinFraction * s.neededGroups(model)
 	}
-	return min(max(defaultMinFraction*minNeededGroups, estimate.groups.Least), maxMinFraction*s.neededGroups(model))
+	return min(max(defaultMinFraction*minNeededGroups, estimate.groups.MinStable), maxMinFraction*s.neededGroups(model))
 }
 
 // targetGroups returns how many groups a model gets if servers are free. It is at least the
--- a/core/assembly/plan.go
+++ b/core/assembly/plan.go
@@ -4,65 +4,65 @@
 
 // Plan is the result of a step.
 type Plan struct {
-	Create []Record
-	Remove []string
-	Orders []Order
-	Probes []fleet.Server
-	// Recent is which models the servers of domains loaded last; it is written together
+	NewRecords    []Record
+	RemovedGroups []string
+	Orders        []Order
+	Probes        []fleet.Server
+	// RecentModels is which models the servers of domains loaded last; it is written together
 	// with the records.
-	Recent []Recent
-	// Cleared are groups whose suspicion was cleared, so that daemons may report them
+	RecentModels []RecentModels
+	// ClearedSuspicions are groups whose suspicion was cleared, so that daemons may report them
 	// again.
-	Cleared []string
-	// Notes are the state changes of groups and models, for the log.
-	Notes []Note
+	ClearedSuspicions []string
+	// Events are the state changes of groups and models, for the log.
+	Events []Event
 }
 
 // AddChanges appends the record changes of a later plan.
 func (p *Plan) AddChanges(later Plan) {
-	p.Create = append(p.Create, later.Create...)
-	p.Remove = append(p.Remove, later.Remove...)
-	p.Recent = append(p.Recent, later.Recent...)
-	p.Cleared = append(p.Cleared, later.Cleared...)
+	p.NewRecords = append(p.NewRecords, later.NewRecords...)
+	p.RemovedGroups = append(p.RemovedGroups, later.RemovedGroups...)
+	p.RecentModels = append(p.RecentModels, later.RecentModels...)
+	p.ClearedSuspicions = append(p.ClearedSuspicions, later.ClearedSuspicions...)
 }
 
-// Cut splits the plan's record changes into a part that fits a transaction of maxRows rows,
+// Split splits the plan's record changes into a part that fits a transaction of maxRows rows,
 // and the rest. A removed group takes two rows: its record and the daemons' report about
 // it.
-func (p Plan) Cut(maxRows int) (first, rest Plan) {
+func (p Plan) Split(maxRows int) (first, rest Plan) {
 	const rowsOfRemoved = 2
-	create := min(len(p.Create), maxRows)
+	create := min(len(p.NewRecords), maxRows)
 	maxRows -= create
-	remove := min(len(p.Remove), maxRows/rowsOfRemoved)
+	remove := min(len(p.RemovedGroups), maxRows/rowsOfRemoved)
 	maxRows -= remove * rowsOfRemoved
-	cleared := min(len(p.Cleared), maxRows)
+	cleared := min(len(p.ClearedSuspicions), maxRows)
 	maxRows -= cleared
-	recent := min(len(p.Recent), maxRows)
+	recent := min(len(p.RecentModels), maxRows)
 	first = Plan{
-		Create:  p.Create[:create],
-		Remove:  p.Remove[:remove],
-		Cleared: p.Cleared[:cleared],
-		Recent:  p.Recent[:recent],
+		NewRecords:        p.NewRecords[:create],
+		RemovedGroups:     p.RemovedGroups[:remove],
+		ClearedSuspicions: p.ClearedSuspicions[:cleared],
+		RecentModels:      p.RecentModels[:recent],
 	}
 	rest = Plan{
-		Create:  p.Create[create:],
-		Remove:  p.Remove[remove:],
-		Cleared: p.Cleared[cleared:],
-		Recent:  p.Recent[recent:],
+		NewRecords:        p.NewRecords[create:],
+		RemovedGroups:     p.RemovedGroups[remove:],
+		ClearedSuspicions: p.ClearedSuspicions[cleared:],
+		RecentModels:      p.RecentModels[recent:],
 	}
 	return first, rest
 }
 
 // HasChanges reports whether the plan changes records.
 func (p Plan) HasChanges() bool {
-	return len(p.Create)+len(p.Remove)+len(p.Cleared)+len(p.Recent) > 0
+	return len(p.NewRecords)+len(p.RemovedGroups)+len(p.ClearedSuspicions)+len(p.RecentModels) > 0
 }
 
-// Note is a state change of a group or model.
-type Note struct {
-	Group  string
-	Epoch  int64
-	Model  string
-	What   string
-	Reason string
+// Event is a state change of a group or model.
+type Event struct {
+	Group   string
+	Epoch   int64
+	Model   string
+	Message string
+	Reason  string
 }
--- a/core/assembly/plan_test.go
+++ b/core/assembly/plan_test.go
@@ -16,25 +16,25 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var plan assembly.Plan
 		for i := range rapid.IntRange(0, 30).Draw(rt, "create") {
-			plan.Create = append(plan.Create, assembly.Record{
+			plan.NewRecords = append(plan.NewRecords, assembly.Record{
 				Name: fmt.Sprint(i),
 			})
 		}
-		plan.Remove = rapid.SliceOfN(rapid.String(), 0, 30).Draw(rt, "remove")
-		plan.Cleared = rapid.SliceOfN(rapid.String(), 0, 30).Draw(rt, "cleared")
+		plan.RemovedGroups = rapid.SliceOfN(rapid.String(), 0, 30).Draw(rt, "remove")
+		plan.ClearedSuspicions = rapid.SliceOfN(rapid.String(), 0, 30).Draw(rt, "cleared")
 		rows := rapid.IntRange(2, 20).Draw(rt, "rows")
 		var done assembly.Plan
 		for rest := plan; rest.HasChanges(); {
 			var first assembly.Plan
-			first, rest = rest.Cut(rows)
-			if !first.HasChanges() || len(first.Create)+2*len(first.Remove)+len(first.Cleared) > rows {
+			first, rest = rest.Split(rows)
+			if !first.HasChanges() || len(first.NewRecords)+2*len(first.RemovedGroups)+len(first.ClearedSuspicions) > rows {
 				rt.Fatalf("first part %+v does not fit %d rows", first, rows)
 			}
-			done.Create = append(done.Create, first.Create...)
-			done.Remove = append(done.Remove, first.Remove...)
-			done.Cleared = append(done.Cleared, first.Cleared...)
+			done.NewRecords = append(done.NewRecords, first.NewRecords...)
+			done.RemovedGroups = append(done.RemovedGroups, first.RemovedGroups...)
+			done.ClearedSuspicions = append(done.ClearedSuspicions, first.ClearedSuspicions...)
 		}
-		if len(done.Create) != len(plan.Create) || !slices.Equal(done.Remove, plan.Remove) || !slices.Equal(done.Cleared, plan.Cleared) {
+		if len(done.NewRecords) != len(plan.NewRecords) || !slices.Equal(done.RemovedGroups, plan.RemovedGroups) || !slices.Equal(done.ClearedSuspicions, plan.ClearedSuspicions) {
 			rt.Fatalf("plan %+v was split into parts of only %+v", plan, done)
 		}
 	})
--- a/core/assembly/probe.go
+++ b/core/assembly/probe.go
@@ -20,27 +20,27 @@
 	deadAfterUnanswered = 2
 )
 
-// Sign is the status that a probe found.
-type Sign int
+// ProbeStatus is the status that a probe found.
+type ProbeStatus int
 
-// The statuses of probes. Silent: the server did not answer. Refused: nothing listens at
+// The statuses of probes. Unanswered: the server did not answer. Refused: nothing listens at
 // the server's address, or another server does.
 const (
-	Silent Sign = iota
-	Alive
+	Unanswered ProbeStatus = iota
+	Answered
 	Refused
 )
 
 // String returns the name of the status in logs.
-func (s Sign) String() string {
+func (s ProbeStatus) String() string {
 	return [...]string{"silent", "alive", "refused"}[s]
 }
 
-// Found is the result of a probe of a server.
-type Found struct {
-	Sign Sign
-	// Pace is how many times longer than usual the server's work takes; 0: not reported.
-	Pace float64
+// ProbeResult is the result of a probe of a server.
+type ProbeResult struct {
+	Status ProbeStatus
+	// Slowdown is how many times longer than usual the server's work takes; 0: not reported.
+	Slowdown float64
 }
 
 // minSlowdown is the minimum pace of a slow server: the first event of a stream then takes
@@ -48,13 +48,13 @@
 const minSlowdown = 2
 
 // IsSlow reports whether the server answered and works much slower than usual.
-func (r Found) IsSlow() bool {
-	return r.Sign == Alive && r.Pace >= minSlowdown
+func (r ProbeResult) IsSlow() bool {
+	return r.Status == Answered && r.Slowdown >= minSlowdown
 }
 
 // probeState is the state of the probes of a server.
 type probeState struct {
-	lastStatus Sign
+	lastStatus ProbeStatus
 	isSlow     bool
 	// resultAt is the time of the last result, sentAt that of the last probe.
 	resultAt time.Time
@@ -63,19 +63,19 @@
 	unanswered int
 }
 
-// Probed handles the result of a probe of a server.
-func (c *Controller) Probed(id string, result Found) {
+// ProbeCompleted handles the result of a probe of a server.
+func (c *Controller) ProbeCompleted(id string, result ProbeResult) {
 	if c.probeStates == nil {
 		c.probeStates = map[string]probeState{}
 	}
 	previous := c.probeStates[id]
 	next := probeState{
-		lastStatus: result.Sign,
+		lastStatus: result.Status,
 		isSlow:     result.IsSlow(),
 		resultAt:   time.Now(),
 		sentAt:     previous.sentAt,
 	}
-	if result.Sign != Alive {
+	if result.Status != Answered {
 		next.unanswered = previous.unanswered + 1
 	}
 	c.probeStates[id] = next
@@ -103,7 +103,7 @@
 		return false, false
 	}
 	switch state.lastStatus {
-	case Alive:
+	case Answered:
 		return false, true
 	case Refused:
 		return true, true
@@ -118,7 +118,7 @@
 // working groups.
 func (c *Controller) hasAnsweredRecently(id string) bool {
 	state := c.probeStates[id]
-	return state.lastStatus == Alive && time.Since(state.resultAt) < probeResultTTL/2
+	return state.lastStatus == Answered && time.Since(state.resultAt) < probeResultTTL/2
 }
 
 // haveAllAnswered reports whether all servers answered a probe recently, and probes the
@@ -129,7 +129,7 @@
 	haveAnswered := true
 	for _, server := range servers {
 		state := c.probeStates[server.ID]
-		if state.lastStatus != Alive || time.Since(state.resultAt) > formProbeTTL {
+		if state.lastStatus != Answered || time.Since(state.resultAt) > formProbeTTL {
 			c.probe(server, plan)
 			haveAnswered = false
 		}
@@ -147,6 +147,6 @@
 // isHealthy reports whether a server has not missed its last probes and is not slow.
 func (c *Controller) isHealthy(server fleet.Server) bool {
 	state := c.probeStates[server.ID]
-	isSilent := state.lastStatus != Alive && state.unanswered >= deadAfterUnanswered
+	isSilent := state.lastStatus != Answered && state.unanswered >= deadAfterUnanswered
 	return !isSilent && !state.isSlow
 }
--- a/core/assembly/restart.go
+++ b/core/assembly/restart.go
@@ -5,14 +5,14 @@
 // detectRestarts finds servers that restarted under the same ID, possibly before their
 // entry expired. A new incarnation has no memberships and no loaded model, so the
 // controller discards what it knew about the former one.
-func (c *Controller) detectRestarts(input World, plan *Plan) {
+func (c *Controller) detectRestarts(input Input, plan *Plan) {
 	if c.incarnations == nil {
 		c.incarnations = map[string]int64{}
 	}
 	for _, server := range input.Fleet.Servers() {
 		previous, wasThere := c.incarnations[server.ID]
-		c.incarnations[server.ID] = server.Born
-		if wasThere && previous != server.Born {
+		c.incarnations[server.ID] = server.StartedAtMs
+		if wasThere && previous != server.StartedAtMs {
 			c.handleRestart(server, plan)
 		}
 	}
@@ -27,7 +27,7 @@
 		return
 	}
 	for id := range c.incarnations {
-		if _, ok := view.Known(id); !ok {
+		if _, ok := view.ServerOrRemoved(id); !ok {
 			delete(c.incarnations, id)
 		}
 	}
--- a/core/assembly/restart_test.go
+++ b/core/assembly/restart_test.go
@@ -74,7 +74,7 @@
 		s.restartDaemons()
 		known, ok := s.view.Server(head.id)
 		qt.Assert(t, ok, qt.IsTrue)
-		qt.Assert(t, known.Recent, qt.Equals, "")
+		qt.Assert(t, known.LastModel, qt.Equals, "")
 		qt.Assert(t, known.Membership.State, qt.Equals, fleet.NoGroup)
 	})
 }
--- a/core/assembly/restore_test.go
+++ b/core/assembly/restore_test.go
@@ -169,7 +169,7 @@
 		runFor(s, c, false, 20*time.Second)
 		newest := s.recordEpochs()[len(s.records)-1]
 		qt.Assert(t, newest > highest, qt.IsTrue)
-		qt.Assert(t, rowstore.EraOf(newest), qt.Equals, int64(1))
+		qt.Assert(t, rowstore.EraOfOrdinal(newest), qt.Equals, int64(1))
 	})
 }
 
--- a/core/assembly/second_model.go
+++ b/core/assembly/second_model.go
@@ -19,7 +19,7 @@
 // servers that could change to a model come first. After the loss of one member all others
 // of its group load again; in the order of names, one domain had twelve servers with a
 // second model and the next none.
-func (c *Controller) stageSecondModels(state *serviceState, input World, plan *Plan) {
+func (c *Controller) stageSecondModels(state *serviceState, input Input, plan *Plan) {
 	var waiting []fleet.Server
 	for _, server := range input.Fleet.Servers() {
 		if input.isEligible(server, state.service.Name) && !c.isStaging(server) && canStageSecondModel(server, state.service.Engine) {
@@ -58,12 +58,12 @@
 // canStageSecondModel reports whether a server has loaded a model, is not joining, and its
 // host has staged fewer other models than it can hold.
 func canStageSecondModel(server fleet.Server, engine *config.Engine) bool {
-	if server.Recent == "" || server.Membership.State == fleet.Joining {
+	if server.LastModel == "" || server.Membership.State == fleet.Joining {
 		return false
 	}
 	others := 0
 	for _, staged := range server.Staged {
-		if !server.CanRejoin(staged) {
+		if !server.CanJoinWithoutLoading(staged) {
 			others++
 		}
 	}
@@ -76,14 +76,14 @@
 	var best config.Model
 	bestScore := 0.0
 	for _, model := range s.service.Engine.Models {
-		if server.CanRejoin(model.Name) || server.HasStaged(model.Name) {
+		if server.CanJoinWithoutLoading(model.Name) || server.HasStaged(model.Name) {
 			continue
 		}
 		holders := s.holders[domainModel{
 			domain: server.Domain,
 			model:  model.Name,
 		}]
-		score := model.Share / float64(1+holders)
+		score := model.InitialShare / float64(1+holders)
 		if score > bestScore {
 			best, bestScore = model, score
 		}
--- a/core/assembly/second_model_test.go
+++ b/core/assembly/second_model_test.go
@@ -79,7 +79,7 @@
 		for _, id := range members {
 			server, ok := s.view.Server(id)
 			if id != lost && ok {
-				qt.Assert(t, server.CanRejoin("large"), qt.IsTrue)
+				qt.Assert(t, server.CanJoinWithoutLoading("large"), qt.IsTrue)
 			}
 		}
 		runFor(s, next, false, 2*time.Second)
@@ -89,17 +89,17 @@
 }
 
 func TestRecentModelsRoundTrip(t *testing.T) {
-	value, err := assembly.Recent{
+	value, err := assembly.RecentModels{
 		Domain: "d0",
 		Models: map[string]string{
 			"i-1": "large",
 		},
 	}.Encode()
 	qt.Assert(t, err, qt.IsNil)
-	recent, err := assembly.DecodeRecent(value)
+	recent, err := assembly.DecodeRecentModels(value)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, recent.Models["i-1"], qt.Equals, "large")
-	_, err = assembly.DecodeRecent([]byte("{"))
+	_, err = assembly.DecodeRecentModels([]byte("{"))
 	qt.Assert(t, err, qt.ErrorMatches, "decode recent models of a domain: .*")
 }
 
--- a/core/assembly/service_state.go
+++ b/core/assembly/service_state.go
@@ -55,7 +55,7 @@
 }
 
 // newServiceState returns the state of a service.
-func (c *Controller) newServiceState(service *config.Service, input World, plan *Plan) *serviceState {
+func (c *Controller) newServiceState(service *config.Service, input Input, plan *Plan) *serviceState {
 	state := &serviceState{
 		service:         service,
 		freeServers:     map[string][]fleet.Server{},
@@ -77,13 +77,13 @@
 }
 
 // countGroups counts the groups of the service that are to serve.
-func (c *Controller) countGroups(state *serviceState, input World) {
+func (c *Controller) countGroups(state *serviceState, input Input) {
 	count := func(record Record) {
 		if record.Service != state.service.Name {
 			return
 		}
 		head, _ := input.Fleet.Server(record.Members[0])
-		if input.Evacuated.Has(head.Zone) {
+		if input.EvacuatedZones.Contains(head.Zone) {
 			// The group gets no requests, and is kept until the evacuation is cancelled.
 			return
 		}
@@ -104,7 +104,7 @@
 			count(g.record)
 		}
 		head, ok := input.Fleet.Server(g.record.Members[0])
-		isServing := ok && g.wasOpen && !input.Evacuated.Has(head.Zone)
+		isServing := ok && g.wasOpen && !input.EvacuatedZones.Contains(head.Zone)
 		if isServing && g.record.Service == state.service.Name {
 			state.openGroups[head.Domain] = append(state.openGroups[head.Domain], g)
 		}
@@ -116,7 +116,7 @@
 
 // listFreeServers counts the servers that may form the service's groups, and lists those
 // that are free.
-func (c *Controller) listFreeServers(state *serviceState, input World, plan *Plan) {
+func (c *Controller) listFreeServers(state *serviceState, input Input, plan *Plan) {
 	assigned := c.assignedServers()
 	isListed := map[string]bool{}
 	for _, server := range input.Fleet.Servers() {
@@ -148,8 +148,8 @@
 }
 
 // isEligible reports whether a server, free or not, may be a member of a service's groups.
-func (in World) isEligible(server fleet.Server, service string) bool {
-	return server.Service == service && server.IsEngine && !server.Draining && !in.Evacuated.Has(server.Zone)
+func (in Input) isEligible(server fleet.Server, service string) bool {
+	return server.Service == service && server.IsEngine && !server.Draining && !in.EvacuatedZones.Contains(server.Zone)
 }
 
 // fastestChoice returns the servers of a domain that form a group of a model soonest.
@@ -247,7 +247,7 @@
 func (s *serviceState) keepsNeededWeights(server fleet.Server) bool {
 	for _, staged := range server.Staged {
 		model, ok := s.service.Engine.Model(staged)
-		if ok && s.isBelowTarget(model) && !server.CanRejoin(staged) {
+		if ok && s.isBelowTarget(model) && !server.CanJoinWithoutLoading(staged) {
 			return true
 		}
 	}
--- a/core/assembly/sim_server_test.go
+++ b/core/assembly/sim_server_test.go
@@ -76,7 +76,7 @@
 }
 
 // apply carries out an order and returns its result.
-func (s *simFleet) apply(order assembly.Order) assembly.Result {
+func (s *simFleet) apply(order assembly.Order) assembly.OrderResult {
 	server := s.servers[order.Server.ID]
 	if server == nil || server.isDead || server.hasStoppedListening {
 		return assembly.NoAnswer
@@ -98,18 +98,18 @@
 		}
 	case assembly.Stage:
 		if !server.stageDoneAt.IsZero() {
-			return assembly.Unfit
+			return assembly.InvalidState
 		}
 		server.stagingModel = order.Model
 		server.stageDoneAt = time.Now().Add(simLoad)
 	}
-	return assembly.Taken
+	return assembly.Accepted
 }
 
 // join makes a server a member.
-func (s *simFleet) join(server *simServer, order assembly.Order, isSame bool) assembly.Result {
+func (s *simFleet) join(server *simServer, order assembly.Order, isSame bool) assembly.OrderResult {
 	if isSame {
-		return assembly.Taken
+		return assembly.Accepted
 	}
 	if order.Epoch < server.highestEpoch {
 		return assembly.Fenced
@@ -132,13 +132,13 @@
 	server.state = fleet.Joining
 	server.readyAt = time.Now().Add(wait)
 	server.stalledAt = time.Time{}
-	return assembly.Taken
+	return assembly.Accepted
 }
 
 // open lets a ready head serve.
-func (s *simFleet) open(server *simServer, isSame bool) assembly.Result {
+func (s *simFleet) open(server *simServer, isSame bool) assembly.OrderResult {
 	if !isSame || server.state != fleet.Ready {
-		return assembly.Unfit
+		return assembly.InvalidState
 	}
 	key := fmt.Sprintf("%s/%d", server.group, server.epoch)
 	for _, id := range server.members {
@@ -148,7 +148,7 @@
 		}
 	}
 	server.state = fleet.Open
-	return assembly.Taken
+	return assembly.Accepted
 }
 
 // breakStalled breaks a head whose group has lacked a member for the stall time.
--- a/core/assembly/sim_test.go
+++ b/core/assembly/sim_test.go
@@ -111,24 +111,24 @@
 				Name: "engines",
 				Engine: &config.Engine{
 					Capacity:       26,
-					Step:           simTokenTime,
+					StepTime:       simTokenTime,
 					LoadsPerSecond: 4,
-					LoadsAtOnce:    6,
+					FullSpeedLoads: 6,
 					StagedModels:   1,
 					Models: []config.Model{
 						{
-							Name:  "large",
-							Size:  4,
-							Share: 0.67,
-							Load:  simLoad,
-							Warm:  simStagedLoad,
+							Name:         "large",
+							GroupSize:    4,
+							InitialShare: 0.67,
+							LoadTime:     simLoad,
+							WarmLoadTime: simStagedLoad,
 						},
 						{
-							Name:  "small",
-							Size:  2,
-							Share: 0.33,
-							Load:  simLoad,
-							Warm:  simStagedLoad,
+							Name:         "small",
+							GroupSize:    2,
+							InitialShare: 0.33,
+							LoadTime:     simLoad,
+							WarmLoadTime: simStagedLoad,
 						},
 					},
 				},
@@ -191,21 +191,21 @@
 		entries = append(entries, s.entryOf(server))
 	}
 	s.epoch++
-	s.view = s.view.WithAll(s.epoch, entries, now)
+	s.view = s.view.WithSnapshot(s.epoch, entries, now)
 	return s.view
 }
 
 // entryOf returns a server's entry.
 func (s *simFleet) entryOf(server *simServer) fleet.Server {
 	entry := fleet.Server{
-		ID:       server.id,
-		Born:     server.born,
-		Service:  "engines",
-		Address:  "10.0.0.1:1",
-		Zone:     s.zoneOfDomain[server.domain],
-		Domain:   server.domain,
-		Draining: server.isDraining,
-		IsEngine: true,
+		ID:          server.id,
+		StartedAtMs: server.born,
+		Service:     "engines",
+		Address:     "10.0.0.1:1",
+		Zone:        s.zoneOfDomain[server.domain],
+		Domain:      server.domain,
+		Draining:    server.isDraining,
+		IsEngine:    true,
 	}
 	if server.loaded != "" && server.state > fleet.Joining {
 		entry.Models = []string{server.loaded}
@@ -225,21 +225,21 @@
 }
 
 // probe returns the result of a probe of a server.
-func (s *simFleet) probe(server fleet.Server) assembly.Found {
+func (s *simFleet) probe(server fleet.Server) assembly.ProbeResult {
 	simulated := s.servers[server.ID]
 	if simulated == nil || simulated.isDead {
-		return assembly.Found{
-			Sign: assembly.Silent,
+		return assembly.ProbeResult{
+			Status: assembly.Unanswered,
 		}
 	}
-	if simulated.hasStoppedListening || simulated.born != server.Born {
-		return assembly.Found{
-			Sign: assembly.Refused,
+	if simulated.hasStoppedListening || simulated.born != server.StartedAtMs {
+		return assembly.ProbeResult{
+			Status: assembly.Refused,
 		}
 	}
-	return assembly.Found{
-		Sign: assembly.Alive,
-		Pace: simulated.slowdown,
+	return assembly.ProbeResult{
+		Status:   assembly.Answered,
+		Slowdown: simulated.slowdown,
 	}
 }
 
@@ -268,52 +268,52 @@
 // step runs one step of the controller and carries out its plan. deliveryOf returns how
 // each order is delivered.
 func (s *simFleet) step(c *assembly.Controller, isStart bool, deliveryOf func(assembly.Order) delivery) {
-	plan := c.Step(assembly.World{
-		Config:     s.config,
-		Fleet:      s.observe(),
-		Evacuated:  s.evacuated,
-		Era:        s.era,
-		IsSteady:   true,
-		IsStart:    isStart,
-		IsIdle:     s.isIdle,
-		StallTime:  simStallTimeout,
-		LoadWindow: 5 * time.Second,
-		LoadExcess: 1.1,
-		Asked: func(_, model string) (usage.Rate, bool) {
+	plan := c.Step(assembly.Input{
+		Config:               s.config,
+		Fleet:                s.observe(),
+		EvacuatedZones:       s.evacuated,
+		Era:                  s.era,
+		IsStoreStable:        true,
+		IsStartupPhase:       isStart,
+		IsBeforeFirstRequest: s.isIdle,
+		StallTimeout:         simStallTimeout,
+		LoadWindow:           5 * time.Second,
+		LoadLimitFactor:      1.1,
+		DemandOf: func(_, model string) (usage.Rate, bool) {
 			rate, isKnown := s.demand[model]
 			return rate, isKnown
 		},
 	})
-	for _, record := range plan.Create {
-		if zone := s.zoneOf(record.Members[0]); s.evacuated.Has(zone) {
+	for _, record := range plan.NewRecords {
+		if zone := s.zoneOf(record.Members[0]); s.evacuated.Contains(zone) {
 			s.violations = append(s.violations, "group "+record.Name+" formed in evacuated zone "+zone)
 		}
 	}
 	s.probeCount += len(plan.Probes)
 	for _, server := range plan.Probes {
-		c.Probed(server.ID, s.probe(server))
+		c.ProbeCompleted(server.ID, s.probe(server))
 	}
-	for _, group := range plan.Cleared {
+	for _, group := range plan.ClearedSuspicions {
 		s.clearedCounts[group]++
 	}
 	for _, order := range plan.Orders {
 		s.orderCounts[order.Kind.String()]++
-		c.Ordered(order, s.deliver(order, deliveryOf(order)))
+		c.OrderCompleted(order, s.deliver(order, deliveryOf(order)))
 	}
-	if len(plan.Create) > 0 {
+	if len(plan.NewRecords) > 0 {
 		s.epoch++
-		for _, record := range plan.Create {
+		for _, record := range plan.NewRecords {
 			s.records[record.Name] = record.WithVersion(s.epoch)
 		}
-		c.Created(plan.Create, s.epoch)
+		c.RecordsCreated(plan.NewRecords, s.epoch)
 	}
-	for _, recent := range plan.Recent {
+	for _, recent := range plan.RecentModels {
 		maps.Copy(s.recentModels, recent.Models)
 	}
-	for _, name := range plan.Remove {
+	for _, name := range plan.RemovedGroups {
 		delete(s.records, name)
 	}
-	c.Removed(plan.Remove)
+	c.RecordsRemoved(plan.RemovedGroups)
 }
 
 // restartDaemons discards what daemons know about the fleet except for the store, and
@@ -321,9 +321,9 @@
 func (s *simFleet) restartDaemons() *assembly.Controller {
 	s.view = fleet.View{}
 	s.observe()
-	s.view = s.view.WithRecent(s.recentModels)
+	s.view = s.view.WithLastModels(s.recentModels)
 	leader := &assembly.Controller{}
-	leader.Load(s.storedRecords())
+	leader.LoadRecords(s.storedRecords())
 	return leader
 }
 
@@ -345,7 +345,7 @@
 }
 
 // deliver delivers an order and returns its result.
-func (s *simFleet) deliver(order assembly.Order, outcome delivery) assembly.Result {
+func (s *simFleet) deliver(order assembly.Order, outcome delivery) assembly.OrderResult {
 	switch {
 	case outcome.isDropped:
 		return assembly.NoAnswer
--- a/core/assembly/stage.go
+++ b/core/assembly/stage.go
@@ -20,12 +20,12 @@
 
 // stageWeights stages weights on the hosts of free servers, so that a repair needs no load
 // from the weight store: first for models that lack groups, then for spares.
-func (c *Controller) stageWeights(state *serviceState, input World, plan *Plan) {
+func (c *Controller) stageWeights(state *serviceState, input Input, plan *Plan) {
 	for _, model := range state.service.Engine.Models {
 		if state.liveGroups[model.Name] >= state.targetGroups(model) {
 			continue
 		}
-		if input.IsStart {
+		if input.IsStartupPhase {
 			// Loads are quick now and groups load as they form; a group that is still
 			// missing fits into no domain.
 			continue
@@ -37,14 +37,14 @@
 }
 
 // stageSpares makes servers without any weights load some as spares.
-func (c *Controller) stageSpares(state *serviceState, input World, plan *Plan) {
-	if input.IsStart {
+func (c *Controller) stageSpares(state *serviceState, input Input, plan *Plan) {
+	if input.IsStartupPhase {
 		// Servers load as they warm up.
 		return
 	}
 	for _, domain := range state.domains {
 		for _, server := range state.freeServers[domain] {
-			isEmpty := len(server.Staged) == 0 && server.Recent == ""
+			isEmpty := len(server.Staged) == 0 && server.LastModel == ""
 			if isEmpty && !c.isStaging(server) {
 				c.stageSpare(state, domain, server, input, plan)
 			}
@@ -72,13 +72,13 @@
 	if c.isStaging(server) {
 		return c.stageOrders[server.ID].model == model
 	}
-	return server.HasStaged(model) || server.CanRejoin(model)
+	return server.HasStaged(model) || server.CanJoinWithoutLoading(model)
 }
 
 // stageMissing completes the weights for the groups that a model lacks, in the domains
 // where the fewest servers must load them. Domains in which all weights are present or
 // being loaded count as upcoming groups.
-func (c *Controller) stageMissing(state *serviceState, model config.Model, input World, plan *Plan) {
+func (c *Controller) stageMissing(state *serviceState, model config.Model, input Input, plan *Plan) {
 	missingGroups := state.targetGroups(model) - state.liveGroups[model.Name]
 	var chosen [][]fleet.Server
 	for _, domain := range state.domains {
@@ -102,7 +102,7 @@
 // A server does not load if that would replace the weights of another model that lacks
 // groups.
 func (c *Controller) serversToLoad(state *serviceState, free []fleet.Server, model config.Model) ([]fleet.Server, bool) {
-	missing := model.Size
+	missing := model.GroupSize
 	var empty, others []fleet.Server
 	for _, server := range free {
 		switch {
@@ -128,7 +128,7 @@
 
 // stageSpare makes a server without weights load those of which its domain has the fewest
 // spares.
-func (c *Controller) stageSpare(state *serviceState, domain string, server fleet.Server, input World, plan *Plan) {
+func (c *Controller) stageSpare(state *serviceState, domain string, server fleet.Server, input Input, plan *Plan) {
 	if model, ok := c.scarcestModel(state, domain); ok {
 		c.orderStage(server, model, state.service.Engine, forSpare, input, plan)
 	}
@@ -163,26 +163,26 @@
 )
 
 // mayStage reports whether one more load for a purpose may start.
-func (c *Controller) mayStage(engine *config.Engine, purpose loadPurpose, input World) bool {
+func (c *Controller) mayStage(engine *config.Engine, purpose loadPurpose, input Input) bool {
 	fraction := purpose.maxFraction
-	if input.IsIdle {
+	if input.IsBeforeFirstRequest {
 		// Loads are quick, and no more urgent ones wait.
 		fraction = 1
 	}
-	limit := max(1, int(fraction*float64(engine.LoadsAtOnce)))
-	isAtLimit := !input.IsStart && len(c.stageOrders) >= limit
+	limit := max(1, int(fraction*float64(engine.FullSpeedLoads)))
+	isAtLimit := !input.IsStartupPhase && len(c.stageOrders) >= limit
 	return !isAtLimit && c.mayLoad(1, engine, input)
 }
 
 // orderStage orders a server to load weights, unless too many loads are in progress.
-func (c *Controller) orderStage(server fleet.Server, model config.Model, engine *config.Engine, purpose loadPurpose, input World, plan *Plan) {
+func (c *Controller) orderStage(server fleet.Server, model config.Model, engine *config.Engine, purpose loadPurpose, input Input, plan *Plan) {
 	if !c.mayStage(engine, purpose, input) {
 		return
 	}
 	c.loadStarts = append(c.loadStarts, time.Now())
 	c.stageOrders[server.ID] = stageOrder{
 		model:      model.Name,
-		expiresAt:  time.Now().Add(model.Load + stageTimeoutMargin),
+		expiresAt:  time.Now().Add(model.LoadTime + stageTimeoutMargin),
 		isForGroup: purpose == forGroup,
 	}
 	plan.Orders = append(plan.Orders, Order{
@@ -209,7 +209,7 @@
 			domain: domain,
 			model:  model.Name,
 		}]
-		used := float64(state.liveInDomain[domain][model.Name]*model.Size) + model.Share
+		used := float64(state.liveInDomain[domain][model.Name]*model.GroupSize) + model.InitialShare
 		score := used / float64((1+spares)*(1+spares))
 		if score > bestScore {
 			best, bestScore = model, score
--- a/core/assembly/stage_test.go
+++ b/core/assembly/stage_test.go
@@ -115,7 +115,7 @@
 func TestSecondModelsLoadFasterBeforeFirstRequest(t *testing.T) {
 	staged := func(isIdle bool) int {
 		s := newSimFleet(24)
-		s.config.Services[0].Engine.LoadsAtOnce = 40
+		s.config.Services[0].Engine.FullSpeedLoads = 40
 		s.config.Services[0].Engine.LoadsPerSecond = 20
 		c := &assembly.Controller{}
 		runFor(s, c, true, 500*time.Millisecond)
--- a/core/assembly/step_bench_test.go
+++ b/core/assembly/step_bench_test.go
@@ -28,15 +28,15 @@
 				Engine: &config.Engine{
 					Capacity:       22,
 					LoadsPerSecond: 77,
-					LoadsAtOnce:    115,
+					FullSpeedLoads: 115,
 					StagedModels:   1,
 					Models: []config.Model{
 						{
-							Name:  "large",
-							Size:  benchGroupSize,
-							Share: 1,
-							Load:  simLoad,
-							Warm:  simStagedLoad,
+							Name:         "large",
+							GroupSize:    benchGroupSize,
+							InitialShare: 1,
+							LoadTime:     simLoad,
+							WarmLoadTime: simStagedLoad,
 						},
 					},
 				},
@@ -51,14 +51,14 @@
 	var records []assembly.Record
 	for i := range servers {
 		server := fleet.Server{
-			ID:       fmt.Sprintf("i-%05d", i),
-			Service:  "engines",
-			Capacity: 22,
-			Models:   []string{"large"},
-			Staged:   []string{"large"},
-			Recent:   "large",
-			Domain:   strconv.Itoa(i / benchDomainSize),
-			IsEngine: true,
+			ID:        fmt.Sprintf("i-%05d", i),
+			Service:   "engines",
+			Capacity:  22,
+			Models:    []string{"large"},
+			Staged:    []string{"large"},
+			LastModel: "large",
+			Domain:    strconv.Itoa(i / benchDomainSize),
+			IsEngine:  true,
 		}
 		place := i % benchDomainSize
 		if place < 2*benchGroupSize {
@@ -83,7 +83,7 @@
 		}
 		all = append(all, server)
 	}
-	return fleet.View{}.WithAll(1, all, time.Now()), records
+	return fleet.View{}.WithSnapshot(1, all, time.Now()), records
 }
 
 // BenchmarkStep measures one step of the leader over an idle fleet. The leader makes a step
@@ -94,14 +94,14 @@
 		b.Run(strconv.Itoa(servers), func(b *testing.B) {
 			view, records := benchFleet(servers)
 			var controller assembly.Controller
-			controller.Load(records)
-			input := assembly.World{
-				Config:     benchConfig(),
-				Fleet:      view,
-				IsSteady:   true,
-				StallTime:  simStallTimeout,
-				LoadWindow: 5 * time.Second,
-				LoadExcess: 1.1,
+			controller.LoadRecords(records)
+			input := assembly.Input{
+				Config:          benchConfig(),
+				Fleet:           view,
+				IsStoreStable:   true,
+				StallTimeout:    simStallTimeout,
+				LoadWindow:      5 * time.Second,
+				LoadLimitFactor: 1.1,
 			}
 			for b.Loop() {
 				controller.Step(input)
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -15,8 +15,8 @@
 		g.suspectedAt = time.Now()
 	}
 	if unresponsive != "" && c.probeStates[unresponsive].unanswered == 0 {
-		c.Probed(unresponsive, Found{
-			Sign: Silent,
+		c.ProbeCompleted(unresponsive, ProbeResult{
+			Status: Unanswered,
 		})
 	}
 }
@@ -24,7 +24,7 @@
 // checkSuspicion probes the members of a suspected group and returns why it must end, or an
 // empty string. A group with a slow member continues, and stays suspected, if no spare can
 // replace that member.
-func (c *Controller) checkSuspicion(g *group, input World, plan *Plan) (reason string, isGraceful bool) {
+func (c *Controller) checkSuspicion(g *group, input Input, plan *Plan) (reason string, isGraceful bool) {
 	if !g.isSuspected {
 		return "", false
 	}
@@ -39,7 +39,7 @@
 	}
 	g.isSuspected = false
 	g.slowMember = ""
-	plan.Cleared = append(plan.Cleared, g.record.Name)
+	plan.ClearedSuspicions = append(plan.ClearedSuspicions, g.record.Name)
 	g.addEvent("suspicion cleared", "all members answer", plan)
 	return "", false
 }
@@ -55,7 +55,7 @@
 
 // examineMembers examines the members of a group up to the first dead one, and probes those
 // without recent results.
-func (c *Controller) examineMembers(g *group, input World, plan *Plan) memberFindings {
+func (c *Controller) examineMembers(g *group, input Input, plan *Plan) memberFindings {
 	findings := memberFindings{
 		isComplete: true,
 	}
@@ -83,7 +83,7 @@
 
 // slowMemberReason returns why a group with a slow member must end, or an empty string if
 // it could not form again without that member.
-func (c *Controller) slowMemberReason(g *group, slow string, input World, plan *Plan) (reason string, isGraceful bool) {
+func (c *Controller) slowMemberReason(g *group, slow string, input Input, plan *Plan) (reason string, isGraceful bool) {
 	if g.slowMember != slow {
 		g.slowMember = slow
 		g.addEvent("group slow", "member "+slow+" is slow", plan)
@@ -102,12 +102,12 @@
 
 // hasSpareFor reports whether a free server in a member's domain can replace it without a
 // load from the weight store.
-func (c *Controller) hasSpareFor(g *group, member string, input World, plan *Plan) bool {
+func (c *Controller) hasSpareFor(g *group, member string, input Input, plan *Plan) bool {
 	replaced, _ := input.Fleet.Server(member)
 	assigned := c.assignedServers()
 	for _, server := range input.Fleet.Servers() {
 		isInDomain := server.Domain == replaced.Domain && input.isEligible(server, g.record.Service)
-		isReady := (server.HasStaged(g.record.Model) || server.CanRejoin(g.record.Model)) && !assigned[server.ID]
+		isReady := (server.HasStaged(g.record.Model) || server.CanJoinWithoutLoading(g.record.Model)) && !assigned[server.ID]
 		if isInDomain && isReady && c.isFree(server, plan) {
 			return true
 		}
--- a/core/assembly/suspect_test.go
+++ b/core/assembly/suspect_test.go
@@ -90,7 +90,7 @@
 		s.servers[slow].slowdown = 4
 		// Probes find the spares slow as well.
 		for _, server := range s.servers {
-			c.Probed(server.id, s.probe(s.entryOf(server)))
+			c.ProbeCompleted(server.id, s.probe(s.entryOf(server)))
 		}
 		c.Suspect(head.group, head.epoch, "")
 		runFor(s, c, false, 3*time.Second)
--- a/core/assembly/warm.go
+++ b/core/assembly/warm.go
@@ -15,8 +15,8 @@
 // warmUp makes free servers that have joined no group since their start join a warm-up
 // group. Before the first request, when loads are quick, servers without weights load this
 // way.
-func (c *Controller) warmUp(state *serviceState, input World, plan *Plan) {
-	if _, isBelowTarget := state.neediestModel(true); isBelowTarget && !input.IsStart {
+func (c *Controller) warmUp(state *serviceState, input Input, plan *Plan) {
+	if _, isBelowTarget := state.neediestModel(true); isBelowTarget && !input.IsStartupPhase {
 		return
 	}
 	for _, domain := range state.domains {
@@ -35,8 +35,8 @@
 }
 
 // warmUpModel returns the model that a free server should warm up with, if any.
-func (c *Controller) warmUpModel(state *serviceState, server fleet.Server, input World) (config.Model, bool) {
-	if server.Recent != "" || c.isStaging(server) {
+func (c *Controller) warmUpModel(state *serviceState, server fleet.Server, input Input) (config.Model, bool) {
+	if server.LastModel != "" || c.isStaging(server) {
 		return config.Model{}, false
 	}
 	for _, staged := range server.Staged {
@@ -44,7 +44,7 @@
 			return model, true
 		}
 	}
-	if !input.IsStart {
+	if !input.IsStartupPhase {
 		return config.Model{}, false
 	}
 	return c.scarcestModel(state, server.Domain)
--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -47,11 +47,11 @@
 	Zone string
 	// Domain is the server's fabric domain; it is empty if there is none.
 	Domain string
-	// IsTroubled reports that other daemons found the server stalled or slow.
-	IsTroubled bool
-	// IsLimited reports that the server accepts a limited number of requests a second, and can
+	// IsDegraded reports that other daemons found the server stalled or slow.
+	IsDegraded bool
+	// IsRateLimited reports that the server accepts a limited number of requests a second, and can
 	// accept one now.
-	IsLimited bool
+	IsRateLimited bool
 	// tier and isCrossZone are set by Preference.WithTiers.
 	tier        tier
 	isCrossZone bool
@@ -60,9 +60,9 @@
 // Tracker records this daemon's requests in flight, failures and latencies for each server. It
 // is safe for concurrent use; the zero value is empty.
 type Tracker struct {
-	// Chance returns random numbers from 0 to 1 for tie-breaking; nil selects the default
+	// Random returns random numbers from 0 to 1 for tie-breaking; nil selects the default
 	// source. It must be set before first use.
-	Chance func() float64
+	Random func() float64
 
 	mutex            sync.Mutex
 	servers          map[string]*serverState
@@ -140,8 +140,8 @@
 
 // random returns a random number from 0 to 1 for tie-breaking.
 func (t *Tracker) random() float64 {
-	if t.Chance != nil {
-		return t.Chance()
+	if t.Random != nil {
+		return t.Random()
 	}
 	return rand.Float64()
 }
@@ -230,7 +230,7 @@
 	if candidate.Capacity > 0 && s.inFlight >= candidate.Capacity {
 		score += fullScore
 	}
-	if candidate.IsTroubled {
+	if candidate.IsDegraded {
 		score += degradedScore
 	}
 	if now.Before(s.ejectedUntil) {
@@ -239,8 +239,8 @@
 	return score
 }
 
-// Heard records that a server answered or sent an event. It ends an ejection for silence.
-func (t *Tracker) Heard(id string) {
+// RecordActivity records that a server answered or sent an event. It ends an ejection for silence.
+func (t *Tracker) RecordActivity(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	server := t.stateOf(id)
@@ -252,9 +252,9 @@
 	}
 }
 
-// Rest ejects a server with requests in flight that has been silent for unusually long. The
+// Eject ejects a server with requests in flight that has been silent for unusually long. The
 // ejection ends when the server sends an event.
-func (t *Tracker) Rest(id string) {
+func (t *Tracker) Eject(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	server := t.stateOf(id)
@@ -268,16 +268,16 @@
 	server.ejectedUntil = now.Add(server.ejectionTime)
 }
 
-// SilentFor returns the time since the last answer or event of a server.
-func (t *Tracker) SilentFor(id string) time.Duration {
+// SilenceDuration returns the time since the last answer or event of a server.
+func (t *Tracker) SilenceDuration(id string) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return time.Since(t.stateOf(id).lastActivity)
 }
 
-// Succeeded records a successful request and ends an ejection. unitLatency is the time that a
+// RecordSuccess records a successful request and ends an ejection. unitLatency is the time that a
 // unit of work took, in the same unit for all servers; 0 if not measured.
-func (t *Tracker) Succeeded(id string, unitLatency float64) {
+func (t *Tracker) RecordSuccess(id string, unitLatency float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	server := t.stateOf(id)
@@ -294,10 +294,10 @@
 	server.unitLatency += unitLatencyGain * (unitLatency - server.unitLatency)
 }
 
-// Failed records a failure that may affect other requests too, and ejects the server. Common
+// RecordFailure records a failure that may affect other requests too, and ejects the server. Common
 // failures, which healthy servers also have now and then, eject it from the second one in a
 // row.
-func (t *Tracker) Failed(id string, isCommon bool) {
+func (t *Tracker) RecordFailure(id string, isCommon bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	server := t.stateOf(id)
@@ -313,15 +313,15 @@
 	server.ejectedUntil = now.Add(server.ejectionTime)
 }
 
-// IsResting reports whether a server is ejected.
-func (t *Tracker) IsResting(id string) bool {
+// IsEjected reports whether a server is ejected.
+func (t *Tracker) IsEjected(id string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return time.Now().Before(t.stateOf(id).ejectedUntil)
 }
 
-// Forget discards the state of a server that has restarted under the same ID.
-func (t *Tracker) Forget(id string) {
+// Reset discards the state of a server that has restarted under the same ID.
+func (t *Tracker) Reset(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.servers, id)
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -44,7 +44,7 @@
 // no requests beside servers that measured 30 ms.
 func TestServerWithoutMeasuredLatencyGetsAnEvenShare(t *testing.T) {
 	var tracker balancer.Tracker
-	tracker.Succeeded("a", 0.03)
+	tracker.RecordSuccess("a", 0.03)
 
 	count := countPicks(&tracker, 20)
 
@@ -53,8 +53,8 @@
 
 func TestSlowServerGetsFewerRequests(t *testing.T) {
 	var tracker balancer.Tracker
-	tracker.Succeeded("a", 0.03)
-	tracker.Succeeded("b", 0.15)
+	tracker.RecordSuccess("a", 0.03)
+	tracker.RecordSuccess("b", 0.15)
 
 	count := countPicks(&tracker, 24)
 
@@ -72,9 +72,9 @@
 			duration    = time.Minute
 		)
 		tracker := balancer.Tracker{
-			Chance: rand.New(rand.NewPCG(1, 1)).Float64,
+			Random: rand.New(rand.NewPCG(1, 1)).Float64,
 		}
-		tracker.Succeeded("b", fast)
+		tracker.RecordSuccess("b", fast)
 		latencies := map[string]float64{
 			"a": slow,
 			"b": fast,
@@ -84,7 +84,7 @@
 			for range duration / serviceTime {
 				chosen, done, _ := tracker.Pick(twoCandidates(), nil, 100)
 				time.Sleep(serviceTime)
-				tracker.Succeeded(chosen.ID, latencies[chosen.ID])
+				tracker.RecordSuccess(chosen.ID, latencies[chosen.ID])
 				done()
 				count[chosen.ID]++
 			}
@@ -106,10 +106,10 @@
 		var tracker balancer.Tracker
 		_, done, _ := tracker.Pick(twoCandidates()[1:], nil, 100)
 		defer done()
-		tracker.Succeeded("a", 0.005)
-		tracker.Succeeded("b", 0.05)
+		tracker.RecordSuccess("a", 0.005)
+		tracker.RecordSuccess("b", 0.05)
 		time.Sleep(time.Minute)
-		tracker.Succeeded("a", 0.005)
+		tracker.RecordSuccess("a", 0.005)
 		for range 5 {
 			chosen, _, _ := tracker.Pick(twoCandidates(), nil, 100)
 			qt.Assert(t, chosen.ID, qt.Equals, "a")
@@ -120,7 +120,7 @@
 func TestDegradedServerIsUsedOnlyAsLastResort(t *testing.T) {
 	var tracker balancer.Tracker
 	servers := twoCandidates()
-	servers[0].IsTroubled = true
+	servers[0].IsDegraded = true
 	for range 20 {
 		chosen, _, ok := tracker.Pick(servers, nil, 100)
 		qt.Assert(t, ok, qt.IsTrue)
@@ -134,42 +134,42 @@
 func TestSilentServerIsEjectedUntilItSendsAnEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
-		tracker.Rest("a")
-		qt.Assert(t, tracker.IsResting("a"), qt.IsTrue)
+		tracker.Eject("a")
+		qt.Assert(t, tracker.IsEjected("a"), qt.IsTrue)
 		qt.Assert(t, countPicks(&tracker, 10)["a"], qt.Equals, 0)
 
-		tracker.Heard("a")
+		tracker.RecordActivity("a")
 
-		qt.Assert(t, tracker.IsResting("a"), qt.IsFalse)
+		qt.Assert(t, tracker.IsEjected("a"), qt.IsFalse)
 	})
 }
 
 func TestEjectionTimesDoubleAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker balancer.Tracker
-		tracker.Failed("a", false)
+		tracker.RecordFailure("a", false)
 		time.Sleep(500 * time.Millisecond)
-		qt.Assert(t, tracker.IsResting("a"), qt.IsFalse)
+		qt.Assert(t, tracker.IsEjected("a"), qt.IsFalse)
 
-		tracker.Failed("a", false)
+		tracker.RecordFailure("a", false)
 		time.Sleep(500 * time.Millisecond)
 
-		qt.Assert(t, tracker.IsResting("a"), qt.IsTrue)
+		qt.Assert(t, tracker.IsEjected("a"), qt.IsTrue)
 	})
 }
 
 func TestSingleCommonFailureDoesNotEject(t *testing.T) {
 	var tracker balancer.Tracker
-	tracker.Failed("a", true)
-	qt.Assert(t, tracker.IsResting("a"), qt.IsFalse)
-	tracker.Failed("a", true)
-	qt.Assert(t, tracker.IsResting("a"), qt.IsTrue)
+	tracker.RecordFailure("a", true)
+	qt.Assert(t, tracker.IsEjected("a"), qt.IsFalse)
+	tracker.RecordFailure("a", true)
+	qt.Assert(t, tracker.IsEjected("a"), qt.IsTrue)
 }
 
 func TestEjectedServerIsChosenIfAllAreEjected(t *testing.T) {
 	var tracker balancer.Tracker
-	tracker.Failed("a", false)
-	tracker.Failed("b", false)
+	tracker.RecordFailure("a", false)
+	tracker.RecordFailure("b", false)
 	_, _, ok := tracker.Pick(twoCandidates(), nil, 100)
 	qt.Assert(t, ok, qt.IsTrue)
 }
@@ -186,16 +186,16 @@
 func TestSilenceThresholdsFollowObservedSilences(t *testing.T) {
 	var tracker balancer.Tracker
 	for range 200 {
-		tracker.Silence("steady", balancer.Pause, 40*time.Millisecond)
-		tracker.Silence("uneven", balancer.Pause, 40*time.Millisecond)
-		tracker.Silence("uneven", balancer.Pause, 200*time.Millisecond)
+		tracker.RecordSilence("steady", balancer.PhaseNextEvent, 40*time.Millisecond)
+		tracker.RecordSilence("uneven", balancer.PhaseNextEvent, 40*time.Millisecond)
+		tracker.RecordSilence("uneven", balancer.PhaseNextEvent, 200*time.Millisecond)
 	}
-	steady := tracker.Limits("steady", balancer.Pause)
-	uneven := tracker.Limits("uneven", balancer.Pause)
+	steady := tracker.SilenceThresholds("steady", balancer.PhaseNextEvent)
+	uneven := tracker.SilenceThresholds("uneven", balancer.PhaseNextEvent)
 
-	qt.Assert(t, steady.Rest < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", steady))
-	qt.Assert(t, uneven.Rest > 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", uneven))
-	qt.Assert(t, steady.Move > steady.Rest, qt.IsTrue)
+	qt.Assert(t, steady.Eject < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", steady))
+	qt.Assert(t, uneven.Eject > 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", uneven))
+	qt.Assert(t, steady.Reroute > steady.Eject, qt.IsTrue)
 }
 
 // Guards against requests that cross zones without need: two thirds of their bytes did, which
@@ -204,7 +204,7 @@
 	var tracker balancer.Tracker
 	preference := balancer.Preference{
 		Zone: "quito-a",
-		Asked: map[string]float64{
+		Demand: map[string]float64{
 			"quito-a": 1,
 			"quito-b": 1,
 		},
@@ -257,11 +257,11 @@
 		var tracker balancer.Tracker
 		preference := balancer.Preference{
 			Zone: "quito-a",
-			Daemon: subset.Daemon{
-				Rank: 17,
-				Of:   59,
+			Position: subset.Position{
+				Rank:  17,
+				Total: 59,
 			},
-			Asked: map[string]float64{
+			Demand: map[string]float64{
 				"quito-a": 1,
 				"quito-b": farDemand,
 			},
@@ -286,7 +286,7 @@
 	var tracker balancer.Tracker
 	preference := balancer.Preference{
 		Zone: "quito-a",
-		Asked: map[string]float64{
+		Demand: map[string]float64{
 			"quito-a": 1,
 			"quito-b": 1,
 		},
@@ -296,7 +296,7 @@
 			ID:         "near",
 			Capacity:   26,
 			Zone:       "quito-a",
-			IsTroubled: true,
+			IsDegraded: true,
 		},
 		{
 			ID:       "far",
@@ -341,7 +341,7 @@
 			}
 			return count
 		}
-		tracker.Rest("silent")
+		tracker.Eject("silent")
 		qt.Assert(t, chosen(), qt.DeepEquals, map[string]int{
 			"other": 10,
 		})
@@ -362,18 +362,18 @@
 // waited for the default threshold of a whole second and were late.
 func TestRequestIsReroutedAtOnceIfTheGroupIsReportedStalled(t *testing.T) {
 	var tracker balancer.Tracker
-	thresholds := tracker.Limits("engines/large", balancer.First)
+	thresholds := tracker.SilenceThresholds("engines/large", balancer.PhaseFirstEvent)
 	const silence = 500 * time.Millisecond
 
-	step, _ := thresholds.Step(silence-time.Millisecond, true)
+	step, _ := thresholds.Action(silence-time.Millisecond, true)
 	qt.Assert(t, step, qt.Equals, balancer.Wait)
-	step, recheckAfter := thresholds.Step(silence, false)
-	qt.Assert(t, step, qt.Equals, balancer.Rest)
+	step, recheckAfter := thresholds.Action(silence, false)
+	qt.Assert(t, step, qt.Equals, balancer.Eject)
 	qt.Assert(t, recheckAfter <= 50*time.Millisecond, qt.IsTrue)
-	step, _ = thresholds.Step(silence, true)
-	qt.Assert(t, step, qt.Equals, balancer.Move)
-	step, _ = thresholds.Step(thresholds.Move, false)
-	qt.Assert(t, step, qt.Equals, balancer.Move)
+	step, _ = thresholds.Action(silence, true)
+	qt.Assert(t, step, qt.Equals, balancer.Reroute)
+	step, _ = thresholds.Action(thresholds.Reroute, false)
+	qt.Assert(t, step, qt.Equals, balancer.Reroute)
 }
 
 // A rate limited server is a candidate only now and then. The daemon uses its quota there, and
@@ -381,13 +381,13 @@
 func TestRateLimitedServerIsUsedWithoutChangingSubsets(t *testing.T) {
 	preference := balancer.Preference{
 		Zone: "quito-a",
-		Daemon: subset.Daemon{
-			Rank: 3,
-			Of:   40,
+		Position: subset.Position{
+			Rank:  3,
+			Total: 40,
 		},
 	}
 	limited := headsOfTwoZones()
-	limited[2].IsLimited = true
+	limited[2].IsRateLimited = true
 	without := slices.Delete(headsOfTwoZones(), 2, 3)
 	chosen := func(candidates []balancer.Candidate) map[string]bool {
 		const cost = 100
--- a/core/balancer/model_test.go
+++ b/core/balancer/model_test.go
@@ -143,7 +143,7 @@
 	}
 	for i := range daemons {
 		m.daemons[i%modelZones] = append(m.daemons[i%modelZones], &balancer.Tracker{
-			Chance: m.random.Float64,
+			Random: m.random.Float64,
 		})
 	}
 	return m
@@ -203,8 +203,8 @@
 	m.demandReadAt = m.now
 	m.demand = map[string]float64{}
 	for zone, meter := range m.meters {
-		for _, entry := range meter.Asked(zoneName(zone)) {
-			m.demand[entry.Zone] = entry.Rate
+		for _, entry := range meter.Demand(zoneName(zone)) {
+			m.demand[entry.Zone] = entry.WorkRate
 		}
 	}
 }
@@ -213,15 +213,15 @@
 func (m *model) arrive(zone int) {
 	const cost = 100
 	m.refreshDemand()
-	m.meters[zone].Note(modelKind, cost, usage.Rate{})
+	m.meters[zone].RecordRequest(modelKind, cost, usage.Rate{})
 	rank := m.drawDaemon(zone)
 	preference := balancer.Preference{
 		Zone: zoneName(zone),
-		Daemon: subset.Daemon{
-			Rank: rank,
-			Of:   len(m.daemons[zone]),
+		Position: subset.Position{
+			Rank:  rank,
+			Total: len(m.daemons[zone]),
 		},
-		Asked: m.demand,
+		Demand: m.demand,
 	}
 	tiered := preference.WithTiers(m.heads, m.random.Float64())
 	chosen, done, _ := m.daemons[zone][rank].Pick(tiered, nil, cost)
--- a/core/balancer/preference.go
+++ b/core/balancer/preference.go
@@ -11,12 +11,12 @@
 // Preference orders candidates by the daemon's zone and by the demand of each zone, before the
 // daemon's own requests count. It is immutable. The zero value prefers no server.
 type Preference struct {
-	// Zone is the daemon's availability zone. Daemon is the position among the
+	// Zone is the daemon's availability zone. Position is the position among the
 	// daemons there.
-	Zone   string
-	Daemon subset.Daemon
-	// Asked is the demand for the kind of request in each zone, in any unit.
-	Asked map[string]float64
+	Zone     string
+	Position subset.Position
+	// Demand is the demand for the kind of request in each zone, in any unit.
+	Demand map[string]float64
 }
 
 // tier ranks candidates before their loads are compared.
@@ -34,7 +34,7 @@
 // point, from 0 to 1. Degraded servers do not count as capacity, nor do rate limited ones:
 // these are candidates only now and then, and subsets would change as often.
 func (p Preference) WithTiers(candidates []Candidate, point float64) []Candidate {
-	zone := locality.Draw(locality.Divide(p.Zone, p.zones(candidates)), point)
+	zone := locality.ZoneAt(locality.Divide(p.Zone, p.zones(candidates)), point)
 	var ids []string
 	capacity := 0
 	for _, candidate := range candidates {
@@ -43,7 +43,7 @@
 			capacity += candidate.Capacity
 		}
 	}
-	chosen := p.Daemon.Choose(ids, capacity)
+	chosen := p.Position.Choose(ids, capacity)
 	isInSubset := map[string]bool{}
 	for _, id := range chosen {
 		isInSubset[id] = true
@@ -65,13 +65,13 @@
 // tierOf returns the tier of one candidate.
 func (p Preference) tierOf(candidate Candidate, zone string, isInSubset map[string]bool) tier {
 	switch {
-	case candidate.IsLimited && candidate.Zone == p.Zone:
+	case candidate.IsRateLimited && candidate.Zone == p.Zone:
 		// The daemon's quota there expires if it is not used.
 		return tierSubset
 	case zone != "" && candidate.Zone != zone:
 		return tierOtherZone
-	case isInSubset[candidate.ID] || candidate.IsTroubled:
-		// IsTroubled alone ranks the server after all others.
+	case isInSubset[candidate.ID] || candidate.IsDegraded:
+		// IsDegraded alone ranks the server after all others.
 		return tierSubset
 	default:
 		return tierZone
@@ -80,7 +80,7 @@
 
 // countsAsCapacity reports whether the candidate adds to the capacity of its zone.
 func (c Candidate) countsAsCapacity() bool {
-	return !c.IsTroubled && !c.IsLimited
+	return !c.IsDegraded && !c.IsRateLimited
 }
 
 // zones returns the capacity and the demand of each zone, ordered by name.
@@ -88,7 +88,7 @@
 	capacities := map[string]float64{
 		p.Zone: 0,
 	}
-	for zone := range p.Asked {
+	for zone := range p.Demand {
 		capacities[zone] = 0
 	}
 	for _, candidate := range candidates {
@@ -99,9 +99,9 @@
 	zones := make([]locality.Zone, 0, len(capacities))
 	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		zones = append(zones, locality.Zone{
-			Name:  name,
-			Room:  capacities[name],
-			Asked: p.Asked[name],
+			Name:     name,
+			Capacity: capacities[name],
+			Demand:   p.Demand[name],
 		})
 	}
 	return zones
--- a/core/balancer/silence.go
+++ b/core/balancer/silence.go
@@ -7,8 +7,8 @@
 
 // The phases are waiting for the first event or the answer, and waiting for the next event.
 const (
-	First Phase = iota
-	Pause
+	PhaseFirstEvent Phase = iota
+	PhaseNextEvent
 )
 
 // silenceKey identifies silences that share one estimate.
@@ -48,44 +48,44 @@
 	defaultRerouteAfter = 1000 * time.Millisecond
 )
 
-// Limits are the silences after which a server is ejected and a request is rerouted.
-type Limits struct {
-	Rest time.Duration
-	Move time.Duration
+// SilenceThresholds are the silences after which a server is ejected and a request is rerouted.
+type SilenceThresholds struct {
+	Eject   time.Duration
+	Reroute time.Duration
 }
 
-// Step is the reaction to a silence.
-type Step int
+// Action is the reaction to a silence.
+type Action int
 
 // The steps are to wait, to eject the server, and to reroute the request as well.
 const (
-	Wait Step = iota
-	Rest
-	Move
+	Wait Action = iota
+	Eject
+	Reroute
 )
 
 // recheckInterval is how often the group of a silent server is looked up among those reported
 // as stalled.
 const recheckInterval = 50 * time.Millisecond
 
-// Step returns the reaction to a silence and the time until the next check. isStalled reports
+// Action returns the reaction to a silence and the time until the next check. isStalled reports
 // that another daemon found a member of the server's group lost. The request is then rerouted
 // without further waiting, so that one which came after the loss can still meet its deadline
 // elsewhere. Without this, a daemon among hundreds has few samples of rare requests and would
 // wait for defaultRerouteAfter.
-func (l Limits) Step(silence time.Duration, isStalled bool) (step Step, recheckAfter time.Duration) {
+func (l SilenceThresholds) Action(silence time.Duration, isStalled bool) (step Action, recheckAfter time.Duration) {
 	switch {
-	case silence < l.Rest:
-		return Wait, l.Rest - silence
-	case silence < l.Move && !isStalled:
-		return Rest, min(l.Move-silence, recheckInterval)
+	case silence < l.Eject:
+		return Wait, l.Eject - silence
+	case silence < l.Reroute && !isStalled:
+		return Eject, min(l.Reroute-silence, recheckInterval)
 	default:
-		return Move, l.Move
+		return Reroute, l.Reroute
 	}
 }
 
-// Silence records a silence of a healthy server.
-func (t *Tracker) Silence(kind string, phase Phase, silence time.Duration) {
+// RecordSilence records a silence of a healthy server.
+func (t *Tracker) RecordSilence(kind string, phase Phase, silence time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.silenceEstimates == nil {
@@ -108,8 +108,8 @@
 	current.samples++
 }
 
-// Limits returns the thresholds for a kind of server and a phase.
-func (t *Tracker) Limits(kind string, phase Phase) Limits {
+// SilenceThresholds returns the thresholds for a kind of server and a phase.
+func (t *Tracker) SilenceThresholds(kind string, phase Phase) SilenceThresholds {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	current := t.silenceEstimates[silenceKey{
@@ -117,14 +117,14 @@
 		phase: phase,
 	}]
 	if current == nil || current.samples < minSamples {
-		return Limits{
-			Rest: defaultEjectAfter,
-			Move: defaultRerouteAfter,
+		return SilenceThresholds{
+			Eject:   defaultEjectAfter,
+			Reroute: defaultRerouteAfter,
 		}
 	}
-	return Limits{
-		Rest: current.threshold(ejectDeviations, minEjectAfter),
-		Move: current.threshold(rerouteDeviations, minRerouteAfter),
+	return SilenceThresholds{
+		Eject:   current.threshold(ejectDeviations, minEjectAfter),
+		Reroute: current.threshold(rerouteDeviations, minRerouteAfter),
 	}
 }
 
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -38,8 +38,8 @@
 	return row
 }
 
-// Reached returns the commit number up to which the store itself was read.
-func (c Catalog) Reached() uint64 {
+// ReadVersion returns the commit number up to which the store itself was read.
+func (c Catalog) ReadVersion() uint64 {
 	return c.readVersion
 }
 
@@ -48,8 +48,8 @@
 	return len(c.rows)
 }
 
-// Under returns the rows whose keys have a prefix, sorted by key, without deleted rows.
-func (c Catalog) Under(prefix string) []table.Row {
+// WithPrefix returns the rows whose keys have a prefix, sorted by key, without deleted rows.
+func (c Catalog) WithPrefix(prefix string) []table.Row {
 	var found []table.Row
 	for key, row := range c.rows {
 		if !row.Deleted && strings.HasPrefix(key, prefix) {
@@ -88,8 +88,8 @@
 	}, changed
 }
 
-// WithReached returns the catalog with the store read up to a commit number.
-func (c Catalog) WithReached(version uint64) Catalog {
+// WithReadVersion returns the catalog with the store read up to a commit number.
+func (c Catalog) WithReadVersion(version uint64) Catalog {
 	c.readVersion = max(c.readVersion, version)
 	return c
 }
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -35,5 +35,5 @@
 	deleted, _ := known.WithRows([]table.Row{row(6, true)})
 	again, _ := deleted.WithRows([]table.Row{row(5, false)})
 	qt.Assert(t, again.Row(catalog.Prefix+"a").Version, qt.Equals, uint64(0))
-	qt.Assert(t, again.Under(catalog.Prefix), qt.HasLen, 0)
+	qt.Assert(t, again.WithPrefix(catalog.Prefix), qt.HasLen, 0)
 }
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -44,12 +44,12 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the maximum duration of a request. Goal is the time within which
-	// the answer, or the first event of a stream, should arrive. PauseGoal is the
+	// Timeout is the maximum duration of a request. LatencyGoal is the time within which
+	// the answer, or the first event of a stream, should arrive. EventGapGoal is the
 	// time within which each further event of a stream should arrive.
-	Timeout   time.Duration
-	Goal      time.Duration
-	PauseGoal time.Duration
+	Timeout      time.Duration
+	LatencyGoal  time.Duration
+	EventGapGoal time.Duration
 	// Priority of the requests; 0 is the most urgent.
 	Priority int
 	Backends []Backend
@@ -81,19 +81,19 @@
 	HealthPath string
 	// MaxConns is how many connections one backend server accepts from all entry VMs.
 	MaxConns int
-	// Cold describes the backend servers after their start.
-	Cold Cold
+	// ColdStart describes the backend servers after their start.
+	ColdStart ColdStart
 	// Engine is set for model engines, whose backend servers form groups.
 	Engine *Engine
 }
 
-// Cold describes the cold start of a backend server. With the zero value servers are
+// ColdStart describes the cold start of a backend server. With the zero value servers are
 // never cold.
-type Cold struct {
-	// Start is how long the server stays cold after a start.
-	Start time.Duration
-	// PerSecond is how many requests a second a cold server can serve; 0: unknown.
-	PerSecond float64
+type ColdStart struct {
+	// Duration is how long the server stays cold after a start.
+	Duration time.Duration
+	// RequestsPerSecond is how many requests a second a cold server can serve; 0: unknown.
+	RequestsPerSecond float64
 }
 
 // Engine describes the model engines of a service.
@@ -102,41 +102,41 @@
 	Capacity int
 	Models   []Model
 	// LoadsPerSecond limits how many loads of weights may begin. If more than
-	// LoadsAtOnce run at the same time, each takes proportionally longer.
+	// FullSpeedLoads run at the same time, each takes proportionally longer.
 	LoadsPerSecond float64
-	LoadsAtOnce    int
-	// Form is the time between the order to serve and serving.
-	Form time.Duration
+	FullSpeedLoads int
+	// FormationTime is the time between the order to serve and serving.
+	FormationTime time.Duration
 	// StagedModels is the number of models whose weights a host keeps.
 	StagedModels int
-	// Step is the time to generate one token for a single running request; each
-	// further running request adds StepPerRequest. 0: unknown.
-	Step           time.Duration
-	StepPerRequest time.Duration
-	// ReadPerSecond is how many prompt tokens a group reads in a second; 0: unknown.
-	ReadPerSecond float64
-	// Chunk is the maximum number of prompt tokens that are read before tokens are
+	// StepTime is the time to generate one token for a single running request; each
+	// further running request adds StepTimePerRequest. 0: unknown.
+	StepTime           time.Duration
+	StepTimePerRequest time.Duration
+	// PrefillTokensPerSecond is how many prompt tokens a group reads in a second; 0: unknown.
+	PrefillTokensPerSecond float64
+	// PrefillChunkTokens is the maximum number of prompt tokens that are read before tokens are
 	// generated again; 0: unknown.
-	Chunk int
+	PrefillChunkTokens int
 	// TokensPerEvent is how many tokens one event of a stream contains. It is the number
 	// of tokens that are generated for a request before prompts are read again.
 	TokensPerEvent int
-	// Usual is the mean size of the requests of all models.
-	Usual usage.Size
+	// MeanRequestSize is the mean size of the requests of all models.
+	MeanRequestSize usage.Size
 }
 
 // Model is a model that groups of engines can serve.
 type Model struct {
 	Name string
-	// Size is the number of backend servers of a group.
-	Size int
-	// Share is the model's part of the demand that is assumed at the start.
-	Share float64
-	// Pace is a factor that all times of the engine are multiplied by.
-	Pace float64
-	// Load is how long loading from the weight store takes, Warm from the host.
-	Load time.Duration
-	Warm time.Duration
+	// GroupSize is the number of backend servers of a group.
+	GroupSize int
+	// InitialShare is the model's part of the demand that is assumed at the start.
+	InitialShare float64
+	// TimeFactor is a factor that all times of the engine are multiplied by.
+	TimeFactor float64
+	// LoadTime is how long loading from the weight store takes, WarmLoadTime from the host.
+	LoadTime     time.Duration
+	WarmLoadTime time.Duration
 }
 
 // Organisation is a holder of keys, under which it sends requests.
--- a/core/config/sizing.go
+++ b/core/config/sizing.go
@@ -52,33 +52,33 @@
 	firstEvent time.Duration
 }
 
-// hasTimings reports whether the configuration contains the timings that Groups needs.
+// hasTimings reports whether the configuration contains the timings that GroupsNeeded needs.
 func (e *Engine) hasTimings() bool {
-	return e.Step > 0 && e.Capacity > 0
+	return e.StepTime > 0 && e.Capacity > 0
 }
 
-// Groups are numbers of groups that a model needs, not rounded.
-type Groups struct {
-	// Least is the number that keeps up with the demand: with fewer, queues grow.
-	Least float64
-	// InTime is the number that serves the demand within its goals.
-	InTime float64
+// GroupsNeeded are numbers of groups that a model needs, not rounded.
+type GroupsNeeded struct {
+	// MinStable is the number that keeps up with the demand: with fewer, queues grow.
+	MinStable float64
+	// OnTime is the number that serves the demand within its goals.
+	OnTime float64
 }
 
-// Groups returns how many groups of a model are needed for a demand; ok is false if the
+// GroupsNeeded returns how many groups of a model are needed for a demand; ok is false if the
 // configuration lacks timings of the engine.
-func (e *Engine) Groups(model Model, demand usage.Rate) (groups Groups, ok bool) {
+func (e *Engine) GroupsNeeded(model Model, demand usage.Rate) (groups GroupsNeeded, ok bool) {
 	if !e.hasTimings() {
-		return Groups{}, false
+		return GroupsNeeded{}, false
 	}
 	if demand.Prompt <= 0 && demand.Answer <= 0 {
-		return Groups{}, true
+		return GroupsNeeded{}, true
 	}
-	return Groups{
-		Least: smallestSufficient(func(groups float64) bool {
+	return GroupsNeeded{
+		MinStable: smallestSufficient(func(groups float64) bool {
 			return e.isStableWith(model, demand, groups)
 		}),
-		InTime: smallestSufficient(func(groups float64) bool {
+		OnTime: smallestSufficient(func(groups float64) bool {
 			return e.isOnTimeWith(model, demand, groups)
 		}),
 	}, true
@@ -105,18 +105,18 @@
 
 // isStableWith reports whether a number of groups keeps up with the demand.
 func (e *Engine) isStableWith(model Model, demand usage.Rate, groups float64) bool {
-	load := e.estimateLoad(model, demand.Times(1/groups))
+	load := e.estimateLoad(model, demand.Scale(1/groups))
 	return load.isStable && load.slots <= maxSlotsStable && load.prefill <= maxPrefillStable
 }
 
 // isOnTimeWith reports whether a number of groups serves the demand within its goals.
 func (e *Engine) isOnTimeWith(model Model, demand usage.Rate, groups float64) bool {
-	load := e.estimateLoad(model, demand.Times(1/groups))
+	load := e.estimateLoad(model, demand.Scale(1/groups))
 	if !load.isStable || load.slots > maxSlotsOnTime || load.prefill > maxPrefillOnTime {
 		return false
 	}
-	goal := demand.Goal()
-	idle := e.estimateLoad(model, demand.Times(epsilon))
+	goal := demand.MeanGoal()
+	idle := e.estimateLoad(model, demand.Scale(epsilon))
 	maxFirstEvent := max(time.Duration(firstEventGoalFraction*float64(goal)), time.Duration(minIdleMultiple*float64(idle.firstEvent)))
 	return goal <= 0 || load.firstEvent <= maxFirstEvent
 }
@@ -127,16 +127,16 @@
 
 // estimateLoad returns the expected load of one group that gets all of the demand.
 func (e *Engine) estimateLoad(model Model, demand usage.Rate) groupLoad {
-	timeFactor := model.Pace
+	timeFactor := model.TimeFactor
 	if timeFactor <= 0 {
 		timeFactor = 1
 	}
 	tokensPerPass := float64(max(1, e.TokensPerEvent))
-	stepSeconds := timeFactor * e.Step.Seconds()
-	stepSecondsPerRequest := timeFactor * e.StepPerRequest.Seconds()
+	stepSeconds := timeFactor * e.StepTime.Seconds()
+	stepSecondsPerRequest := timeFactor * e.StepTimePerRequest.Seconds()
 	readSeconds := 0.0
-	if e.ReadPerSecond > 0 {
-		readSeconds = timeFactor / e.ReadPerSecond
+	if e.PrefillTokensPerSecond > 0 {
+		readSeconds = timeFactor / e.PrefillTokensPerSecond
 	}
 	spareFraction := 1 - demand.Prompt*readSeconds - demand.Answer*stepSecondsPerRequest
 	if spareFraction <= 0 {
@@ -150,12 +150,12 @@
 		slots:    generating / float64(e.Capacity),
 	}
 	firstEventSeconds := passSeconds/half + stepsSeconds
-	if e.Chunk > 0 && demand.Prompt > 0 {
-		secondsPerPromptToken := readSeconds + stepsSeconds/float64(e.Chunk)
+	if e.PrefillChunkTokens > 0 && demand.Prompt > 0 {
+		secondsPerPromptToken := readSeconds + stepsSeconds/float64(e.PrefillChunkTokens)
 		estimate.prefill = demand.Prompt * secondsPerPromptToken
-		firstEventSeconds += demand.Typical() * secondsPerPromptToken
+		firstEventSeconds += demand.TypicalPrompt() * secondsPerPromptToken
 		// The mean wait in a queue with varying service times (Pollaczek-Khinchine formula).
-		firstEventSeconds += demand.Squares * secondsPerPromptToken * secondsPerPromptToken / (half * max(epsilon, 1-estimate.prefill))
+		firstEventSeconds += demand.PromptSquares * secondsPerPromptToken * secondsPerPromptToken / (half * max(epsilon, 1-estimate.prefill))
 	}
 	estimate.firstEvent = time.Duration(firstEventSeconds * float64(time.Second))
 	return estimate
--- a/core/config/sizing_test.go
+++ b/core/config/sizing_test.go
@@ -15,25 +15,25 @@
 // engine has the timings of a traced user deployment, with large groups of twelve servers
 // and small groups of six.
 var engine = &config.Engine{
-	Capacity:       48,
-	Step:           6450 * time.Microsecond,
-	StepPerRequest: 96700 * time.Nanosecond,
-	ReadPerSecond:  56_100,
-	Chunk:          2048,
-	TokensPerEvent: 5,
+	Capacity:               48,
+	StepTime:               6450 * time.Microsecond,
+	StepTimePerRequest:     96700 * time.Nanosecond,
+	PrefillTokensPerSecond: 56_100,
+	PrefillChunkTokens:     2048,
+	TokensPerEvent:         5,
 }
 
 // large and small are the models of that deployment.
 var (
 	large = config.Model{
-		Name: "large",
-		Size: 12,
-		Pace: 1,
+		Name:       "large",
+		GroupSize:  12,
+		TimeFactor: 1,
 	}
 	small = config.Model{
-		Name: "small",
-		Size: 6,
-		Pace: 0.6,
+		Name:       "small",
+		GroupSize:  6,
+		TimeFactor: 0.6,
 	}
 )
 
@@ -42,86 +42,86 @@
 func largeDemand() usage.Rate {
 	goal := 400 * time.Millisecond
 	narratives := usage.Rate{
-		Requests: 24.1,
-		Prompt:   24.1 * 1403,
-		Answer:   24.1 * 148,
-		Squares:  24.1 * 2.9e6,
-		Goals:    24.1 * 1403 * goal.Seconds(),
+		Requests:          24.1,
+		Prompt:            24.1 * 1403,
+		Answer:            24.1 * 148,
+		PromptSquares:     24.1 * 2.9e6,
+		GoalPromptSeconds: 24.1 * 1403 * goal.Seconds(),
 	}
 	triages := usage.Rate{
-		Requests: 15,
-		Prompt:   15 * 1829,
-		Answer:   15 * 23,
-		Squares:  15 * 5.7e6,
-		Goals:    15 * 1829 * goal.Seconds(),
+		Requests:          15,
+		Prompt:            15 * 1829,
+		Answer:            15 * 23,
+		PromptSquares:     15 * 5.7e6,
+		GoalPromptSeconds: 15 * 1829 * goal.Seconds(),
 	}
-	return narratives.Plus(triages)
+	return narratives.Add(triages)
 }
 
 // smallDemand is the demand for the small model: 258 summaries a second with a goal of 0.3 s.
 func smallDemand() usage.Rate {
-	return usage.Of(usage.Size{
+	return usage.PerRequest(usage.Size{
 		Prompt: 714,
 		Answer: 148,
-	}, 300*time.Millisecond).Times(258)
+	}, 300*time.Millisecond).Scale(258)
 }
 
 // Compares the result with the traced day: no request of the large model was late with six
 // groups, 15 in 100 with five, 40 to 70 in 100 with three, and most with two. The small
 // model always had enough groups with nine and more.
 func TestGroupsNeededMatchTracedDay(t *testing.T) {
-	groups, ok := engine.Groups(large, largeDemand())
+	groups, ok := engine.GroupsNeeded(large, largeDemand())
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, groups.InTime > 3.5 && groups.InTime < 5, qt.IsTrue, qt.Commentf("%v", groups))
-	qt.Assert(t, groups.Least > 2 && groups.Least < 3, qt.IsTrue, qt.Commentf("%v", groups))
-	groups, ok = engine.Groups(small, smallDemand())
+	qt.Assert(t, groups.OnTime > 3.5 && groups.OnTime < 5, qt.IsTrue, qt.Commentf("%v", groups))
+	qt.Assert(t, groups.MinStable > 2 && groups.MinStable < 3, qt.IsTrue, qt.Commentf("%v", groups))
+	groups, ok = engine.GroupsNeeded(small, smallDemand())
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, groups.InTime > 7.5 && groups.InTime < 9.5, qt.IsTrue, qt.Commentf("%v", groups))
-	qt.Assert(t, groups.Least > 6 && groups.Least < groups.InTime, qt.IsTrue, qt.Commentf("%v", groups))
+	qt.Assert(t, groups.OnTime > 7.5 && groups.OnTime < 9.5, qt.IsTrue, qt.Commentf("%v", groups))
+	qt.Assert(t, groups.MinStable > 6 && groups.MinStable < groups.OnTime, qt.IsTrue, qt.Commentf("%v", groups))
 }
 
 // Guards against sizing by the mean prompt alone: long prompts delay all other requests.
 func TestLongPromptsNeedMoreGroupsThanTheirMean(t *testing.T) {
 	demand := largeDemand()
 	uniform := demand
-	uniform.Squares = demand.Prompt * demand.Prompt / demand.Requests
-	varied, _ := engine.Groups(large, demand)
-	same, _ := engine.Groups(large, uniform)
-	qt.Assert(t, varied.InTime > 1.1*same.InTime, qt.IsTrue, qt.Commentf("%v, %v", varied, same))
+	uniform.PromptSquares = demand.Prompt * demand.Prompt / demand.Requests
+	varied, _ := engine.GroupsNeeded(large, demand)
+	same, _ := engine.GroupsNeeded(large, uniform)
+	qt.Assert(t, varied.OnTime > 1.1*same.OnTime, qt.IsTrue, qt.Commentf("%v, %v", varied, same))
 }
 
 // Reading the prompt may exceed the goal even at an idle group. More groups do not help, so
 // their number must stay bounded.
 func TestUnreachableGoalNeedsBoundedNumberOfGroups(t *testing.T) {
 	demand := largeDemand()
-	demand.Goals = demand.Prompt * 0.01
-	groups, ok := engine.Groups(large, demand)
+	demand.GoalPromptSeconds = demand.Prompt * 0.01
+	groups, ok := engine.GroupsNeeded(large, demand)
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, groups.InTime < 12, qt.IsTrue, qt.Commentf("%v", groups))
+	qt.Assert(t, groups.OnTime < 12, qt.IsTrue, qt.Commentf("%v", groups))
 }
 
 func TestNoDemandNeedsNoGroupsAndMissingTimingsGiveNoResult(t *testing.T) {
-	groups, ok := engine.Groups(large, usage.Rate{})
+	groups, ok := engine.GroupsNeeded(large, usage.Rate{})
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, groups, qt.Equals, config.Groups{})
-	_, ok = (&config.Engine{}).Groups(large, largeDemand())
+	qt.Assert(t, groups, qt.Equals, config.GroupsNeeded{})
+	_, ok = (&config.Engine{}).GroupsNeeded(large, largeDemand())
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// For every demand, twice the demand needs twice as many groups, and Least is at most InTime.
+// For every demand, twice the demand needs twice as many groups, and MinStable is at most OnTime.
 func TestGroupsNeededAreProportionalToDemand(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		one := usage.Of(usage.Size{
+		one := usage.PerRequest(usage.Size{
 			Prompt: rapid.Float64Range(0, 8000).Draw(rt, "prompt"),
 			Answer: rapid.Float64Range(1, 500).Draw(rt, "answer"),
 		}, time.Duration(rapid.IntRange(0, 2000).Draw(rt, "goal"))*time.Millisecond)
-		demand := one.Times(rapid.Float64Range(0.1, 1000).Draw(rt, "requests"))
-		groups, _ := engine.Groups(large, demand)
-		double, _ := engine.Groups(large, demand.Times(2))
-		if math.Abs(double.InTime-2*groups.InTime) > 1e-3*double.InTime {
+		demand := one.Scale(rapid.Float64Range(0.1, 1000).Draw(rt, "requests"))
+		groups, _ := engine.GroupsNeeded(large, demand)
+		double, _ := engine.GroupsNeeded(large, demand.Scale(2))
+		if math.Abs(double.OnTime-2*groups.OnTime) > 1e-3*double.OnTime {
 			rt.Fatalf("%v for %v, %v for twice as much", groups, demand, double)
 		}
-		if groups.Least > groups.InTime*1.001 {
+		if groups.MinStable > groups.OnTime*1.001 {
 			rt.Fatalf("%v", groups)
 		}
 	})
--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -1,10 +1,10 @@
 // Package contact decides whether a daemon may still serve with the configuration that it holds.
 //
 // A configuration is accepted when the table holds it and a majority of the daemons in the roster
-// hold it too. A daemon may serve if, within the last Bound, it has read the store or received
+// hold it too. A daemon may serve if, within the last MaxContactAge, it has read the store or received
 // reports from a majority of the roster, including itself. Any two majorities have a daemon in
 // common, so a daemon that may serve has received every configuration that was accepted more than
-// Bound ago. An outage of the store alone stops no daemon; a daemon that is cut off from everything
+// MaxContactAge ago. An outage of the store alone stops no daemon; a daemon that is cut off from everything
 // stops.
 //
 // Reports may be indirect: if another daemon passes on a report of daemon O together with all rows
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Bound is the maximum age of a contact with which a daemon may serve.
-const Bound = 8 * time.Second
+// MaxContactAge is the maximum age of a contact with which a daemon may serve.
+const MaxContactAge = 8 * time.Second
 
-// Report states that a daemon held the configuration at ConfigVersion at the time At.
+// Report states that a daemon held the configuration at ConfigVersion at the time ObservedAt.
 type Report struct {
 	Daemon        string
 	ConfigVersion uint64
-	At            time.Time
+	ObservedAt    time.Time
 }
 
 // Contact holds the last read of the store and the newest report of each daemon. The zero value has
@@ -32,8 +32,8 @@
 	reports       map[string]Report
 }
 
-// WithStore returns the contact with a successful read of the store that began at a time.
-func (c Contact) WithStore(at time.Time) Contact {
+// WithStoreRead returns the contact with a successful read of the store that began at a time.
+func (c Contact) WithStoreRead(at time.Time) Contact {
 	if at.After(c.lastStoreRead) {
 		c.lastStoreRead = at
 	}
@@ -47,7 +47,7 @@
 		next[daemon] = report
 	}
 	for _, report := range reports {
-		if report.At.After(next[report.Daemon].At) {
+		if report.ObservedAt.After(next[report.Daemon].ObservedAt) {
 			next[report.Daemon] = report
 		}
 	}
@@ -55,11 +55,11 @@
 	return c
 }
 
-// WithoutOlder returns the contact without reports from before a time.
-func (c Contact) WithoutOlder(than time.Time) Contact {
+// WithoutReportsBefore returns the contact without reports from before a time.
+func (c Contact) WithoutReportsBefore(than time.Time) Contact {
 	next := make(map[string]Report, len(c.reports))
 	for daemon, report := range c.reports {
-		if !report.At.Before(than) {
+		if !report.ObservedAt.Before(than) {
 			next[daemon] = report
 		}
 	}
@@ -82,16 +82,16 @@
 	return all
 }
 
-// StoreAt returns the start time of the last successful read of the store.
-func (c Contact) StoreAt() time.Time {
+// LastStoreRead returns the start time of the last successful read of the store.
+func (c Contact) LastStoreRead() time.Time {
 	return c.lastStoreRead
 }
 
 // ServeUntil returns the time until which the daemon self may serve, given the roster. It is in the
 // past if the daemon may not serve now.
 func (c Contact) ServeUntil(self string, roster []string, now time.Time) time.Time {
-	until := c.lastStoreRead.Add(Bound)
-	if byMajority := c.majorityReportedAt(self, roster, now).Add(Bound); byMajority.After(until) {
+	until := c.lastStoreRead.Add(MaxContactAge)
+	if byMajority := c.majorityReportedAt(self, roster, now).Add(MaxContactAge); byMajority.After(until) {
 		until = byMajority
 	}
 	return until
@@ -105,7 +105,7 @@
 	}
 	times := make([]time.Time, 0, len(roster))
 	for _, daemon := range roster {
-		at := c.reports[daemon].At
+		at := c.reports[daemon].ObservedAt
 		if daemon == self {
 			at = now
 		}
@@ -128,9 +128,9 @@
 	return times[n-1]
 }
 
-// Holders returns the number of daemons in the roster that are known to hold a configuration of at
+// HolderCount returns the number of daemons in the roster that are known to hold a configuration of at
 // least version.
-func (c Contact) Holders(self string, own uint64, roster []string, version uint64) int {
+func (c Contact) HolderCount(self string, own uint64, roster []string, version uint64) int {
 	holders := 0
 	for _, daemon := range roster {
 		held := c.reports[daemon].ConfigVersion
@@ -144,7 +144,7 @@
 	return holders
 }
 
-// Accepted reports whether a majority of the roster is known to hold version.
-func (c Contact) Accepted(self string, own uint64, roster []string, version uint64) bool {
-	return len(roster) > 0 && c.Holders(self, own, roster, version) > len(roster)/2
+// IsAccepted reports whether a majority of the roster is known to hold version.
+func (c Contact) IsAccepted(self string, own uint64, roster []string, version uint64) bool {
+	return len(roster) > 0 && c.HolderCount(self, own, roster, version) > len(roster)/2
 }
--- a/core/control/control_test.go
+++ b/core/control/control_test.go
@@ -29,52 +29,52 @@
 		VMsPerDomain: vmsPerDomain,
 		ChecksOrders: true,
 	})
-	qt.Assert(t, f.StartDeclared(), qt.IsNil)
+	qt.Assert(t, f.StartWithGroups(), qt.IsNil)
 	return f
 }
 
 func TestReconcileFormsDeclaredGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 5)
-		qt.Assert(t, f.Serving(), qt.Equals, 6)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
 	})
 }
 
 func TestDrainZoneMovesGroupsWithoutDowntime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
-		proposed, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
+		proposed, err := f.Propose(f.Daemons[1], "drain", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
 		})
 		qt.Assert(t, err, qt.IsNil)
-		downtime, _ := proposed.Predicted()
+		downtime, _ := proposed.PredictedTotals()
 		qt.Assert(t, downtime, qt.Equals, 0.0)
 		f.Run(3 * time.Second)
-		qt.Assert(t, f.Confirm(f.Hosts[1], "drain"), qt.IsNil)
+		qt.Assert(t, f.Confirm(f.Daemons[1], "drain"), qt.IsNil)
 		for range 240 {
 			f.Run(fleet.Tick)
-			qt.Assert(t, f.Serving() >= 6, qt.IsTrue)
+			qt.Assert(t, f.MinServingGroups() >= 6, qt.IsTrue)
 		}
 		found, err := f.Plan("drain")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, found.State, qt.Equals, plan.Done)
-		for _, record := range f.Hosts[0].Controller.World().Groups {
+		for _, record := range f.Daemons[0].Controller.FleetState().Groups {
 			qt.Assert(t, record.Zone, qt.Not(qt.Equals), "z1")
 		}
-		qt.Assert(t, f.Broken, qt.HasLen, 0)
+		qt.Assert(t, f.Violations, qt.HasLen, 0)
 	})
 }
 
 func TestOnlyOneOfConflictingPlansIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
-		_, err := f.Propose(f.Hosts[0], "a", plan.Intent{
+		_, err := f.Propose(f.Daemons[0], "a", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
 		})
 		qt.Assert(t, err, qt.IsNil)
-		_, err = f.Propose(f.Hosts[1], "b", plan.Intent{
+		_, err = f.Propose(f.Daemons[1], "b", plan.Intent{
 			Kind:  plan.MoveModel,
 			Model: "m",
 			Zone:  "z1",
@@ -82,22 +82,22 @@
 		})
 		qt.Assert(t, err, qt.IsNil)
 		f.Run(3 * time.Second)
-		qt.Assert(t, f.Confirm(f.Hosts[0], "a"), qt.IsNil)
-		qt.Assert(t, f.Confirm(f.Hosts[1], "b"), qt.IsNotNil)
+		qt.Assert(t, f.Confirm(f.Daemons[0], "a"), qt.IsNil)
+		qt.Assert(t, f.Confirm(f.Daemons[1], "b"), qt.IsNotNil)
 	})
 }
 
 func TestPausedMemberReturnsWithoutReformingGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 5)
-		record := f.Hosts[0].Controller.World().Groups[0]
+		record := f.Daemons[0].Controller.FleetState().Groups[0]
 		f.Servers[record.Members[1].VM].Paused = true
 		f.Run(4 * time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 5)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 5)
 		f.Servers[record.Members[1].VM].Paused = false
 		f.Run(2 * time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 6)
-		after, ok := f.Hosts[0].Controller.World().Group(record.Name)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
+		after, ok := f.Daemons[0].Controller.FleetState().Group(record.Name)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, after.Generation, qt.Equals, record.Generation)
 	})
@@ -106,47 +106,47 @@
 func TestDeadMemberIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 5)
-		record := f.Hosts[0].Controller.World().Groups[0]
-		f.Servers[record.Members[0].VM].Die()
+		record := f.Daemons[0].Controller.FleetState().Groups[0]
+		f.Servers[record.Members[0].VM].Crash()
 		f.Run(time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 5)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 5)
 		f.Run(20 * time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 6)
-		qt.Assert(t, f.Broken, qt.HasLen, 0)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
+		qt.Assert(t, f.Violations, qt.HasLen, 0)
 	})
 }
 
 func TestGroupsServeDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 5, 5)
-		f.StoreOut = true
+		f.StoreUnavailable = true
 		for range 60 {
 			f.Run(time.Minute)
-			qt.Assert(t, f.Serving(), qt.Equals, 6)
+			qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
 		}
-		for _, host := range f.Hosts {
+		for _, host := range f.Daemons {
 			qt.Assert(t, time.Now().Before(host.Controller.Snapshot().ServeUntil), qt.IsTrue)
 		}
-		qt.Assert(t, f.Broken, qt.HasLen, 0)
+		qt.Assert(t, f.Violations, qt.HasLen, 0)
 	})
 }
 
 func TestGroupWithLeavingVMGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 5)
-		record := f.Hosts[0].Controller.World().Groups[0]
-		leaving := f.List[record.Members[1].VM]
+		record := f.Daemons[0].Controller.FleetState().Groups[0]
+		leaving := f.VMList[record.Members[1].VM]
 		leaving.State = vm.Leaving
-		f.List[leaving.ID] = leaving
+		f.VMList[leaving.ID] = leaving
 		leader := f.Servers[record.Members[0].VM]
-		leader.Ends = []time.Time{time.Now().Add(5 * time.Second)}
+		leader.RequestEnds = []time.Time{time.Now().Add(5 * time.Second)}
 		f.Run(3 * time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 5)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 5)
 		// The request in flight ends before the group is formed again.
-		after, _ := f.Hosts[0].Controller.World().Group(record.Name)
+		after, _ := f.Daemons[0].Controller.FleetState().Group(record.Name)
 		qt.Assert(t, after.Generation, qt.Equals, record.Generation)
 		f.Run(20 * time.Second)
-		qt.Assert(t, f.Serving(), qt.Equals, 6)
+		qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
 	})
 }
 
@@ -160,10 +160,10 @@
 			VMsPerDomain: 5,
 			ChecksOrders: rapid.Bool().Draw(rt, "checks orders"),
 		})
-		if err := f.StartDeclared(); err != nil {
+		if err := f.StartWithGroups(); err != nil {
 			rt.Fatal(err)
 		}
-		f.Delay = func(limit time.Duration) time.Duration {
+		f.DrawDelay = func(limit time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(limit/fleet.Tick)).Draw(rt, "delay")) * fleet.Tick
 		}
 		plans := 0
@@ -174,44 +174,44 @@
 
 // faultActions returns the failures to inject and the actions of operators.
 func faultActions(f *fleet.Fleet, plans *int) map[string]func(*rapid.T) {
-	drawHost := func(rt *rapid.T) *fleet.Host {
-		return f.Hosts[rapid.IntRange(0, len(f.Hosts)-1).Draw(rt, "daemon")]
+	drawHost := func(rt *rapid.T) *fleet.SimulatedDaemon {
+		return f.Daemons[rapid.IntRange(0, len(f.Daemons)-1).Draw(rt, "daemon")]
 	}
 	drawServer := func(rt *rapid.T) *fleet.Server {
-		return f.Servers[rapid.SampledFrom(f.IDs).Draw(rt, "vm")]
+		return f.Servers[rapid.SampledFrom(f.VMIDs).Draw(rt, "vm")]
 	}
 	wait := func(rt *rapid.T) {
 		f.Run(time.Duration(rapid.IntRange(1, 60).Draw(rt, "ticks")) * fleet.Tick)
 	}
 	return map[string]func(*rapid.T){
 		"": func(rt *rapid.T) {
-			if len(f.Broken) > 0 {
-				rt.Fatalf("invariants violated: %v", f.Broken)
+			if len(f.Violations) > 0 {
+				rt.Fatalf("invariants violated: %v", f.Violations)
 			}
 		},
 		"wait":       wait,
 		"wait again": wait,
 		"kill server": func(rt *rapid.T) {
-			drawServer(rt).Die()
+			drawServer(rt).Crash()
 		},
 		"pause server": func(rt *rapid.T) {
 			drawServer(rt).Paused = true
 		},
 		"server returns": func(rt *rapid.T) {
 			server := drawServer(rt)
-			server.Dead = false
+			server.Crashed = false
 			server.Paused = false
 		},
 		"domain dark": func(rt *rapid.T) {
 			domain := drawServer(rt).VM.Domain
-			for _, id := range f.IDs {
+			for _, id := range f.VMIDs {
 				if f.Servers[id].VM.Domain == domain {
 					f.Servers[id].Paused = true
 				}
 			}
 		},
 		"all servers return": func(*rapid.T) {
-			f.HealServers()
+			f.RecoverServers()
 		},
 		"pause daemon": func(rt *rapid.T) {
 			drawHost(rt).Paused = true
@@ -220,38 +220,38 @@
 			drawHost(rt).Paused = false
 		},
 		"replace daemon": func(rt *rapid.T) {
-			if len(f.Hosts) > 2 {
-				removed := rapid.IntRange(0, len(f.Hosts)-1).Draw(rt, "gone")
-				f.Hosts = append(f.Hosts[:removed], f.Hosts[removed+1:]...)
+			if len(f.Daemons) > 2 {
+				removed := rapid.IntRange(0, len(f.Daemons)-1).Draw(rt, "gone")
+				f.Daemons = append(f.Daemons[:removed], f.Daemons[removed+1:]...)
 			}
 			f.AddDaemon()
 		},
 		"cut off from peers": func(rt *rapid.T) {
 			host := drawHost(rt)
-			host.CutOff = !host.CutOff
+			host.Partitioned = !host.Partitioned
 		},
 		"store fault": func(rt *rapid.T) {
-			drawHost(rt).Fault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
+			drawHost(rt).StoreFault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
 		},
 		"store down": func(*rapid.T) {
-			f.StoreOut = !f.StoreOut
+			f.StoreUnavailable = !f.StoreUnavailable
 		},
 		"vm leaves": func(rt *rapid.T) {
-			if leaving, ok := f.List[drawServer(rt).VM.ID]; ok {
+			if leaving, ok := f.VMList[drawServer(rt).VM.ID]; ok {
 				leaving.State = vm.Leaving
-				f.List[leaving.ID] = leaving
+				f.VMList[leaving.ID] = leaving
 			}
 		},
 		"vm stays": func(rt *rapid.T) {
 			server := drawServer(rt).VM
-			f.List[server.ID] = server
+			f.VMList[server.ID] = server
 		},
 		"apply": func(rt *rapid.T) {
 			replicas := map[string]int{}
 			for zone := range fleet.Zones {
 				replicas[fmt.Sprintf("z%d", zone)] = rapid.IntRange(0, 2).Draw(rt, "replicas")
 			}
-			_ = f.Apply(drawHost(rt), fleet.Declared(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
+			_ = f.Apply(drawHost(rt), fleet.NewDeclaration(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
 		},
 		"propose": func(rt *rapid.T) {
 			*plans++
@@ -271,17 +271,17 @@
 			}
 		},
 		"hear again": func(rt *rapid.T) {
-			f.HearAgain(drawHost(rt), rapid.IntRange(0, 400).Draw(rt, "said"))
+			f.RedeliverExchange(drawHost(rt), rapid.IntRange(0, 400).Draw(rt, "said"))
 		},
 		"requests": func(rt *rapid.T) {
 			for range 4 {
 				duration := time.Duration(rapid.IntRange(1, 30).Draw(rt, "takes")) * time.Second
-				f.Request(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), duration)
+				f.StartRequest(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), duration)
 			}
 		},
 		"change plan": func(rt *rapid.T) {
 			change := rapid.SampledFrom([]plan.Change{plan.ChangePause, plan.ChangeResume, plan.ChangeAbandon}).Draw(rt, "change")
-			_ = f.Change(fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")), change)
+			_ = f.ChangePlan(fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")), change)
 		},
 	}
 }
@@ -297,7 +297,7 @@
 		Site:       "s1",
 		Zone:       zone("zone"),
 		To:         zone("to"),
-		VM:         rapid.SampledFrom(f.IDs).Draw(rt, "vm"),
+		VM:         rapid.SampledFrom(f.VMIDs).Draw(rt, "vm"),
 		Model:      "m",
 		Group:      fmt.Sprintf("m-%d", rapid.IntRange(1, 8).Draw(rt, "group")),
 		AllowFewer: rapid.Bool().Draw(rt, "fewer"),
@@ -308,30 +308,30 @@
 // plan is in a final state, no group is in a transitional phase, and no VM is claimed or
 // reserved by a group or plan that does not exist.
 func checkConvergence(rt *rapid.T, f *fleet.Fleet) {
-	f.HealServers()
-	f.StoreOut = false
-	for _, host := range f.Hosts {
-		host.Paused, host.CutOff, host.Fault = false, false, fleet.StoreFine
+	f.RecoverServers()
+	f.StoreUnavailable = false
+	for _, host := range f.Daemons {
+		host.Paused, host.Partitioned, host.StoreFault = false, false, fleet.StoreHealthy
 	}
-	for id, listed := range f.List {
+	for id, listed := range f.VMList {
 		listed.State = vm.Live
-		f.List[id] = listed
+		f.VMList[id] = listed
 	}
 	f.Run(30 * time.Second)
-	f.ResumeAll()
+	f.ResumePlans()
 	notConverged := errors.New("not checked yet")
 	for waited := time.Duration(0); notConverged != nil && waited < convergenceTimeout; waited += convergencePollInterval {
 		f.Run(convergencePollInterval)
-		notConverged = f.Unrest()
+		notConverged = f.CheckSettled()
 	}
-	if len(f.Broken) > 0 {
-		rt.Fatalf("invariants violated: %v", f.Broken)
+	if len(f.Violations) > 0 {
+		rt.Fatalf("invariants violated: %v", f.Violations)
 	}
 	if notConverged != nil {
-		for _, host := range f.Hosts {
-			rt.Logf("%s holds %v reached %d", host.Controller.Self().ID, host.Controller.Held(), host.Controller.Reached())
+		for _, host := range f.Daemons {
+			rt.Logf("%s holds %v reached %d", host.Controller.Self().ID, host.Controller.HeldLeases(), host.Controller.ScannedVersion())
 		}
-		rt.Logf("leases: %s", f.Leases())
+		rt.Logf("leases: %s", f.LeaseRows())
 		rt.Fatalf("fleet has not converged %s after all faults were lifted: %s", convergenceTimeout, notConverged)
 	}
 }
@@ -349,19 +349,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
 		dead := map[string]bool{}
-		for _, domain := range f.Hosts[0].Controller.World().Domains(nil) {
-			if len(domain.Free) > 0 {
-				dead[domain.Free[0].ID] = true
-				f.Servers[domain.Free[0].ID].Die()
+		for _, domain := range f.Daemons[0].Controller.FleetState().Domains(nil) {
+			if len(domain.FreeVMs) > 0 {
+				dead[domain.FreeVMs[0].ID] = true
+				f.Servers[domain.FreeVMs[0].ID].Crash()
 			}
 		}
 		f.Run(5 * time.Second)
-		proposed, err := f.Propose(f.Hosts[1], "drain", plan.Intent{
+		proposed, err := f.Propose(f.Daemons[1], "drain", plan.Intent{
 			Kind: plan.DrainZone,
 			Zone: "z1",
 		})
 		qt.Assert(t, err, qt.IsNil)
-		for _, id := range proposed.Reserves {
+		for _, id := range proposed.ReservedVMs {
 			qt.Assert(t, dead[id], qt.IsFalse, qt.Commentf(id))
 		}
 	})
--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -28,34 +28,34 @@
 	"headcourse/core/vm"
 )
 
-// Commit is a transaction to be committed. About identifies its purpose: at most one commit
-// with the same About is pending at a time.
+// Commit is a transaction to be committed. Name identifies its purpose: at most one commit
+// with the same Name is pending at a time.
 type Commit struct {
-	About       string
+	Name        string
 	Transaction table.Transaction
 	SentAt      time.Time
 }
 
-// Send is an order to be sent to a member. The sender checks Lease again immediately before
+// OutgoingOrder is an order to be sent to a member. The sender checks Lease again immediately before
 // it writes.
-type Send struct {
+type OutgoingOrder struct {
 	VM      string
 	Address string
 	Order   order.Order
-	Lease   lease.Held
+	Lease   lease.Lease
 }
 
 // Actions is the result of Step.
 type Actions struct {
 	Commits []Commit
-	Sends   []Send
-	// Refresh requests a read of the store now, because a known row was found to be stale.
-	Refresh bool
+	Orders  []OutgoingOrder
+	// NeedsRefresh requests a read of the store now, because a known row was found to be stale.
+	NeedsRefresh bool
 }
 
 // probe is the latest probe result of one backend server.
 type probe struct {
-	state order.State
+	state order.ServerState
 	// lastAnsweredAt is the start of the last probe that was answered.
 	lastAnsweredAt time.Time
 	// firstProbedAt is when this daemon started to probe the server.
@@ -88,7 +88,7 @@
 	changeLog    []logEntry
 	logPosition  int
 	prunedAt     time.Time
-	fleet        plan.World
+	fleet        plan.FleetState
 	fleetReader  plan.Reader
 	isFleetStale bool
 	roster       roster.Roster
@@ -106,14 +106,14 @@
 	// negativeEvidenceAt is when evidence last said that a VM or group is not whole, by
 	// name.
 	negativeEvidenceAt map[string]time.Time
-	book               presence.Book
+	book               presence.EvidenceSet
 	contact            contact.Contact
-	heldLeases         map[int]lease.Held
+	heldLeases         map[int]lease.Lease
 	// releasingEpochs holds the epochs of leases that are being released, by shard.
 	releasingEpochs map[int]uint64
-	grantCache      [lease.Shards]cachedGrant
+	grantCache      [lease.ShardCount]cachedGrant
 	// lastOrderExpiry is the time by which the last order of each shard has arrived.
-	lastOrderExpiry [lease.Shards]time.Time
+	lastOrderExpiry [lease.ShardCount]time.Time
 	rowObservations map[string]rowObservation
 	suspectSince    map[string]time.Time
 	lastOrderAt     map[string]time.Time
@@ -131,8 +131,8 @@
 	Repair(loss placement.Loss, domains []placement.Domain, weights declaration.Weights) (placement.Remedy, placement.Choice)
 }
 
-// RepairBy replaces the repair policy. The default is placement.Weighed.
-func (c *Controller) RepairBy(repairer Repairer) {
+// SetRepairer replaces the repair policy. The default is placement.CostBased.
+func (c *Controller) SetRepairer(repairer Repairer) {
 	c.repairer = repairer
 }
 
@@ -141,13 +141,13 @@
 	return &Controller{
 		self:               self,
 		startedAt:          time.Now(),
-		repairer:           placement.Weighed{},
+		repairer:           placement.CostBased{},
 		vms:                map[string]vm.VM{},
 		probes:             map[string]probe{},
 		changedProbes:      map[string]bool{},
 		ownEvidence:        map[string]presence.Evidence{},
 		negativeEvidenceAt: map[string]time.Time{},
-		heldLeases:         map[int]lease.Held{},
+		heldLeases:         map[int]lease.Lease{},
 		releasingEpochs:    map[int]uint64{},
 		rowObservations:    map[string]rowObservation{},
 		suspectSince:       map[string]time.Time{},
@@ -170,7 +170,7 @@
 	c.stepLeases(actions, now)
 	c.stepGroups(actions, now)
 	c.stepPlans(actions)
-	actions.Refresh = c.needsRefresh
+	actions.NeedsRefresh = c.needsRefresh
 	c.needsRefresh = false
 	return *actions
 }
@@ -182,7 +182,7 @@
 	}
 	c.pendingCommits[name] = true
 	actions.Commits = append(actions.Commits, Commit{
-		About:       name,
+		Name:        name,
 		Transaction: transaction,
 		SentAt:      time.Now(),
 	})
@@ -191,28 +191,28 @@
 // ----------------------------------------------------------------------------
 // Observations
 
-// LearnStore adds rows that a scan of the store returned. The scan started at startedAt and
+// ApplyScan adds rows that a scan of the store returned. The scan started at startedAt and
 // was complete up to version.
-func (c *Controller) LearnStore(rows []table.Row, version uint64, startedAt time.Time) {
+func (c *Controller) ApplyScan(rows []table.Row, version uint64, startedAt time.Time) {
 	c.addRows(rows)
-	c.rows = c.rows.WithReached(version)
-	c.contact = c.contact.WithStore(startedAt)
+	c.rows = c.rows.WithReadVersion(version)
+	c.contact = c.contact.WithStoreRead(startedAt)
 }
 
-// LearnRows adds rows from another source: a peer, or an incomplete scan.
-func (c *Controller) LearnRows(rows []table.Row) {
+// ApplyRows adds rows from another source: a peer, or an incomplete scan.
+func (c *Controller) ApplyRows(rows []table.Row) {
 	c.addRows(rows)
 }
 
-// LearnReports adds reports of which rows daemons hold, and evidence of groups.
-func (c *Controller) LearnReports(reports []contact.Report, evidence []presence.Evidence) {
+// ApplyReports adds reports of which rows daemons hold, and evidence of groups.
+func (c *Controller) ApplyReports(reports []contact.Report, evidence []presence.Evidence) {
 	c.recordNegativeEvidence(evidence)
 	c.contact = c.contact.WithReports(reports...)
 	c.book = c.book.WithEvidence(evidence...)
 }
 
-// LearnVMs replaces the VM list.
-func (c *Controller) LearnVMs(listed []vm.VM) {
+// ApplyVMList replaces the VM list.
+func (c *Controller) ApplyVMList(listed []vm.VM) {
 	vms := make(map[string]vm.VM, len(listed))
 	for _, entry := range listed {
 		vms[entry.ID] = entry
@@ -221,8 +221,8 @@
 	c.isFleetStale = true
 }
 
-// LearnProbe records a probe of a VM that started at startedAt and was answered.
-func (c *Controller) LearnProbe(id string, startedAt time.Time, state order.State) {
+// RecordAnsweredProbe records a probe of a VM that started at startedAt and was answered.
+func (c *Controller) RecordAnsweredProbe(id string, startedAt time.Time, state order.ServerState) {
 	latest := c.probes[id]
 	if latest.firstProbedAt.IsZero() {
 		latest.firstProbedAt = startedAt
@@ -237,9 +237,9 @@
 	c.changedProbes[id] = true
 }
 
-// LearnSilence records a probe of a VM that was not answered. isRefused means that the
+// RecordUnansweredProbe records a probe of a VM that was not answered. isRefused means that the
 // connection was refused, which proves that no server runs there.
-func (c *Controller) LearnSilence(id string, startedAt time.Time, isRefused bool) {
+func (c *Controller) RecordUnansweredProbe(id string, startedAt time.Time, isRefused bool) {
 	latest := c.probes[id]
 	if latest.firstProbedAt.IsZero() {
 		latest.firstProbedAt = startedAt
@@ -249,9 +249,9 @@
 	c.changedProbes[id] = true
 }
 
-// Committed records the outcome of a commit that Step requested.
-func (c *Controller) Committed(commit Commit, version uint64, err error) {
-	delete(c.pendingCommits, commit.About)
+// RecordCommit records the outcome of a commit that Step requested.
+func (c *Controller) RecordCommit(commit Commit, version uint64, err error) {
+	delete(c.pendingCommits, commit.Name)
 	if err != nil {
 		c.needsRefresh = true
 		return
@@ -266,7 +266,7 @@
 		})
 	}
 	c.addRows(rows)
-	if commit.About == renewalCommit {
+	if commit.Name == renewalCommit {
 		c.extendLeases(commit)
 	}
 }
@@ -337,13 +337,13 @@
 	for _, entry := range c.vms {
 		listed = append(listed, entry)
 	}
-	fleet, err := c.fleetReader.World(c.rows, listed)
+	fleet, err := c.fleetReader.FleetState(c.rows, listed)
 	if err != nil {
 		// A row that cannot be decoded is left to a daemon that can decode it.
 		return
 	}
 	c.fleet = fleet
-	c.roster = roster.Of(c.rows)
+	c.roster = roster.FromCatalog(c.rows)
 	c.isFleetStale = false
 }
 
@@ -359,8 +359,8 @@
 		return
 	}
 	c.prunedAt = now
-	c.book = c.book.WithoutOlder(now.Add(-observationMaxAge))
-	c.contact = c.contact.WithoutOlder(now.Add(-observationMaxAge))
+	c.book = c.book.WithoutEvidenceBefore(now.Add(-observationMaxAge))
+	c.contact = c.contact.WithoutReportsBefore(now.Add(-observationMaxAge))
 	for id, since := range c.suspectSince {
 		if now.Sub(since) > suspectTime {
 			delete(c.suspectSince, id)
@@ -372,7 +372,7 @@
 		}
 	}
 	for name, evidence := range c.ownEvidence {
-		if now.Sub(evidence.At) > observationMaxAge {
+		if now.Sub(evidence.ObservedAt) > observationMaxAge {
 			delete(c.ownEvidence, name)
 		}
 	}
@@ -396,8 +396,8 @@
 	c.isLeaving = true
 }
 
-// World returns the state of the fleet as observed so far.
-func (c *Controller) World() plan.World {
+// FleetState returns the state of the fleet as observed so far.
+func (c *Controller) FleetState() plan.FleetState {
 	c.rebuild()
 	c.markUnresponsive()
 	return c.fleet
@@ -415,14 +415,14 @@
 }
 
 // Book returns the newest evidence of every group.
-func (c *Controller) Book() presence.Book {
+func (c *Controller) Book() presence.EvidenceSet {
 	c.deriveEvidence()
 	return c.book
 }
 
-// Held returns the leases that the daemon believes it holds, ordered by shard.
-func (c *Controller) Held() []lease.Held {
-	held := make([]lease.Held, 0, len(c.heldLeases))
+// HeldLeases returns the leases that the daemon believes it holds, ordered by shard.
+func (c *Controller) HeldLeases() []lease.Lease {
+	held := make([]lease.Lease, 0, len(c.heldLeases))
 	for _, entry := range c.heldLeases {
 		held = append(held, entry)
 	}
@@ -437,9 +437,9 @@
 	return c.rows.Row(plan.ConfigKey).Version
 }
 
-// Reached returns the version up to which the store was read completely.
-func (c *Controller) Reached() uint64 {
-	return c.rows.Reached()
+// ScannedVersion returns the version up to which the store was read completely.
+func (c *Controller) ScannedVersion() uint64 {
+	return c.rows.ReadVersion()
 }
 
 // OwnReport returns the daemon's report of itself.
@@ -447,14 +447,14 @@
 	return contact.Report{
 		Daemon:        c.self.ID,
 		ConfigVersion: c.ConfigVersion(),
-		At:            time.Now(),
+		ObservedAt:    time.Now(),
 	}
 }
 
-// Changes returns at most limit rows that changed after a position in the daemon's change
+// ChangedRows returns at most limit rows that changed after a position in the daemon's change
 // log, the position to continue from, and whether there are more rows. A position beyond
 // the end of this log counts as 0.
-func (c *Controller) Changes(position, limit int) (rows []table.Row, next int, more bool) {
+func (c *Controller) ChangedRows(position, limit int) (rows []table.Row, next int, more bool) {
 	if position < 0 || position > c.logPosition {
 		position = 0
 	}
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -26,7 +26,7 @@
 
 // stepGroups carries out the next step of every group whose shard this daemon holds.
 func (c *Controller) stepGroups(actions *Actions, now time.Time) {
-	for _, held := range c.Usable() {
+	for _, held := range c.UsableLeases() {
 		for _, record := range c.fleet.Groups {
 			if ShardOf(record.Name) == held.Shard && !c.pendingCommits[groupCommitPrefix+record.Name] {
 				c.stepGroup(actions, held, record, now)
@@ -36,28 +36,28 @@
 }
 
 // stepGroup carries out the next step of one group.
-func (c *Controller) stepGroup(actions *Actions, held lease.Held, record group.Record, now time.Time) {
+func (c *Controller) stepGroup(actions *Actions, held lease.Lease, record group.Record, now time.Time) {
 	decision := record.Decide(c.memberViews(record, now), now.Sub(c.rowObservations[group.Key(record.Name)].firstObservedAt))
-	switch decision.Verb {
+	switch decision.Action {
 	case group.Place:
 		c.placeGroup(actions, held, record)
 	case group.SendLoad:
-		c.sendOrders(actions, held, record, decision.Members, record.Load(c.nextSequence(held)))
+		c.sendOrders(actions, held, record, decision.Members, record.LoadOrder(c.nextSequence(held)))
 	case group.SendUnload:
-		c.sendOrders(actions, held, record, decision.Members, record.Unload(c.nextSequence(held)))
+		c.sendOrders(actions, held, record, decision.Members, record.UnloadOrder(c.nextSequence(held)))
 	case group.Serve:
 		c.commitGroup(actions, held, record, record.WithPhase(group.Serving))
 	case group.Repair:
 		c.repairGroup(actions, held, record, decision.Members, now)
 	case group.Reload:
-		reloaded := record.WithMembers(record.Members, record.Zone, record.Domain, c.fleet.Floor(record.Members))
+		reloaded := record.WithMembers(record.Members, record.Zone, record.Domain, c.fleet.MaxGeneration(record.Members))
 		c.commitGroup(actions, held, record, reloaded)
-	case group.Vacate:
+	case group.Relocate:
 		next := record.WithoutMembers()
 		c.commitGroup(actions, held, record, record.WithDraining(&next))
 	case group.Dissolve:
 		c.dissolveGroup(actions, held, record)
-	case group.Rest:
+	case group.NoAction:
 	}
 }
 
@@ -67,14 +67,14 @@
 
 // nextSequence returns a sequence above all that any controller used under an earlier lease
 // on the shard, since the epoch takes the higher bits.
-func (c *Controller) nextSequence(held lease.Held) uint64 {
+func (c *Controller) nextSequence(held lease.Lease) uint64 {
 	c.orderSequence++
 	return held.Epoch<<sequenceBits | (c.orderSequence & (1<<sequenceBits - 1))
 }
 
 // memberViews returns what was observed of each member.
-func (c *Controller) memberViews(record group.Record, now time.Time) []group.View {
-	views := make([]group.View, len(record.Members))
+func (c *Controller) memberViews(record group.Record, now time.Time) []group.MemberView {
+	views := make([]group.MemberView, len(record.Members))
 	for i, member := range record.Members {
 		latest := c.probes[member.VM]
 		listed, isListed := c.vms[member.VM]
@@ -90,13 +90,13 @@
 		if leasedAt := c.leaseObservedAt(record.Name); leasedAt.After(since) {
 			since = leasedAt
 		}
-		views[i] = group.View{
-			Fresh:     !latest.isRefused && !latest.lastAnsweredAt.IsZero() && now.Sub(latest.lastAnsweredAt) <= maxProbeAge,
-			State:     latest.state,
-			UnseenFor: now.Sub(since),
-			Refused:   latest.isRefused,
-			Listed:    isListed || len(c.vms) == 0,
-			Leaving:   isListed && listed.State == vm.Leaving,
+		views[i] = group.MemberView{
+			IsFresh:         !latest.isRefused && !latest.lastAnsweredAt.IsZero() && now.Sub(latest.lastAnsweredAt) <= maxProbeAge,
+			State:           latest.state,
+			UnresponsiveFor: now.Sub(since),
+			IsRefused:       latest.isRefused,
+			IsListed:        isListed || len(c.vms) == 0,
+			IsLeaving:       isListed && listed.State == vm.Leaving,
 		}
 	}
 	return views
@@ -108,8 +108,8 @@
 }
 
 // sendOrders sends an order to members, each at most once per orderResendInterval.
-func (c *Controller) sendOrders(actions *Actions, held lease.Held, record group.Record, members []int, o order.Order) {
-	held = held.WithOrder()
+func (c *Controller) sendOrders(actions *Actions, held lease.Lease, record group.Record, members []int, o order.Order) {
+	held = held.ForOrder()
 	for _, index := range members {
 		member := record.Members[index]
 		if time.Since(c.lastOrderAt[member.VM]) < orderResendInterval {
@@ -117,7 +117,7 @@
 		}
 		c.lastOrderAt[member.VM] = time.Now()
 		c.lastOrderExpiry[held.Shard] = held.Expires
-		actions.Sends = append(actions.Sends, Send{
+		actions.Orders = append(actions.Orders, OutgoingOrder{
 			VM:      member.VM,
 			Address: member.Address,
 			Order:   o,
@@ -132,7 +132,7 @@
 // commitGroup writes a group's new record and updates the claims of its VMs: removed
 // members are freed, and kept or added members get the new generation. The transaction is
 // conditional on the group's row, on the row of every claim and on the lease.
-func (c *Controller) commitGroup(actions *Actions, held lease.Held, from, to group.Record) {
+func (c *Controller) commitGroup(actions *Actions, held lease.Lease, from, to group.Record) {
 	change := c.membershipChange(from, to)
 	change = change.WithWrite(table.Put(group.Key(to.Name), to))
 	c.requestCommit(actions, groupCommitPrefix+from.Name, held.Fence(change))
@@ -147,7 +147,7 @@
 		return change
 	}
 	for _, member := range from.Members {
-		if !to.Has(member.VM) {
+		if !to.HasMember(member.VM) {
 			claim := c.fleet.Claims[member.VM]
 			claim.Group = ""
 			claim.Plan = reservingPlan(from, to)
@@ -182,12 +182,12 @@
 }
 
 // placeGroup chooses VMs for a waiting group.
-func (c *Controller) placeGroup(actions *Actions, held lease.Held, record group.Record) {
+func (c *Controller) placeGroup(actions *Actions, held lease.Lease, record group.Record) {
 	model, ok := c.fleet.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
-	choice := placement.Place(c.domainsWithoutSuspects(), []placement.Want{{
+	choice := placement.Place(c.domainsWithoutSuspects(), []placement.Request{{
 		Name:  record.Name,
 		Size:  model.VMsPerReplica,
 		Zones: c.fleet.ZonesFor(model, record.Zone),
@@ -195,19 +195,19 @@
 	if len(choice.Members) == 0 {
 		return
 	}
-	members := plan.MembersOf(choice.Members)
-	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.fleet.Floor(members)))
+	members := plan.NewMembers(choice.Members)
+	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.fleet.MaxGeneration(members)))
 }
 
 // repairGroup applies the cheapest remedy for lost members.
-func (c *Controller) repairGroup(actions *Actions, held lease.Held, record group.Record, lost []int, now time.Time) {
+func (c *Controller) repairGroup(actions *Actions, held lease.Lease, record group.Record, lost []int, now time.Time) {
 	model, ok := c.fleet.Configuration.Declaration.Model(record.Model)
 	if !ok {
 		return
 	}
 	loss, isLost := c.describeLoss(record, model, lost, now)
 	remedy, choice := c.repairer.Repair(loss, c.domainsWithoutSuspects(), c.fleet.Configuration.Declaration.Weights)
-	replacements := plan.MembersOf(choice.Members)
+	replacements := plan.NewMembers(choice.Members)
 	var next group.Record
 	switch remedy {
 	case placement.Replace:
@@ -220,7 +220,7 @@
 	case placement.Wait:
 		return
 	}
-	next.Generation = max(record.Generation, c.fleet.Floor(next.Members)) + 1
+	next.Generation = max(record.Generation, c.fleet.MaxGeneration(next.Members)) + 1
 	for id := range isLost {
 		c.suspectSince[id] = now
 	}
@@ -234,12 +234,12 @@
 	views := c.memberViews(record, now)
 	for _, index := range lost {
 		isLost[record.Members[index].VM] = true
-		awaySeconds = max(awaySeconds, views[index].UnseenFor.Seconds())
-		if !views[index].Listed || views[index].Refused {
+		awaySeconds = max(awaySeconds, views[index].UnresponsiveFor.Seconds())
+		if !views[index].IsListed || views[index].IsRefused {
 			unseenSeconds = -1
 		}
 		if unseenSeconds >= 0 {
-			unseenSeconds = max(unseenSeconds, views[index].UnseenFor.Seconds())
+			unseenSeconds = max(unseenSeconds, views[index].UnresponsiveFor.Seconds())
 		}
 	}
 	accelerators := 0
@@ -249,15 +249,15 @@
 		}
 	}
 	return placement.Loss{
-		Group:         record.Name,
-		Lost:          len(lost),
-		Kept:          len(record.Members) - len(lost),
-		Zones:         c.fleet.ZonesFor(model, record.Zone),
-		Domain:        record.Domain,
-		LoadSeconds:   model.LoadTime.Or(declaration.DefaultLoadTime).Seconds(),
-		UnseenSeconds: unseenSeconds,
-		AwaySeconds:   awaySeconds,
-		Accelerators:  accelerators,
+		Group:               record.Name,
+		LostMembers:         len(lost),
+		RemainingMembers:    len(record.Members) - len(lost),
+		Zones:               c.fleet.ZonesFor(model, record.Zone),
+		Domain:              record.Domain,
+		LoadSeconds:         model.LoadTime.Or(declaration.DefaultLoadTime).Seconds(),
+		UnresponsiveSeconds: unseenSeconds,
+		LostSeconds:         awaySeconds,
+		Accelerators:        accelerators,
 	}, isLost
 }
 
@@ -274,7 +274,7 @@
 }
 
 // dissolveGroup frees the VMs of a drained group, or forms the group that replaces it.
-func (c *Controller) dissolveGroup(actions *Actions, held lease.Held, record group.Record) {
+func (c *Controller) dissolveGroup(actions *Actions, held lease.Lease, record group.Record) {
 	if record.Next != nil && len(record.Next.Members) == 0 {
 		next := record.WithoutMembers()
 		next.Next = nil
@@ -282,7 +282,7 @@
 		return
 	}
 	if record.Next != nil {
-		next := record.Next.WithMembers(record.Next.Members, record.Next.Zone, record.Next.Domain, c.fleet.Floor(record.Next.Members))
+		next := record.Next.WithMembers(record.Next.Members, record.Next.Zone, record.Next.Domain, c.fleet.MaxGeneration(record.Next.Members))
 		next.Generation = max(next.Generation, record.Generation+1)
 		next.Plan = record.Plan
 		c.commitGroup(actions, held, record, next)
--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -22,10 +22,10 @@
 
 // Times of the roster and of moving shards between daemons.
 const (
-	// SilentAfter is how long a daemon may be out of contact before it is removed from the
-	// roster. It is above contact.Bound, so that the remaining daemons have observed
+	// DaemonRemovalTimeout is how long a daemon may be out of contact before it is removed from the
+	// roster. It is above contact.MaxContactAge, so that the remaining daemons have observed
 	// everything that was accepted before.
-	SilentAfter = 30 * time.Second
+	DaemonRemovalTimeout = 30 * time.Second
 	// takeOverDelayPerRank is how much longer each lower-ranked daemon waits before it
 	// takes over a free shard.
 	takeOverDelayPerRank = 700 * time.Millisecond
@@ -44,7 +44,7 @@
 		}
 		return
 	}
-	if c.rows.Reached() == 0 {
+	if c.rows.ReadVersion() == 0 {
 		return
 	}
 	if row.Version == 0 {
@@ -57,7 +57,7 @@
 		c.requestCommit(actions, joinCommit, join)
 		return
 	}
-	if held, ok := c.heldLeases[0]; ok && held.Holds(0) {
+	if held, ok := c.heldLeases[0]; ok && held.IsValid(0) {
 		c.removeUnresponsiveDaemon(actions, held, now)
 	}
 }
@@ -81,12 +81,12 @@
 }
 
 // removeUnresponsiveDaemon removes one daemon that is long out of contact from the roster.
-func (c *Controller) removeUnresponsiveDaemon(actions *Actions, held lease.Held, now time.Time) {
+func (c *Controller) removeUnresponsiveDaemon(actions *Actions, held lease.Lease, now time.Time) {
 	for _, daemon := range c.roster {
-		if daemon.ID == c.self.ID || now.Sub(c.lastContactWith(daemon.ID)) < SilentAfter {
+		if daemon.ID == c.self.ID || now.Sub(c.lastContactWith(daemon.ID)) < DaemonRemovalTimeout {
 			continue
 		}
-		if now.Sub(c.rowObservations[roster.Key(daemon.ID)].firstObservedAt) < SilentAfter {
+		if now.Sub(c.rowObservations[roster.Key(daemon.ID)].firstObservedAt) < DaemonRemovalTimeout {
 			continue
 		}
 		c.requestCommit(actions, removeCommitPrefix+daemon.ID, held.Fence(c.removalTransaction(daemon.ID)))
@@ -99,10 +99,10 @@
 func (c *Controller) lastContactWith(id string) time.Time {
 	report, _ := c.contact.Report(id)
 	renewal := c.rowObservations[lease.RenewalKey(id)].firstObservedAt
-	if renewal.After(report.At) {
+	if renewal.After(report.ObservedAt) {
 		return renewal
 	}
-	return report.At
+	return report.ObservedAt
 }
 
 // ----------------------------------------------------------------------------
@@ -112,17 +112,17 @@
 func (c *Controller) stepLeases(actions *Actions, now time.Time) {
 	c.syncHeldLeases()
 	if c.isLeaving {
-		for _, held := range c.Held() {
+		for _, held := range c.HeldLeases() {
 			c.releaseShard(actions, held.Shard)
 		}
 		return
 	}
 	c.requestRenewal(actions, now)
 	rank := c.roster.Rank("", c.self.ID)
-	if rank < 0 || now.Sub(c.contact.StoreAt()) > contact.Bound {
+	if rank < 0 || now.Sub(c.contact.LastStoreRead()) > contact.MaxContactAge {
 		return
 	}
-	for shard := range lease.Shards {
+	for shard := range lease.ShardCount {
 		held, ok := c.heldLeases[shard]
 		switch {
 		case !ok:
@@ -139,7 +139,7 @@
 // although the answer to its grant was lost or late. Such a lease is adopted with a zero
 // expiry, so that it is not used before a renewal has succeeded.
 func (c *Controller) syncHeldLeases() {
-	for shard := range lease.Shards {
+	for shard := range lease.ShardCount {
 		row := c.rows.Row(lease.Key(shard))
 		isOwn := row.Version != 0 && c.holderOf(shard, row) == c.self.ID
 		held, ok := c.heldLeases[shard]
@@ -147,7 +147,7 @@
 		case !isOwn:
 			delete(c.heldLeases, shard)
 		case !ok || held.Epoch != row.Version:
-			c.heldLeases[shard] = lease.Held{
+			c.heldLeases[shard] = lease.Lease{
 				Shard: shard,
 				Epoch: row.Version,
 			}
@@ -188,7 +188,7 @@
 		count++
 		isDue = isDue || held.Expires.IsZero()
 	}
-	isDue = isDue || now.Sub(c.renewedAt) >= lease.RenewEvery
+	isDue = isDue || now.Sub(c.renewedAt) >= lease.RenewInterval
 	if count == 0 || !isDue || c.pendingCommits[renewalCommit] {
 		return
 	}
@@ -199,7 +199,7 @@
 	renewal = renewal.WithWrite(table.Put(key, lease.Renewal{
 		Count: c.renewCount,
 	}))
-	for _, held := range c.Held() {
+	for _, held := range c.HeldLeases() {
 		if !c.isReleasing(held) {
 			renewal = held.Fence(renewal)
 		}
@@ -239,7 +239,7 @@
 		if holder != "" {
 			renewal := c.rows.Row(lease.RenewalKey(holder))
 			grant = grant.WithCondition(renewal.Key, renewal.Version)
-			delay += lease.Term + lease.Margin
+			delay += lease.Term + lease.TakeOverMargin
 			if observed := c.rowObservations[renewal.Key]; observed.firstObservedAt.After(freeSince) {
 				freeSince = observed.firstObservedAt
 			}
@@ -265,7 +265,7 @@
 			continue
 		}
 		report, ok := c.contact.Report(daemon.ID)
-		if ok && now.Sub(report.At) < contact.Bound/2 {
+		if ok && now.Sub(report.ObservedAt) < contact.MaxContactAge/2 {
 			c.lastHandOverAt = now
 			c.releaseShard(actions, shard)
 		}
@@ -289,16 +289,16 @@
 }
 
 // isReleasing reports whether the daemon is releasing this grant.
-func (c *Controller) isReleasing(held lease.Held) bool {
+func (c *Controller) isReleasing(held lease.Lease) bool {
 	return c.releasingEpochs[held.Shard] == held.Epoch
 }
 
-// Usable returns the held leases under which orders and writes may be made, ordered by
+// UsableLeases returns the held leases under which orders and writes may be made, ordered by
 // shard.
-func (c *Controller) Usable() []lease.Held {
-	var usable []lease.Held
+func (c *Controller) UsableLeases() []lease.Lease {
+	var usable []lease.Lease
 	for _, held := range c.heldLeases {
-		if !c.isReleasing(held) && held.Holds(lease.OrderMargin) {
+		if !c.isReleasing(held) && held.IsValid(lease.OrderMargin) {
 			usable = append(usable, held)
 		}
 	}
--- a/core/control/plans.go
+++ b/core/control/plans.go
@@ -17,7 +17,7 @@
 // is derived from the groups and not stored, so that another daemon can continue a plan at
 // any point.
 func (c *Controller) stepPlans(actions *Actions) {
-	for _, held := range c.Usable() {
+	for _, held := range c.UsableLeases() {
 		for _, current := range c.fleet.Plans {
 			if ShardOf(current.ID) == held.Shard && !c.pendingCommits[planCommitPrefix+current.ID] {
 				c.stepPlan(actions, held, current)
@@ -28,7 +28,7 @@
 
 // stepPlan runs the current stage of a confirmed plan, or cleans up after a plan in a final
 // state.
-func (c *Controller) stepPlan(actions *Actions, held lease.Held, current plan.Plan) {
+func (c *Controller) stepPlan(actions *Actions, held lease.Lease, current plan.Plan) {
 	if current.State.IsFinal() {
 		c.cleanUpPlan(actions, held, current)
 		return
@@ -37,7 +37,7 @@
 		return
 	}
 	isStageDone := true
-	for _, step := range current.StepsOf(current.Stage) {
+	for _, step := range current.StageSteps(current.Stage) {
 		change, isDone, reason := c.stepChange(current, step)
 		if reason != "" {
 			c.commitPlan(actions, held, current.WithState(plan.Failed, reason), table.Transaction{})
@@ -59,7 +59,7 @@
 }
 
 // commitPlan writes a plan's row together with other changes.
-func (c *Controller) commitPlan(actions *Actions, held lease.Held, next plan.Plan, change table.Transaction) {
+func (c *Controller) commitPlan(actions *Actions, held lease.Lease, next plan.Plan, change table.Transaction) {
 	key := plan.Key(next.ID)
 	change = change.WithCondition(key, c.rows.Row(key).Version)
 	change = change.WithWrite(table.Put(key, next))
@@ -69,7 +69,7 @@
 // stepChange returns the writes that a step still needs, whether the step is done, and the
 // reason if it can no longer be done.
 func (c *Controller) stepChange(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	switch step.Verb {
+	switch step.Action {
 	case plan.CloseZone, plan.OpenZone:
 		return c.setZone(current, step)
 	case plan.RetireVM:
@@ -81,14 +81,14 @@
 	case plan.Reform:
 		return c.reformGroup(current, step)
 	default:
-		return change, false, fmt.Sprintf("step %q is not known", step.Verb)
+		return change, false, fmt.Sprintf("step %q is not known", step.Action)
 	}
 }
 
 // setZone closes or opens a zone.
 func (c *Controller) setZone(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
-	isClosed := step.Verb == plan.CloseZone
-	if c.fleet.Closed[step.Zone] == isClosed {
+	isClosed := step.Action == plan.CloseZone
+	if c.fleet.ClosedZones[step.Zone] == isClosed {
 		return change, true, ""
 	}
 	if c.fleet.ZonePlans[step.Zone] != current.ID {
@@ -129,7 +129,7 @@
 			return change, false, fmt.Sprintf("VM %q is not reserved for the plan any more", member.VM)
 		}
 	}
-	record = step.Record.WithMembers(step.Record.Members, step.Record.Zone, step.Record.Domain, c.fleet.Floor(step.Record.Members))
+	record = step.Record.WithMembers(step.Record.Members, step.Record.Zone, step.Record.Domain, c.fleet.MaxGeneration(step.Record.Members))
 	record = record.WithPlan(current.ID)
 	change = c.membershipChange(group.Record{
 		Name: record.Name,
@@ -202,7 +202,7 @@
 // cleanUpPlan releases what a plan in a final state holds: its mark on groups and zones,
 // and VMs reserved for it. Groups that an unfinished plan formed are drained if the groups
 // that they were to replace still serve, so that the fleet keeps its declared size.
-func (c *Controller) cleanUpPlan(actions *Actions, held lease.Held, current plan.Plan) {
+func (c *Controller) cleanUpPlan(actions *Actions, held lease.Lease, current plan.Plan) {
 	change := table.Transaction{}
 	for _, record := range c.fleet.Groups {
 		if record.Plan != current.ID || record.Phase == group.Draining || len(change.Writes) >= maxCleanUpWrites {
@@ -231,7 +231,7 @@
 		key := plan.ZoneKey(zone)
 		change = change.WithCondition(key, c.rows.Row(key).Version)
 		change = change.WithWrite(table.Put(key, plan.Zone{
-			Closed: c.fleet.Closed[zone],
+			Closed: c.fleet.ClosedZones[zone],
 		}))
 	}
 	if len(change.Writes) > 0 {
@@ -248,11 +248,11 @@
 		other, exists := c.fleet.Group(step.Group)
 		isSameModel := step.Record != nil && step.Record.Model == record.Model
 		switch {
-		case step.Verb == plan.Form && step.Group == record.Name:
+		case step.Action == plan.Form && step.Group == record.Name:
 			isFormedByPlan = true
-		case step.Verb == plan.Form && isSameModel && exists && other.Name < record.Name && other.Phase != group.Draining:
+		case step.Action == plan.Form && isSameModel && exists && other.Name < record.Name && other.Phase != group.Draining:
 			surplus--
-		case step.Verb == plan.Drain && exists && other.Model == record.Model && other.Phase == group.Serving:
+		case step.Action == plan.Drain && exists && other.Model == record.Model && other.Phase == group.Serving:
 			surplus++
 		}
 	}
--- a/core/control/snapshot.go
+++ b/core/control/snapshot.go
@@ -29,7 +29,7 @@
 		Leaving:       leaving,
 		ServeUntil:    c.contact.ServeUntil(c.self.ID, c.roster.IDs(), now),
 		Daemons:       max(1, len(c.roster)),
-		Warm:          c.isWarm(now),
+		IsWarm:        c.isWarm(now),
 	}
 }
 
@@ -44,14 +44,14 @@
 	}
 	for _, record := range c.fleet.Groups {
 		evidence, ok := c.book.Newest(record.Name)
-		isKnown := ok && evidence.Generation == record.Generation && now.Sub(evidence.At) <= presence.MaxAge
+		isKnown := ok && evidence.Generation == record.Generation && now.Sub(evidence.ObservedAt) <= presence.MaxAge
 		if record.Phase == group.Serving && !isKnown {
 			return false
 		}
 	}
 	for _, listed := range c.fleet.VMs {
-		evidence, ok := c.book.Newest(ServerEvidence(listed.ID))
-		if listed.Service != "" && (!ok || now.Sub(evidence.At) > presence.MaxAge) {
+		evidence, ok := c.book.Newest(ServerEvidenceName(listed.ID))
+		if listed.Service != "" && (!ok || now.Sub(evidence.ObservedAt) > presence.MaxAge) {
 			return false
 		}
 	}
@@ -63,14 +63,14 @@
 	Configuration plan.Configuration
 	Groups        []group.Record
 	VMs           []vm.VM
-	Book          presence.Book
+	Book          presence.EvidenceSet
 	Leaving       map[string]bool
 	// ServeUntil is when the daemon must stop serving unless contact is renewed.
 	ServeUntil time.Time
 	// Daemons is the number of daemons that share the organisations' limits.
 	Daemons int
-	// Warm is set once the daemon has enough evidence to serve requests.
-	Warm bool
+	// IsWarm is set once the daemon has enough evidence to serve requests.
+	IsWarm bool
 }
 
 // IsLeaving reports whether the VM list has a VM as leaving.
@@ -78,30 +78,30 @@
 	return s.Leaving[id]
 }
 
-// Serveable returns the groups of a model that may take a request now.
-func (s Snapshot) Serveable(model string, now time.Time) []group.Record {
+// ServingGroups returns the groups of a model that may take a request now.
+func (s Snapshot) ServingGroups(model string, now time.Time) []group.Record {
 	var groups []group.Record
 	for _, record := range s.Groups {
 		if record.Model != model {
 			continue
 		}
 		evidence, _ := s.Book.Newest(record.Name)
-		if record.Serveable(evidence, s.IsLeaving, now) {
+		if record.CanServe(evidence, s.IsLeaving, now) {
 			groups = append(groups, record)
 		}
 	}
 	return groups
 }
 
-// Servers returns the VMs of a plain service that are live and have fresh evidence.
-func (s Snapshot) Servers(service string, now time.Time) []vm.VM {
+// LiveServers returns the VMs of a plain service that are live and have fresh evidence.
+func (s Snapshot) LiveServers(service string, now time.Time) []vm.VM {
 	var servers []vm.VM
 	for _, listed := range s.VMs {
 		if listed.Service != service || listed.State != vm.Live {
 			continue
 		}
-		evidence, _ := s.Book.Newest(ServerEvidence(listed.ID))
-		if evidence.Fresh(0, now) {
+		evidence, _ := s.Book.Newest(ServerEvidenceName(listed.ID))
+		if evidence.IsFresh(0, now) {
 			servers = append(servers, listed)
 		}
 	}
@@ -113,11 +113,11 @@
 	return s.Configuration.Declaration
 }
 
-// ServerEvidence returns the evidence name of a VM that belongs to no group: a server of a
+// ServerEvidenceName returns the evidence name of a VM that belongs to no group: a server of a
 // plain service, or a free VM.
-func ServerEvidence(id string) string {
+func ServerEvidenceName(id string) string {
 	return serverEvidencePrefix + id
 }
 
-// serverEvidencePrefix is the prefix of the names that ServerEvidence returns.
+// serverEvidencePrefix is the prefix of the names that ServerEvidenceName returns.
 const serverEvidencePrefix = "server/"
--- a/core/control/snapshot_test.go
+++ b/core/control/snapshot_test.go
@@ -15,7 +15,7 @@
 // A plain service's VM that answers probes but is leaving receives no requests.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var book presence.Book
+		var book presence.EvidenceSet
 		var listed []vm.VM
 		for id, state := range map[string]vm.State{
 			"stays":  vm.Live,
@@ -27,18 +27,18 @@
 				State:   state,
 			})
 			book = book.WithEvidence(presence.Evidence{
-				Group: control.ServerEvidence(id),
-				Whole: true,
-				At:    time.Now(),
+				Group:      control.ServerEvidenceName(id),
+				IsWhole:    true,
+				ObservedAt: time.Now(),
 			})
 		}
 		snapshot := control.Snapshot{
 			VMs:  listed,
 			Book: book,
 		}
-		servers := snapshot.Servers("tablero", time.Now())
+		servers := snapshot.LiveServers("tablero", time.Now())
 		qt.Assert(t, servers, qt.HasLen, 1)
 		qt.Assert(t, servers[0].ID, qt.Equals, "stays")
-		qt.Assert(t, snapshot.Servers("tablero", time.Now().Add(2*presence.MaxAge)), qt.HasLen, 0)
+		qt.Assert(t, snapshot.LiveServers("tablero", time.Now().Add(2*presence.MaxAge)), qt.HasLen, 0)
 	})
 }
--- a/core/control/watch.go
+++ b/core/control/watch.go
@@ -15,9 +15,9 @@
 	"headcourse/core/vm"
 )
 
-// Watchers is the number of daemons that probe the members of each group. One of them is
+// WatchersPerGroup is the number of daemons that probe the members of each group. One of them is
 // enough for the group to serve, and none needs a lease.
-const Watchers = 2
+const WatchersPerGroup = 2
 
 // Target is a VM to probe. IsFree means that no group has the VM, so that it may be probed
 // less often.
@@ -26,9 +26,9 @@
 	IsFree bool
 }
 
-// Targets returns the VMs that this daemon probes: members of the groups that it watches or
+// ProbeTargets returns the VMs that this daemon probes: members of the groups that it watches or
 // controls, and the servers of plain services and free VMs that it watches.
-func (c *Controller) Targets() []Target {
+func (c *Controller) ProbeTargets() []Target {
 	c.rebuild()
 	c.updateLiveDaemons(time.Now())
 	var targets []Target
@@ -44,7 +44,7 @@
 	}
 	for _, listed := range c.fleet.VMs {
 		isFree := listed.Service == "" && c.fleet.Claims[listed.ID].Group == ""
-		if (isFree || listed.Service != "") && c.watches(ServerEvidence(listed.ID)) {
+		if (isFree || listed.Service != "") && c.watches(ServerEvidenceName(listed.ID)) {
 			targets = append(targets, Target{
 				VM:     listed,
 				IsFree: isFree,
@@ -80,7 +80,7 @@
 // free VM answers, so only a failure or a recent recovery is reported.
 func (c *Controller) isWorthReporting(evidence presence.Evidence) bool {
 	id, isServer := strings.CutPrefix(evidence.Group, serverEvidencePrefix)
-	if !isServer || !evidence.Whole || c.vms[id].Service != "" {
+	if !isServer || !evidence.IsWhole || c.vms[id].Service != "" {
 		return true
 	}
 	return time.Since(c.negativeEvidenceAt[evidence.Group]) < recoveryReportTime
@@ -89,7 +89,7 @@
 // recordNegativeEvidence records when evidence said that a VM or group is not whole.
 func (c *Controller) recordNegativeEvidence(evidence []presence.Evidence) {
 	for _, entry := range evidence {
-		if !entry.Whole {
+		if !entry.IsWhole {
 			c.negativeEvidenceAt[entry.Group] = time.Now()
 		}
 	}
@@ -101,11 +101,11 @@
 // markUnresponsive derives which free VMs are known not to answer. A VM without evidence is
 // not marked.
 func (c *Controller) markUnresponsive() {
-	c.fleet.Unwell = map[string]bool{}
+	c.fleet.UnresponsiveVMs = map[string]bool{}
 	for _, listed := range c.fleet.VMs {
-		evidence, ok := c.book.Newest(ServerEvidence(listed.ID))
-		if ok && !evidence.Whole && listed.Domain != "" && c.fleet.Claims[listed.ID].Group == "" {
-			c.fleet.Unwell[listed.ID] = true
+		evidence, ok := c.book.Newest(ServerEvidenceName(listed.ID))
+		if ok && !evidence.IsWhole && listed.Domain != "" && c.fleet.Claims[listed.ID].Group == "" {
+			c.fleet.UnresponsiveVMs[listed.ID] = true
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	isWatched, ok := c.watchCache[name]
 	if !ok {
 		rank := c.liveDaemons.Rank("watch/"+name, c.self.ID)
-		isWatched = rank >= 0 && rank < Watchers
+		isWatched = rank >= 0 && rank < WatchersPerGroup
 		c.watchCache[name] = isWatched
 	}
 	return isWatched
@@ -144,7 +144,7 @@
 	var live roster.Roster
 	for _, daemon := range c.roster {
 		report, _ := c.contact.Report(daemon.ID)
-		if daemon.ID == c.self.ID || now.Sub(report.At) <= maxReportAge {
+		if daemon.ID == c.self.ID || now.Sub(report.ObservedAt) <= maxReportAge {
 			live = append(live, daemon)
 		}
 	}
@@ -157,12 +157,12 @@
 // controls reports whether this daemon holds the lease on a group's shard.
 func (c *Controller) controls(name string) bool {
 	held, ok := c.heldLeases[ShardOf(name)]
-	return ok && held.Holds(0)
+	return ok && held.IsValid(0)
 }
 
 // ShardOf returns the control shard of a group or plan.
 func ShardOf(name string) int {
-	return int(xxhash.Sum64String(name) % lease.Shards)
+	return int(xxhash.Sum64String(name) % lease.ShardCount)
 }
 
 // shardRankKey returns the key by which daemons are ranked for a shard.
@@ -206,17 +206,17 @@
 func (c *Controller) deriveServerEvidence(id string) presence.Evidence {
 	latest := c.probes[id]
 	evidence := presence.Evidence{
-		Group: ServerEvidence(id),
-		Whole: !latest.lastAnsweredAt.IsZero() && !latest.state.Leaving,
-		At:    latest.lastAnsweredAt,
+		Group:      ServerEvidenceName(id),
+		IsWhole:    !latest.lastAnsweredAt.IsZero() && !latest.state.Leaving,
+		ObservedAt: latest.lastAnsweredAt,
 	}
 	since := latest.lastAnsweredAt
 	if since.IsZero() {
 		since = latest.firstProbedAt
 	}
 	if latest.isRefused || time.Since(since) > unresponsiveAfter {
-		evidence.Whole = false
-		evidence.At = time.Now()
+		evidence.IsWhole = false
+		evidence.ObservedAt = time.Now()
 	}
 	return evidence
 }
@@ -227,7 +227,7 @@
 	evidence := presence.Evidence{
 		Group:      record.Name,
 		Generation: record.Generation,
-		Whole:      len(record.Members) > 0,
+		IsWhole:    len(record.Members) > 0,
 	}
 	var notWholeAt time.Time
 	for i, member := range record.Members {
@@ -237,22 +237,22 @@
 		case latest.isRefused:
 			notWholeAt = time.Now()
 		case latest.lastAnsweredAt.IsZero():
-			evidence.Whole = false
+			evidence.IsWhole = false
 		case !isLoadedMember && latest.lastAnsweredAt.After(notWholeAt):
 			notWholeAt = latest.lastAnsweredAt
 		}
 		if i == 0 {
 			evidence.InFlight = latest.state.InFlight
 			evidence.Slots = latest.state.Slots
-			evidence.At = latest.lastAnsweredAt
+			evidence.ObservedAt = latest.lastAnsweredAt
 		}
-		if latest.lastAnsweredAt.Before(evidence.At) {
-			evidence.At = latest.lastAnsweredAt
+		if latest.lastAnsweredAt.Before(evidence.ObservedAt) {
+			evidence.ObservedAt = latest.lastAnsweredAt
 		}
 	}
 	if !notWholeAt.IsZero() {
-		evidence.Whole = false
-		evidence.At = notWholeAt
+		evidence.IsWhole = false
+		evidence.ObservedAt = notWholeAt
 	}
 	return evidence
 }
--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -13,8 +13,8 @@
 // Problem is one invalid field of a declaration. Field is its path, such as
 // "models[0].version".
 type Problem struct {
-	Field string
-	Text  string
+	Field   string
+	Message string
 }
 
 // checker collects the problems of a declaration.
@@ -25,8 +25,8 @@
 // report adds a problem of a field.
 func (c *checker) report(field, format string, arguments ...any) {
 	c.problems = append(c.problems, Problem{
-		Field: field,
-		Text:  fmt.Sprintf(format, arguments...),
+		Field:   field,
+		Message: fmt.Sprintf(format, arguments...),
 	})
 }
 
--- a/core/declaration/declaration.go
+++ b/core/declaration/declaration.go
@@ -116,8 +116,8 @@
 	DefaultParallelLoads = 4
 )
 
-// Parallel returns ParallelLoads or its default.
-func (l Limits) Parallel() int {
+// ParallelLoadsOrDefault returns ParallelLoads or its default.
+func (l Limits) ParallelLoadsOrDefault() int {
 	if l.ParallelLoads == 0 {
 		return DefaultParallelLoads
 	}
--- a/core/declaration/parse.go
+++ b/core/declaration/parse.go
@@ -95,9 +95,9 @@
 	topLevelField, _, _ = strings.Cut(topLevelField, "[")
 	file, ok := fileOfField[topLevelField]
 	if !ok {
-		return fmt.Sprintf("%s: %s", problem.Field, problem.Text)
+		return fmt.Sprintf("%s: %s", problem.Field, problem.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", file.Name, lineOfField(problem.Field, file), problem.Field, problem.Text)
+	return fmt.Sprintf("%s:%d: %s: %s", file.Name, lineOfField(problem.Field, file), problem.Field, problem.Message)
 }
 
 // lineOfField returns the line of a field, or 1 if the file cannot be parsed.
--- a/core/demand/aggregator.go
+++ b/core/demand/aggregator.go
@@ -24,19 +24,19 @@
 // limit the entries that pass through it would grow without end.
 const maxDepth = 5
 
-// Word is the report of a daemon: the demand at the daemon itself and at the daemons that
+// Report is the report of a daemon: the demand at the daemon itself and at the daemons that
 // report to it.
-type Word struct {
-	Asked []Asked
+type Report struct {
+	Demand []Demand
 	// Depth is the number of daemons on the longest path that entries of the report have
 	// taken.
 	Depth int
 }
 
-// Board adds up the demand that daemons report. Daemons form a tree: each reports to the
+// Aggregator adds up the demand that daemons report. Daemons form a tree: each reports to the
 // daemon through which it follows the store's tables. The zero value is empty and ready to
 // use. It is safe for concurrent use.
-type Board struct {
+type Aggregator struct {
 	// Meter measures the requests to this daemon, which is in Zone. Both are set before
 	// use.
 	Meter *Meter
@@ -56,7 +56,7 @@
 
 // receivedReport is a report and the time at which it was received.
 type receivedReport struct {
-	Word
+	Report
 
 	receivedAt time.Time
 }
@@ -66,13 +66,13 @@
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
 
-// Tell returns the report to send to a daemon now, and whether it is due.
-func (a *Board) Tell(recipient string) (Word, bool) {
+// NextReport returns the report to send to a daemon now, and whether it is due.
+func (a *Aggregator) NextReport(recipient string) (Report, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	hasOtherParent := a.parentTotals.isFresh() && a.parent != recipient
 	if hasOtherParent || time.Since(a.lastReportedAt[recipient]) < reportInterval {
-		return Word{}, false
+		return Report{}, false
 	}
 	if a.lastReportedAt == nil {
 		a.lastReportedAt = map[string]time.Time{}
@@ -84,31 +84,31 @@
 // subtreeReport adds up the demand at this daemon and at the daemons that report to it,
 // except the recipient. Two daemons with different lists may report to each other; each
 // would otherwise count the other's entries again and again. The mutex is held.
-func (a *Board) subtreeReport(recipient string) Word {
+func (a *Aggregator) subtreeReport(recipient string) Report {
 	depth := 0
-	var entries [][]Asked
+	var entries [][]Demand
 	if a.Meter != nil {
-		entries = append(entries, a.Meter.Asked(a.Zone))
+		entries = append(entries, a.Meter.Demand(a.Zone))
 	}
 	maps.DeleteFunc(a.reports, func(_ string, report receivedReport) bool {
 		return !report.isFresh()
 	})
 	for sender, report := range a.reports {
 		if sender != recipient {
-			entries = append(entries, report.Asked)
+			entries = append(entries, report.Demand)
 			depth = max(depth, report.Depth)
 		}
 	}
-	return Word{
-		Asked: sumEntries(entries...),
-		Depth: depth + 1,
+	return Report{
+		Demand: sumEntries(entries...),
+		Depth:  depth + 1,
 	}
 }
 
-// Told records the report of a daemon and returns the total demand as far as this daemon
+// ReceiveReport records the report of a daemon and returns the total demand as far as this daemon
 // knows it. An invalid report is rejected, and the previous one continues to count.
-func (a *Board) Told(sender string, report Word) ([]Asked, error) {
-	if err := Check(report.Asked); err != nil {
+func (a *Aggregator) ReceiveReport(sender string, report Report) ([]Demand, error) {
+	if err := CheckDemand(report.Demand); err != nil {
 		return nil, err
 	}
 	if report.Depth > maxDepth {
@@ -120,30 +120,30 @@
 		a.reports = map[string]receivedReport{}
 	}
 	a.reports[sender] = receivedReport{
-		Word:       report,
+		Report:     report,
 		receivedAt: time.Now(),
 	}
 	return a.totals(), nil
 }
 
-// Retract removes the report of a daemon that got no answer: it will report to another
+// DropReport removes the report of a daemon that got no answer: it will report to another
 // daemon instead.
-func (a *Board) Retract(sender string) {
+func (a *Aggregator) DropReport(sender string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	delete(a.reports, sender)
 }
 
-// Heard records the totals with which a daemon answered this daemon's report.
-func (a *Board) Heard(sender string, totals []Asked) error {
-	if err := Check(totals); err != nil {
+// ReceiveTotals records the totals with which a daemon answered this daemon's report.
+func (a *Aggregator) ReceiveTotals(sender string, totals []Demand) error {
+	if err := CheckDemand(totals); err != nil {
 		return err
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.parentTotals = receivedReport{
-		Word: Word{
-			Asked: totals,
+		Report: Report{
+			Demand: totals,
 		},
 		receivedAt: time.Now(),
 	}
@@ -153,16 +153,16 @@
 
 // totals returns the total demand at all daemons: the totals of the daemon to which this
 // one reports, or this daemon's own sum if it reports to none. The mutex is held.
-func (a *Board) totals() []Asked {
+func (a *Aggregator) totals() []Demand {
 	if a.parentTotals.isFresh() {
-		return a.parentTotals.Asked
+		return a.parentTotals.Demand
 	}
-	return a.subtreeReport("").Asked
+	return a.subtreeReport("").Demand
 }
 
-// Tokens returns the token rates of a kind in all zones, and whether anything is known
+// TokenRates returns the token rates of a kind in all zones, and whether anything is known
 // about the demand at other daemons.
-func (a *Board) Tokens(kind Kind) (rate usage.Rate, isKnown bool) {
+func (a *Aggregator) TokenRates(kind Kind) (rate usage.Rate, isKnown bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if !a.parentTotals.isFresh() && len(a.reports) == 0 {
@@ -170,15 +170,15 @@
 	}
 	for _, entry := range a.totals() {
 		if entry.Kind == kind {
-			rate = rate.Plus(entry.Tokens)
+			rate = rate.Add(entry.TokenRates)
 		}
 	}
 	return rate, true
 }
 
-// ByZone returns the work rate of a kind in each zone as far as it is known, or nil if
+// WorkRateByZone returns the work rate of a kind in each zone as far as it is known, or nil if
 // nothing is known about the demand at other daemons.
-func (a *Board) ByZone(kind Kind) map[string]float64 {
+func (a *Aggregator) WorkRateByZone(kind Kind) map[string]float64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if !a.parentTotals.isFresh() && len(a.reports) == 0 {
@@ -187,7 +187,7 @@
 	rates := map[string]float64{}
 	for _, entry := range a.totals() {
 		if entry.Kind == kind {
-			rates[entry.Zone] = entry.Rate
+			rates[entry.Zone] = entry.WorkRate
 		}
 	}
 	return rates
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -5,7 +5,7 @@
 // requests (Meter) and reports them to the daemon through which it follows the store's
 // tables, as part of calls that it makes anyway. That daemon adds up the reports that it
 // receives and reports the sums in the same way; the answer contains the totals of all
-// daemons (Board). The totals of hundreds of requests change slowly, so their age of about
+// daemons (Aggregator). The totals of hundreds of requests change slowly, so their age of about
 // a second does not matter. The store carries none of this data. The totals are used to
 // divide requests over zones (core/locality) and to derive how many groups a model needs
 // (core/assembly). Since all daemons have the totals, a new leader has them immediately.
@@ -28,21 +28,21 @@
 	Model   string
 }
 
-// Asked is the demand for a kind in a zone.
-type Asked struct {
+// Demand is the demand for a kind in a zone.
+type Demand struct {
 	Kind Kind
 	Zone string
-	// Rate is in units of work per second, Tokens in tokens per second.
-	Rate   float64
-	Tokens usage.Rate
+	// WorkRate is in units of work per second, TokenRates in tokens per second.
+	WorkRate   float64
+	TokenRates usage.Rate
 }
 
 // maxEntries limits the entries of one report. It is well above the number of zones times
 // the number of kinds.
 const maxEntries = 1024
 
-// Check returns an error if the entries of another daemon's report are invalid.
-func Check(entries []Asked) error {
+// CheckDemand returns an error if the entries of another daemon's report are invalid.
+func CheckDemand(entries []Demand) error {
 	if len(entries) > maxEntries {
 		return errors.Errorf("check demand: %d entries, more than %d", len(entries), maxEntries)
 	}
@@ -53,7 +53,7 @@
 		case entry.Kind.Service == "":
 			return errors.Errorf("check demand: entry %d of zone %q has no service", i, entry.Zone)
 		}
-		for _, rate := range []float64{entry.Rate, entry.Tokens.Requests, entry.Tokens.Prompt, entry.Tokens.Answer, entry.Tokens.Squares, entry.Tokens.Goals} {
+		for _, rate := range []float64{entry.WorkRate, entry.TokenRates.Requests, entry.TokenRates.Prompt, entry.TokenRates.Answer, entry.TokenRates.PromptSquares, entry.TokenRates.GoalPromptSeconds} {
 			if math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
 				return errors.Errorf("check demand: entry %d of zone %q: rate %v is invalid", i, entry.Zone, rate)
 			}
@@ -64,25 +64,25 @@
 
 // sumEntries adds up entries of the same kind and zone. The sums are ordered by zone,
 // service and model.
-func sumEntries(lists ...[]Asked) []Asked {
+func sumEntries(lists ...[]Demand) []Demand {
 	type key struct {
 		kind Kind
 		zone string
 	}
-	sums := map[key]Asked{}
+	sums := map[key]Demand{}
 	for _, entries := range lists {
 		for _, entry := range entries {
 			entryKey := key{
 				kind: entry.Kind,
 				zone: entry.Zone,
 			}
-			entry.Rate += sums[entryKey].Rate
-			entry.Tokens = entry.Tokens.Plus(sums[entryKey].Tokens)
+			entry.WorkRate += sums[entryKey].WorkRate
+			entry.TokenRates = entry.TokenRates.Add(sums[entryKey].TokenRates)
 			sums[entryKey] = entry
 		}
 	}
 	sorted := slices.Collect(maps.Values(sums))
-	slices.SortFunc(sorted, func(a, b Asked) int {
+	slices.SortFunc(sorted, func(a, b Demand) int {
 		return cmp.Or(
 			cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(a.Kind.Service, b.Kind.Service),
