--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -24,28 +24,28 @@
 const warmUpTime = time.Minute
 
 // newBoard returns the board of a daemon that receives some work per second in its zone.
-func newBoard(zone string, workPerSecond float64) *demand.Board {
+func newBoard(zone string, workPerSecond float64) *demand.Aggregator {
 	const requestsPerSecond = 10
 	meter := &demand.Meter{}
 	for i := range int(2*warmUpTime/time.Second) * requestsPerSecond {
 		time.AfterFunc(time.Duration(i)*time.Second/requestsPerSecond, func() {
-			meter.Note(largeModel, workPerSecond/requestsPerSecond, usage.Rate{})
+			meter.RecordRequest(largeModel, workPerSecond/requestsPerSecond, usage.Rate{})
 		})
 	}
-	return &demand.Board{
+	return &demand.Aggregator{
 		Meter: meter,
 		Zone:  zone,
 	}
 }
 
 // exchangeReport passes a report from one daemon to another, and the answer back.
-func exchangeReport(t *testing.T, from, to *demand.Board, name, peer string) {
+func exchangeReport(t *testing.T, from, to *demand.Aggregator, name, peer string) {
 	t.Helper()
-	report, isDue := from.Tell(peer)
+	report, isDue := from.NextReport(peer)
 	qt.Assert(t, isDue, qt.IsTrue)
-	totals, err := to.Told(name, report)
+	totals, err := to.ReceiveReport(name, report)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, from.Heard(peer, totals), qt.IsNil)
+	qt.Assert(t, from.ReceiveTotals(peer, totals), qt.IsNil)
 }
 
 // isNear reports whether two rates differ by less than 15%.
@@ -66,8 +66,8 @@
 			exchangeReport(t, second, first, "second", "first")
 			time.Sleep(600 * time.Millisecond)
 		}
-		for _, daemon := range []*demand.Board{first, second, a, b} {
-			rates := daemon.ByZone(largeModel)
+		for _, daemon := range []*demand.Aggregator{first, second, a, b} {
+			rates := daemon.WorkRateByZone(largeModel)
 			qt.Assert(t, rates, qt.HasLen, 2)
 			qt.Assert(t, isNear(rates["quito-b"], 1.5*rates["quito-a"]), qt.IsTrue, qt.Commentf("%v", rates))
 		}
@@ -78,14 +78,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		relay, daemon := newBoard("quito-a", 100), newBoard("quito-b", 100)
 		time.Sleep(warmUpTime + time.Millisecond)
-		qt.Assert(t, relay.ByZone(largeModel), qt.IsNil)
+		qt.Assert(t, relay.WorkRateByZone(largeModel), qt.IsNil)
 		exchangeReport(t, daemon, relay, "daemon", "relay")
-		qt.Assert(t, relay.ByZone(largeModel)["quito-b"] > 0, qt.IsTrue)
+		qt.Assert(t, relay.WorkRateByZone(largeModel)["quito-b"] > 0, qt.IsTrue)
 		time.Sleep(3 * time.Second)
-		_, isDue := relay.Tell("another")
+		_, isDue := relay.NextReport("another")
 		qt.Assert(t, isDue, qt.IsTrue)
-		qt.Assert(t, relay.ByZone(largeModel)["quito-b"], qt.Equals, 0.0)
-		qt.Assert(t, daemon.ByZone(largeModel), qt.IsNil)
+		qt.Assert(t, relay.WorkRateByZone(largeModel)["quito-b"], qt.Equals, 0.0)
+		qt.Assert(t, daemon.WorkRateByZone(largeModel), qt.IsNil)
 	})
 }
 
@@ -100,7 +100,7 @@
 			exchangeReport(t, second, first, "other", "one")
 			time.Sleep(600 * time.Millisecond)
 		}
-		rates := first.ByZone(largeModel)
+		rates := first.WorkRateByZone(largeModel)
 		qt.Assert(t, isNear(rates["quito-a"], 100), qt.IsTrue, qt.Commentf("%v", rates))
 	})
 }
@@ -110,15 +110,15 @@
 func TestReportsInCycleDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"a", "b", "c"}
-		boards := map[string]*demand.Board{}
+		boards := map[string]*demand.Aggregator{}
 		for _, name := range names {
 			boards[name] = newBoard("quito-"+name, 100)
 		}
 		time.Sleep(warmUpTime + time.Millisecond)
 		for round := range 60 {
 			from, to := names[round%3], names[(round+1)%3]
-			if report, isDue := boards[from].Tell(to); isDue {
-				_, err := boards[to].Told(from, report)
+			if report, isDue := boards[from].NextReport(to); isDue {
+				_, err := boards[to].ReceiveReport(from, report)
 				qt.Check(t, err == nil || report.Depth > 5, qt.IsTrue)
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -126,7 +126,7 @@
 		// Each daemon has a demand of 100, and no cycle is counted more often than the
 		// maximum depth.
 		sum := 0.0
-		for _, rate := range boards["a"].ByZone(largeModel) {
+		for _, rate := range boards["a"].WorkRateByZone(largeModel) {
 			sum += rate
 		}
 		qt.Assert(t, sum <= 700, qt.IsTrue, qt.Commentf("%v", sum))
@@ -138,85 +138,85 @@
 	synctest.Test(t, func(t *testing.T) {
 		meter := &demand.Meter{}
 		for range 100 {
-			meter.Note(largeModel, 30, usage.Rate{
+			meter.RecordRequest(largeModel, 30, usage.Rate{
 				Prompt: 60,
 			})
 			time.Sleep(10 * time.Millisecond)
 		}
-		entries := meter.Asked("quito-a")
+		entries := meter.Demand("quito-a")
 		qt.Assert(t, entries, qt.HasLen, 1)
-		qt.Assert(t, isNear(entries[0].Rate, 3000), qt.IsTrue, qt.Commentf("%v", entries))
-		qt.Assert(t, isNear(entries[0].Tokens.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", entries))
+		qt.Assert(t, isNear(entries[0].WorkRate, 3000), qt.IsTrue, qt.Commentf("%v", entries))
+		qt.Assert(t, isNear(entries[0].TokenRates.Prompt, 6000), qt.IsTrue, qt.Commentf("%v", entries))
 	})
 }
 
 func TestReportsAreLimitedInSizeAndRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard("quito-a", 100)
-		_, isDue := board.Tell("relay")
+		_, isDue := board.NextReport("relay")
 		qt.Assert(t, isDue, qt.IsTrue)
-		_, isDue = board.Tell("relay")
+		_, isDue = board.NextReport("relay")
 		qt.Assert(t, isDue, qt.IsFalse)
 
 		meter := &demand.Meter{}
 		for i := range 1000 {
-			meter.Note(demand.Kind{
+			meter.RecordRequest(demand.Kind{
 				Service: "engines",
 				Model:   fmt.Sprint(i),
 			}, 1, usage.Rate{})
 		}
-		qt.Assert(t, len(meter.Asked("quito-a")) <= 256, qt.IsTrue)
+		qt.Assert(t, len(meter.Demand("quito-a")) <= 256, qt.IsTrue)
 	})
 }
 
 func TestInvalidReportIsRejectedWithEntryIndex(t *testing.T) {
-	var board demand.Board
+	var board demand.Aggregator
 	for _, invalid := range []struct {
-		entry     demand.Asked
+		entry     demand.Demand
 		wantError string
 	}{
 		{
-			entry: demand.Asked{
+			entry: demand.Demand{
 				Kind: largeModel,
 			},
 			wantError: "entry 0 has no zone",
 		},
 		{
-			entry: demand.Asked{
+			entry: demand.Demand{
 				Zone: "quito-a",
 			},
 			wantError: `entry 0 of zone "quito-a" has no service`,
 		},
 		{
-			entry: demand.Asked{
-				Kind: largeModel,
-				Zone: "quito-a",
-				Rate: math.NaN(),
+			entry: demand.Demand{
+				Kind:     largeModel,
+				Zone:     "quito-a",
+				WorkRate: math.NaN(),
 			},
 			wantError: `entry 0 of zone "quito-a": rate NaN is invalid`,
 		},
 		{
-			entry: demand.Asked{
-				Kind: largeModel,
-				Zone: "quito-a",
-				Rate: -1,
+			entry: demand.Demand{
+				Kind:     largeModel,
+				Zone:     "quito-a",
+				WorkRate: -1,
 			},
 			wantError: `entry 0 of zone "quito-a": rate -1 is invalid`,
 		},
 	} {
-		_, err := board.Told("a", demand.Word{
-			Asked: []demand.Asked{
+		_, err := board.ReceiveReport("a", demand.Report{
+			Demand: []demand.Demand{
 				invalid.entry,
 			},
 		})
 		qt.Assert(t, err, qt.ErrorMatches, "check demand: "+invalid.wantError)
-		qt.Assert(t, board.Heard("first", []demand.Asked{
+		qt.Assert(t, board.ReceiveTotals("first", []demand.Demand{
 			invalid.entry,
 		}), qt.IsNotNil)
 	}
-	_, err := board.Told("a", demand.Word{
-		Asked: make([]demand.Asked, 2000),
+	_, err := board.ReceiveReport("a", demand.Report{
+		Demand: make([]demand.Demand, 2000),
 	})
 	qt.Assert(t, err, qt.ErrorMatches, "check demand: 2000 entries, more than 1024")
-	qt.Assert(t, board.ByZone(largeModel), qt.IsNil)
+	qt.Assert(t, board.WorkRateByZone(largeModel), qt.IsNil)
 }
--- a/core/demand/meter.go
+++ b/core/demand/meter.go
@@ -40,13 +40,13 @@
 	remaining := math.Exp(-at.Sub(m.asOf).Seconds() / decayTime.Seconds())
 	return decayingSum{
 		work:   m.work * remaining,
-		tokens: m.tokens.Times(remaining),
+		tokens: m.tokens.Scale(remaining),
 		asOf:   at,
 	}
 }
 
-// Note records a request of a kind, its work and its tokens.
-func (m *Meter) Note(kind Kind, work float64, tokens usage.Rate) {
+// RecordRequest records a request of a kind, its work and its tokens.
+func (m *Meter) RecordRequest(kind Kind, work float64, tokens usage.Rate) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	_, isKnown := m.kinds[kind]
@@ -58,24 +58,24 @@
 	}
 	current := m.kinds[kind].decayedTo(time.Now())
 	current.work += work
-	current.tokens = current.tokens.Plus(tokens)
+	current.tokens = current.tokens.Add(tokens)
 	m.kinds[kind] = current
 }
 
-// Asked returns the recent demand by kind as entries of a zone.
-func (m *Meter) Asked(zone string) []Asked {
+// Demand returns the recent demand by kind as entries of a zone.
+func (m *Meter) Demand(zone string) []Demand {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
 	windowSeconds := m.windowSeconds(now)
-	var rates []Asked
+	var rates []Demand
 	for kind, stored := range m.kinds {
 		decayed := stored.decayedTo(now)
-		rates = append(rates, Asked{
-			Kind:   kind,
-			Zone:   zone,
-			Rate:   decayed.work / windowSeconds,
-			Tokens: decayed.tokens.Times(1 / windowSeconds),
+		rates = append(rates, Demand{
+			Kind:       kind,
+			Zone:       zone,
+			WorkRate:   decayed.work / windowSeconds,
+			TokenRates: decayed.tokens.Scale(1 / windowSeconds),
 		})
 	}
 	return sumEntries(rates)
--- a/core/directive/directive.go
+++ b/core/directive/directive.go
@@ -17,28 +17,28 @@
 // daemon runs.
 const MaxPause = time.Hour
 
-// LeaveKept is how long a drain is kept after its server was last known. It exceeds the time in
+// DrainRetention is how long a drain is kept after its server was last known. It exceeds the time in
 // which servers end, and outages of the store, after which server entries come back.
-const LeaveKept = 10 * time.Minute
+const DrainRetention = 10 * time.Minute
 
 // Directive is what one answer of a server asks about further requests. The zero value asks
 // nothing.
 type Directive struct {
 	// Pause is how long the server wants no request; 0 if it did not say.
 	Pause time.Duration
-	// IsLeaving reports that the server drains: it finishes its requests in flight and then
+	// IsDraining reports that the server drains: it finishes its requests in flight and then
 	// ends.
-	IsLeaving bool
+	IsDraining bool
 }
 
-// IsAny reports whether the directive asks anything.
-func (d Directive) IsAny() bool {
-	return d.Pause > 0 || d.IsLeaving
+// IsSet reports whether the directive asks anything.
+func (d Directive) IsSet() bool {
+	return d.Pause > 0 || d.IsDraining
 }
 
-// Book keeps directives by server start (fleet.Server.Start). The zero value is empty. It is
+// Registry keeps directives by server start (fleet.Server.StartID). The zero value is empty. It is
 // safe for concurrent use.
-type Book struct {
+type Registry struct {
 	// Clock must not stop while the VM is suspended, since the server's clock does not stop
 	// either. It must be set before first use.
 	Clock boottime.Clock
@@ -55,11 +55,11 @@
 	lastKnown time.Time
 }
 
-// Note records a directive that has just arrived and returns what is new in it: a pause of a
+// Record records a directive that has just arrived and returns what is new in it: a pause of a
 // start that was not paused, and the first directive to drain. Of several pauses the one that
 // ends last applies, since each answer covers its own time. A drain never ends.
-func (b *Book) Note(start string, directive Directive) Directive {
-	if !directive.IsAny() {
+func (b *Registry) Record(start string, directive Directive) Directive {
+	if !directive.IsSet() {
 		return Directive{}
 	}
 	b.mutex.Lock()
@@ -73,8 +73,8 @@
 	if until := now.Add(min(directive.Pause, MaxPause)); until.After(e.pausedUntil) {
 		e.pausedUntil = until
 	}
-	if directive.IsLeaving {
-		changes.IsLeaving = !e.isDraining
+	if directive.IsDraining {
+		changes.IsDraining = !e.isDraining
 		e.isDraining = true
 		e.lastKnown = now
 	}
@@ -85,17 +85,17 @@
 	return changes
 }
 
-// Forbids reports whether no request may be sent to the start now.
-func (b *Book) Forbids(start string) bool {
+// IsExcluded reports whether no request may be sent to the start now.
+func (b *Registry) IsExcluded(start string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	e := b.entries[start]
 	return e.isDraining || b.Clock.Until(e.pausedUntil) > 0
 }
 
-// PauseLeft returns the remaining pause of a start. It is 0 if the start is not paused, or if
+// RemainingPause returns the remaining pause of a start. It is 0 if the start is not paused, or if
 // it drains and will never want a request again.
-func (b *Book) PauseLeft(start string) time.Duration {
+func (b *Registry) RemainingPause(start string) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	e := b.entries[start]
@@ -107,16 +107,16 @@
 
 // IsEmpty reports whether there are no directives. This is the usual case, and spares callers a
 // look-up of each server.
-func (b *Book) IsEmpty() bool {
+func (b *Registry) IsEmpty() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.entries) == 0
 }
 
-// Restarted carries a pause over to the next start of a server under the same ID. The server's
+// CarryPause carries a pause over to the next start of a server under the same ID. The server's
 // new entry arrives later than the start, so the next start may have asked for the pause
 // already. A drain is not carried over: it would exclude the next start for good.
-func (b *Book) Restarted(previous, next string) {
+func (b *Registry) CarryPause(previous, next string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	until := b.entries[previous].pausedUntil
@@ -128,14 +128,14 @@
 	b.entries[next] = e
 }
 
-// Sweep discards expired pauses, and drains of starts that isKnown has not known for LeaveKept.
-func (b *Book) Sweep(isKnown func(start string) bool) {
+// Sweep discards expired pauses, and drains of starts that isKnown has not known for DrainRetention.
+func (b *Registry) Sweep(isKnown func(start string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
 	for start, e := range b.entries {
 		switch {
-		case !e.isDraining && !now.Before(e.pausedUntil), e.isDraining && now.Sub(e.lastKnown) >= LeaveKept && !isKnown(start):
+		case !e.isDraining && !now.Before(e.pausedUntil), e.isDraining && now.Sub(e.lastKnown) >= DrainRetention && !isKnown(start):
 			delete(b.entries, start)
 		case e.isDraining && isKnown(start):
 			e.lastKnown = now
--- a/core/directive/directive_test.go
+++ b/core/directive/directive_test.go
@@ -20,37 +20,37 @@
 
 func TestPauseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, time.Duration(0))
-		qt.Assert(t, registry.Note("i-1", pause(3*time.Second)).IsAny(), qt.IsTrue)
+		var registry directive.Registry
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, time.Duration(0))
+		qt.Assert(t, registry.Record("i-1", pause(3*time.Second)).IsSet(), qt.IsTrue)
 		time.Sleep(2900 * time.Millisecond)
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, 100*time.Millisecond)
-		qt.Assert(t, registry.PauseLeft("i-2"), qt.Equals, time.Duration(0))
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, 100*time.Millisecond)
+		qt.Assert(t, registry.RemainingPause("i-2"), qt.Equals, time.Duration(0))
 		time.Sleep(100 * time.Millisecond)
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, time.Duration(0))
-		qt.Assert(t, registry.Note("i-1", pause(time.Second)).IsAny(), qt.IsTrue)
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, time.Duration(0))
+		qt.Assert(t, registry.Record("i-1", pause(time.Second)).IsSet(), qt.IsTrue)
 	})
 }
 
 // Each answer covers its own time, so a later, shorter pause does not end a longer one.
 func TestLongestPauseHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
-		registry.Note("i-1", pause(3*time.Second))
-		qt.Assert(t, registry.Note("i-1", pause(time.Second)).IsAny(), qt.IsFalse)
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, 3*time.Second)
-		registry.Note("i-1", pause(5*time.Second))
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, 5*time.Second)
-		registry.Note("i-1", directive.Directive{})
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, 5*time.Second)
+		var registry directive.Registry
+		registry.Record("i-1", pause(3*time.Second))
+		qt.Assert(t, registry.Record("i-1", pause(time.Second)).IsSet(), qt.IsFalse)
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, 3*time.Second)
+		registry.Record("i-1", pause(5*time.Second))
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, 5*time.Second)
+		registry.Record("i-1", directive.Directive{})
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, 5*time.Second)
 	})
 }
 
 func TestPauseIsCappedAtMaxPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
-		registry.Note("i-1", pause(1<<62))
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, directive.MaxPause)
+		var registry directive.Registry
+		registry.Record("i-1", pause(1<<62))
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, directive.MaxPause)
 	})
 }
 
@@ -58,15 +58,15 @@
 func TestPauseElapsesWhileTheVMIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
-		registry := directive.Book{
+		registry := directive.Registry{
 			Clock: boottime.Clock{
 				Suspended: func() time.Duration { return suspended },
 			},
 		}
-		registry.Note("i-1", pause(10*time.Second))
+		registry.Record("i-1", pause(10*time.Second))
 		time.Sleep(time.Second)
 		suspended = 4 * time.Second
-		qt.Assert(t, registry.PauseLeft("i-1"), qt.Equals, 5*time.Second)
+		qt.Assert(t, registry.RemainingPause("i-1"), qt.Equals, 5*time.Second)
 	})
 }
 
@@ -77,26 +77,26 @@
 // in an outage of the store, while the server still works.
 func TestDrainOutlivesTheServersEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
+		var registry directive.Registry
 		drain := directive.Directive{
-			IsLeaving: true,
+			IsDraining: true,
 		}
 		qt.Assert(t, registry.IsEmpty(), qt.IsTrue)
-		qt.Assert(t, registry.Note("i-1@7", drain).IsAny(), qt.IsTrue)
-		qt.Assert(t, registry.Note("i-1@7", drain).IsAny(), qt.IsFalse)
-		qt.Assert(t, registry.Forbids("i-1@8"), qt.IsFalse)
+		qt.Assert(t, registry.Record("i-1@7", drain).IsSet(), qt.IsTrue)
+		qt.Assert(t, registry.Record("i-1@7", drain).IsSet(), qt.IsFalse)
+		qt.Assert(t, registry.IsExcluded("i-1@8"), qt.IsFalse)
 		for range 3 {
-			time.Sleep(directive.LeaveKept)
+			time.Sleep(directive.DrainRetention)
 			registry.Sweep(func(start string) bool { return start == "i-1@7" })
-			qt.Assert(t, registry.Forbids("i-1@7"), qt.IsTrue)
+			qt.Assert(t, registry.IsExcluded("i-1@7"), qt.IsTrue)
 		}
 		// A pause expires, but does not end a drain.
-		registry.Note("i-1@7", pause(time.Second))
+		registry.Record("i-1@7", pause(time.Second))
 		time.Sleep(2 * time.Second)
 		registry.Sweep(knowsNone)
-		qt.Assert(t, registry.Forbids("i-1@7"), qt.IsTrue)
-		qt.Assert(t, registry.PauseLeft("i-1@7"), qt.Equals, time.Duration(0))
-		time.Sleep(directive.LeaveKept)
+		qt.Assert(t, registry.IsExcluded("i-1@7"), qt.IsTrue)
+		qt.Assert(t, registry.RemainingPause("i-1@7"), qt.Equals, time.Duration(0))
+		time.Sleep(directive.DrainRetention)
 		registry.Sweep(knowsNone)
 		qt.Assert(t, registry.IsEmpty(), qt.IsTrue)
 	})
@@ -104,14 +104,14 @@
 
 func TestSweepRemovesOnlyExpiredPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
-		registry.Note("i-1", pause(time.Second))
-		registry.Note("i-2", pause(3*time.Second))
+		var registry directive.Registry
+		registry.Record("i-1", pause(time.Second))
+		registry.Record("i-2", pause(3*time.Second))
 		time.Sleep(2 * time.Second)
 		registry.Sweep(knowsNone)
-		qt.Assert(t, registry.PauseLeft("i-2"), qt.Equals, time.Second)
-		qt.Assert(t, registry.Note("i-2", pause(time.Second)).IsAny(), qt.IsFalse)
-		qt.Assert(t, registry.Note("i-1", pause(time.Second)).IsAny(), qt.IsTrue)
+		qt.Assert(t, registry.RemainingPause("i-2"), qt.Equals, time.Second)
+		qt.Assert(t, registry.Record("i-2", pause(time.Second)).IsSet(), qt.IsFalse)
+		qt.Assert(t, registry.Record("i-1", pause(time.Second)).IsSet(), qt.IsTrue)
 	})
 }
 
@@ -119,23 +119,23 @@
 // pause was recorded for the previous start. A drain of that start no longer applies.
 func TestPauseCarriesOverToTheNextStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var registry directive.Book
-		registry.Note("i-1@7", pause(3*time.Second))
-		registry.Note("i-1@7", directive.Directive{
-			IsLeaving: true,
+		var registry directive.Registry
+		registry.Record("i-1@7", pause(3*time.Second))
+		registry.Record("i-1@7", directive.Directive{
+			IsDraining: true,
 		})
-		registry.Restarted("i-1@7", "i-1@9")
-		qt.Assert(t, registry.PauseLeft("i-1@9"), qt.Equals, 3*time.Second)
+		registry.CarryPause("i-1@7", "i-1@9")
+		qt.Assert(t, registry.RemainingPause("i-1@9"), qt.Equals, 3*time.Second)
 		time.Sleep(3 * time.Second)
-		qt.Assert(t, registry.Forbids("i-1@9"), qt.IsFalse)
+		qt.Assert(t, registry.IsExcluded("i-1@9"), qt.IsFalse)
 
 		// A longer pause of the new start itself stays.
-		registry.Note("i-2@9", pause(5*time.Second))
-		registry.Note("i-2@7", pause(time.Second))
-		registry.Restarted("i-2@7", "i-2@9")
-		qt.Assert(t, registry.PauseLeft("i-2@9"), qt.Equals, 5*time.Second)
+		registry.Record("i-2@9", pause(5*time.Second))
+		registry.Record("i-2@7", pause(time.Second))
+		registry.CarryPause("i-2@7", "i-2@9")
+		qt.Assert(t, registry.RemainingPause("i-2@9"), qt.Equals, 5*time.Second)
 
-		registry.Restarted("i-3@7", "i-3@9")
-		qt.Assert(t, registry.Forbids("i-3@9"), qt.IsFalse)
+		registry.CarryPause("i-3@7", "i-3@9")
+		qt.Assert(t, registry.IsExcluded("i-3@9"), qt.IsFalse)
 	})
 }
--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -30,23 +30,23 @@
 	Version int64
 }
 
-// Bound determines when this daemon stops sending requests to an evacuated zone.
-type Bound struct {
+// LeaveSchedule determines when this daemon stops sending requests to an evacuated zone.
+type LeaveSchedule struct {
 	// Within counts from the acknowledgement by the store; 0 means at once.
 	Within time.Duration
-	// Draw is this daemon's position in the order in which daemons leave, from 0 for the first to 1
+	// Position is this daemon's position in the order in which daemons leave, from 0 for the first to 1
 	// for the last.
-	Draw float64
+	Position float64
 }
 
 // LeaveAt returns the time from which a zone gets no requests. lastOpenAt is the latest time at
 // which the zone was known not to be evacuated; zero means unknown, and since the bound may have
 // passed then, the zone is left at once.
-func (b Bound) LeaveAt(lastOpenAt time.Time) time.Time {
+func (b LeaveSchedule) LeaveAt(lastOpenAt time.Time) time.Time {
 	if lastOpenAt.IsZero() {
 		return time.Time{}
 	}
-	share := minBoundShare + (maxBoundShare-minBoundShare)*b.Draw
+	share := minBoundShare + (maxBoundShare-minBoundShare)*b.Position
 	return lastOpenAt.Add(time.Duration(share * float64(b.Within)))
 }
 
@@ -93,20 +93,20 @@
 	return len(z.byName) == 0
 }
 
-// Has reports whether a zone is evacuated, even if it still gets requests.
-func (z Zones) Has(name string) bool {
+// Contains reports whether a zone is evacuated, even if it still gets requests.
+func (z Zones) Contains(name string) bool {
 	_, ok := z.byName[name]
 	return ok
 }
 
-// IsLeft reports whether a zone gets no more requests at a time.
-func (z Zones) IsLeft(name string, now time.Time) bool {
+// HasLeft reports whether a zone gets no more requests at a time.
+func (z Zones) HasLeft(name string, now time.Time) bool {
 	entry, ok := z.byName[name]
 	return ok && !now.Before(entry.LeaveAt)
 }
 
-// Of returns the evacuation of a zone; ok is false if it is not evacuated.
-func (z Zones) Of(name string) (entry Evacuation, ok bool) {
+// Get returns the evacuation of a zone; ok is false if it is not evacuated.
+func (z Zones) Get(name string) (entry Evacuation, ok bool) {
 	entry, ok = z.byName[name]
 	return entry, ok
 }
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -16,9 +16,9 @@
 func TestDaemonsLeaveZoneGraduallyWithinBound(t *testing.T) {
 	lastOpenAt := time.Now()
 	leaveAt := func(draw float64) time.Time {
-		bound := evacuation.Bound{
-			Within: within,
-			Draw:   draw,
+		bound := evacuation.LeaveSchedule{
+			Within:   within,
+			Position: draw,
 		}
 		return bound.LeaveAt(lastOpenAt)
 	}
@@ -30,21 +30,21 @@
 
 // A starting daemon does not know since when a zone is evacuated, and a bound of 0 leaves no time.
 func TestZoneIsLeftAtOnceIfLastOpenTimeIsUnknown(t *testing.T) {
-	bound := evacuation.Bound{
-		Within: within,
-		Draw:   1,
+	bound := evacuation.LeaveSchedule{
+		Within:   within,
+		Position: 1,
 	}
 	var zones evacuation.Zones
 	zones = zones.With("a", evacuation.Evacuation{
 		LeaveAt: bound.LeaveAt(time.Time{}),
 	})
-	qt.Assert(t, zones.IsLeft("a", time.Now()), qt.IsTrue)
+	qt.Assert(t, zones.HasLeft("a", time.Now()), qt.IsTrue)
 	now := time.Now()
 	zones = zones.With("b", evacuation.Evacuation{
-		LeaveAt: evacuation.Bound{}.LeaveAt(now),
+		LeaveAt: evacuation.LeaveSchedule{}.LeaveAt(now),
 	})
-	qt.Assert(t, zones.IsLeft("b", now), qt.IsTrue)
-	qt.Assert(t, zones.IsLeft("c", now), qt.IsFalse)
+	qt.Assert(t, zones.HasLeft("b", now), qt.IsTrue)
+	qt.Assert(t, zones.HasLeft("c", now), qt.IsFalse)
 }
 
 // Guards against more time for a daemon that sees a removed and rewritten row as one write.
@@ -58,8 +58,8 @@
 		LeaveAt: now.Add(time.Minute),
 		Version: 9,
 	})
-	qt.Assert(t, again.IsLeft("a", now.Add(time.Second)), qt.IsTrue)
-	entry, ok := again.Of("a")
+	qt.Assert(t, again.HasLeft("a", now.Add(time.Second)), qt.IsTrue)
+	entry, ok := again.Get("a")
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, entry.Version, qt.Equals, int64(9))
 	qt.Assert(t, first.Without("a").IsEmpty(), qt.IsTrue)
--- a/core/eventstream/eventstream.go
+++ b/core/eventstream/eventstream.go
@@ -49,8 +49,8 @@
 	}, true
 }
 
-// Rest returns the bytes after the last event that Next returned.
-func (s *Splitter) Rest() []byte {
+// Remainder returns the bytes after the last event that Next returned.
+func (s *Splitter) Remainder() []byte {
 	return s.pending[s.offset:]
 }
 
--- a/core/eventstream/eventstream_test.go
+++ b/core/eventstream/eventstream_test.go
@@ -28,7 +28,7 @@
 			ids = append(ids, event.ID)
 		}
 	}
-	return events, ids, string(splitter.Rest())
+	return events, ids, string(splitter.Remainder())
 }
 
 func TestOnlyCompleteEventsAreReturned(t *testing.T) {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -39,23 +39,23 @@
 	State MemberState
 }
 
-// In reports whether this is a membership in the given group and epoch.
-func (m Membership) In(group string, epoch int64) bool {
+// Matches reports whether this is a membership in the given group and epoch.
+func (m Membership) Matches(group string, epoch int64) bool {
 	return m.Group == group && m.Epoch == epoch && m.State != NoGroup
 }
 
 // Server is one start of a backend server. A restarted server usually has a new ID. If it
-// has the ID of the start before, Born differs, and nothing known about the earlier start
+// has the ID of the start before, StartedAtMs differs, and nothing known about the earlier start
 // applies to it.
 type Server struct {
 	ID string
-	// Born is the Unix time of the start in milliseconds, by the server's own clock;
+	// StartedAtMs is the Unix time of the start in milliseconds, by the server's own clock;
 	// 0: unknown.
-	Born     int64
-	Service  string
-	Address  string
-	Zone     string
-	Capacity int
+	StartedAtMs int64
+	Service     string
+	Address     string
+	Zone        string
+	Capacity    int
 	// Draining servers finish their requests in flight and then leave.
 	Draining bool
 	// ColdFor is how long the server stays cold after it wrote its entry.
@@ -64,11 +64,11 @@
 	// which load faster.
 	Models []string
 	Staged []string
-	// Recent is the model of the last group that this daemon saw the server in since
+	// LastModel is the model of the last group that this daemon saw the server in since
 	// its start. The entry names no model after the server has left its group, but
 	// the server joins another group of that model much faster than one of a staged
 	// model.
-	Recent string
+	LastModel string
 	// Domain is the fabric domain. The members of a group should have the same.
 	Domain     string
 	Membership Membership
@@ -76,12 +76,12 @@
 	IsEngine bool
 }
 
-// Start returns an identifier of the start: the ID, with the start time if it is known.
-func (s Server) Start() string {
-	if s.Born == 0 {
+// StartID returns an identifier of the start: the ID, with the start time if it is known.
+func (s Server) StartID() string {
+	if s.StartedAtMs == 0 {
 		return s.ID
 	}
-	return s.ID + "@" + strconv.FormatInt(s.Born, 10)
+	return s.ID + "@" + strconv.FormatInt(s.StartedAtMs, 10)
 }
 
 // HasStaged reports whether the host keeps a model's weights.
@@ -94,21 +94,21 @@
 	return slices.Contains(s.Models, model)
 }
 
-// CanRejoin reports whether the server can join a group of a model without loading the
+// CanJoinWithoutLoading reports whether the server can join a group of a model without loading the
 // model.
-func (s Server) CanRejoin(model string) bool {
-	return s.HasLoaded(model) || (model != "" && s.Recent == model)
+func (s Server) CanJoinWithoutLoading(model string) bool {
+	return s.HasLoaded(model) || (model != "" && s.LastModel == model)
 }
 
-// withHistoryOf returns the server of a new entry with Recent set: to the first model of
+// withHistoryOf returns the server of a new entry with LastModel set: to the first model of
 // the entry if it names one, else to that of the previous entry of the same start.
 func (s Server) withHistoryOf(previous Server) Server {
 	if len(s.Models) > 0 {
-		s.Recent = s.Models[0]
+		s.LastModel = s.Models[0]
 		return s
 	}
-	if s.Born == previous.Born {
-		s.Recent = previous.Recent
+	if s.StartedAtMs == previous.StartedAtMs {
+		s.LastModel = previous.LastModel
 	}
 	return s
 }
@@ -136,14 +136,14 @@
 // longer than it takes to dissolve a group that lost its head.
 const removedRetention = 30 * time.Second
 
-// Change is one changed or removed entry. Server is set unless Gone is. IsVoid, with Gone,
+// Change is one changed or removed entry. Server is set unless IsRemoved is. IsInvalid, with IsRemoved,
 // means that the entry exists but describes no server any more, so that the server gets no
 // grace.
 type Change struct {
-	ID     string
-	Server Server
-	Gone   bool
-	IsVoid bool
+	ID        string
+	Server    Server
+	IsRemoved bool
+	IsInvalid bool
 }
 
 // WithChanges returns the view after changes. Servers whose entry was removed may
@@ -172,15 +172,15 @@
 	return next
 }
 
-// WithRecent returns the view with Recent set from models, which maps Start to model. Servers
-// whose Recent is known already keep it.
-func (v View) WithRecent(models map[string]string) View {
+// WithLastModels returns the view with LastModel set from models, which maps StartID to model. Servers
+// whose LastModel is known already keep it.
+func (v View) WithLastModels(models map[string]string) View {
 	next := v
 	next.servers = maps.Clone(v.servers)
 	next.index = &index{}
 	for id, server := range next.servers {
-		if model, ok := models[server.Start()]; ok && server.Recent == "" {
-			server.Recent = model
+		if model, ok := models[server.StartID()]; ok && server.LastModel == "" {
+			server.LastModel = model
 			next.servers[id] = server
 		}
 	}
@@ -189,7 +189,7 @@
 
 // apply makes one change. The view must not be shared yet.
 func (v *View) apply(change Change, graceUntil time.Time) {
-	if !change.Gone {
+	if !change.IsRemoved {
 		previous := v.servers[change.ID]
 		if removed, ok := v.removed[change.ID]; ok {
 			previous = removed.server
@@ -203,7 +203,7 @@
 	if !wasPresent {
 		return
 	}
-	if change.IsVoid {
+	if change.IsInvalid {
 		graceUntil = time.Time{}
 	}
 	v.removed[change.ID] = removedServer{
@@ -213,9 +213,9 @@
 	}
 }
 
-// WithAll returns the view of a snapshot of the table at a version. Servers that the
+// WithSnapshot returns the view of a snapshot of the table at a version. Servers that the
 // snapshot lacks count as removed; those whose IDs are in invalid get no grace.
-func (v View) WithAll(version int64, servers []Server, graceUntil time.Time, invalid ...string) View {
+func (v View) WithSnapshot(version int64, servers []Server, graceUntil time.Time, invalid ...string) View {
 	present := map[string]bool{}
 	changes := make([]Change, 0, len(servers))
 	for _, server := range servers {
@@ -228,23 +228,23 @@
 	for id := range v.servers {
 		if !present[id] {
 			changes = append(changes, Change{
-				ID:     id,
-				Gone:   true,
-				IsVoid: slices.Contains(invalid, id),
+				ID:        id,
+				IsRemoved: true,
+				IsInvalid: slices.Contains(invalid, id),
 			})
 		}
 	}
 	return v.WithChanges(version, changes, graceUntil)
 }
 
-// Reconciled merges the servers of a table that was restored from an older copy with this
+// ReconciledWithRestored merges the servers of a table that was restored from an older copy with this
 // view. The newer state wins: a removed start stays removed, a draining server keeps
 // draining, and a newer group or start replaces an older one. The caller needs this until
 // all servers have rewritten their entries.
-func (v View) Reconciled(restored []Server) []Server {
+func (v View) ReconciledWithRestored(restored []Server) []Server {
 	reconciled := make([]Server, 0, len(restored))
 	for _, server := range restored {
-		if removed, isRemoved := v.removed[server.ID]; isRemoved && removed.server.Born >= server.Born {
+		if removed, isRemoved := v.removed[server.ID]; isRemoved && removed.server.StartedAtMs >= server.StartedAtMs {
 			continue
 		}
 		if current, isPresent := v.servers[server.ID]; isPresent {
@@ -259,9 +259,9 @@
 // newer.
 func (s Server) withNewerState(current Server) Server {
 	switch {
-	case current.Born > s.Born:
+	case current.StartedAtMs > s.StartedAtMs:
 		return current
-	case current.Born < s.Born:
+	case current.StartedAtMs < s.StartedAtMs:
 		return s
 	}
 	s.Draining = s.Draining || current.Draining
@@ -321,8 +321,8 @@
 	return m.State == Open && m.Rank == 0 && !drainingGroups[m.Group] && (model == "" || s.HasLoaded(model))
 }
 
-// IsUsable reports whether a server has an entry, or had one until lately.
-func (v View) IsUsable(id string) bool {
+// HasServerOrRemoved reports whether a server has an entry, or had one until lately.
+func (v View) HasServerOrRemoved(id string) bool {
 	if _, ok := v.servers[id]; ok {
 		return true
 	}
@@ -330,8 +330,8 @@
 	return ok
 }
 
-// Known returns a server that has an entry, or had one until lately.
-func (v View) Known(id string) (Server, bool) {
+// ServerOrRemoved returns a server that has an entry, or had one until lately.
+func (v View) ServerOrRemoved(id string) (Server, bool) {
 	if server, ok := v.servers[id]; ok {
 		return server, true
 	}
@@ -343,7 +343,7 @@
 func (v View) Members(m Membership) []Server {
 	var members []Server
 	for _, server := range v.Servers() {
-		if server.Membership.In(m.Group, m.Epoch) {
+		if server.Membership.Matches(m.Group, m.Epoch) {
 			members = append(members, server)
 		}
 	}
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -79,8 +79,8 @@
 	first := fleet.View{}.WithChanges(1, changes(plainServer("a")), time.Now())
 	_ = first.WithChanges(2, []fleet.Change{
 		{
-			ID:   "a",
-			Gone: true,
+			ID:        "a",
+			IsRemoved: true,
 		},
 	}, time.Now())
 	qt.Assert(t, ids(first.Servers()), qt.DeepEquals, []string{"a"})
@@ -89,21 +89,21 @@
 func TestRemovedServerServesUntilGraceEndsAndStaysKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := fleet.View{}.WithChanges(1, changes(plainServer("a")), time.Now())
-		view = view.WithAll(2, nil, time.Now().Add(time.Second))
+		view = view.WithSnapshot(2, nil, time.Now().Add(time.Second))
 		qt.Assert(t, ids(view.Serving("board", "")), qt.DeepEquals, []string{"a"})
 
 		time.Sleep(1100 * time.Millisecond)
 
 		qt.Assert(t, view.Serving("board", ""), qt.HasLen, 0)
-		_, isKnown := view.Known("a")
+		_, isKnown := view.ServerOrRemoved("a")
 		qt.Assert(t, isKnown, qt.IsTrue)
 	})
 }
 
 // typicalGrace has the bounds of the users' deployments.
 var typicalGrace = fleet.Grace{
-	DrainWithin: 2 * time.Second,
-	Heartbeat:   1200 * time.Millisecond,
+	DrainBound:        2 * time.Second,
+	HeartbeatInterval: 1200 * time.Millisecond,
 }
 
 // With a constant grace, servers of a deployment with a drain bound of one second got
@@ -111,21 +111,21 @@
 func TestGraceDependsOnDrainBoundAndHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shortBounds := fleet.Grace{
-			DrainWithin: time.Second,
-			Heartbeat:   500 * time.Millisecond,
+			DrainBound:        time.Second,
+			HeartbeatInterval: 500 * time.Millisecond,
 		}
 		var noOutage fleet.Outage
-		qt.Assert(t, time.Until(noOutage.LostUntil(shortBounds)), qt.Equals, 400*time.Millisecond)
-		qt.Assert(t, time.Until(noOutage.LostUntil(typicalGrace)), qt.Equals, 800*time.Millisecond)
-		qt.Assert(t, time.Until(noOutage.LostUntil(fleet.Grace{})), qt.Equals, 800*time.Millisecond)
+		qt.Assert(t, time.Until(noOutage.GraceUntil(shortBounds)), qt.Equals, 400*time.Millisecond)
+		qt.Assert(t, time.Until(noOutage.GraceUntil(typicalGrace)), qt.Equals, 800*time.Millisecond)
+		qt.Assert(t, time.Until(noOutage.GraceUntil(fleet.Grace{})), qt.Equals, 800*time.Millisecond)
 		// With more frequent heartbeats entries expire in a shorter outage.
 		now := time.Now()
 		outage := fleet.Outage{
 			Began: now.Add(-time.Second),
 			Ended: now,
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(shortBounds)) > 2*time.Second, qt.IsTrue)
-		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) < time.Second, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.GraceUntil(shortBounds)) > 2*time.Second, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.GraceUntil(typicalGrace)) < time.Second, qt.IsTrue)
 	})
 }
 
@@ -140,7 +140,7 @@
 			Began: now.Add(-10 * time.Second),
 			Ended: now.Add(-2400 * time.Millisecond),
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) < time.Second, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.GraceUntil(typicalGrace)) < time.Second, qt.IsTrue)
 	})
 }
 
@@ -155,7 +155,7 @@
 			Began: now.Add(-10 * time.Second),
 			Ended: now.Add(-280 * time.Millisecond),
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) <= 1600*time.Millisecond, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.GraceUntil(typicalGrace)) <= 1600*time.Millisecond, qt.IsTrue)
 	})
 }
 
@@ -166,10 +166,10 @@
 			Began: now.Add(-5 * time.Second),
 			Ended: now,
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) >= 2*time.Second, qt.IsTrue)
-		qt.Assert(t, outage.IsSteady(), qt.IsFalse)
+		qt.Assert(t, time.Until(outage.GraceUntil(typicalGrace)) >= 2*time.Second, qt.IsTrue)
+		qt.Assert(t, outage.IsSettled(), qt.IsFalse)
 		time.Sleep(3 * time.Second)
-		qt.Assert(t, outage.IsSteady(), qt.IsTrue)
+		qt.Assert(t, outage.IsSettled(), qt.IsTrue)
 	})
 }
 
@@ -180,7 +180,7 @@
 			Began: now.Add(-time.Second),
 			Ended: now,
 		}
-		qt.Assert(t, time.Until(outage.LostUntil(typicalGrace)) < time.Second, qt.IsTrue)
+		qt.Assert(t, time.Until(outage.GraceUntil(typicalGrace)) < time.Second, qt.IsTrue)
 	})
 }
 
@@ -188,33 +188,33 @@
 // its older entry.
 func TestReconciledKeepsNewerStateThanRestoredTable(t *testing.T) {
 	leaving, removed, regrouped, restarting := plainServer("a"), plainServer("b"), engineMember("c", 0, fleet.Open), plainServer("d")
-	restarting.Born = 1
-	view := fleet.View{}.WithAll(9, []fleet.Server{leaving, removed, regrouped, restarting}, time.Now())
+	restarting.StartedAtMs = 1
+	view := fleet.View{}.WithSnapshot(9, []fleet.Server{leaving, removed, regrouped, restarting}, time.Now())
 	newerEpoch := regrouped
 	newerEpoch.Membership.Epoch = 8
 	drained := leaving
 	drained.Draining = true
 	restarted := restarting
-	restarted.Born = 2
+	restarted.StartedAtMs = 2
 	view = view.WithChanges(12, append(changes(drained, newerEpoch, restarted), fleet.Change{
-		ID:   "b",
-		Gone: true,
+		ID:        "b",
+		IsRemoved: true,
 	}), time.Now())
 
-	reconciled := view.Reconciled([]fleet.Server{leaving, removed, regrouped, restarting, plainServer("e")})
+	reconciled := view.ReconciledWithRestored([]fleet.Server{leaving, removed, regrouped, restarting, plainServer("e")})
 	qt.Assert(t, ids(reconciled), qt.DeepEquals, []string{"a", "c", "d", "e"})
 	qt.Assert(t, reconciled[0].Draining, qt.IsTrue)
 	qt.Assert(t, reconciled[1].Membership.Epoch, qt.Equals, int64(8))
-	qt.Assert(t, reconciled[2].Born, qt.Equals, int64(2))
+	qt.Assert(t, reconciled[2].StartedAtMs, qt.Equals, int64(2))
 }
 
 // Guards against newer entries of a restored table being ignored in favour of the view.
 func TestReconciledAcceptsNewerStateOfRestoredTable(t *testing.T) {
-	view := fleet.View{}.WithAll(9, []fleet.Server{plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")}, time.Now())
+	view := fleet.View{}.WithSnapshot(9, []fleet.Server{plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")}, time.Now())
 	leaving, ungrouped, restarted := plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")
 	leaving.Draining = true
 	ungrouped.Membership = fleet.Membership{}
-	restarted.Born = 3
+	restarted.StartedAtMs = 3
 	read := []fleet.Server{leaving, ungrouped, restarted}
-	qt.Assert(t, view.Reconciled(read), qt.DeepEquals, read)
+	qt.Assert(t, view.ReconciledWithRestored(read), qt.DeepEquals, read)
 }
--- a/core/fleet/grace.go
+++ b/core/fleet/grace.go
@@ -34,43 +34,43 @@
 // Grace determines how long servers may receive requests after their entry was removed.
 // The zero value has default times.
 type Grace struct {
-	// DrainWithin is the time within which a draining server must get no new requests;
+	// DrainBound is the time within which a draining server must get no new requests;
 	// 0: unknown.
-	DrainWithin time.Duration
-	// Heartbeat is the heartbeat interval of the servers; 0: unknown.
-	Heartbeat time.Duration
+	DrainBound time.Duration
+	// HeartbeatInterval is the heartbeat interval of the servers; 0: unknown.
+	HeartbeatInterval time.Duration
 }
 
 // afterRemoval returns the grace of entries removed while the store is available.
 func (g Grace) afterRemoval() time.Duration {
-	if g.DrainWithin == 0 {
+	if g.DrainBound == 0 {
 		return removalGrace
 	}
-	return min(removalGrace, time.Duration(removalGraceFraction*float64(g.DrainWithin)))
+	return min(removalGrace, time.Duration(removalGraceFraction*float64(g.DrainBound)))
 }
 
 // afterOutage returns the maximum grace of entries removed soon after the end of an
 // outage, which may be those of servers that have just left.
 func (g Grace) afterOutage() time.Duration {
-	return max(g.afterRemoval(), time.Duration(lateGraceFraction*float64(g.DrainWithin)))
+	return max(g.afterRemoval(), time.Duration(lateGraceFraction*float64(g.DrainBound)))
 }
 
 // minExpiryOutage returns the duration of the shortest outage during which entries can
 // expire.
 func (g Grace) minExpiryOutage() time.Duration {
-	if g.Heartbeat == 0 {
+	if g.HeartbeatInterval == 0 {
 		return defaultExpiryOutage
 	}
-	return time.Duration(minExpiryHeartbeats * float64(g.Heartbeat))
+	return time.Duration(minExpiryHeartbeats * float64(g.HeartbeatInterval))
 }
 
-// Rewritten returns how long after a restore of the store entries may still be those of
+// RewriteTime returns how long after a restore of the store entries may still be those of
 // the older copy.
-func (g Grace) Rewritten() time.Duration {
-	if g.Heartbeat == 0 {
+func (g Grace) RewriteTime() time.Duration {
+	if g.HeartbeatInterval == 0 {
 		return rewriteHeartbeats * defaultExpiryOutage
 	}
-	return rewriteHeartbeats * g.Heartbeat
+	return rewriteHeartbeats * g.HeartbeatInterval
 }
 
 // Outage is the last outage of the store. The zero value means that there was none.
@@ -80,15 +80,15 @@
 	Ended time.Time
 }
 
-// IsUnderWay reports whether the store is unavailable now.
-func (o Outage) IsUnderWay() bool {
+// IsOngoing reports whether the store is unavailable now.
+func (o Outage) IsOngoing() bool {
 	return !o.Began.IsZero() && o.Ended.IsZero()
 }
 
-// LostUntil returns the end of the grace of a server whose entry is removed now. The
+// GraceUntil returns the end of the grace of a server whose entry is removed now. The
 // longer grace after an outage counts from the end of the outage, not from the
 // removal, so that it does not apply to a server that leaves later.
-func (o Outage) LostUntil(grace Grace) time.Time {
+func (o Outage) GraceUntil(grace Grace) time.Time {
 	until := time.Now().Add(grace.afterRemoval())
 	if o.Ended.IsZero() || o.Ended.Sub(o.Began) < grace.minExpiryOutage() {
 		return until
@@ -111,9 +111,9 @@
 	return b
 }
 
-// IsSteady reports whether the store has been available for long enough that a missing
+// IsSettled reports whether the store has been available for long enough that a missing
 // entry means a missing server.
-func (o Outage) IsSteady() bool {
+func (o Outage) IsSettled() bool {
 	if o.Began.IsZero() {
 		return true
 	}
--- a/core/group/decide.go
+++ b/core/group/decide.go
@@ -7,74 +7,74 @@
 )
 
 const (
-	// MissAfter is how long a member may be unresponsive before it counts as lost. A
+	// LostTimeout is how long a member may be unresponsive before it counts as lost. A
 	// shorter pause stops requests to the group, but the group is not formed again.
-	MissAfter = 6 * time.Second
-	// RefusedAfter is the same for a member whose VM refuses connections. Its process has
+	LostTimeout = 6 * time.Second
+	// RefusedLostTimeout is the same for a member whose VM refuses connections. Its process has
 	// ended and lost its state, so waiting longer gains nothing.
-	RefusedAfter = 1500 * time.Millisecond
-	// DrainSettle is how long a draining group is left alone so that every daemon learns
+	RefusedLostTimeout = 1500 * time.Millisecond
+	// MinDrainTime is how long a draining group is left alone so that every daemon learns
 	// that it is draining, if its backend servers check generations.
-	DrainSettle = 3 * time.Second
-	// DrainSettleUnchecked is the same for backend servers that do not check generations.
+	MinDrainTime = 3 * time.Second
+	// MinDrainTimeUnchecked is the same for backend servers that do not check generations.
 	// After this time no daemon that may still serve takes the group for a serving one.
-	DrainSettleUnchecked = 10 * time.Second
+	MinDrainTimeUnchecked = 10 * time.Second
 )
 
-// View is what the group's controller has observed of one member.
-type View struct {
-	// Fresh means that the member answered a recent probe with State.
-	Fresh bool
-	State order.State
-	// UnseenFor is the time since the member's last answer. Refused means that its VM
+// MemberView is what the group's controller has observed of one member.
+type MemberView struct {
+	// IsFresh means that the member answered a recent probe with State.
+	IsFresh bool
+	State   order.ServerState
+	// UnresponsiveFor is the time since the member's last answer. IsRefused means that its VM
 	// refuses connections.
-	UnseenFor time.Duration
-	Refused   bool
-	// Listed is false if the VM list no longer has the VM.
-	Listed bool
-	// Leaving means that the VM list has the VM as leaving.
-	Leaving bool
+	UnresponsiveFor time.Duration
+	IsRefused       bool
+	// IsListed is false if the VM list no longer has the VM.
+	IsListed bool
+	// IsLeaving means that the VM list has the VM as leaving.
+	IsLeaving bool
 }
 
-// Verb is the next step of a group's controller.
-type Verb string
+// Action is the next step of a group's controller.
+type Action string
 
 // Steps of a group's controller.
 const (
-	// Rest does nothing now.
-	Rest Verb = "rest"
+	// NoAction does nothing now.
+	NoAction Action = "rest"
 	// Place chooses VMs for a waiting group.
-	Place Verb = "place"
+	Place Action = "place"
 	// SendLoad orders the members in Decision.Members to load.
-	SendLoad Verb = "send_load"
+	SendLoad Action = "send_load"
 	// Serve lets the group serve, since all members have loaded.
-	Serve Verb = "serve"
+	Serve Action = "serve"
 	// Repair repairs the group, since the members in Decision.Members are lost.
-	Repair Verb = "repair"
+	Repair Action = "repair"
 	// Reload forms the group again of the same members, since some have lost their state.
-	Reload Verb = "reload"
-	// Vacate drains the group and places it on other VMs, since a member is leaving.
-	Vacate Verb = "vacate"
+	Reload Action = "reload"
+	// Relocate drains the group and places it on other VMs, since a member is leaving.
+	Relocate Action = "vacate"
 	// SendUnload orders the members in Decision.Members to unload.
-	SendUnload Verb = "send_unload"
+	SendUnload Action = "send_unload"
 	// Dissolve frees the VMs and deletes the group.
-	Dissolve Verb = "dissolve"
+	Dissolve Action = "dissolve"
 )
 
 // Decision is the next step, with the indexes of the members that it applies to.
 type Decision struct {
-	Verb    Verb
+	Action  Action
 	Members []int
 }
 
 // Decide returns the group's next step. views are the observations of the members, in the
 // order of the members. phaseFor is how long the controller has observed the record
 // unchanged.
-func (r Record) Decide(views []View, phaseFor time.Duration) Decision {
+func (r Record) Decide(views []MemberView, phaseFor time.Duration) Decision {
 	switch r.Phase {
 	case Waiting:
 		return Decision{
-			Verb: Place,
+			Action: Place,
 		}
 	case Loading:
 		return r.decideLoading(views)
@@ -84,16 +84,16 @@
 		return r.decideDraining(views, phaseFor)
 	default:
 		return Decision{
-			Verb: Rest,
+			Action: NoAction,
 		}
 	}
 }
 
 // decideLoading orders loads until every member has loaded this generation.
-func (r Record) decideLoading(views []View) Decision {
+func (r Record) decideLoading(views []MemberView) Decision {
 	if lost := lostMembers(views); len(lost) > 0 {
 		return Decision{
-			Verb:    Repair,
+			Action:  Repair,
 			Members: lost,
 		}
 	}
@@ -101,7 +101,7 @@
 	loaded := 0
 	for i, view := range views {
 		switch {
-		case !view.Fresh:
+		case !view.IsFresh:
 		case !r.isCurrentMember(view.State):
 			needLoad = append(needLoad, i)
 		case view.State.Loaded:
@@ -110,106 +110,106 @@
 	}
 	if len(needLoad) > 0 {
 		return Decision{
-			Verb:    SendLoad,
+			Action:  SendLoad,
 			Members: needLoad,
 		}
 	}
 	if loaded == len(views) && loaded > 0 {
 		return Decision{
-			Verb: Serve,
+			Action: Serve,
 		}
 	}
 	return Decision{
-		Verb: Rest,
+		Action: NoAction,
 	}
 }
 
 // decideServing checks for members that are lost, leaving or no longer loaded.
-func (r Record) decideServing(views []View) Decision {
+func (r Record) decideServing(views []MemberView) Decision {
 	if lost := lostMembers(views); len(lost) > 0 {
 		return Decision{
-			Verb:    Repair,
+			Action:  Repair,
 			Members: lost,
 		}
 	}
 	isLeaving, hasUnloaded, fresh := false, false, 0
 	for _, view := range views {
-		isLeaving = isLeaving || view.Leaving
-		if view.Fresh {
+		isLeaving = isLeaving || view.IsLeaving
+		if view.IsFresh {
 			fresh++
 			hasUnloaded = hasUnloaded || !r.isCurrentMember(view.State)
 		}
 	}
 	if isLeaving {
 		return Decision{
-			Verb: Vacate,
+			Action: Relocate,
 		}
 	}
 	if hasUnloaded && fresh == len(views) {
 		return Decision{
-			Verb: Reload,
+			Action: Reload,
 		}
 	}
 	return Decision{
-		Verb: Rest,
+		Action: NoAction,
 	}
 }
 
 // decideDraining unloads the members once no request is in flight, and dissolves the group
 // once every member that answers has unloaded.
-func (r Record) decideDraining(views []View, phaseFor time.Duration) Decision {
-	drainDelay := DrainSettle
+func (r Record) decideDraining(views []MemberView, phaseFor time.Duration) Decision {
+	drainDelay := MinDrainTime
 	if !r.ChecksOrders() {
-		drainDelay = DrainSettleUnchecked
+		drainDelay = MinDrainTimeUnchecked
 	}
 	if phaseFor < drainDelay {
 		return Decision{
-			Verb: Rest,
+			Action: NoAction,
 		}
 	}
-	isBusy := len(views) > 0 && views[0].Fresh && r.isCurrentMember(views[0].State) && views[0].State.InFlight > 0
+	isBusy := len(views) > 0 && views[0].IsFresh && r.isCurrentMember(views[0].State) && views[0].State.InFlight > 0
 	if isBusy {
 		return Decision{
-			Verb: Rest,
+			Action: NoAction,
 		}
 	}
 	var needUnload []int
 	for i, view := range views {
 		switch {
-		case view.Fresh && view.State.Group == r.Name && view.State.Generation <= r.Generation:
+		case view.IsFresh && view.State.Group == r.Name && view.State.Generation <= r.Generation:
 			needUnload = append(needUnload, i)
-		case !view.Fresh && view.Listed && view.UnseenFor < MissAfter:
+		case !view.IsFresh && view.IsListed && view.UnresponsiveFor < LostTimeout:
 			return Decision{
-				Verb: Rest,
+				Action: NoAction,
 			}
 		}
 	}
 	if len(needUnload) > 0 {
 		return Decision{
-			Verb:    SendUnload,
+			Action:  SendUnload,
 			Members: needUnload,
 		}
 	}
 	return Decision{
-		Verb: Dissolve,
+		Action: Dissolve,
 	}
 }
 
 // isCurrentMember reports whether a member's state belongs to this generation of the group.
-func (r Record) isCurrentMember(state order.State) bool {
+func (r Record) isCurrentMember(state order.ServerState) bool {
 	return state.Group == r.Name && state.Generation == r.Generation
 }
 
 // lostMembers returns the indexes of members that are not listed or unresponsive for too
 // long.
-func lostMembers(views []View) []int {
+func lostMembers(views []MemberView) []int {
 	var lost []int
 	for i, view := range views {
-		timeout := MissAfter
-		if view.Refused {
-			timeout = RefusedAfter
+		timeout := LostTimeout
+		if view.IsRefused {
+			timeout = RefusedLostTimeout
 		}
-		if !view.Listed || (!view.Fresh && view.UnseenFor >= timeout) {
+		if !view.IsListed || (!view.IsFresh && view.UnresponsiveFor >= timeout) {
 			lost = append(lost, i)
 		}
 	}
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -67,8 +67,8 @@
 	Next *Record `json:"next,omitempty"`
 }
 
-// Leader returns the address of the first member, which takes the group's requests.
-func (r Record) Leader() string {
+// LeaderAddress returns the address of the first member, which takes the group's requests.
+func (r Record) LeaderAddress() string {
 	if len(r.Members) == 0 {
 		return ""
 	}
@@ -84,8 +84,8 @@
 	return total
 }
 
-// Has reports whether a VM is a member.
-func (r Record) Has(vm string) bool {
+// HasMember reports whether a VM is a member.
+func (r Record) HasMember(vm string) bool {
 	for _, member := range r.Members {
 		if member.VM == vm {
 			return true
@@ -153,8 +153,8 @@
 	return r
 }
 
-// Load returns the order that makes a member part of this generation.
-func (r Record) Load(sequence uint64) order.Order {
+// LoadOrder returns the order that makes a member part of this generation.
+func (r Record) LoadOrder(sequence uint64) order.Order {
 	members := make([]string, len(r.Members))
 	addresses := make([]string, len(r.Members))
 	for i, member := range r.Members {
@@ -162,7 +162,7 @@
 		addresses[i] = member.Address
 	}
 	return order.Order{
-		Verb:       order.Load,
+		Action:     order.Load,
 		Group:      r.Name,
 		Generation: r.Generation,
 		Sequence:   sequence,
@@ -175,19 +175,19 @@
 	}
 }
 
-// Unload returns the order that makes a member leave the group.
-func (r Record) Unload(sequence uint64) order.Order {
+// UnloadOrder returns the order that makes a member leave the group.
+func (r Record) UnloadOrder(sequence uint64) order.Order {
 	return order.Order{
-		Verb:       order.Unload,
+		Action:     order.Unload,
 		Group:      r.Name,
 		Generation: r.Generation,
 		Sequence:   sequence,
 	}
 }
 
-// Serveable reports whether the group may be given a new request now: it is serving, no
+// CanServe reports whether the group may be given a new request now: it is serving, no
 // member is leaving, and fresh evidence shows that it is whole.
-func (r Record) Serveable(evidence presence.Evidence, isLeaving func(vm string) bool, now time.Time) bool {
+func (r Record) CanServe(evidence presence.Evidence, isLeaving func(vm string) bool, now time.Time) bool {
 	if r.Phase != Serving || len(r.Members) == 0 || evidence.Group != r.Name {
 		return false
 	}
@@ -196,5 +196,5 @@
 			return false
 		}
 	}
-	return evidence.Fresh(r.Generation, now)
+	return evidence.IsFresh(r.Generation, now)
 }
--- a/core/idempotency/idempotency.go
+++ b/core/idempotency/idempotency.go
@@ -20,8 +20,8 @@
 	"headcourse/core/table"
 )
 
-// KeyPrefix is the prefix of the keys of claim rows.
-const KeyPrefix = "key/"
+// RowKeyPrefix is the prefix of the keys of claim rows.
+const RowKeyPrefix = "key/"
 
 // State is the state of a claimed request.
 type State string
@@ -30,8 +30,8 @@
 const (
 	Running State = "running"
 	Done    State = "done"
-	// Lost means that the request may have run and that its answer is unknown.
-	Lost State = "lost"
+	// OutcomeUnknown means that the request may have run and that its answer is unknown.
+	OutcomeUnknown State = "lost"
 )
 
 // Claim is the value of a claim row.
@@ -53,21 +53,21 @@
 	Body        []byte `json:"body"`
 }
 
-// MaxKept is the maximum size, in bytes, of the body of a stored answer.
-const MaxKept = 64 << 10
+// MaxStoredBody is the maximum size, in bytes, of the body of a stored answer.
+const MaxStoredBody = 64 << 10
 
-// Name identifies a claim. The same key of another organisation or route is another
+// ClaimName identifies a claim. The same key of another organisation or route is another
 // claim.
-type Name struct {
+type ClaimName struct {
 	Organisation string
 	Route        string
 	Key          string
 }
 
 // RowKey returns the key of the claim row.
-func (n Name) RowKey() string {
+func (n ClaimName) RowKey() string {
 	sum := sha256.Sum256([]byte(n.Route + "\x00" + n.Key))
-	return KeyPrefix + n.Organisation + "/" + hex.EncodeToString(sum[:])
+	return RowKeyPrefix + n.Organisation + "/" + hex.EncodeToString(sum[:])
 }
 
 // HashBody returns the hash of a request body that claims are compared by.
@@ -76,12 +76,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Judge returns the result of a request whose key is claimed already: the stored
+// Resolve returns the result of a request whose key is claimed already: the stored
 // answer, or a refusal. isAlive reports whether a daemon is in the roster.
-func (c Claim) Judge(bodyHash string, isAlive func(daemon string) bool) (Answer, *outcome.Failure) {
+func (c Claim) Resolve(bodyHash string, isAlive func(daemon string) bool) (Answer, *outcome.Failure) {
 	switch {
 	case c.BodyHash != bodyHash:
-		return Answer{}, outcome.Refuse(outcome.ReasonKeyReused, "claim idempotency key")
+		return Answer{}, outcome.NotRunFailure(outcome.ReasonKeyReused, "claim idempotency key")
 	case c.State == Done:
 		return c.Answer, nil
 	case c.State == Running && isAlive(c.Daemon):
@@ -101,24 +101,24 @@
 	}
 }
 
-// Keeper claims idempotency keys in a store. Store must settle lost answers.
-type Keeper struct {
+// Claimer claims idempotency keys in a store. Store must settle lost answers.
+type Claimer struct {
 	Store table.Store
 	// Commit commits one transaction, possibly in a batch.
 	Commit  func(ctx context.Context, transaction table.Transaction) (uint64, error)
 	IsAlive func(daemon string) bool
 }
 
-// Held is a claim that this daemon has made.
-type Held struct {
+// ActiveClaim is a claim that this daemon has made.
+type ActiveClaim struct {
 	key     string
 	version uint64
 	claim   Claim
 }
 
-// Take claims a key. It returns either the claim made, or the stored answer of an
+// Claim claims a key. It returns either the claim made, or the stored answer of an
 // earlier request, or a refusal.
-func (k *Keeper) Take(ctx context.Context, name Name, claim Claim) (*Held, *Answer, *outcome.Failure) {
+func (k *Claimer) Claim(ctx context.Context, name ClaimName, claim Claim) (*ActiveClaim, *Answer, *outcome.Failure) {
 	key := name.RowKey()
 	version := uint64(0)
 	for {
@@ -132,7 +132,7 @@
 				return nil, nil, storeUnavailable(err)
 			}
 			if time.Now().Before(existing.Expires) {
-				answer, refusal := existing.Judge(claim.BodyHash, k.IsAlive)
+				answer, refusal := existing.Resolve(claim.BodyHash, k.IsAlive)
 				if refusal != nil {
 					return nil, nil, refusal
 				}
@@ -145,7 +145,7 @@
 		insert = insert.WithWrite(table.Put(key, claim))
 		committed, err := k.Commit(ctx, insert)
 		if err == nil {
-			return &Held{
+			return &ActiveClaim{
 				key:     key,
 				version: committed,
 				claim:   claim,
@@ -160,34 +160,34 @@
 // storeUnavailable returns the refusal of a request whose key could not be claimed.
 // The request was not sent to a backend server, so it did not run.
 func storeUnavailable(err error) *outcome.Failure {
-	refusal := outcome.Refuse(outcome.ReasonKeyStoreDown, "claim idempotency key")
+	refusal := outcome.NotRunFailure(outcome.ReasonIdempotencyStoreUnavailable, "claim idempotency key")
 	refusal.Peer = "table service"
 	refusal.Cause = err
 	return refusal
 }
 
-// Finish stores the answer of a request that ran. An answer larger than MaxKept is
-// not stored; the claim becomes Lost.
-func (k *Keeper) Finish(ctx context.Context, held *Held, answer Answer) error {
+// Complete stores the answer of a request that ran. An answer larger than MaxStoredBody is
+// not stored; the claim becomes OutcomeUnknown.
+func (k *Claimer) Complete(ctx context.Context, held *ActiveClaim, answer Answer) error {
 	claim := held.claim
 	claim.State = Done
 	claim.Answer = answer
-	if len(answer.Body) > MaxKept {
-		claim.State = Lost
+	if len(answer.Body) > MaxStoredBody {
+		claim.State = OutcomeUnknown
 		claim.Answer = Answer{}
 	}
 	return k.write(ctx, held, table.Put(held.key, claim))
 }
 
-// Lose records that the outcome of a request is unknown.
-func (k *Keeper) Lose(ctx context.Context, held *Held) error {
+// MarkUnknown records that the outcome of a request is unknown.
+func (k *Claimer) MarkUnknown(ctx context.Context, held *ActiveClaim) error {
 	claim := held.claim
-	claim.State = Lost
+	claim.State = OutcomeUnknown
 	return k.write(ctx, held, table.Put(held.key, claim))
 }
 
-// Free releases the claim of a request that did not run.
-func (k *Keeper) Free(ctx context.Context, held *Held) error {
+// Release releases the claim of a request that did not run.
+func (k *Claimer) Release(ctx context.Context, held *ActiveClaim) error {
 	return k.write(ctx, held, table.Write{
 		Key:    held.key,
 		Delete: true,
@@ -195,7 +195,7 @@
 }
 
 // write changes the claim row if it is still as it was when it was claimed.
-func (k *Keeper) write(ctx context.Context, held *Held, write table.Write) error {
+func (k *Claimer) write(ctx context.Context, held *ActiveClaim, write table.Write) error {
 	change := table.Transaction{}
 	change = change.WithCondition(held.key, held.version)
 	change = change.WithWrite(write)
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -50,10 +50,10 @@
 // request sends one request with a key through one daemon, which may crash at any
 // point, and checks the result that the caller gets.
 func (s *simulation) request(index int, key, body string) {
-	settling := &table.Settling{
+	settling := &table.ResolvingStore{
 		Store: s.store,
 	}
-	keeper := idempotency.Keeper{
+	keeper := idempotency.Claimer{
 		Store:  settling,
 		Commit: settling.Commit,
 		IsAlive: func(daemon string) bool {
@@ -62,7 +62,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	held, stored, refusal := keeper.Take(ctx, idempotency.Name{
+	held, stored, refusal := keeper.Claim(ctx, idempotency.ClaimName{
 		Organisation: "org",
 		Route:        "POST /x",
 		Key:          key,
@@ -87,7 +87,7 @@
 }
 
 // execute runs a claimed request, and draws how it ends.
-func (s *simulation) execute(index int, key, body string, keeper *idempotency.Keeper, held *idempotency.Held) {
+func (s *simulation) execute(index int, key, body string, keeper *idempotency.Claimer, held *idempotency.ActiveClaim) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	event := rapid.SampledFrom([]string{"run", "run", "run", "crash before", "crash after", "refused", "lost"}).Draw(s.rt, "what")
@@ -96,7 +96,7 @@
 		return
 	}
 	if event == "refused" {
-		_ = keeper.Free(ctx, held)
+		_ = keeper.Release(ctx, held)
 		return
 	}
 	s.runs[key]++
@@ -108,9 +108,9 @@
 	case "crash after":
 		s.crash(index)
 	case "lost":
-		_ = keeper.Lose(ctx, held)
+		_ = keeper.MarkUnknown(ctx, held)
 	default:
-		_ = keeper.Finish(ctx, held, idempotency.Answer{
+		_ = keeper.Complete(ctx, held, idempotency.Answer{
 			Status: 200,
 			Body:   []byte(s.answers[key]),
 		})
@@ -137,7 +137,7 @@
 			s.addDaemon()
 		}
 		isNested := false
-		s.store.Between = func() {
+		s.store.BeforeCommit = func() {
 			if isNested || !rapid.Bool().Draw(rt, "meanwhile") {
 				return
 			}
@@ -162,7 +162,7 @@
 		State:    idempotency.Done,
 		BodyHash: idempotency.HashBody([]byte("x")),
 	}
-	_, refusal := claim.Judge(idempotency.HashBody([]byte("y")), func(string) bool {
+	_, refusal := claim.Resolve(idempotency.HashBody([]byte("y")), func(string) bool {
 		return true
 	})
 	if refusal == nil || refusal.Reason != outcome.ReasonKeyReused || refusal.Outcome != outcome.NotRun {
@@ -179,7 +179,7 @@
 		BodyHash: idempotency.HashBody([]byte("x")),
 	}
 	for _, isAlive := range []bool{true, false} {
-		_, refusal := claim.Judge(idempotency.HashBody([]byte("x")), func(string) bool {
+		_, refusal := claim.Resolve(idempotency.HashBody([]byte("x")), func(string) bool {
 			return isAlive
 		})
 		if refusal == nil || refusal.Outcome != outcome.Unknown {
--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -77,27 +77,27 @@
 // leaseValue is the value of the lease row. Holder is empty if the lease is free.
 type leaseValue struct {
 	Holder string `json:"holder"`
-	// Start distinguishes two starts of the same daemon. Count is the number of writes.
-	Start string `json:"start"`
-	Count int64  `json:"count"`
+	// StartID distinguishes two starts of the same daemon. WriteCount is the number of writes.
+	StartID    string `json:"start"`
+	WriteCount int64  `json:"count"`
 }
 
 // Elector takes part in the election of the leader. Its fields are set before Run.
 type Elector struct {
 	Store rowstore.Store
-	// Name identifies the daemon across restarts; Start is new at each start.
-	Name  string
-	Start string
+	// Name identifies the daemon across restarts; StartID is new at each start.
+	Name    string
+	StartID string
 	// Rank returns the daemon's position among all daemons. Lower ranks attempt to acquire
 	// the lease earlier.
 	Rank func() int
 	// Clock also counts time during which the VM is suspended.
 	Clock boottime.Clock
-	// Changed is called with the reason when this daemon gains or loses the lease.
-	Changed func(isLeader bool, lease rowstore.Revision, reason string)
-	// IsAway, if set, reports whether the store is unreachable. The lease is not attempted
+	// OnChange is called with the reason when this daemon gains or loses the lease.
+	OnChange func(isLeader bool, lease rowstore.Revision, reason string)
+	// IsStoreUnavailable, if set, reports whether the store is unreachable. The lease is not attempted
 	// then; otherwise all daemons would retry throughout an outage.
-	IsAway func() bool
+	IsStoreUnavailable func() bool
 
 	mutex sync.Mutex
 	// observed is the latest observed revision of the row and observedAt the time of that
@@ -117,9 +117,9 @@
 	wasUnavailable bool
 }
 
-// See applies rows of Table that a follower received in an era. isSnapshot means that they
+// Observe applies rows of Table that a follower received in an era. isSnapshot means that they
 // are the whole table.
-func (e *Elector) See(rows []rowstore.Row, era int64, isSnapshot bool) error {
+func (e *Elector) Observe(rows []rowstore.Row, era int64, isSnapshot bool) error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if isSnapshot && era >= e.observed.Era {
@@ -234,7 +234,7 @@
 // one after the other. For a lease of a former era the term counts from the first
 // observation of the new era. The mutex is held.
 func (e *Elector) isStoreUnavailable() bool {
-	if e.IsAway != nil && e.IsAway() {
+	if e.IsStoreUnavailable != nil && e.IsStoreUnavailable() {
 		e.wasUnavailable = true
 		return true
 	}
@@ -264,7 +264,7 @@
 			sleep(ctx, pollInterval)
 			continue
 		}
-		e.Changed(true, lease.revision(), "taken")
+		e.OnChange(true, lease.revision(), "taken")
 		e.leadUntilLost(ctx, lease, lead)
 	}
 }
@@ -281,7 +281,7 @@
 	reason := "stopped"
 	for leadCtx.Err() == nil {
 		sleep(leadCtx, renewInterval/4)
-		if !lease.Holds() {
+		if !lease.IsValid() {
 			reason = "the lease expired"
 			break
 		}
@@ -303,7 +303,7 @@
 	if ctx.Err() != nil {
 		lease.release()
 	}
-	e.Changed(false, lease.revision(), reason)
+	e.OnChange(false, lease.revision(), reason)
 }
 
 // latestEra returns the newest observed era.
@@ -331,7 +331,7 @@
 	lease := &Lease{
 		store:      e.Store,
 		holder:     e.Name,
-		startID:    e.Start,
+		startID:    e.StartID,
 		era:        observed.Era,
 		rowVersion: observed.Version,
 		restoredAt: e.restoreTime(),
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -103,7 +103,7 @@
 			f.onLeaseWrite(row)
 		}
 	}
-	for _, row := range transaction.Removes {
+	for _, row := range transaction.Deletes {
 		delete(f.rows, row.Key)
 	}
 	return rowstore.Revision{
@@ -146,21 +146,21 @@
 	}
 	for i, name := range names {
 		elector := &leader.Elector{
-			Store: c.store,
-			Name:  name,
-			Start: name + "/1",
+			Store:   c.store,
+			Name:    name,
+			StartID: name + "/1",
 			Rank: func() int {
 				return i
 			},
-			Changed: c.recordChange(name),
+			OnChange: c.recordChange(name),
 		}
-		_ = elector.See(nil, 0, true)
+		_ = elector.Observe(nil, 0, true)
 		c.electors = append(c.electors, elector)
 	}
 	c.store.onLeaseWrite = func(row rowstore.Row) {
 		for _, elector := range c.electors {
 			if !c.isDisconnected[elector.Name] {
-				_ = elector.See([]rowstore.Row{row}, c.store.era, false)
+				_ = elector.Observe([]rowstore.Row{row}, c.store.era, false)
 			}
 		}
 	}
@@ -353,7 +353,7 @@
 		_, err := lease.Commit(ctx, groupRow("1"), nil)
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
 		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "1")
-		qt.Assert(t, lease.Holds(), qt.IsTrue)
+		qt.Assert(t, lease.IsValid(), qt.IsTrue)
 	})
 }
 
@@ -385,9 +385,9 @@
 			Suspended: func() time.Duration { return time.Duration(suspended.Load()) },
 		}
 		lease := acquireLease(ctx, c)
-		qt.Assert(t, lease.Holds(), qt.IsTrue)
+		qt.Assert(t, lease.IsValid(), qt.IsTrue)
 		suspended.Add(int64(leader.Term))
-		qt.Assert(t, lease.Holds(), qt.IsFalse)
+		qt.Assert(t, lease.IsValid(), qt.IsFalse)
 	})
 }
 
@@ -407,7 +407,7 @@
 		})
 		c.run(ctx, 1)
 		time.Sleep(2 * leader.Term)
-		qt.Assert(t, former.Holds(), qt.IsFalse)
+		qt.Assert(t, former.IsValid(), qt.IsFalse)
 		_, err := former.Commit(ctx, groupRow("old"), nil)
 		qt.Assert(t, err, qt.ErrorIs, leader.ErrLost)
 		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "")
@@ -455,7 +455,7 @@
 		var isUnavailable atomic.Bool
 		var attempts atomic.Int64
 		for _, elector := range c.electors {
-			elector.IsAway = isUnavailable.Load
+			elector.IsStoreUnavailable = isUnavailable.Load
 			elector.Store = countingStore{
 				Store:    c.store,
 				attempts: &attempts,
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -59,8 +59,8 @@
 	isLost     bool
 }
 
-// Holds reports whether the holder may still act.
-func (l *Lease) Holds() bool {
+// IsValid reports whether the holder may still act.
+func (l *Lease) IsValid() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return !l.isLost && l.clock.Since(l.renewedAt) < Term-safetyMargin
@@ -78,9 +78,9 @@
 	return l.era
 }
 
-// HasSettled reports whether the last restore of the store is longer ago than the given
+// IsPastRestore reports whether the last restore of the store is longer ago than the given
 // time, or no restore is known.
-func (l *Lease) HasSettled(within time.Duration) bool {
+func (l *Lease) IsPastRestore(within time.Duration) bool {
 	return l.restoredAt.IsZero() || time.Since(l.restoredAt) > within
 }
 
@@ -139,9 +139,9 @@
 // commitOnce commits one transaction that is conditional on the lease row.
 func (l *Lease) commitOnce(ctx context.Context, writes, removes []rowstore.Row) (rowstore.Revision, error) {
 	encoded, err := json.Marshal(leaseValue{
-		Holder: l.holder,
-		Start:  l.startID,
-		Count:  l.writeCount,
+		Holder:     l.holder,
+		StartID:    l.startID,
+		WriteCount: l.writeCount,
 	})
 	if err != nil {
 		return rowstore.Revision{}, errors.Wrap(err, "encode lease")
@@ -164,7 +164,7 @@
 				Value: encoded,
 			},
 		}, writes...),
-		Removes: removes,
+		Deletes: removes,
 	})
 }
 
@@ -175,7 +175,7 @@
 	if err != nil {
 		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
 	}
-	isHeldByOther := revision.Version != 0 && (stored.Holder != l.holder || stored.Start != l.startID) && revision.Version != l.rowVersion
+	isHeldByOther := revision.Version != 0 && (stored.Holder != l.holder || stored.StartID != l.startID) && revision.Version != l.rowVersion
 	if isHeldByOther || revision.Era != l.era {
 		l.markLost()
 		return errors.Wrap(ErrLost, "fence pending change")
@@ -199,7 +199,7 @@
 
 // release frees the lease, so that another daemon acquires it at its next check.
 func (l *Lease) release() {
-	if !l.Holds() {
+	if !l.IsValid() {
 		return
 	}
 	l.holder = ""
--- a/core/leader/restore_test.go
+++ b/core/leader/restore_test.go
@@ -47,7 +47,7 @@
 // deliverSnapshot delivers the whole table to an elector.
 func (c *cluster) deliverSnapshot(elector *leader.Elector) {
 	result, _ := c.store.Read(context.Background(), leader.Table)
-	_ = elector.See(result.Rows, result.Era, true)
+	_ = elector.Observe(result.Rows, result.Era, true)
 }
 
 // Guards against a cluster without leader after a restore, when the lease row's version is
@@ -126,14 +126,14 @@
 		c := newCluster("a")
 		leadCtx, stop := context.WithCancel(ctx)
 		first := acquireLease(leadCtx, c)
-		qt.Assert(t, first.HasSettled(time.Hour), qt.IsTrue)
+		qt.Assert(t, first.IsPastRestore(time.Hour), qt.IsTrue)
 		stop()
 		time.Sleep(leader.Term)
 		c.restore(c.store.copyRows())
 		second := acquireLease(ctx, c)
 		qt.Assert(t, second.Era(), qt.Equals, int64(1))
-		qt.Assert(t, second.HasSettled(time.Hour), qt.IsFalse)
-		qt.Assert(t, second.HasSettled(leader.Term/2), qt.IsTrue)
+		qt.Assert(t, second.IsPastRestore(time.Hour), qt.IsFalse)
+		qt.Assert(t, second.IsPastRestore(leader.Term/2), qt.IsTrue)
 	})
 }
 
@@ -148,11 +148,11 @@
 		c.isDisconnected["a"] = true
 		c.restore(before)
 		late := &leader.Elector{
-			Store:   c.store,
-			Name:    "late",
-			Start:   "late/1",
-			Rank:    func() int { return 0 },
-			Changed: c.recordChange("late"),
+			Store:    c.store,
+			Name:     "late",
+			StartID:  "late/1",
+			Rank:     func() int { return 0 },
+			OnChange: c.recordChange("late"),
 		}
 		c.electors = append(c.electors, late)
 		c.deliverSnapshot(late)
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -7,7 +7,7 @@
 // paused past its lease cannot change anything. A daemon renews all its leases by one
 // renewal row, so the store's load does not grow with the number of shards. Another daemon
 // may take over a lease after it has observed the holder's renewal row unchanged for Term
-// plus Margin on its own clock; clocks are never compared.
+// plus TakeOverMargin on its own clock; clocks are never compared.
 package lease
 
 import (
@@ -23,23 +23,23 @@
 const (
 	// Term is how long the holder may act after it sent a renewal.
 	Term = 8 * time.Second
-	// Margin is added to Term by a daemon that takes over, for clocks that run at different
+	// TakeOverMargin is added to Term by a daemon that takes over, for clocks that run at different
 	// speeds.
-	Margin = 2 * time.Second
-	// RenewEvery is the time between two renewals.
-	RenewEvery = 2500 * time.Millisecond
+	TakeOverMargin = 2 * time.Second
+	// RenewInterval is the time between two renewals.
+	RenewInterval = 2500 * time.Millisecond
 	// OrderMargin is how much of the term must be left to send an order. It covers the
 	// maximum time that an order is in transit.
 	OrderMargin = 3 * time.Second
-	// SendWithin is the maximum time between the decision on an order and its sending.
-	SendWithin = time.Second
+	// MaxSendDelay is the maximum time between the decision on an order and its sending.
+	MaxSendDelay = time.Second
 )
 
-// Shards is the number of control shards.
-const Shards = 16
+// ShardCount is the number of control shards.
+const ShardCount = 16
 
-// ErrLapsed means that the holder's lease has expired or may have.
-var ErrLapsed = errors.New("lease expired")
+// ErrExpired means that the holder's lease has expired or may have.
+var ErrExpired = errors.New("lease expired")
 
 // Prefixes of row keys in the table.
 const (
@@ -48,7 +48,7 @@
 )
 
 // leaseKeys are the keys of the lease rows.
-var leaseKeys = func() (all [Shards]string) {
+var leaseKeys = func() (all [ShardCount]string) {
 	for shard := range all {
 		all[shard] = fmt.Sprintf("%s%02d", KeyPrefix, shard)
 	}
@@ -76,36 +76,36 @@
 	Count uint64 `json:"count"`
 }
 
-// Held is the lease on a shard from its holder's view. The zero value is expired.
-type Held struct {
+// Lease is the lease on a shard from its holder's view. The zero value is expired.
+type Lease struct {
 	Shard   int
 	Epoch   uint64
 	Expires time.Time
 }
 
-// Holds reports whether the lease is valid for at least margin longer.
-func (l Held) Holds(margin time.Duration) bool {
+// IsValid reports whether the lease is valid for at least margin longer.
+func (l Lease) IsValid(margin time.Duration) bool {
 	return l.Epoch != 0 && time.Until(l.Expires) >= margin
 }
 
-// Check returns ErrLapsed unless the lease is valid for at least margin longer.
-func (l Held) Check(margin time.Duration) error {
-	if !l.Holds(margin) {
-		return errors.Wrapf(ErrLapsed, "check lease of shard %d", l.Shard)
+// Check returns ErrExpired unless the lease is valid for at least margin longer.
+func (l Lease) Check(margin time.Duration) error {
+	if !l.IsValid(margin) {
+		return errors.Wrapf(ErrExpired, "check lease of shard %d", l.Shard)
 	}
 	return nil
 }
 
-// WithOrder returns the lease as it applies to an order that is decided now. The expiry is
-// limited so that the order is sent within SendWithin and has OrderMargin left to arrive.
-func (l Held) WithOrder() Held {
-	if orderExpiry := time.Now().Add(SendWithin + OrderMargin); orderExpiry.Before(l.Expires) {
+// ForOrder returns the lease as it applies to an order that is decided now. The expiry is
+// limited so that the order is sent within MaxSendDelay and has OrderMargin left to arrive.
+func (l Lease) ForOrder() Lease {
+	if orderExpiry := time.Now().Add(MaxSendDelay + OrderMargin); orderExpiry.Before(l.Expires) {
 		l.Expires = orderExpiry
 	}
 	return l
 }
 
 // Fence returns the transaction with the lease's epoch as an additional condition.
-func (l Held) Fence(transaction table.Transaction) table.Transaction {
+func (l Lease) Fence(transaction table.Transaction) table.Transaction {
 	return transaction.WithCondition(Key(l.Shard), l.Epoch)
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -12,15 +12,15 @@
 
 func TestLeaseExpiresWhileHolderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := lease.Held{
+		held := lease.Lease{
 			Shard:   3,
 			Epoch:   7,
 			Expires: time.Now().Add(lease.Term),
 		}
 		qt.Assert(t, held.Check(lease.OrderMargin), qt.IsNil)
 		time.Sleep(lease.Term - lease.OrderMargin + time.Millisecond)
-		qt.Assert(t, held.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrLapsed)
-		qt.Assert(t, lease.Held{}.Check(0), qt.ErrorIs, lease.ErrLapsed)
+		qt.Assert(t, held.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrExpired)
+		qt.Assert(t, lease.Lease{}.Check(0), qt.ErrorIs, lease.ErrExpired)
 	})
 }
 
@@ -28,15 +28,15 @@
 // order, even if its lease is still valid.
 func TestOrderExpiresBeforeLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := lease.Held{
+		held := lease.Lease{
 			Epoch:   7,
 			Expires: time.Now().Add(lease.Term),
 		}
-		orderLease := held.WithOrder()
-		time.Sleep(lease.SendWithin)
+		orderLease := held.ForOrder()
+		time.Sleep(lease.MaxSendDelay)
 		qt.Assert(t, orderLease.Check(lease.OrderMargin), qt.IsNil)
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, orderLease.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrLapsed)
+		qt.Assert(t, orderLease.Check(lease.OrderMargin), qt.ErrorIs, lease.ErrExpired)
 		qt.Assert(t, held.Check(lease.OrderMargin), qt.IsNil)
 	})
 }
--- a/core/locality/locality.go
+++ b/core/locality/locality.go
@@ -17,16 +17,16 @@
 // Zone is an availability zone with its capacity and demand for one kind of request.
 type Zone struct {
 	Name string
-	// Room is the capacity of the zone's servers in requests in flight.
-	Room float64
-	// Asked is the zone's demand, in any unit that is the same for all zones.
-	Asked float64
+	// Capacity is the capacity of the zone's servers in requests in flight.
+	Capacity float64
+	// Demand is the zone's demand, in any unit that is the same for all zones.
+	Demand float64
 }
 
 // Share is the fraction of a zone's requests that goes to one zone.
 type Share struct {
-	Zone string
-	Part float64
+	Zone     string
+	Fraction float64
 }
 
 // Divide returns how the requests of ownZone are divided over the zones. The fractions add up
@@ -46,8 +46,8 @@
 		}
 		if fraction > 0 {
 			shares = append(shares, Share{
-				Zone: zone.Name,
-				Part: fraction,
+				Zone:     zone.Name,
+				Fraction: fraction,
 			})
 		}
 	}
@@ -60,8 +60,8 @@
 // totals returns the capacity and the demand of all zones.
 func totals(zones []Zone) (capacity, demand float64) {
 	for _, zone := range zones {
-		capacity += zone.Room
-		demand += zone.Asked
+		capacity += zone.Capacity
+		demand += zone.Demand
 	}
 	return capacity, demand
 }
@@ -73,10 +73,10 @@
 		if zone.Name != ownZone {
 			continue
 		}
-		if zone.Room > 0 && (demand <= 0 || zone.Asked <= 0) {
+		if zone.Capacity > 0 && (demand <= 0 || zone.Demand <= 0) {
 			return 1
 		}
-		return min(1, (zone.Room/capacity)/max(zone.Asked/max(demand, epsilon), epsilon))
+		return min(1, (zone.Capacity/capacity)/max(zone.Demand/max(demand, epsilon), epsilon))
 	}
 	return 0
 }
@@ -84,7 +84,7 @@
 // spareFraction returns the capacity of a zone beyond its own demand, as a fraction of the
 // total. In a zone without demand all capacity is spare.
 func spareFraction(zone Zone, capacity, demand float64) float64 {
-	return max(0, zone.Room/capacity-zone.Asked/max(demand, epsilon))
+	return max(0, zone.Capacity/capacity-zone.Demand/max(demand, epsilon))
 }
 
 // totalSpareFraction returns the sum of the spare fractions of all zones.
@@ -96,11 +96,11 @@
 	return sum
 }
 
-// Draw returns the zone at a point from 0 to 1 of the shares, or an empty string if there are
+// ZoneAt returns the zone at a point from 0 to 1 of the shares, or an empty string if there are
 // none.
-func Draw(shares []Share, point float64) string {
+func ZoneAt(shares []Share, point float64) string {
 	for _, share := range shares {
-		point -= share.Part
+		point -= share.Fraction
 		if point < 0 {
 			return share.Zone
 		}
--- a/core/locality/locality_test.go
+++ b/core/locality/locality_test.go
@@ -14,7 +14,7 @@
 func fractionOf(shares []locality.Share, zone string) float64 {
 	for _, share := range shares {
 		if share.Zone == zone {
-			return share.Part
+			return share.Fraction
 		}
 	}
 	return 0
@@ -24,19 +24,19 @@
 func threeZones(capacityA, demandA float64) []locality.Zone {
 	return []locality.Zone{
 		{
-			Name:  "a",
-			Room:  capacityA,
-			Asked: demandA,
+			Name:     "a",
+			Capacity: capacityA,
+			Demand:   demandA,
 		},
 		{
-			Name:  "b",
-			Room:  100,
-			Asked: 50,
+			Name:     "b",
+			Capacity: 100,
+			Demand:   50,
 		},
 		{
-			Name:  "c",
-			Room:  100,
-			Asked: 50,
+			Name:     "c",
+			Capacity: 100,
+			Demand:   50,
 		},
 	}
 }
@@ -55,22 +55,22 @@
 func TestRequestsStayWithoutKnownDemand(t *testing.T) {
 	zones := []locality.Zone{
 		{
-			Name: "a",
-			Room: 10,
+			Name:     "a",
+			Capacity: 10,
 		},
 		{
-			Name: "b",
-			Room: 100,
+			Name:     "b",
+			Capacity: 100,
 		},
 	}
 	qt.Assert(t, fractionOf(locality.Divide("a", zones), "a"), qt.Equals, 1.0)
-	zones[0].Room = 0
+	zones[0].Capacity = 0
 	qt.Assert(t, fractionOf(locality.Divide("a", zones), "b"), qt.Equals, 1.0)
 }
 
 func TestNoCapacityYieldsNoShares(t *testing.T) {
 	qt.Assert(t, locality.Divide("a", nil), qt.HasLen, 0)
-	qt.Assert(t, locality.Draw(nil, 0.5), qt.Equals, "")
+	qt.Assert(t, locality.ZoneAt(nil, 0.5), qt.Equals, "")
 }
 
 // For any zones, the fractions add up to 1, and the servers of all zones are equally loaded.
@@ -80,26 +80,26 @@
 		zones := make([]locality.Zone, count)
 		for i := range zones {
 			zones[i] = locality.Zone{
-				Name:  string(rune('a' + i)),
-				Room:  float64(rapid.IntRange(1, 300).Draw(t, "room")),
-				Asked: float64(rapid.IntRange(1, 300).Draw(t, "asked")),
+				Name:     string(rune('a' + i)),
+				Capacity: float64(rapid.IntRange(1, 300).Draw(t, "room")),
+				Demand:   float64(rapid.IntRange(1, 300).Draw(t, "asked")),
 			}
 		}
 		load := map[string]float64{}
 		for _, ownZone := range zones {
 			sum := 0.0
 			for _, share := range locality.Divide(ownZone.Name, zones) {
-				sum += share.Part
-				load[share.Zone] += share.Part * ownZone.Asked
+				sum += share.Fraction
+				load[share.Zone] += share.Fraction * ownZone.Demand
 			}
 			if math.Abs(sum-1) > 1e-9 {
 				t.Fatalf("fractions of %s add up to %v", ownZone.Name, sum)
 			}
 		}
-		utilisation := load["a"] / zones[0].Room
+		utilisation := load["a"] / zones[0].Capacity
 		for _, zone := range zones {
-			if math.Abs(load[zone.Name]/zone.Room-utilisation) > 1e-6 {
-				t.Fatalf("utilisation of %s is %v, of a %v", zone.Name, load[zone.Name]/zone.Room, utilisation)
+			if math.Abs(load[zone.Name]/zone.Capacity-utilisation) > 1e-6 {
+				t.Fatalf("utilisation of %s is %v, of a %v", zone.Name, load[zone.Name]/zone.Capacity, utilisation)
 			}
 		}
 	})
--- a/core/neighbours/fuzz_test.go
+++ b/core/neighbours/fuzz_test.go
@@ -21,11 +21,11 @@
 		if err != nil {
 			return
 		}
-		if daemon.Name == "" || daemon.Address == "" || daemon.Strength < 0 {
+		if daemon.Name == "" || daemon.Address == "" || daemon.Capacity < 0 {
 			t.Fatalf("Decode accepts %q as %+v", value, daemon)
 		}
 		list := neighbours.NewList([]neighbours.Daemon{daemon})
-		list.For(name, "a")
-		list.Rank(name)
+		list.RelaysFor(name, "a")
+		list.Position(name)
 	})
 }
--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -34,9 +34,9 @@
 	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few daemons takes
 	// little of the processor of the relay's VM, but each relay adds calls to the store.
 	daemonsPerRelay = 32
-	// Standbys is the maximum number of standbys. If the store refuses each of eight daemons with a
+	// MaxStandbys is the maximum number of standbys. If the store refuses each of eight daemons with a
 	// probability of one third, it refuses all of them in one of 6,500 outages.
-	Standbys = 8
+	MaxStandbys = 8
 	// maxRelaysCalled is the maximum number of relays that a daemon calls before the standbys. With
 	// thousands of daemons there are tens of relays, and a relay that is cut off costs a call, since
 	// only the call shows that it is.
@@ -49,8 +49,8 @@
 	Zone string `json:"zone"`
 	// Address is the IP:port at which the daemon relays tables.
 	Address string `json:"address"`
-	// Strength is the capacity of the daemon's VM, in any unit that is the same for all.
-	Strength float64 `json:"strength"`
+	// Capacity is the capacity of the daemon's VM, in any unit that is the same for all.
+	Capacity float64 `json:"strength"`
 }
 
 // Encode returns the value of the daemon's row.
@@ -78,8 +78,8 @@
 	if _, err := netip.ParseAddrPort(d.Address); err != nil || d.Name == "" {
 		return errors.Errorf("decode daemon %q: address %.80q is not IP:port", d.Name, d.Address)
 	}
-	if !(d.Strength >= 0) {
-		return errors.Errorf("decode daemon %q: strength %v is not 0 or more", d.Name, d.Strength)
+	if !(d.Capacity >= 0) {
+		return errors.Errorf("decode daemon %q: strength %v is not 0 or more", d.Name, d.Capacity)
 	}
 	return nil
 }
@@ -93,8 +93,8 @@
 func NewList(daemons []Daemon) List {
 	ranked := slices.Clone(daemons)
 	slices.SortFunc(ranked, func(a, b Daemon) int {
-		if a.Strength != b.Strength {
-			return cmp.Compare(b.Strength, a.Strength)
+		if a.Capacity != b.Capacity {
+			return cmp.Compare(b.Capacity, a.Capacity)
 		}
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
@@ -116,10 +116,10 @@
 	})
 }
 
-// Sharing returns how many daemons call the store in the same way as this one if the daemons before
+// ContenderCount returns how many daemons call the store in the same way as this one if the daemons before
 // them have no copy: all relays for a relay, the relays and standbys for a standby, and otherwise
 // all daemons.
-func (l List) Sharing(name string) int {
+func (l List) ContenderCount(name string) int {
 	relays, standbys := l.relaysAndStandbys()
 	isSelf := func(d Daemon) bool {
 		return d.Name == name
@@ -134,8 +134,8 @@
 	}
 }
 
-// Rank returns a daemon's position in the list. A daemon that is not listed comes after all others.
-func (l List) Rank(name string) int {
+// Position returns a daemon's position in the list. A daemon that is not listed comes after all others.
+func (l List) Position(name string) int {
 	for i, daemon := range l.daemons {
 		if daemon.Name == name {
 			return i
@@ -144,9 +144,9 @@
 	return len(l.daemons)
 }
 
-// InZone returns a daemon's position among the daemons of a zone, from 0, and the number of these
+// PositionInZone returns a daemon's position among the daemons of a zone, from 0, and the number of these
 // daemons. A daemon that is not listed comes after all others.
-func (l List) InZone(name, zone string) (position, count int) {
+func (l List) PositionInZone(name, zone string) (position, count int) {
 	position = -1
 	for _, daemon := range l.daemons {
 		if daemon.Zone != zone {
@@ -163,10 +163,10 @@
 	return position, count
 }
 
-// OrderFor returns a daemon's position, from 0, in an order of all daemons for a key, and the
+// PositionForKey returns a daemon's position, from 0, in an order of all daemons for a key, and the
 // number of daemons in a zone. The daemons of that zone come first. The order differs by key, so
 // that different keys load different daemons. A daemon that is not listed comes after all others.
-func (l List) OrderFor(key, zone, name string) (position, inZone int) {
+func (l List) PositionForKey(key, zone, name string) (position, inZone int) {
 	isListed := false
 	ownHash := orderHash(key, name)
 	isInZone := false
@@ -208,8 +208,8 @@
 	return slices.Compact(zones)
 }
 
-// Has reports whether the list contains exactly this daemon, with its address.
-func (l List) Has(self Daemon) bool {
+// Contains reports whether the list contains exactly this daemon, with its address.
+func (l List) Contains(self Daemon) bool {
 	return slices.Contains(l.daemons, self)
 }
 
@@ -240,17 +240,17 @@
 	missing := min(max(0, Relays-len(relays)), len(others))
 	relays = append(relays, others[:missing]...)
 	others = others[missing:]
-	return relays, others[:min(Standbys, len(others))]
+	return relays, others[:min(MaxStandbys, len(others))]
 }
 
 // maxEarlierRelays is how many of the relays before it a relay calls. If the first relay is gone
 // for good or cut off, the next relay follows the store in its place, rather than all relays.
 const maxEarlierRelays = 3
 
-// For returns the relays that a daemon of a zone calls, in call order, those of its zone first. A
+// RelaysFor returns the relays that a daemon of a zone calls, in call order, those of its zone first. A
 // relay calls the relays before it, and the first relay follows the store itself. When three relays
 // followed the store, two of three calls to it returned the same changes.
-func (l List) For(name, zone string) []Daemon {
+func (l List) RelaysFor(name, zone string) []Daemon {
 	order := slices.Clone(l.relays())
 	position := slices.IndexFunc(order, func(d Daemon) bool {
 		return d.Name == name
@@ -303,9 +303,9 @@
 	return slices.Concat(next[:min(maxEarlierRelays, len(next))], standbys)
 }
 
-// Nearest returns daemons in the order in which a daemon of a zone calls them, as For does for
+// InCallOrder returns daemons in the order in which a daemon of a zone calls them, as RelaysFor does for
 // relays.
-func Nearest(daemons []Daemon, name, zone string) []Daemon {
+func InCallOrder(daemons []Daemon, name, zone string) []Daemon {
 	order := slices.Clone(daemons)
 	sortByDistance(order, name, zone)
 	return order
--- a/core/neighbours/neighbours_test.go
+++ b/core/neighbours/neighbours_test.go
@@ -34,22 +34,22 @@
 	relays, callers, followers := 0, 0, 0
 	for _, daemon := range all {
 		qt.Assert(t, first.IsRelay(daemon.Name), qt.Equals, second.IsRelay(daemon.Name))
-		qt.Assert(t, first.Rank(daemon.Name), qt.Equals, second.Rank(daemon.Name))
+		qt.Assert(t, first.Position(daemon.Name), qt.Equals, second.Position(daemon.Name))
 		if first.IsRelay(daemon.Name) {
 			relays++
-			order := first.For(daemon.Name, daemon.Zone)
+			order := first.RelaysFor(daemon.Name, daemon.Zone)
 			if len(order) == 0 {
 				followers++
 				continue
 			}
 			// Only one relay follows the store: the one that all other relays call first.
-			qt.Assert(t, first.For(order[0].Name, order[0].Zone), qt.HasLen, 0)
+			qt.Assert(t, first.RelaysFor(order[0].Name, order[0].Zone), qt.HasLen, 0)
 			for _, called := range order {
-				qt.Assert(t, first.Rank(called.Name) < first.Rank(daemon.Name), qt.IsTrue)
+				qt.Assert(t, first.Position(called.Name) < first.Position(daemon.Name), qt.IsTrue)
 			}
 			callers++
 		} else {
-			qt.Assert(t, first.For(daemon.Name, daemon.Zone), qt.HasLen, neighbours.Relays)
+			qt.Assert(t, first.RelaysFor(daemon.Name, daemon.Zone), qt.HasLen, neighbours.Relays)
 		}
 	}
 	qt.Assert(t, relays, qt.Equals, neighbours.Relays)
@@ -62,7 +62,7 @@
 	list := neighbours.NewList(all)
 	first := map[string]int{}
 	for _, daemon := range all {
-		if order := list.For(daemon.Name, daemon.Zone); !list.IsRelay(daemon.Name) {
+		if order := list.RelaysFor(daemon.Name, daemon.Zone); !list.IsRelay(daemon.Name) {
 			first[order[0].Name]++
 		}
 	}
@@ -75,14 +75,14 @@
 func TestRelaysAreOnLargestVMsAndScaleWithDaemons(t *testing.T) {
 	all := daemons(160)
 	for i := range all {
-		all[i].Strength = float64(i % 4)
+		all[i].Capacity = float64(i % 4)
 	}
 	list := neighbours.NewList(all)
 	count := 0
 	for _, daemon := range all {
 		if list.IsRelay(daemon.Name) {
 			count++
-			qt.Assert(t, daemon.Strength, qt.Equals, 3.0)
+			qt.Assert(t, daemon.Capacity, qt.Equals, 3.0)
 		}
 	}
 	qt.Assert(t, count, qt.Equals, 5)
@@ -102,7 +102,7 @@
 			inZone[daemon.Zone]++
 			continue
 		}
-		order := list.For(daemon.Name, daemon.Zone)
+		order := list.RelaysFor(daemon.Name, daemon.Zone)
 		qt.Assert(t, order, qt.HasLen, 4)
 		qt.Assert(t, order[0].Zone, qt.Equals, daemon.Zone)
 	}
@@ -122,26 +122,26 @@
 	followers, standbys := 0, 0
 	for _, daemon := range all {
 		if !list.IsRelay(daemon.Name) {
-			isStandby := len(list.StandbysFor(daemon.Name, daemon.Zone)) < neighbours.Standbys
+			isStandby := len(list.StandbysFor(daemon.Name, daemon.Zone)) < neighbours.MaxStandbys
 			if isStandby {
 				standbys++
-				qt.Assert(t, list.Sharing(daemon.Name), qt.Equals, 10+neighbours.Standbys)
+				qt.Assert(t, list.ContenderCount(daemon.Name), qt.Equals, 10+neighbours.MaxStandbys)
 			} else {
-				qt.Assert(t, list.Sharing(daemon.Name), qt.Equals, 320)
+				qt.Assert(t, list.ContenderCount(daemon.Name), qt.Equals, 320)
 			}
 			continue
 		}
-		qt.Assert(t, list.Sharing(daemon.Name), qt.Equals, 10)
-		order := list.For(daemon.Name, daemon.Zone)
+		qt.Assert(t, list.ContenderCount(daemon.Name), qt.Equals, 10)
+		order := list.RelaysFor(daemon.Name, daemon.Zone)
 		for _, earlier := range order {
-			qt.Assert(t, list.Rank(earlier.Name) < list.Rank(daemon.Name), qt.IsTrue)
+			qt.Assert(t, list.Position(earlier.Name) < list.Position(daemon.Name), qt.IsTrue)
 		}
 		if len(order) == 0 {
 			followers++
 		}
 	}
 	qt.Assert(t, followers, qt.Equals, 1)
-	qt.Assert(t, standbys, qt.Equals, neighbours.Standbys)
+	qt.Assert(t, standbys, qt.Equals, neighbours.MaxStandbys)
 }
 
 func TestInZoneReturnsUniquePositions(t *testing.T) {
@@ -153,24 +153,24 @@
 	qt.Assert(t, list.Zones(), qt.DeepEquals, []string{"a", "b", "c"})
 	positions := map[string]bool{}
 	for _, daemon := range all {
-		position, count := list.InZone(daemon.Name, daemon.Zone)
+		position, count := list.PositionInZone(daemon.Name, daemon.Zone)
 		qt.Assert(t, count, qt.Equals, 3)
 		qt.Assert(t, position >= 0 && position < count, qt.IsTrue)
 		positions[daemon.Zone+strconv.Itoa(position)] = true
 	}
 	qt.Assert(t, positions, qt.HasLen, len(all))
-	position, count := list.InZone("unlisted", "a")
+	position, count := list.PositionInZone("unlisted", "a")
 	qt.Assert(t, position, qt.Equals, 3)
 	qt.Assert(t, count, qt.Equals, 3)
 }
 
 func TestListWithFewOrNoDaemons(t *testing.T) {
-	qt.Assert(t, neighbours.List{}.For("x", "a"), qt.HasLen, 0)
+	qt.Assert(t, neighbours.List{}.RelaysFor("x", "a"), qt.HasLen, 0)
 	list := neighbours.NewList(daemons(2))
 	qt.Assert(t, list.IsRelay("front-0"), qt.IsTrue)
 	qt.Assert(t, list.IsRelay("unlisted"), qt.IsFalse)
-	qt.Assert(t, list.For("unlisted", "a"), qt.HasLen, 2)
-	qt.Assert(t, list.Rank("unlisted"), qt.Equals, 2)
+	qt.Assert(t, list.RelaysFor("unlisted", "a"), qt.HasLen, 2)
+	qt.Assert(t, list.Position("unlisted"), qt.Equals, 2)
 }
 
 func TestEncodedDaemonDecodesUnchanged(t *testing.T) {
@@ -197,7 +197,7 @@
 	for key := range 60 {
 		positions := map[int]bool{}
 		for _, daemon := range all {
-			position, inZone := list.OrderFor(strconv.Itoa(key), "b", daemon.Name)
+			position, inZone := list.PositionForKey(strconv.Itoa(key), "b", daemon.Name)
 			qt.Assert(t, inZone, qt.Equals, daemonsPerZone)
 			qt.Assert(t, positions[position], qt.IsFalse)
 			positions[position] = true
@@ -207,7 +207,7 @@
 			}
 		}
 		qt.Assert(t, positions, qt.HasLen, list.Len())
-		unlisted, _ := list.OrderFor(strconv.Itoa(key), "b", "nobody")
+		unlisted, _ := list.PositionForKey(strconv.Itoa(key), "b", "nobody")
 		qt.Assert(t, unlisted, qt.Equals, list.Len())
 	}
 	qt.Assert(t, first, qt.HasLen, daemonsPerZone)
@@ -221,7 +221,7 @@
 			Name:     fmt.Sprintf("front-%d", i),
 			Zone:     string(rune('a' + i%5)),
 			Address:  fmt.Sprintf("10.0.%d.%d:7700", i/250, i%250),
-			Strength: float64(i % 20),
+			Capacity: float64(i % 20),
 		})
 	}
 	relays := neighbours.NewList(daemons).Relays()
@@ -236,7 +236,7 @@
 	for _, daemon := range daemons {
 		qt.Assert(t, neighbours.RelaysKey < daemon.Name, qt.IsTrue)
 	}
-	nearest := neighbours.Nearest(relays, "front-1", "b")
+	nearest := neighbours.InCallOrder(relays, "front-1", "b")
 	qt.Assert(t, nearest[0].Zone, qt.Equals, "b")
 	for _, invalid := range []string{"", "{}", `[{"name":"x"}]`, `[{"name":"","address":"10.0.0.1:1"}]`, `[{"name":"x","address":"10.0.0.1:1","strength":-1}]`} {
 		_, err = neighbours.DecodeRelays([]byte(invalid))
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -7,19 +7,19 @@
 // servers check.
 package order
 
-// Verb is what an order makes a member do.
-type Verb string
+// Action is what an order makes a member do.
+type Action string
 
 // The actions of orders.
 const (
-	Load   Verb = "load"
-	Unload Verb = "unload"
+	Load   Action = "load"
+	Unload Action = "unload"
 )
 
 // Order is an order to one member. Members lists the VM identifiers of the whole group; the
 // first one takes the requests. Addresses lists the members' addresses in the same order.
 type Order struct {
-	Verb       Verb     `json:"verb"`
+	Action     Action   `json:"verb"`
 	Group      string   `json:"group"`
 	Generation uint64   `json:"generation"`
 	Sequence   uint64   `json:"sequence"`
@@ -38,16 +38,16 @@
 	Sequence   uint64 `json:"sequence"`
 }
 
-// Admits reports whether o is newer than the fence or has the same generation and sequence.
-func (f Fence) Admits(o Order) bool {
+// Accepts reports whether o is newer than the fence or has the same generation and sequence.
+func (f Fence) Accepts(o Order) bool {
 	if o.Generation != f.Generation {
 		return o.Generation > f.Generation
 	}
 	return o.Sequence >= f.Sequence
 }
 
-// State is the state that a backend server reports when probed.
-type State struct {
+// ServerState is the state that a backend server reports when probed.
+type ServerState struct {
 	VM         string `json:"vm"`
 	Group      string `json:"group"`
 	Generation uint64 `json:"generation"`
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -14,7 +14,7 @@
 		Sequence:   10,
 	}
 	admits := func(generation, sequence uint64) bool {
-		return fence.Admits(order.Order{
+		return fence.Accepts(order.Order{
 			Generation: generation,
 			Sequence:   sequence,
 		})
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -35,31 +35,31 @@
 
 // Reasons. Each is a row of the reference of counters.
 const (
-	ReasonNone              Reason = ""
-	ReasonBadRequest        Reason = "bad_request"
-	ReasonUnauthorised      Reason = "unauthorised"
-	ReasonUnknownModel      Reason = "unknown_model"
-	ReasonUnknownRoute      Reason = "unknown_route"
-	ReasonLeaving           Reason = "daemon_leaving"
-	ReasonCutOff            Reason = "daemon_cut_off"
-	ReasonNotConfigured     Reason = "daemon_not_configured"
-	ReasonRateLimit         Reason = "organisation_rate"
-	ReasonQueueFull         Reason = "queue_full"
-	ReasonQueueDeadline     Reason = "queue_deadline"
-	ReasonCallerGone        Reason = "caller_gone"
-	ReasonNoGroup           Reason = "no_whole_group"
-	ReasonNoServer          Reason = "no_live_server"
-	ReasonConnect           Reason = "backend_connect_failed"
-	ReasonEngineRefused     Reason = "backend_refused"
-	ReasonEngineBusy        Reason = "backend_busy"
-	ReasonBackendError      Reason = "backend_error"
-	ReasonConnectionLost    Reason = "connection_lost"
-	ReasonDeadline          Reason = "deadline"
-	ReasonRetryBudget       Reason = "retry_budget"
-	ReasonKeyReused         Reason = "idempotency_key_reused"
-	ReasonKeyInProgress     Reason = "idempotency_key_in_progress"
-	ReasonKeyOutcomeUnknown Reason = "idempotency_key_outcome_unknown"
-	ReasonKeyStoreDown      Reason = "idempotency_store_unavailable"
+	ReasonNone                        Reason = ""
+	ReasonBadRequest                  Reason = "bad_request"
+	ReasonUnauthorised                Reason = "unauthorised"
+	ReasonUnknownModel                Reason = "unknown_model"
+	ReasonUnknownRoute                Reason = "unknown_route"
+	ReasonDaemonLeaving               Reason = "daemon_leaving"
+	ReasonDaemonCutOff                Reason = "daemon_cut_off"
+	ReasonDaemonNotConfigured         Reason = "daemon_not_configured"
+	ReasonRateLimit                   Reason = "organisation_rate"
+	ReasonQueueFull                   Reason = "queue_full"
+	ReasonQueueDeadline               Reason = "queue_deadline"
+	ReasonCallerGone                  Reason = "caller_gone"
+	ReasonNoGroup                     Reason = "no_whole_group"
+	ReasonNoServer                    Reason = "no_live_server"
+	ReasonBackendConnectFailed        Reason = "backend_connect_failed"
+	ReasonEngineRefused               Reason = "backend_refused"
+	ReasonEngineBusy                  Reason = "backend_busy"
+	ReasonBackendError                Reason = "backend_error"
+	ReasonConnectionLost              Reason = "connection_lost"
+	ReasonDeadline                    Reason = "deadline"
+	ReasonRetryBudget                 Reason = "retry_budget"
+	ReasonKeyReused                   Reason = "idempotency_key_reused"
+	ReasonKeyInProgress               Reason = "idempotency_key_in_progress"
+	ReasonKeyOutcomeUnknown           Reason = "idempotency_key_outcome_unknown"
+	ReasonIdempotencyStoreUnavailable Reason = "idempotency_store_unavailable"
 )
 
 // Reasons lists all reasons with their meanings, in the order of the reference.
@@ -84,15 +84,15 @@
 		Meaning: "no declared service has this prefix",
 	},
 	{
-		Reason:  ReasonLeaving,
+		Reason:  ReasonDaemonLeaving,
 		Meaning: "this daemon is stopping; ask another",
 	},
 	{
-		Reason:  ReasonCutOff,
+		Reason:  ReasonDaemonCutOff,
 		Meaning: "this daemon has heard neither the store nor a majority of daemons lately",
 	},
 	{
-		Reason:  ReasonNotConfigured,
+		Reason:  ReasonDaemonNotConfigured,
 		Meaning: "this daemon has not learned a configuration yet",
 	},
 	{
@@ -120,7 +120,7 @@
 		Meaning: "no backend server of the service is live",
 	},
 	{
-		Reason:  ReasonConnect,
+		Reason:  ReasonBackendConnectFailed,
 		Meaning: "no connection to the backend server; nothing was handed to it",
 	},
 	{
@@ -160,7 +160,7 @@
 		Meaning: "a request with this idempotency key ran to an unknown end",
 	},
 	{
-		Reason:  ReasonKeyStoreDown,
+		Reason:  ReasonIdempotencyStoreUnavailable,
 		Meaning: "the idempotency key could not be claimed; the store does not answer",
 	},
 }
@@ -192,8 +192,8 @@
 	return f.Cause
 }
 
-// Refuse returns the failure of a request that certainly did not run.
-func Refuse(reason Reason, step string) *Failure {
+// NotRunFailure returns the failure of a request that certainly did not run.
+func NotRunFailure(reason Reason, step string) *Failure {
 	return &Failure{
 		Outcome: NotRun,
 		Reason:  reason,
--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -11,20 +11,20 @@
 // Repair returns the first remedy that fits.
 func (FirstFit) Repair(loss Loss, domains []Domain, _ declaration.Weights) (Remedy, Choice) {
 	ordered := sortedDomains(domains)
-	if spares := freeVMsOf(ordered, loss.Domain); loss.Kept > 0 && len(spares) >= loss.Lost {
+	if spares := freeVMsOf(ordered, loss.Domain); loss.RemainingMembers > 0 && len(spares) >= loss.LostMembers {
 		return Replace, Choice{
 			Name:    loss.Group,
 			Domain:  loss.Domain,
-			Members: spares[:loss.Lost:loss.Lost],
+			Members: spares[:loss.LostMembers:loss.LostMembers],
 		}
 	}
-	want := Want{
+	want := Request{
 		Name:  loss.Group,
-		Size:  loss.Lost + loss.Kept,
+		Size:  loss.LostMembers + loss.RemainingMembers,
 		Zones: loss.Zones,
 	}
 	for _, domain := range ordered {
-		if zoneRank(loss.Zones, domain.Zone) >= 0 && len(domain.Free) >= want.Size {
+		if zoneRank(loss.Zones, domain.Zone) >= 0 && len(domain.FreeVMs) >= want.Size {
 			return Move, chooseFirst(domain, want)
 		}
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -21,23 +21,23 @@
 
 // Domain is a fabric domain with its free VMs, ordered by id.
 type Domain struct {
-	Name string
-	Zone string
-	Free []vm.VM
+	Name    string
+	Zone    string
+	FreeVMs []vm.VM
 	// Groups is the number of groups that have their members in the domain.
 	Groups int
 }
 
-// Without returns the domain after a group has used its first n free VMs.
-func (d Domain) Without(n int) Domain {
-	d.Free = d.Free[n:]
+// WithGroupPlaced returns the domain after a group has used its first n free VMs.
+func (d Domain) WithGroupPlaced(n int) Domain {
+	d.FreeVMs = d.FreeVMs[n:]
 	d.Groups++
 	return d
 }
 
-// Want is a group to be placed, with its size in VMs and the zones in which it may be
+// Request is a group to be placed, with its size in VMs and the zones in which it may be
 // placed, in order of preference.
-type Want struct {
+type Request struct {
 	Name  string
 	Size  int
 	Zones []string
@@ -67,11 +67,11 @@
 func (d Domain) Cost(size int, weights declaration.Weights) float64 {
 	losses := float64(d.Groups*size) * horizonSeconds / lossIntervalSeconds
 	downtime := losses * moveDowntimeSeconds
-	if len(d.Free) > 0 {
+	if len(d.FreeVMs) > 0 {
 		downtime = losses * repairDowntimeSeconds
 	}
 	stranded := 0.0
-	for _, free := range d.Free[:len(d.Free)%size] {
+	for _, free := range d.FreeVMs[:len(d.FreeVMs)%size] {
 		stranded += float64(free.Accelerators) * horizonSeconds
 	}
 	return weights.GroupDowntime*downtime + weights.StrandedAccelerators*stranded*strandedShare
@@ -84,7 +84,7 @@
 // Place places all wants. Small inputs are searched exactly. Larger ones are placed
 // greedily: the largest group first, each in the domain whose cost increases least. A want
 // that does not fit anywhere gets a choice without members.
-func Place(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
+func Place(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
 	ordered := sortedDomains(domains)
 	if canSearchExactly(ordered, wants) {
 		return placeExactly(ordered, wants, weights)
@@ -99,7 +99,7 @@
 )
 
 // canSearchExactly reports whether the input is small enough for the exact search.
-func canSearchExactly(domains []Domain, wants []Want) bool {
+func canSearchExactly(domains []Domain, wants []Request) bool {
 	return len(wants) <= maxExactWants && len(domains) <= maxExactDomains
 }
 
@@ -123,12 +123,12 @@
 }
 
 // chooseFirst returns the choice of the first free VMs of a domain.
-func chooseFirst(domain Domain, want Want) Choice {
+func chooseFirst(domain Domain, want Request) Choice {
 	return Choice{
 		Name:    want.Name,
 		Zone:    domain.Zone,
 		Domain:  domain.Name,
-		Members: domain.Free[:want.Size:want.Size],
+		Members: domain.FreeVMs[:want.Size:want.Size],
 	}
 }
 
@@ -136,7 +136,7 @@
 // Greedy placement
 
 // placeGreedily places the largest wants first.
-func placeGreedily(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
+func placeGreedily(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
 	bySize := make([]int, len(wants))
 	for i := range bySize {
 		bySize[i] = i
@@ -153,21 +153,21 @@
 			continue
 		}
 		choices[index] = chooseFirst(domains[chosen], want)
-		domains[chosen] = domains[chosen].Without(want.Size)
+		domains[chosen] = domains[chosen].WithGroupPlaced(want.Size)
 	}
 	return choices
 }
 
 // cheapestDomain returns the index of the domain whose cost the want increases least, among
 // the domains of the first of its zones with enough free VMs, or -1 if there is none.
-func cheapestDomain(domains []Domain, want Want, weights declaration.Weights) int {
+func cheapestDomain(domains []Domain, want Request, weights declaration.Weights) int {
 	best, bestRank, bestIncrease := -1, 0, 0.0
 	for i, domain := range domains {
 		rank := zoneRank(want.Zones, domain.Zone)
-		if rank < 0 || len(domain.Free) < want.Size {
+		if rank < 0 || len(domain.FreeVMs) < want.Size {
 			continue
 		}
-		increase := domain.Without(want.Size).Cost(want.Size, weights) - domain.Cost(want.Size, weights)
+		increase := domain.WithGroupPlaced(want.Size).Cost(want.Size, weights) - domain.Cost(want.Size, weights)
 		if best < 0 || rank < bestRank || (rank == bestRank && increase < bestIncrease) {
 			best, bestRank, bestIncrease = i, rank, increase
 		}
@@ -180,7 +180,7 @@
 
 // exactSearch is the state of the exact search over all assignments.
 type exactSearch struct {
-	wants      []Want
+	wants      []Request
 	weights    declaration.Weights
 	assigned   []int
 	best       []int
@@ -191,7 +191,7 @@
 
 // placeExactly tries every assignment. It prefers the most groups placed, then the most
 // preferred zones, then the lowest cost.
-func placeExactly(domains []Domain, wants []Want, weights declaration.Weights) []Choice {
+func placeExactly(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
 	state := &exactSearch{
 		wants:      wants,
 		weights:    weights,
@@ -204,7 +204,7 @@
 		choices[i].Name = want.Name
 		if chosen := state.best[i]; chosen >= 0 {
 			choices[i] = chooseFirst(domains[chosen], want)
-			domains[chosen] = domains[chosen].Without(want.Size)
+			domains[chosen] = domains[chosen].WithGroupPlaced(want.Size)
 		}
 	}
 	return choices
@@ -219,11 +219,11 @@
 	want := s.wants[index]
 	for i, domain := range domains {
 		rank := zoneRank(want.Zones, domain.Zone)
-		if rank < 0 || len(domain.Free) < want.Size {
+		if rank < 0 || len(domain.FreeVMs) < want.Size {
 			continue
 		}
 		s.assigned[index] = i
-		domains[i] = domain.Without(want.Size)
+		domains[i] = domain.WithGroupPlaced(want.Size)
 		s.assignFrom(domains, index+1, placed+1, ranks+rank)
 		domains[i] = domain
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -32,7 +32,7 @@
 		Groups: groups,
 	}
 	for number := range free {
-		domain.Free = append(domain.Free, vm.VM{
+		domain.FreeVMs = append(domain.FreeVMs, vm.VM{
 			ID:           fmt.Sprintf("%s-%02d", name, number),
 			Zone:         zone,
 			Domain:       name,
@@ -53,10 +53,10 @@
 }
 
 // drawWants draws groups to be placed.
-func drawWants(rt *rapid.T, limit int) []placement.Want {
-	wants := make([]placement.Want, rapid.IntRange(1, limit).Draw(rt, "wants"))
+func drawWants(rt *rapid.T, limit int) []placement.Request {
+	wants := make([]placement.Request, rapid.IntRange(1, limit).Draw(rt, "wants"))
 	for i := range wants {
-		wants[i] = placement.Want{
+		wants[i] = placement.Request{
 			Name:  fmt.Sprintf("g%d", i),
 			Size:  rapid.IntRange(1, 5).Draw(rt, "size"),
 			Zones: rapid.Permutation([]string{"z0", "z1", "z2"}).Draw(rt, "zones")[:rapid.IntRange(1, 3).Draw(rt, "allowed")],
@@ -119,7 +119,7 @@
 func maxPlaceable(domains []placement.Domain, size int) int {
 	count := 0
 	for _, domain := range domains {
-		count += len(domain.Free) / size
+		count += len(domain.FreeVMs) / size
 	}
 	return count
 }
@@ -130,9 +130,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		domains := drawDomains(rt, 12)
 		size := rapid.IntRange(1, 5).Draw(rt, "size")
-		wants := make([]placement.Want, rapid.IntRange(7, 20).Draw(rt, "wants"))
+		wants := make([]placement.Request, rapid.IntRange(7, 20).Draw(rt, "wants"))
 		for i := range wants {
-			wants[i] = placement.Want{
+			wants[i] = placement.Request{
 				Name:  fmt.Sprint(i),
 				Size:  size,
 				Zones: []string{"z0", "z1", "z2"},
@@ -149,7 +149,7 @@
 	choices := placement.Place([]placement.Domain{
 		newDomain("tight", "z0", 4, 0),
 		newDomain("spare", "z0", 5, 0),
-	}, []placement.Want{{
+	}, []placement.Request{{
 		Name:  "g",
 		Size:  4,
 		Zones: []string{"z0"},
@@ -162,28 +162,28 @@
 
 func TestRepairChoosesCheapestRemedy(t *testing.T) {
 	loss := placement.Loss{
-		Group:         "g",
-		Lost:          1,
-		Kept:          3,
-		Zones:         []string{"z0"},
-		Domain:        "d",
-		LoadSeconds:   90,
-		UnseenSeconds: 10,
-		AwaySeconds:   10,
-		Accelerators:  24,
+		Group:               "g",
+		LostMembers:         1,
+		RemainingMembers:    3,
+		Zones:               []string{"z0"},
+		Domain:              "d",
+		LoadSeconds:         90,
+		UnresponsiveSeconds: 10,
+		LostSeconds:         10,
+		Accelerators:        24,
 	}
 	domains := []placement.Domain{newDomain("d", "z0", 1, 1)}
-	remedy, _ := placement.Weighed{}.Repair(loss, domains, testWeights)
+	remedy, _ := placement.CostBased{}.Repair(loss, domains, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Wait)
-	loss.UnseenSeconds = 60
-	remedy, choice := placement.Weighed{}.Repair(loss, domains, testWeights)
+	loss.UnresponsiveSeconds = 60
+	remedy, choice := placement.CostBased{}.Repair(loss, domains, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Replace)
 	qt.Assert(t, choice.Members, qt.HasLen, 1)
-	loss.UnseenSeconds = -1
-	remedy, _ = placement.Weighed{}.Repair(loss, nil, testWeights)
+	loss.UnresponsiveSeconds = -1
+	remedy, _ = placement.CostBased{}.Repair(loss, nil, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.Wait)
-	loss.AwaySeconds = 120
-	remedy, _ = placement.Weighed{}.Repair(loss, nil, testWeights)
+	loss.LostSeconds = 120
+	remedy, _ = placement.CostBased{}.Repair(loss, nil, testWeights)
 	qt.Assert(t, remedy, qt.Equals, placement.GiveUp)
 }
 
@@ -194,9 +194,9 @@
 	for number := range 64 {
 		domains = append(domains, newDomain(fmt.Sprintf("d%02d", number), fmt.Sprintf("z%d", number%8), 27, 0))
 	}
-	var wants []placement.Want
+	var wants []placement.Request
 	for number := range 64 {
-		wants = append(wants, placement.Want{
+		wants = append(wants, placement.Request{
 			Name:  fmt.Sprint(number),
 			Size:  16,
 			Zones: []string{"z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7"},
--- a/core/placement/repair.go
+++ b/core/placement/repair.go
@@ -27,33 +27,33 @@
 // Loss describes a group that lost members.
 type Loss struct {
 	Group string
-	// Lost and Kept are the numbers of lost and remaining members.
-	Lost int
-	Kept int
+	// LostMembers and RemainingMembers are the numbers of lost and remaining members.
+	LostMembers      int
+	RemainingMembers int
 	// Zones are the zones in which the group may be placed, its own zone first.
 	Zones  []string
 	Domain string
 	// LoadSeconds is how long the model takes to load.
 	LoadSeconds float64
-	// UnseenSeconds is how long the lost members have been unresponsive so far. It is
+	// UnresponsiveSeconds is how long the lost members have been unresponsive so far. It is
 	// negative if they will not return.
-	UnseenSeconds float64
-	// AwaySeconds is how long they have been unresponsive, whether or not they will return.
-	AwaySeconds float64
+	UnresponsiveSeconds float64
+	// LostSeconds is how long they have been unresponsive, whether or not they will return.
+	LostSeconds float64
 	// Accelerators is the number of accelerators of the remaining members.
 	Accelerators int
 }
 
-// Weighed is the default repair policy, which compares the costs of the remedies. The zero
+// CostBased is the default repair policy, which compares the costs of the remedies. The zero
 // value is ready to use.
-type Weighed struct{}
+type CostBased struct{}
 
 // Repair returns the cheapest remedy under the weights and the VMs that it uses: those that
 // replace the lost ones, or all members in the new domain.
-func (Weighed) Repair(loss Loss, domains []Domain, weights declaration.Weights) (Remedy, Choice) {
-	size := loss.Lost + loss.Kept
+func (CostBased) Repair(loss Loss, domains []Domain, weights declaration.Weights) (Remedy, Choice) {
+	size := loss.LostMembers + loss.RemainingMembers
 	remedy, choice, cost := Wait, Choice{}, waitCost(loss, weights)
-	if spares := freeVMsOf(domains, loss.Domain); loss.Kept > 0 && len(spares) >= loss.Lost {
+	if spares := freeVMsOf(domains, loss.Domain); loss.RemainingMembers > 0 && len(spares) >= loss.LostMembers {
 		replaceCost := weights.GroupDowntime * loss.LoadSeconds
 		replaceCost += weights.StrandedAccelerators * loss.LoadSeconds * float64(loss.Accelerators)
 		if replaceCost < cost {
@@ -61,11 +61,11 @@
 			choice = Choice{
 				Name:    loss.Group,
 				Domain:  loss.Domain,
-				Members: spares[:loss.Lost:loss.Lost],
+				Members: spares[:loss.LostMembers:loss.LostMembers],
 			}
 		}
 	}
-	moveChoice := Place(withoutDomain(domains, loss.Domain), []Want{{
+	moveChoice := Place(withoutDomain(domains, loss.Domain), []Request{{
 		Name:  loss.Group,
 		Size:  size,
 		Zones: loss.Zones,
@@ -76,7 +76,7 @@
 	if len(moveChoice.Members) == size && moveCost < cost {
 		return Move, moveChoice
 	}
-	if remedy == Wait && loss.AwaySeconds > maxLostSeconds {
+	if remedy == Wait && loss.LostSeconds > maxLostSeconds {
 		return GiveUp, Choice{}
 	}
 	return remedy, choice
@@ -98,8 +98,8 @@
 // which lasts far longer than a pause; the policy does not wait for them.
 func waitCost(loss Loss, weights declaration.Weights) float64 {
 	seconds := noReturnSeconds
-	if loss.UnseenSeconds >= 0 && loss.Lost == 1 {
-		seconds = loss.UnseenSeconds + loss.LoadSeconds/2
+	if loss.UnresponsiveSeconds >= 0 && loss.LostMembers == 1 {
+		seconds = loss.UnresponsiveSeconds + loss.LoadSeconds/2
 	}
 	return seconds * (weights.GroupDowntime + weights.StrandedAccelerators*float64(loss.Accelerators))
 }
@@ -108,7 +108,7 @@
 func freeVMsOf(domains []Domain, name string) []vm.VM {
 	for _, domain := range domains {
 		if domain.Name == name {
-			return domain.Free
+			return domain.FreeVMs
 		}
 	}
 	return nil
--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -16,12 +16,12 @@
 // drainSeconds is the predicted time that a group takes to drain.
 const drainSeconds = 15.0
 
-// ErrNoRoom means that a plan needs more free VMs than there are.
-var ErrNoRoom = errors.New("no room")
+// ErrNoFreeVMs means that a plan needs more free VMs than there are.
+var ErrNoFreeVMs = errors.New("no room")
 
 // Build returns the plan that carries out an intent on this fleet. It changes nothing. The
 // caller passes the plan's id and the operator's name.
-func Build(id, operator string, intent Intent, fleet World) (Plan, error) {
+func Build(id, operator string, intent Intent, fleet FleetState) (Plan, error) {
 	info, ok := kindsByName[intent.Kind]
 	if !ok {
 		return Plan{}, errors.Errorf("unknown intent %q", intent.Kind)
@@ -42,7 +42,7 @@
 // builder collects the steps and preconditions of one plan, and tracks which VMs are free
 // at the current stage.
 type builder struct {
-	fleet         World
+	fleet         FleetState
 	intent        Intent
 	domains       []placement.Domain
 	usedNames     map[string]bool
@@ -54,7 +54,7 @@
 }
 
 // newBuilder returns a builder at stage 0.
-func newBuilder(fleet World, intent Intent) *builder {
+func newBuilder(fleet FleetState, intent Intent) *builder {
 	names := map[string]bool{}
 	for _, record := range fleet.Groups {
 		names[record.Name] = true
@@ -79,18 +79,18 @@
 		Notes:    b.notes,
 	}
 	for key, version := range b.preconditions {
-		result.Ground = append(result.Ground, table.Condition{
+		result.Preconditions = append(result.Preconditions, table.Condition{
 			Key:     key,
 			Version: version,
 		})
 	}
-	sort.Slice(result.Ground, func(i, j int) bool {
-		return result.Ground[i].Key < result.Ground[j].Key
+	sort.Slice(result.Preconditions, func(i, j int) bool {
+		return result.Preconditions[i].Key < result.Preconditions[j].Key
 	})
 	for id := range b.reserves {
-		result.Reserves = append(result.Reserves, id)
+		result.ReservedVMs = append(result.ReservedVMs, id)
 	}
-	sort.Strings(result.Reserves)
+	sort.Strings(result.ReservedVMs)
 	return result
 }
 
@@ -116,11 +116,11 @@
 
 // closeZone adds the step that closes a zone.
 func (b *builder) closeZone(zone string) {
-	b.fleet.Closed[zone] = true
+	b.fleet.ClosedZones[zone] = true
 	b.steps = append(b.steps, Step{
-		Stage: b.stage,
-		Verb:  CloseZone,
-		Zone:  zone,
+		Stage:  b.stage,
+		Action: CloseZone,
+		Zone:   zone,
 	})
 	b.domains = b.fleet.Domains(nil)
 }
@@ -168,7 +168,7 @@
 			return err
 		}
 	}
-	maxBatch := b.fleet.Configuration.Declaration.Limits.Parallel()
+	maxBatch := b.fleet.Configuration.Declaration.Limits.ParallelLoadsOrDefault()
 	for len(pending) > 0 {
 		batch := pending[:min(maxBatch, len(pending))]
 		retry, err := b.replaceBatch(batch)
@@ -182,9 +182,9 @@
 
 // replaceBatch plans one batch and returns the replacements to retry in the next one.
 func (b *builder) replaceBatch(batch []replacement) ([]replacement, error) {
-	wants := make([]placement.Want, len(batch))
+	wants := make([]placement.Request, len(batch))
 	for i, item := range batch {
-		wants[i] = placement.Want{
+		wants[i] = placement.Request{
 			Name:  item.old.Name,
 			Size:  item.model.VMsPerReplica,
 			Zones: item.zones,
@@ -224,12 +224,12 @@
 		b.stage++
 		return nil
 	}
-	return errors.Wrapf(ErrNoRoom, "group %q: no %d free VMs in one fabric domain of %v; add VMs or allow fewer groups", item.old.Name, item.model.VMsPerReplica, item.zones)
+	return errors.Wrapf(ErrNoFreeVMs, "group %q: no %d free VMs in one fabric domain of %v; add VMs or allow fewer groups", item.old.Name, item.model.VMsPerReplica, item.zones)
 }
 
 // form adds the step that forms a new group on free VMs.
 func (b *builder) form(model declaration.Model, choice placement.Choice) {
-	members := MembersOf(choice.Members)
+	members := NewMembers(choice.Members)
 	record := group.Record{
 		Name:    b.unusedGroupName(model.Name),
 		Model:   model.Name,
@@ -242,7 +242,7 @@
 	loadSeconds := model.LoadTime.Or(declaration.DefaultLoadTime).Seconds()
 	b.steps = append(b.steps, Step{
 		Stage:           b.stage,
-		Verb:            Form,
+		Action:          Form,
 		Group:           record.Name,
 		Record:          &record,
 		Needs:           fmt.Sprintf("%d free VMs of %s, one load of %s from the weight store for each", len(members), choice.Domain, model.Name),
@@ -254,7 +254,7 @@
 // plan is confirmed.
 func (b *builder) useFreeVMs(domain string, members []group.Member) {
 	for _, member := range members {
-		if b.fleet.Claims[member.VM].Free() {
+		if b.fleet.Claims[member.VM].IsFree() {
 			b.addPrecondition(vm.Key(member.VM))
 			b.reserves[member.VM] = true
 		}
@@ -267,12 +267,12 @@
 			Members: members,
 		}
 		var free []vm.VM
-		for _, candidate := range b.domains[i].Free {
-			if !used.Has(candidate.ID) {
+		for _, candidate := range b.domains[i].FreeVMs {
+			if !used.HasMember(candidate.ID) {
 				free = append(free, candidate)
 			}
 		}
-		b.domains[i].Free = free
+		b.domains[i].FreeVMs = free
 		b.domains[i].Groups++
 	}
 }
@@ -282,7 +282,7 @@
 func (b *builder) drain(record group.Record, reuse bool) {
 	b.steps = append(b.steps, Step{
 		Stage:           b.stage,
-		Verb:            Drain,
+		Action:          Drain,
 		Group:           record.Name,
 		StrandedSeconds: drainSeconds * float64(record.Accelerators()),
 	})
@@ -296,7 +296,7 @@
 		b.domains[i].Groups--
 		for _, member := range record.Members {
 			if listed, ok := b.fleet.VM(member.VM); ok && listed.State == vm.Live {
-				b.domains[i].Free = append(b.domains[i].Free, listed)
+				b.domains[i].FreeVMs = append(b.domains[i].FreeVMs, listed)
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 	seconds := drainSeconds + model.LoadTime.Or(declaration.DefaultLoadTime).Seconds()
 	b.steps = append(b.steps, Step{
 		Stage:           b.stage,
-		Verb:            Reform,
+		Action:          Reform,
 		Group:           old.Name,
 		Record:          &next,
 		Needs:           "the group's own VMs; it cannot serve meanwhile",
--- a/core/plan/confirm.go
+++ b/core/plan/confirm.go
@@ -11,14 +11,14 @@
 	"headcourse/core/vm"
 )
 
-// ErrGroundMoved means that a precondition of the plan no longer holds.
-var ErrGroundMoved = errors.New("the plan's ground moved")
+// ErrPreconditionsChanged means that a precondition of the plan no longer holds.
+var ErrPreconditionsChanged = errors.New("the plan's ground moved")
 
 // Confirm returns the transaction that confirms a proposed plan on this fleet. The
 // transaction reserves the free VMs that the plan uses and marks the groups and zones that
-// it changes, all conditional on the plan's preconditions. Confirm returns ErrGroundMoved
+// it changes, all conditional on the plan's preconditions. Confirm returns ErrPreconditionsChanged
 // and names the change if it can already see that the transaction would fail.
-func Confirm(proposed Plan, fleet World) (table.Transaction, error) {
+func Confirm(proposed Plan, fleet FleetState) (table.Transaction, error) {
 	if proposed.State != Proposed {
 		return table.Transaction{}, errors.Errorf("confirm plan %s: it is %s, not %s", proposed.ID, proposed.State, Proposed)
 	}
@@ -26,7 +26,7 @@
 		return table.Transaction{}, err
 	}
 	confirm := table.Transaction{
-		Conditions: append([]table.Condition(nil), proposed.Ground...),
+		Conditions: append([]table.Condition(nil), proposed.Preconditions...),
 	}
 	confirm = confirm.WithCondition(ConfigKey, fleet.Catalog.Row(ConfigKey).Version)
 	confirm = confirm.WithCondition(Key(proposed.ID), fleet.Catalog.Row(Key(proposed.ID)).Version)
@@ -37,14 +37,14 @@
 		}
 	}
 	for _, step := range proposed.Steps {
-		if step.Verb == CloseZone || step.Verb == OpenZone {
+		if step.Action == CloseZone || step.Action == OpenZone {
 			confirm = confirm.WithWrite(table.Put(ZoneKey(step.Zone), Zone{
-				Closed: fleet.Closed[step.Zone],
+				Closed: fleet.ClosedZones[step.Zone],
 				Plan:   proposed.ID,
 			}))
 		}
 	}
-	for _, id := range proposed.Reserves {
+	for _, id := range proposed.ReservedVMs {
 		claim := fleet.Claims[id]
 		claim.Plan = proposed.ID
 		confirm = confirm.WithWrite(table.Put(vm.Key(id), claim))
@@ -54,10 +54,10 @@
 
 // checkPreconditions compares the plan's preconditions with the fleet. If another
 // configuration is in force, the plan that would be built now must have the same steps.
-func (p Plan) checkPreconditions(fleet World) error {
-	for _, condition := range p.Ground {
+func (p Plan) checkPreconditions(fleet FleetState) error {
+	for _, condition := range p.Preconditions {
 		if version := fleet.Catalog.Row(condition.Key).Version; version != condition.Version {
-			return errors.Wrapf(ErrGroundMoved, "confirm plan %s: row %q changed since the plan was made", p.ID, condition.Key)
+			return errors.Wrapf(ErrPreconditionsChanged, "confirm plan %s: row %q changed since the plan was made", p.ID, condition.Key)
 		}
 	}
 	if p.Revision == fleet.Configuration.Revision {
@@ -65,10 +65,10 @@
 	}
 	rebuilt, err := Build(p.ID, p.Operator, p.Intent, fleet)
 	if err != nil {
-		return errors.Wrapf(ErrGroundMoved, "confirm plan %s: under revision %d: %s", p.ID, fleet.Configuration.Revision, err)
+		return errors.Wrapf(ErrPreconditionsChanged, "confirm plan %s: under revision %d: %s", p.ID, fleet.Configuration.Revision, err)
 	}
 	if !reflect.DeepEqual(rebuilt.Steps, p.Steps) {
-		return errors.Wrapf(ErrGroundMoved, "confirm plan %s: revision %d requires other steps than revision %d", p.ID, fleet.Configuration.Revision, p.Revision)
+		return errors.Wrapf(ErrPreconditionsChanged, "confirm plan %s: revision %d requires other steps than revision %d", p.ID, fleet.Configuration.Revision, p.Revision)
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 func (p Plan) changedGroups() []string {
 	isChanged := map[string]bool{}
 	for _, step := range p.Steps {
-		if step.Verb == Drain || step.Verb == Reform {
+		if step.Action == Drain || step.Action == Reform {
 			isChanged[step.Group] = true
 		}
 	}
@@ -100,9 +100,9 @@
 	ChangeAbandon Change = "abandon"
 )
 
-// Apply returns the plan after an operator's change, or an error if the plan's state does
+// ApplyChange returns the plan after an operator's change, or an error if the plan's state does
 // not allow it.
-func (p Plan) Apply(change Change) (Plan, error) {
+func (p Plan) ApplyChange(change Change) (Plan, error) {
 	switch {
 	case change == ChangePause && p.State == Confirmed:
 		return p.WithState(Paused, ""), nil
--- a/core/plan/fleet_state.go
+++ b/core/plan/fleet_state.go
@@ -22,19 +22,19 @@
 	Declaration declaration.Declaration `json:"declaration"`
 }
 
-// World is the state of the fleet that plans and repairs are based on.
-type World struct {
+// FleetState is the state of the fleet that plans and repairs are based on.
+type FleetState struct {
 	Catalog       catalog.Catalog
 	Configuration Configuration
 	Groups        []group.Record
 	Claims        map[string]vm.Claim
 	VMs           []vm.VM
-	Closed        map[string]bool
+	ClosedZones   map[string]bool
 	// ZonePlans names the plan that is opening or closing a zone.
 	ZonePlans map[string]string
-	// Unwell holds free VMs that are listed but do not answer.
-	Unwell map[string]bool
-	Plans  []Plan
+	// UnresponsiveVMs holds free VMs that are listed but do not answer.
+	UnresponsiveVMs map[string]bool
+	Plans           []Plan
 }
 
 // Reader decodes the fleet state from catalogs and decodes each version of a row once. The
@@ -49,18 +49,18 @@
 	value   any
 }
 
-// WorldOf decodes the fleet state from a catalog and the VM list.
-func WorldOf(rows catalog.Catalog, vms []vm.VM) (World, error) {
-	return new(Reader).World(rows, vms)
+// ReadFleetState decodes the fleet state from a catalog and the VM list.
+func ReadFleetState(rows catalog.Catalog, vms []vm.VM) (FleetState, error) {
+	return new(Reader).FleetState(rows, vms)
 }
 
-// World decodes the fleet state from a catalog and the VM list.
-func (r *Reader) World(rows catalog.Catalog, vms []vm.VM) (World, error) {
-	fleet := World{
-		Catalog: rows,
-		Claims:  map[string]vm.Claim{},
-		VMs:     append([]vm.VM(nil), vms...),
-		Closed:  map[string]bool{},
+// FleetState decodes the fleet state from a catalog and the VM list.
+func (r *Reader) FleetState(rows catalog.Catalog, vms []vm.VM) (FleetState, error) {
+	fleet := FleetState{
+		Catalog:     rows,
+		Claims:      map[string]vm.Claim{},
+		VMs:         append([]vm.VM(nil), vms...),
+		ClosedZones: map[string]bool{},
 
 		ZonePlans: map[string]string{},
 	}
@@ -86,7 +86,7 @@
 		return fleet, err
 	}
 	err = forEachRow(r, rows, ZoneKeyPrefix, func(name string, found Zone) {
-		fleet.Closed[name] = found.Closed
+		fleet.ClosedZones[name] = found.Closed
 		if found.Plan != "" {
 			fleet.ZonePlans[name] = found.Plan
 		}
@@ -106,7 +106,7 @@
 	if r.cache == nil {
 		r.cache = map[string]cachedValue{}
 	}
-	for _, row := range rows.Under(prefix) {
+	for _, row := range rows.WithPrefix(prefix) {
 		cached, ok := r.cache[row.Key]
 		if !ok || cached.version != row.Version {
 			var value T
@@ -127,7 +127,7 @@
 }
 
 // Group returns the record of a group.
-func (f World) Group(name string) (group.Record, bool) {
+func (f FleetState) Group(name string) (group.Record, bool) {
 	for _, record := range f.Groups {
 		if record.Name == name {
 			return record, true
@@ -137,7 +137,7 @@
 }
 
 // VM returns a listed VM.
-func (f World) VM(id string) (vm.VM, bool) {
+func (f FleetState) VM(id string) (vm.VM, bool) {
 	index := sort.Search(len(f.VMs), func(i int) bool {
 		return f.VMs[i].ID >= id
 	})
@@ -149,11 +149,11 @@
 
 // Domains returns the fabric domains of open zones with their free VMs. A VM for which
 // isSuspect returns true is not free; isSuspect may be nil.
-func (f World) Domains(isSuspect func(vm string) bool) []placement.Domain {
+func (f FleetState) Domains(isSuspect func(vm string) bool) []placement.Domain {
 	index := map[string]int{}
 	var domains []placement.Domain
 	for _, listed := range f.VMs {
-		if listed.Domain == "" || f.Closed[listed.Zone] {
+		if listed.Domain == "" || f.ClosedZones[listed.Zone] {
 			continue
 		}
 		position, ok := index[listed.Domain]
@@ -165,9 +165,9 @@
 				Zone: listed.Zone,
 			})
 		}
-		isExcluded := f.Unwell[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
-		if listed.State == vm.Live && f.Claims[listed.ID].Free() && !isExcluded {
-			domains[position].Free = append(domains[position].Free, listed)
+		isExcluded := f.UnresponsiveVMs[listed.ID] || (isSuspect != nil && isSuspect(listed.ID))
+		if listed.State == vm.Live && f.Claims[listed.ID].IsFree() && !isExcluded {
+			domains[position].FreeVMs = append(domains[position].FreeVMs, listed)
 		}
 	}
 	for _, record := range f.Groups {
@@ -180,7 +180,7 @@
 
 // ZonesFor returns the open zones in which a group of the model may be placed: the
 // preferred zone, then the zones in which the model is declared, then the others.
-func (f World) ZonesFor(model declaration.Model, preferred string) []string {
+func (f FleetState) ZonesFor(model declaration.Model, preferred string) []string {
 	var zones []string
 	add := func(name string) {
 		for _, existing := range zones {
@@ -188,7 +188,7 @@
 				return
 			}
 		}
-		if name != "" && !f.Closed[name] {
+		if name != "" && !f.ClosedZones[name] {
 			zones = append(zones, name)
 		}
 	}
@@ -204,8 +204,8 @@
 	return zones
 }
 
-// Floor returns the highest generation at which any of the VMs was claimed.
-func (f World) Floor(members []group.Member) uint64 {
+// MaxGeneration returns the highest generation at which any of the VMs was claimed.
+func (f FleetState) MaxGeneration(members []group.Member) uint64 {
 	highest := uint64(0)
 	for _, member := range members {
 		highest = max(highest, f.Claims[member.VM].Generation)
@@ -213,8 +213,8 @@
 	return highest
 }
 
-// MembersOf converts listed VMs into members.
-func MembersOf(vms []vm.VM) []group.Member {
+// NewMembers converts listed VMs into members.
+func NewMembers(vms []vm.VM) []group.Member {
 	members := make([]group.Member, len(vms))
 	for i, listed := range vms {
 		members[i] = group.Member{
@@ -228,7 +228,7 @@
 }
 
 // declaredModel returns a declared model, or an error that names it.
-func (f World) declaredModel(name string) (declaration.Model, error) {
+func (f FleetState) declaredModel(name string) (declaration.Model, error) {
 	model, ok := f.Configuration.Declaration.Model(name)
 	if !ok {
 		return model, errors.Errorf("model %q is not declared", name)
--- a/core/plan/kinds.go
+++ b/core/plan/kinds.go
@@ -16,13 +16,13 @@
 
 // Kinds of intents. A new kind needs a constant, an entry in Kinds and a build function.
 const (
-	DrainSite     Kind = "drain-site"
-	DrainZone     Kind = "drain-zone"
-	OpenZoneAgain Kind = "open-zone"
-	RetireOneVM   Kind = "retire-vm"
-	MoveModel     Kind = "move-model"
-	DissolveGroup Kind = "dissolve-group"
-	Reconcile     Kind = "reconcile"
+	DrainSite      Kind = "drain-site"
+	DrainZone      Kind = "drain-zone"
+	ReopenZone     Kind = "open-zone"
+	RetireVMIntent Kind = "retire-vm"
+	MoveModel      Kind = "move-model"
+	DissolveGroup  Kind = "dissolve-group"
+	Reconcile      Kind = "reconcile"
 )
 
 // KindInfo describes a kind for the command line's help.
@@ -60,12 +60,12 @@
 			build: buildDrainZone,
 		},
 		{
-			Kind:  OpenZoneAgain,
+			Kind:  ReopenZone,
 			Usage: "let a closed zone have groups again",
 			build: buildOpenZone,
 		},
 		{
-			Kind:  RetireOneVM,
+			Kind:  RetireVMIntent,
 			Usage: "take a VM out of use, its group formed elsewhere or anew",
 			build: buildRetireVM,
 		},
@@ -137,15 +137,15 @@
 
 // buildOpenZone opens a zone.
 func buildOpenZone(b *builder) error {
-	if !b.fleet.Closed[b.intent.Zone] {
+	if !b.fleet.ClosedZones[b.intent.Zone] {
 		return errors.Errorf("zone %q is not closed", b.intent.Zone)
 	}
 	if err := b.requireZone(b.intent.Zone); err != nil {
 		return err
 	}
 	b.steps = append(b.steps, Step{
-		Verb: OpenZone,
-		Zone: b.intent.Zone,
+		Action: OpenZone,
+		Zone:   b.intent.Zone,
 	})
 	return nil
 }
@@ -165,19 +165,19 @@
 	if claim.Plan != "" {
 		return errors.Errorf("VM %q is reserved by plan %s", id, claim.Plan)
 	}
-	if claim.Free() {
+	if claim.IsFree() {
 		b.reserves[id] = true
 	}
 	b.excludeVM(id)
-	if record, ok := b.fleet.Group(claim.Group); ok && record.Has(id) {
+	if record, ok := b.fleet.Group(claim.Group); ok && record.HasMember(id) {
 		if err := b.removeFromGroup(record, id); err != nil {
 			return err
 		}
 	}
 	b.steps = append(b.steps, Step{
-		Stage: b.stage,
-		Verb:  RetireVM,
-		VM:    id,
+		Stage:  b.stage,
+		Action: RetireVM,
+		VM:     id,
 	})
 	return nil
 }
@@ -186,12 +186,12 @@
 func (b *builder) excludeVM(id string) {
 	for i, domain := range b.domains {
 		var free []vm.VM
-		for _, listed := range domain.Free {
+		for _, listed := range domain.FreeVMs {
 			if listed.ID != id {
 				free = append(free, listed)
 			}
 		}
-		b.domains[i].Free = free
+		b.domains[i].FreeVMs = free
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // hasFreeVMsFor reports whether a replacement fits on free VMs.
 func (b *builder) hasFreeVMsFor(item replacement) bool {
-	choices := placement.Place(b.domains, []placement.Want{{
+	choices := placement.Place(b.domains, []placement.Request{{
 		Name:  item.old.Name,
 		Size:  item.model.VMsPerReplica,
 		Zones: item.zones,
@@ -236,12 +236,12 @@
 func (b *builder) membersWithSpare(record group.Record, id string) ([]group.Member, bool) {
 	members := append([]group.Member(nil), record.Members...)
 	for _, domain := range b.domains {
-		if domain.Name != record.Domain || len(domain.Free) == 0 {
+		if domain.Name != record.Domain || len(domain.FreeVMs) == 0 {
 			continue
 		}
 		for i, member := range members {
 			if member.VM == id {
-				members[i] = MembersOf(domain.Free[:1])[0]
+				members[i] = NewMembers(domain.FreeVMs[:1])[0]
 			}
 		}
 		return members, true
@@ -260,7 +260,7 @@
 			return errors.Errorf("zone %q is not declared", zone)
 		}
 	}
-	if b.fleet.Closed[b.intent.To] {
+	if b.fleet.ClosedZones[b.intent.To] {
 		return errors.Errorf("zone %q is closed", b.intent.To)
 	}
 	var replacements []replacement
@@ -324,7 +324,7 @@
 	for _, zone := range sortedZones(model.Replicas) {
 		existing := b.activeGroups(model.Name, zone)
 		declared := model.Replicas[zone]
-		if b.fleet.Closed[zone] {
+		if b.fleet.ClosedZones[zone] {
 			b.addNote("zone %s is closed; %d groups of %s declared there are not created", zone, declared, model.Name)
 			continue
 		}
@@ -365,20 +365,20 @@
 	if missing <= 0 {
 		return nil
 	}
-	wants := make([]placement.Want, missing)
+	wants := make([]placement.Request, missing)
 	for i := range wants {
-		wants[i] = placement.Want{
+		wants[i] = placement.Request{
 			Name:  model.Name,
 			Size:  model.VMsPerReplica,
 			Zones: []string{zone},
 		}
 	}
-	parallel := b.fleet.Configuration.Declaration.Limits.Parallel()
+	parallel := b.fleet.Configuration.Declaration.Limits.ParallelLoadsOrDefault()
 	choices := placement.Place(b.domains, wants, b.fleet.Configuration.Declaration.Weights)
 	for i, choice := range choices {
 		if len(choice.Members) == 0 {
 			if !b.intent.AllowFewer {
-				return errors.Wrapf(ErrNoRoom, "model %q: room for %d of %d groups in zone %q; add VMs or allow fewer groups", model.Name, i, missing, zone)
+				return errors.Wrapf(ErrNoFreeVMs, "model %q: room for %d of %d groups in zone %q; add VMs or allow fewer groups", model.Name, i, missing, zone)
 			}
 			b.addNote("no room for a group of %s in %s", model.Name, zone)
 			continue
@@ -393,7 +393,7 @@
 func (b *builder) plannedForms() int {
 	count := 0
 	for _, step := range b.steps {
-		if step.Verb == Form {
+		if step.Action == Form {
 			count++
 		}
 	}
@@ -411,7 +411,7 @@
 		if record.Phase == group.Draining {
 			continue
 		}
-		if declared && !b.fleet.Closed[record.Zone] && b.displacedReplicas(model) > 0 {
+		if declared && !b.fleet.ClosedZones[record.Zone] && b.displacedReplicas(model) > 0 {
 			continue
 		}
 		if err := b.requireGroup(record); err != nil {
@@ -427,7 +427,7 @@
 func (b *builder) displacedReplicas(model declaration.Model) int {
 	count := 0
 	for zone, declared := range model.Replicas {
-		if b.fleet.Closed[zone] {
+		if b.fleet.ClosedZones[zone] {
 			count += declared
 		}
 	}
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -92,34 +92,34 @@
 	return s == Done || s == Abandoned || s == Failed
 }
 
-// Verb is what a step does.
-type Verb string
+// Action is what a step does.
+type Action string
 
 // Actions of steps.
 const (
 	// CloseZone stops placing groups in the zone.
-	CloseZone Verb = "close_zone"
+	CloseZone Action = "close_zone"
 	// OpenZone allows groups in the zone again.
-	OpenZone Verb = "open_zone"
+	OpenZone Action = "open_zone"
 	// RetireVM takes the VM out of use.
-	RetireVM Verb = "retire_vm"
+	RetireVM Action = "retire_vm"
 	// Form creates a group on free VMs.
-	Form Verb = "form"
+	Form Action = "form"
 	// Drain drains a group and dissolves it.
-	Drain Verb = "drain"
+	Drain Action = "drain"
 	// Reform drains a group and forms it again on VMs some of which are its own. The group
 	// cannot serve meanwhile.
-	Reform Verb = "reform"
+	Reform Action = "reform"
 )
 
 // Step is one step of a plan. Steps of a stage run together; a stage starts when all steps
 // of earlier stages are done.
 type Step struct {
-	Stage int    `json:"stage"`
-	Verb  Verb   `json:"verb"`
-	Zone  string `json:"zone,omitempty"`
-	VM    string `json:"vm,omitempty"`
-	Group string `json:"group,omitempty"`
+	Stage  int    `json:"stage"`
+	Action Action `json:"verb"`
+	Zone   string `json:"zone,omitempty"`
+	VM     string `json:"vm,omitempty"`
+	Group  string `json:"group,omitempty"`
 	// Record is the group that Form creates or that Reform results in. For Reform its
 	// generation is the group's generation when the plan was built.
 	Record *group.Record `json:"record,omitempty"`
@@ -135,10 +135,10 @@
 // String returns the step in one line.
 func (s Step) String() string {
 	object := s.Group + s.Zone
-	if s.Verb == RetireVM {
+	if s.Action == RetireVM {
 		object = s.VM
 	}
-	text := fmt.Sprintf("%s %s", s.Verb, object)
+	text := fmt.Sprintf("%s %s", s.Action, object)
 	if s.Record != nil {
 		text += fmt.Sprintf(" (%s %s, %d VMs of %s in %s)", s.Record.Model, s.Record.Version, len(s.Record.Members), s.Record.Domain, s.Record.Zone)
 	}
@@ -160,10 +160,10 @@
 	Steps []Step `json:"steps"`
 	// Notes are remarks for the reviewer.
 	Notes []string `json:"notes,omitempty"`
-	// Ground holds the versions of the rows from which the plan was built.
-	Ground []table.Condition `json:"ground"`
-	// Reserves are the free VMs that the plan reserves.
-	Reserves []string `json:"reserves,omitempty"`
+	// Preconditions holds the versions of the rows from which the plan was built.
+	Preconditions []table.Condition `json:"ground"`
+	// ReservedVMs are the free VMs that the plan reserves.
+	ReservedVMs []string `json:"reserves,omitempty"`
 }
 
 // WithState returns the plan in another state, with a reason.
@@ -179,8 +179,8 @@
 	return p
 }
 
-// StepsOf returns the steps of a stage.
-func (p Plan) StepsOf(stage int) []Step {
+// StageSteps returns the steps of a stage.
+func (p Plan) StageSteps(stage int) []Step {
 	var steps []Step
 	for _, step := range p.Steps {
 		if step.Stage == stage {
@@ -199,8 +199,8 @@
 	return last
 }
 
-// Predicted returns the total downtime and stranded accelerator time of all steps.
-func (p Plan) Predicted() (downtimeSeconds, strandedSeconds float64) {
+// PredictedTotals returns the total downtime and stranded accelerator time of all steps.
+func (p Plan) PredictedTotals() (downtimeSeconds, strandedSeconds float64) {
 	for _, step := range p.Steps {
 		downtimeSeconds += step.DowntimeSeconds
 		strandedSeconds += step.StrandedSeconds
--- a/core/presence/presence.go
+++ b/core/presence/presence.go
@@ -14,36 +14,36 @@
 // MaxAge is the maximum age of evidence that counts.
 const MaxAge = 2500 * time.Millisecond
 
-// Evidence records whether at time At every member of Group was present, loaded and of Generation.
+// Evidence records whether at time ObservedAt every member of Group was present, loaded and of Generation.
 // InFlight and Slots are the load that the group's first member reported.
 type Evidence struct {
 	Group      string
 	Generation uint64
-	Whole      bool
-	At         time.Time
+	IsWhole    bool
+	ObservedAt time.Time
 	InFlight   int
 	Slots      int
 }
 
-// Fresh reports whether the evidence shows the whole group, of this generation, within MaxAge
+// IsFresh reports whether the evidence shows the whole group, of this generation, within MaxAge
 // before now.
-func (e Evidence) Fresh(generation uint64, now time.Time) bool {
-	return e.Whole && e.Generation == generation && now.Sub(e.At) <= MaxAge
+func (e Evidence) IsFresh(generation uint64, now time.Time) bool {
+	return e.IsWhole && e.Generation == generation && now.Sub(e.ObservedAt) <= MaxAge
 }
 
-// Book holds the newest evidence of each group. The zero value is empty.
-type Book struct {
+// EvidenceSet holds the newest evidence of each group. The zero value is empty.
+type EvidenceSet struct {
 	newest map[string]Evidence
 }
 
 // Newest returns the newest evidence of a group, and false if there is none.
-func (b Book) Newest(group string) (Evidence, bool) {
+func (b EvidenceSet) Newest(group string) (Evidence, bool) {
 	evidence, ok := b.newest[group]
 	return evidence, ok
 }
 
 // All returns the newest evidence of every group, in no particular order.
-func (b Book) All() []Evidence {
+func (b EvidenceSet) All() []Evidence {
 	all := make([]Evidence, 0, len(b.newest))
 	for _, evidence := range b.newest {
 		all = append(all, evidence)
@@ -53,7 +53,7 @@
 
 // WithEvidence returns a copy with evidence added. For each group it keeps the evidence of the
 // highest generation, and within a generation the newest.
-func (b Book) WithEvidence(added ...Evidence) Book {
+func (b EvidenceSet) WithEvidence(added ...Evidence) EvidenceSet {
 	next := make(map[string]Evidence, len(b.newest)+len(added))
 	for group, evidence := range b.newest {
 		next[group] = evidence
@@ -63,20 +63,20 @@
 			next[evidence.Group] = evidence
 		}
 	}
-	return Book{
+	return EvidenceSet{
 		newest: next,
 	}
 }
 
-// WithoutOlder returns a copy without evidence from before a time.
-func (b Book) WithoutOlder(than time.Time) Book {
+// WithoutEvidenceBefore returns a copy without evidence from before a time.
+func (b EvidenceSet) WithoutEvidenceBefore(than time.Time) EvidenceSet {
 	next := make(map[string]Evidence, len(b.newest))
 	for group, evidence := range b.newest {
-		if !evidence.At.Before(than) {
+		if !evidence.ObservedAt.Before(than) {
 			next[group] = evidence
 		}
 	}
-	return Book{
+	return EvidenceSet{
 		newest: next,
 	}
 }
@@ -86,5 +86,5 @@
 	if a.Generation != b.Generation {
 		return a.Generation > b.Generation
 	}
-	return a.At.After(b.At)
+	return a.ObservedAt.After(b.ObservedAt)
 }
--- a/core/presence/presence_test.go
+++ b/core/presence/presence_test.go
@@ -15,16 +15,16 @@
 	return presence.Evidence{
 		Group:      "g",
 		Generation: generation,
-		Whole:      true,
-		At:         time.Now(),
+		IsWhole:    true,
+		ObservedAt: time.Now(),
 	}
 }
 
 func TestEvidenceOfOtherGenerationIsNotFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		qt.Assert(t, completeEvidence(2).Fresh(2, time.Now()), qt.IsTrue)
-		qt.Assert(t, completeEvidence(1).Fresh(2, time.Now()), qt.IsFalse)
-		qt.Assert(t, completeEvidence(3).Fresh(2, time.Now()), qt.IsFalse)
+		qt.Assert(t, completeEvidence(2).IsFresh(2, time.Now()), qt.IsTrue)
+		qt.Assert(t, completeEvidence(1).IsFresh(2, time.Now()), qt.IsFalse)
+		qt.Assert(t, completeEvidence(3).IsFresh(2, time.Now()), qt.IsFalse)
 	})
 }
 
@@ -32,9 +32,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		evidence := completeEvidence(1)
 		time.Sleep(presence.MaxAge)
-		qt.Assert(t, evidence.Fresh(1, time.Now()), qt.IsTrue)
+		qt.Assert(t, evidence.IsFresh(1, time.Now()), qt.IsTrue)
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, evidence.Fresh(1, time.Now()), qt.IsFalse)
+		qt.Assert(t, evidence.IsFresh(1, time.Now()), qt.IsFalse)
 	})
 }
 
@@ -45,12 +45,12 @@
 		incomplete := presence.Evidence{
 			Group:      "g",
 			Generation: 1,
-			At:         time.Now(),
+			ObservedAt: time.Now(),
 		}
-		book := presence.Book{}.WithEvidence(incomplete).WithEvidence(early)
+		book := presence.EvidenceSet{}.WithEvidence(incomplete).WithEvidence(early)
 		newest, ok := book.Newest("g")
 		qt.Assert(t, ok, qt.IsTrue)
-		qt.Assert(t, newest.Whole, qt.IsFalse)
+		qt.Assert(t, newest.IsWhole, qt.IsFalse)
 		newest, _ = book.WithEvidence(completeEvidence(2)).Newest("g")
 		qt.Assert(t, newest.Generation, qt.Equals, uint64(2))
 	})
--- a/core/quarantine/eviction.go
+++ b/core/quarantine/eviction.go
@@ -21,7 +21,7 @@
 		}
 	}
 	delete(l.suspects, oldestDigest)
-	if cleared := oldest.storedRows(oldestDigest); cleared.IsAny() {
+	if cleared := oldest.storedRows(oldestDigest); cleared.HasRows() {
 		l.evicted = append(l.evicted, cleared)
 	}
 }
@@ -34,9 +34,9 @@
 	return s.lastChange.Before(other.lastChange)
 }
 
-// Removed applies the removal of an end's row from the store: another daemon saw the request
+// RemoveCrash applies the removal of an end's row from the store: another daemon saw the request
 // answered, or an operator released it.
-func (l *Ledger) Removed(end End) {
+func (l *Ledger) RemoveCrash(end Crash) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	s := l.suspects[end.Digest]
@@ -47,8 +47,8 @@
 	l.removeIfEmpty(end.Digest, s)
 }
 
-// RemovedTrial applies the removal of a request's trial row from the store.
-func (l *Ledger) RemovedTrial(digest Digest) {
+// RemoveTrial applies the removal of a request's trial row from the store.
+func (l *Ledger) RemoveTrial(digest Digest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if s := l.suspects[digest]; s != nil {
@@ -71,9 +71,9 @@
 	}
 }
 
-// Keep reconciles the ledger with a full read of the store: it discards stored ends and trials
+// Reconcile reconciles the ledger with a full read of the store: it discards stored ends and trials
 // that are not in the given ones. Ends that have not been stored yet stay.
-func (l *Ledger) Keep(ends []End, trials []Digest) {
+func (l *Ledger) Reconcile(ends []Crash, trials []Digest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	type endKey struct {
@@ -109,7 +109,7 @@
 // Sweep discards requests that have been suspected or held for long enough. It returns their
 // rows in the store, and those of requests evicted since the last call, so that the caller can
 // remove them.
-func (l *Ledger) Sweep() []Cleared {
+func (l *Ledger) Sweep() []StoredRows {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	removals := l.evicted
@@ -117,13 +117,13 @@
 	for digest, s := range l.suspects {
 		retention := suspicionTime
 		if s.hasFailedTrial() {
-			retention = HeldFor
+			retention = MaxHoldTime
 		}
 		if time.Since(s.lastChange) <= retention {
 			continue
 		}
 		delete(l.suspects, digest)
-		if cleared := s.storedRows(digest); cleared.IsAny() {
+		if cleared := s.storedRows(digest); cleared.HasRows() {
 			removals = append(removals, cleared)
 		}
 	}
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -38,9 +38,9 @@
 	// trialTimeout is the time until the next trial if the result of the last one is unknown.
 	// It covers a whole stream.
 	trialTimeout = 2 * time.Second
-	// HeldFor is how long a request is held after a server ended under its last trial.
+	// MaxHoldTime is how long a request is held after a server ended under its last trial.
 	// suspicionTime is how long ends count if no trial failed.
-	HeldFor       = 24 * time.Hour
+	MaxHoldTime   = 24 * time.Hour
 	suspicionTime = 10 * time.Minute
 	// maxSuspects is the limit of recorded digests, including held ones. With two ends each
 	// they take 1.7 MB of heap. Each end of a server adds 30 to 80 of them.
@@ -49,54 +49,54 @@
 
 // holdTimes are how long a request is held after each failed trial. The first ones are short,
 // since the server may have ended for another reason during the trial.
-var holdTimes = [maxTrials]time.Duration{10 * time.Minute, time.Hour, HeldFor}
+var holdTimes = [maxTrials]time.Duration{10 * time.Minute, time.Hour, MaxHoldTime}
 
-// End is the end of a backend server's start while a request with the digest was in flight
+// Crash is the end of a backend server's start while a request with the digest was in flight
 // there.
-type End struct {
+type Crash struct {
 	Digest Digest
 	Start  string
 	// Trial is the number of the request's trial on that server; 0 if it was not a trial.
 	Trial int
 }
 
-// Cleared names the rows of a request in the store that are to be removed.
-type Cleared struct {
+// StoredRows names the rows of a request in the store that are to be removed.
+type StoredRows struct {
 	Digest   Digest
 	Starts   []string
 	HasTrial bool
 }
 
-// IsAny reports whether there is a row to remove.
-func (c Cleared) IsAny() bool {
+// HasRows reports whether there is a row to remove.
+func (c StoredRows) HasRows() bool {
 	return len(c.Starts) > 0 || c.HasTrial
 }
 
 // Trial is one send of a suspected request. All daemons agree on it by a row in the store.
-// After is the revision of the previous trial's row, or zero if there is none.
+// PreviousRevision is the revision of the previous trial's row, or zero if there is none.
 type Trial struct {
-	Digest Digest
-	Number int
-	After  rowstore.Revision
+	Digest           Digest
+	Number           int
+	PreviousRevision rowstore.Revision
 }
 
-// Step says how a request may be sent.
-type Step int
+// Action says how a request may be sent.
+type Action int
 
 // The steps are to send the request, to send it as a trial if the other daemons agree, and to
 // hold it back.
 const (
-	Send Step = iota
-	Try
+	Send Action = iota
+	SendAsTrial
 	Hold
 )
 
-// Decision says whether a request may be sent. Trial is set for a trial, and Pause is the
+// Decision says whether a request may be sent. Trial is set for a trial, and RetryAfter is the
 // remaining time of a held request.
 type Decision struct {
-	Step  Step
-	Trial Trial
-	Pause time.Duration
+	Action     Action
+	Trial      Trial
+	RetryAfter time.Duration
 }
 
 // suspect is the state of one digest.
@@ -145,16 +145,16 @@
 	holdLeft := s.nextTrialAt().Sub(now)
 	if holdLeft > 0 {
 		return Decision{
-			Step:  Hold,
-			Pause: holdLeft,
+			Action:     Hold,
+			RetryAfter: holdLeft,
 		}
 	}
 	return Decision{
-		Step: Try,
+		Action: SendAsTrial,
 		Trial: Trial{
-			Digest: digest,
-			Number: max(s.lastTrial, s.failedTrial) + 1,
-			After:  s.trialRevision,
+			Digest:           digest,
+			Number:           max(s.lastTrial, s.failedTrial) + 1,
+			PreviousRevision: s.trialRevision,
 		},
 	}
 }
@@ -181,26 +181,26 @@
 	answered recentDigests
 	onHold   func(Digest)
 	// evicted are the rows of requests that were evicted from a full ledger.
-	evicted []Cleared
+	evicted []StoredRows
 }
 
-// Listen sets the function that is called for each request under whose trial a server ended.
-func (l *Ledger) Listen(onHold func(Digest)) {
+// OnHold sets the function that is called for each request under whose trial a server ended.
+func (l *Ledger) OnHold(onHold func(Digest)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.onHold = onHold
 }
 
-// Note records an end that this daemon saw. It reports whether the end must be written to the
+// RecordCrash records an end that this daemon saw. It reports whether the end must be written to the
 // store: it is new, and the request was not answered lately.
-func (l *Ledger) Note(end End) bool {
+func (l *Ledger) RecordCrash(end Crash) bool {
 	const isStored = false
 	return l.add(end, isStored) == addedNew
 }
 
-// Told records an end that the store has. It returns false if the row must be removed from the
+// ApplyCrash records an end that the store has. It returns false if the row must be removed from the
 // store, since the request was answered lately.
-func (l *Ledger) Told(end End) bool {
+func (l *Ledger) ApplyCrash(end Crash) bool {
 	const isStored = true
 	return l.add(end, isStored) != recentlyAnswered
 }
@@ -215,7 +215,7 @@
 )
 
 // add records an end.
-func (l *Ledger) add(end End, isStored bool) addResult {
+func (l *Ledger) add(end Crash, isStored bool) addResult {
 	l.mutex.Lock()
 	now := time.Now()
 	if l.answered.contains(end.Digest, now) {
@@ -268,9 +268,9 @@
 	return s
 }
 
-// Tried records a trial of any daemon with the revision of its row. As in Told, the result is
+// ApplyTrial records a trial of any daemon with the revision of its row. As in ApplyCrash, the result is
 // false if the row must be removed from the store.
-func (l *Ledger) Tried(trial Trial, revision rowstore.Revision) bool {
+func (l *Ledger) ApplyTrial(trial Trial, revision rowstore.Revision) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.answered.contains(trial.Digest, time.Now()) {
@@ -286,23 +286,23 @@
 	return true
 }
 
-// Answered records that a server answered a request in full and still runs, which clears the
+// RecordAnswer records that a server answered a request in full and still runs, which clears the
 // request. It returns the request's rows in the store.
-func (l *Ledger) Answered(digest Digest) Cleared {
+func (l *Ledger) RecordAnswer(digest Digest) StoredRows {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answered.add(digest, time.Now())
 	s := l.suspects[digest]
 	if s == nil {
-		return Cleared{}
+		return StoredRows{}
 	}
 	delete(l.suspects, digest)
 	return s.storedRows(digest)
 }
 
 // storedRows returns the suspect's rows in the store, ordered by start.
-func (s *suspect) storedRows(digest Digest) Cleared {
-	cleared := Cleared{
+func (s *suspect) storedRows(digest Digest) StoredRows {
+	cleared := StoredRows{
 		Digest:   digest,
 		HasTrial: s.hasTrial(),
 	}
@@ -325,10 +325,10 @@
 	return s.decide(digest, time.Now())
 }
 
-// MayGoOn reports whether a request on trial may be sent to another server after the first one
+// MayResend reports whether a request on trial may be sent to another server after the first one
 // was full or stalled, which proves nothing. With maxEndsForResend ends it may not, since the
 // requirements then count each send.
-func (l *Ledger) MayGoOn(digest Digest, trial int) bool {
+func (l *Ledger) MayResend(digest Digest, trial int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	s := l.suspects[digest]
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -19,15 +19,15 @@
 }
 
 // endAt returns the end of a server start under a body.
-func endAt(body, start string) quarantine.End {
-	return quarantine.End{
+func endAt(body, start string) quarantine.Crash {
+	return quarantine.Crash{
 		Digest: digestOf(body),
 		Start:  start,
 	}
 }
 
 // trialEnd returns the end of a server start under a trial of the body "bad".
-func trialEnd(start string, number int) quarantine.End {
+func trialEnd(start string, number int) quarantine.Crash {
 	end := endAt("bad", start)
 	end.Trial = number
 	return end
@@ -37,14 +37,14 @@
 func ledgerWithSuspect(body string) *quarantine.Ledger {
 	ledger := &quarantine.Ledger{}
 	for _, start := range []string{"a", "b"} {
-		ledger.Told(endAt(body, start))
+		ledger.ApplyCrash(endAt(body, start))
 	}
 	return ledger
 }
 
 // decide returns how a body may be sent.
-func decide(ledger *quarantine.Ledger, body string) quarantine.Step {
-	return ledger.Decide(digestOf(body)).Step
+func decide(ledger *quarantine.Ledger, body string) quarantine.Action {
+	return ledger.Decide(digestOf(body)).Action
 }
 
 // revision returns a revision of era 0.
@@ -56,14 +56,14 @@
 
 func TestRequestNeedsATrialAfterTwoServerEnds(t *testing.T) {
 	var ledger quarantine.Ledger
-	qt.Assert(t, ledger.Note(endAt("bad", "a")), qt.IsTrue)
+	qt.Assert(t, ledger.RecordCrash(endAt("bad", "a")), qt.IsTrue)
 	// Many requests with the same content may be in flight at one server, which counts as one
 	// end.
-	qt.Assert(t, ledger.Note(endAt("bad", "a")), qt.IsFalse)
+	qt.Assert(t, ledger.RecordCrash(endAt("bad", "a")), qt.IsFalse)
 	qt.Assert(t, decide(&ledger, "bad"), qt.Equals, quarantine.Send)
-	qt.Assert(t, ledger.Told(endAt("bad", "b")), qt.IsTrue)
+	qt.Assert(t, ledger.ApplyCrash(endAt("bad", "b")), qt.IsTrue)
 	qt.Assert(t, ledger.Decide(digestOf("bad")), qt.Equals, quarantine.Decision{
-		Step: quarantine.Try,
+		Action: quarantine.SendAsTrial,
 		Trial: quarantine.Trial{
 			Digest: digestOf("bad"),
 			Number: 1,
@@ -79,23 +79,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		ledger := ledgerWithSuspect("bad")
 		var held int
-		ledger.Listen(func(digest quarantine.Digest) {
+		ledger.OnHold(func(digest quarantine.Digest) {
 			qt.Check(t, digest, qt.Equals, digestOf("bad"))
 			held++
 		})
 		for number, pause := range []time.Duration{10 * time.Minute, time.Hour, 24 * time.Hour} {
 			decision := ledger.Decide(digestOf("bad"))
-			qt.Assert(t, decision.Step, qt.Equals, quarantine.Try)
+			qt.Assert(t, decision.Action, qt.Equals, quarantine.SendAsTrial)
 			qt.Assert(t, decision.Trial.Number, qt.Equals, number+1)
-			qt.Assert(t, ledger.Tried(decision.Trial, revision(100+number)), qt.IsTrue)
+			qt.Assert(t, ledger.ApplyTrial(decision.Trial, revision(100+number)), qt.IsTrue)
 			qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Hold)
 
-			qt.Assert(t, ledger.Note(trialEnd(fmt.Sprintf("trial %d", number), number+1)), qt.IsTrue)
+			qt.Assert(t, ledger.RecordCrash(trialEnd(fmt.Sprintf("trial %d", number), number+1)), qt.IsTrue)
 			qt.Assert(t, held, qt.Equals, number+1)
 			time.Sleep(pause - time.Second)
 			decision = ledger.Decide(digestOf("bad"))
-			qt.Assert(t, decision.Step, qt.Equals, quarantine.Hold)
-			qt.Assert(t, decision.Pause, qt.Equals, time.Second)
+			qt.Assert(t, decision.Action, qt.Equals, quarantine.Hold)
+			qt.Assert(t, decision.RetryAfter, qt.Equals, time.Second)
 			time.Sleep(2 * time.Second)
 		}
 		// The last failure is long ago now, so the next sweep discards the request.
@@ -111,13 +111,13 @@
 		for number := range 3 {
 			decision := ledger.Decide(digestOf("quiet"))
 			qt.Assert(t, decision.Trial.Number, qt.Equals, number+1)
-			ledger.Tried(decision.Trial, revision(100+number))
+			ledger.ApplyTrial(decision.Trial, revision(100+number))
 			qt.Assert(t, decide(ledger, "quiet"), qt.Equals, quarantine.Hold)
 			time.Sleep(3 * time.Second)
 		}
 		qt.Assert(t, decide(ledger, "quiet"), qt.Equals, quarantine.Hold)
 		time.Sleep(10 * time.Minute)
-		qt.Assert(t, ledger.Sweep(), qt.DeepEquals, []quarantine.Cleared{
+		qt.Assert(t, ledger.Sweep(), qt.DeepEquals, []quarantine.StoredRows{
 			{
 				Digest:   digestOf("quiet"),
 				Starts:   []string{"a", "b"},
@@ -133,23 +133,23 @@
 func TestTrialIsResentOnlyWithoutAServerEnd(t *testing.T) {
 	ledger := ledgerWithSuspect("quiet")
 	trial := ledger.Decide(digestOf("quiet")).Trial
-	ledger.Tried(trial, revision(7))
+	ledger.ApplyTrial(trial, revision(7))
 	qt.Assert(t, decide(ledger, "quiet"), qt.Equals, quarantine.Hold)
-	qt.Assert(t, ledger.MayGoOn(digestOf("quiet"), trial.Number), qt.IsTrue)
-	qt.Assert(t, ledger.MayGoOn(digestOf("quiet"), trial.Number+1), qt.IsFalse)
+	qt.Assert(t, ledger.MayResend(digestOf("quiet"), trial.Number), qt.IsTrue)
+	qt.Assert(t, ledger.MayResend(digestOf("quiet"), trial.Number+1), qt.IsFalse)
 
-	ledger.Told(endAt("quiet", "c"))
-	qt.Assert(t, ledger.MayGoOn(digestOf("quiet"), trial.Number), qt.IsFalse)
-	ledger.Answered(digestOf("quiet"))
-	qt.Assert(t, ledger.MayGoOn(digestOf("quiet"), trial.Number), qt.IsTrue)
+	ledger.ApplyCrash(endAt("quiet", "c"))
+	qt.Assert(t, ledger.MayResend(digestOf("quiet"), trial.Number), qt.IsFalse)
+	ledger.RecordAnswer(digestOf("quiet"))
+	qt.Assert(t, ledger.MayResend(digestOf("quiet"), trial.Number), qt.IsTrue)
 
 	ledger = ledgerWithSuspect("bad")
-	ledger.Tried(quarantine.Trial{
+	ledger.ApplyTrial(quarantine.Trial{
 		Digest: digestOf("bad"),
 		Number: 1,
 	}, revision(7))
-	ledger.Note(trialEnd("c", 1))
-	qt.Assert(t, ledger.MayGoOn(digestOf("bad"), 1), qt.IsFalse)
+	ledger.RecordCrash(trialEnd("c", 1))
+	qt.Assert(t, ledger.MayResend(digestOf("bad"), 1), qt.IsFalse)
 	_, held := ledger.Counts()
 	qt.Assert(t, held, qt.Equals, 1)
 }
@@ -159,27 +159,27 @@
 // whole run.
 func TestAnsweredRequestIsNotSuspected(t *testing.T) {
 	ledger := ledgerWithSuspect("dashboard")
-	ledger.Note(endAt("dashboard", "c"))
-	ledger.Tried(quarantine.Trial{
+	ledger.RecordCrash(endAt("dashboard", "c"))
+	ledger.ApplyTrial(quarantine.Trial{
 		Digest: digestOf("dashboard"),
 		Number: 1,
 	}, revision(7))
 	// The rows in the store must be removed for the other daemons.
-	qt.Assert(t, ledger.Answered(digestOf("dashboard")), qt.DeepEquals, quarantine.Cleared{
+	qt.Assert(t, ledger.RecordAnswer(digestOf("dashboard")), qt.DeepEquals, quarantine.StoredRows{
 		Digest:   digestOf("dashboard"),
 		Starts:   []string{"a", "b"},
 		HasTrial: true,
 	})
 	for _, start := range []string{"c", "d", "e"} {
-		qt.Assert(t, ledger.Note(endAt("dashboard", start)), qt.IsFalse)
-		qt.Assert(t, ledger.Told(endAt("dashboard", start)), qt.IsFalse)
+		qt.Assert(t, ledger.RecordCrash(endAt("dashboard", start)), qt.IsFalse)
+		qt.Assert(t, ledger.ApplyCrash(endAt("dashboard", start)), qt.IsFalse)
 	}
-	qt.Assert(t, ledger.Tried(quarantine.Trial{
+	qt.Assert(t, ledger.ApplyTrial(quarantine.Trial{
 		Digest: digestOf("dashboard"),
 		Number: 2,
 	}, revision(8)), qt.IsFalse)
 	qt.Assert(t, decide(ledger, "dashboard"), qt.Equals, quarantine.Send)
-	qt.Assert(t, ledger.Answered(digestOf("dashboard")).IsAny(), qt.IsFalse)
+	qt.Assert(t, ledger.RecordAnswer(digestOf("dashboard")).HasRows(), qt.IsFalse)
 }
 
 func TestEndsAndAnswersExpire(t *testing.T) {
@@ -190,30 +190,30 @@
 		qt.Assert(t, decide(ledger, "accident"), qt.Equals, quarantine.Send)
 
 		// An answer clears a request only for a limited time.
-		ledger.Answered(digestOf("once"))
+		ledger.RecordAnswer(digestOf("once"))
 		time.Sleep(21 * time.Minute)
-		qt.Assert(t, ledger.Note(endAt("once", "a")), qt.IsTrue)
+		qt.Assert(t, ledger.RecordCrash(endAt("once", "a")), qt.IsTrue)
 	})
 }
 
 func TestRequestIsSentAgainAfterItsRowsAreRemoved(t *testing.T) {
 	ledger := ledgerWithSuspect("bad")
-	ledger.Tried(quarantine.Trial{
+	ledger.ApplyTrial(quarantine.Trial{
 		Digest: digestOf("bad"),
 		Number: 1,
 	}, revision(7))
-	ledger.Told(trialEnd("c", 1))
+	ledger.ApplyCrash(trialEnd("c", 1))
 	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Hold)
-	ledger.RemovedTrial(digestOf("bad"))
+	ledger.RemoveTrial(digestOf("bad"))
 	for _, start := range []string{"a", "b"} {
-		ledger.Removed(endAt("bad", start))
+		ledger.RemoveCrash(endAt("bad", start))
 	}
 	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Send)
 
-	ledger.Note(endAt("bad", "d"))
-	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Try)
+	ledger.RecordCrash(endAt("bad", "d"))
+	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.SendAsTrial)
 	// A full read of the store does not have the end of d yet.
-	ledger.Keep(nil, nil)
+	ledger.Reconcile(nil, nil)
 	qt.Assert(t, ledger.Ends(digestOf("bad")), qt.DeepEquals, []string{"d"})
 	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Send)
 }
@@ -222,10 +222,10 @@
 // memory nor free a held request.
 func TestFullLedgerEvictsNoHeldRequest(t *testing.T) {
 	ledger := ledgerWithSuspect("bad")
-	ledger.Note(trialEnd("c", 1))
+	ledger.RecordCrash(trialEnd("c", 1))
 	const many = 6000
 	for i := range many {
-		ledger.Told(endAt(fmt.Sprintf("flood %d", i), "d"))
+		ledger.ApplyCrash(endAt(fmt.Sprintf("flood %d", i), "d"))
 	}
 	suspected, held := ledger.Counts()
 	qt.Assert(t, suspected, qt.Equals, 4096)
@@ -245,12 +245,12 @@
 			end := endAt("x", rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "start"))
 			end.Trial = rapid.IntRange(0, 2).Draw(t, "trial")
 			updates = append(updates, func(ledger *quarantine.Ledger) {
-				ledger.Told(end)
+				ledger.ApplyCrash(end)
 			})
 		}
 		for number := range rapid.IntRange(0, 3).Draw(t, "trials") {
 			updates = append(updates, func(ledger *quarantine.Ledger) {
-				ledger.Tried(quarantine.Trial{
+				ledger.ApplyTrial(quarantine.Trial{
 					Digest: digestOf("x"),
 					Number: number + 1,
 				}, revision(10+number))
@@ -263,7 +263,7 @@
 				update(ledger)
 			}
 			decision := ledger.Decide(digestOf("x"))
-			decision.Pause = 0
+			decision.RetryAfter = 0
 			decisions = append(decisions, decision)
 		}
 		if decisions[0] != decisions[1] {
@@ -280,16 +280,16 @@
 		ledger := ledgerWithSuspect("bad")
 		time.Sleep(time.Second)
 		trial := ledger.Decide(digestOf("bad")).Trial
-		qt.Assert(t, ledger.Tried(trial, revision(7)), qt.IsTrue)
+		qt.Assert(t, ledger.ApplyTrial(trial, revision(7)), qt.IsTrue)
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, ledger.Note(trialEnd("b", trial.Number)), qt.IsFalse)
-		qt.Assert(t, ledger.MayGoOn(digestOf("bad"), trial.Number), qt.IsTrue)
+		qt.Assert(t, ledger.RecordCrash(trialEnd("b", trial.Number)), qt.IsFalse)
+		qt.Assert(t, ledger.MayResend(digestOf("bad"), trial.Number), qt.IsTrue)
 		_, held := ledger.Counts()
 		qt.Assert(t, held, qt.Equals, 0)
 
 		// An end during the trial fails it, even if another request recorded the end first.
-		ledger.Note(endAt("bad", "c"))
-		qt.Assert(t, ledger.Note(trialEnd("c", trial.Number)), qt.IsTrue)
+		ledger.RecordCrash(endAt("bad", "c"))
+		qt.Assert(t, ledger.RecordCrash(trialEnd("c", trial.Number)), qt.IsTrue)
 		_, held = ledger.Counts()
 		qt.Assert(t, held, qt.Equals, 1)
 	})
--- a/core/ratelimit/all_daemons_test.go
+++ b/core/ratelimit/all_daemons_test.go
@@ -47,7 +47,7 @@
 // daemon is one daemon of a model with its own list of daemons.
 type daemon struct {
 	name    string
-	limiter ratelimit.Book
+	limiter ratelimit.Limiter
 	list    neighbours.List
 }
 
@@ -80,17 +80,17 @@
 }
 
 // position returns a daemon's position for the server.
-func (d *daemon) position(start string) ratelimit.Place {
-	rank, near := d.list.OrderFor(start, zone, d.name)
-	return ratelimit.Place{
-		Rank: rank,
-		Near: near,
-		Of:   d.list.Len(),
+func (d *daemon) position(start string) ratelimit.Position {
+	rank, near := d.list.PositionForKey(start, zone, d.name)
+	return ratelimit.Position{
+		Rank:     rank,
+		SameZone: near,
+		Total:    d.list.Len(),
 	}
 }
 
 // send sends a request if the daemon may, and reports whether it did.
-func (d *daemon) send(start string, position ratelimit.Place) bool {
+func (d *daemon) send(start string, position ratelimit.Position) bool {
 	reservation, ok := d.limiter.Reserve(start, position)
 	if !ok {
 		return false
@@ -103,13 +103,13 @@
 // observe lets all daemons observe a limit.
 func (m *model) observe(perSecond float64) {
 	for _, d := range m.daemons {
-		d.limiter.Observed(m.start, ratelimit.Named(perSecond), time.Now())
+		d.limiter.Observe(m.start, ratelimit.NewLimit(perSecond), time.Now())
 	}
 }
 
 // run lets all daemons send as many requests as they may for the given time.
 func (m *model) run(duration time.Duration) {
-	positions := make([]ratelimit.Place, len(m.daemons))
+	positions := make([]ratelimit.Position, len(m.daemons))
 	for i, d := range m.daemons {
 		positions[i] = d.position(m.start)
 	}
@@ -277,7 +277,7 @@
 			m.observe(perSecond)
 			var without []*daemon
 			for _, d := range m.daemons {
-				if ratelimit.Named(perSecond).Part(d.position(m.start)).PerSecond == 0 {
+				if ratelimit.NewLimit(perSecond).Quota(d.position(m.start)).PerSecond == 0 {
 					without = append(without, d)
 				}
 			}
--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -19,10 +19,10 @@
 	retentionTime = 10 * time.Minute
 )
 
-// Book keeps the limits of each server start (fleet.Server.Start) and the tokens that this
+// Limiter keeps the limits of each server start (fleet.Server.StartID) and the tokens that this
 // daemon has left of its quota. A server may have an announced limit, a cold limit, or both; a
 // request must then satisfy both. The zero value is empty. It is safe for concurrent use.
-type Book struct {
+type Limiter struct {
 	// Clock must not stop while the VM is suspended, since the server's clock does not stop
 	// either. It must be set before first use.
 	Clock boottime.Clock
@@ -49,7 +49,7 @@
 }
 
 // set stores a limit that is current now. The mutex must be held.
-func (b *Book) set(start string, limit Limit, now time.Time) *entry {
+func (b *Limiter) set(start string, limit Limit, now time.Time) *entry {
 	e := b.limits[start]
 	if e == nil {
 		// The quota starts empty, since requests sent before were not counted.
@@ -70,22 +70,22 @@
 	return e
 }
 
-// Observed applies the answer to a request of this daemon and reports whether the limit
+// Observe applies the answer to a request of this daemon and reports whether the limit
 // changed. sent is the time of the request by Clock; zero if not known. Answers arrive out of
 // order: an answer to a request that was sent before the last update may be older, so it
 // neither raises nor ends a limit.
-func (b *Book) Observed(start string, observed Limit, sent time.Time) bool {
+func (b *Limiter) Observe(start string, observed Limit, sent time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	e := b.limits[start]
-	if observed.IsUnclear || (e == nil && !observed.IsNamed) {
+	if observed.IsInvalid || (e == nil && !observed.IsSet) {
 		return false
 	}
-	isLower := observed.IsNamed && (e == nil || observed.PerSecond <= e.limit.PerSecond)
+	isLower := observed.IsSet && (e == nil || observed.PerSecond <= e.limit.PerSecond)
 	if !isLower && !sent.After(e.updatedAt) {
 		return false
 	}
-	if !observed.IsNamed {
+	if !observed.IsSet {
 		delete(b.limits, start)
 		return true
 	}
@@ -96,14 +96,14 @@
 	return isChange
 }
 
-// Reported applies another daemon's report of a start; a report without a limit ends the limit.
+// ApplyReport applies another daemon's report of a start; a report without a limit ends the limit.
 // A recent observation of this daemon takes precedence over a report that allows more.
-func (b *Book) Reported(start string, reported Limit) {
+func (b *Limiter) ApplyReport(start string, reported Limit) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	e := b.limits[start]
 	now := b.Clock.Now()
-	allowsMore := !reported.IsNamed || (e != nil && reported.PerSecond > e.limit.PerSecond)
+	allowsMore := !reported.IsSet || (e != nil && reported.PerSecond > e.limit.PerSecond)
 	if allowsMore && e != nil && now.Sub(e.observedAt) < observationPriorityTime {
 		e.deferred = &reported
 		return
@@ -112,8 +112,8 @@
 }
 
 // apply sets a limit, or removes it if none is given. The mutex must be held.
-func (b *Book) apply(start string, limit Limit, now time.Time) {
-	if limit.IsNamed {
+func (b *Limiter) apply(start string, limit Limit, now time.Time) {
+	if limit.IsSet {
 		b.set(start, limit, now)
 	} else {
 		delete(b.limits, start)
@@ -122,15 +122,15 @@
 
 // applyDeferred applies a deferred report once the own observation is older than
 // observationPriorityTime. The mutex must be held.
-func (b *Book) applyDeferred(start string, now time.Time) {
+func (b *Limiter) applyDeferred(start string, now time.Time) {
 	e := b.limits[start]
 	if e != nil && e.deferred != nil && now.Sub(e.observedAt) >= observationPriorityTime {
 		b.apply(start, *e.deferred, now)
 	}
 }
 
-// Known returns the announced limit of a start and the time since its last update.
-func (b *Book) Known(start string) (limit Limit, since time.Duration) {
+// AnnouncedLimit returns the announced limit of a start and the time since its last update.
+func (b *Limiter) AnnouncedLimit(start string) (limit Limit, since time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	e := b.limits[start]
@@ -140,8 +140,8 @@
 	return e.limit, b.Clock.Since(e.updatedAt)
 }
 
-// LimitCold sets the limit of a cold start for the given time.
-func (b *Book) LimitCold(start string, limit Limit, duration time.Duration) {
+// SetColdLimit sets the limit of a cold start for the given time.
+func (b *Limiter) SetColdLimit(start string, limit Limit, duration time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
@@ -161,8 +161,8 @@
 	e.coldUntil = now.Add(duration)
 }
 
-// Has reports whether a start has a limit.
-func (b *Book) Has(start string) bool {
+// IsLimited reports whether a start has a limit.
+func (b *Limiter) IsLimited(start string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.limits[start] != nil || b.activeColdLimit(start, b.Clock.Now()) != nil
@@ -170,7 +170,7 @@
 
 // activeColdLimit returns the cold limit of a start, or nil after it expired. The mutex must be
 // held.
-func (b *Book) activeColdLimit(start string, now time.Time) *entry {
+func (b *Limiter) activeColdLimit(start string, now time.Time) *entry {
 	e := b.coldLimits[start]
 	if e == nil || now.Before(e.coldUntil) {
 		return e
@@ -181,7 +181,7 @@
 
 // IsEmpty reports whether no server has a limit. This is the usual case, and spares callers a
 // look-up of each server.
-func (b *Book) IsEmpty() bool {
+func (b *Limiter) IsEmpty() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.limits) == 0 && len(b.coldLimits) == 0
@@ -189,7 +189,7 @@
 
 // refilled returns the limits of a start after adding the tokens that are due. The mutex must
 // be held.
-func (b *Book) refilled(start string, position Place, now time.Time) []*entry {
+func (b *Limiter) refilled(start string, position Position, now time.Time) []*entry {
 	b.applyDeferred(start, now)
 	var limits []*entry
 	if e := b.limits[start]; e != nil {
@@ -232,7 +232,7 @@
 func (e *entry) mayProbe(now time.Time) bool {
 	turn := e.probeTurn(now)
 	position := e.bucket.position
-	return turn > e.lastProbeTurn && position.Of > 0 && (turn-1)%position.Of == position.Rank && e.bucket.reserved == 0
+	return turn > e.lastProbeTurn && position.Total > 0 && (turn-1)%position.Total == position.Rank && e.bucket.reserved == 0
 }
 
 // probeTurn returns the number of the current probe turn, from 1, or 0 if probing has not
@@ -245,17 +245,17 @@
 	return 1 + int(silence/probeTurnTime)
 }
 
-// HasRoom reports whether this daemon may send a request to a start now.
-func (b *Book) HasRoom(start string, position Place) bool {
+// HasCapacity reports whether this daemon may send a request to a start now.
+func (b *Limiter) HasCapacity(start string, position Position) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
 	return allHaveCapacity(b.refilled(start, position, now), now)
 }
 
-// Wait returns the time until this daemon may send a request. hasQuota is false if it has no
+// Delay returns the time until this daemon may send a request. hasQuota is false if it has no
 // quota.
-func (b *Book) Wait(start string, position Place) (delay time.Duration, hasQuota bool) {
+func (b *Limiter) Delay(start string, position Position) (delay time.Duration, hasQuota bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
@@ -287,7 +287,7 @@
 
 // Reserve reserves capacity for a request that will be sent soon; ok is false if there is none.
 // The caller must call Release when the request ends.
-func (b *Book) Reserve(start string, position Place) (*Reservation, bool) {
+func (b *Limiter) Reserve(start string, position Position) (*Reservation, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.Clock.Now()
@@ -307,7 +307,7 @@
 
 // Sweep discards expired cold limits, and limits without an update for retentionTime whose
 // starts isKnown does not know.
-func (b *Book) Sweep(isKnown func(start string) bool) {
+func (b *Limiter) Sweep(isKnown func(start string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for start, e := range b.limits {
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -14,17 +14,17 @@
 // onlyDaemon is the position of a single daemon. withoutQuota is a position so far back that
 // the daemon has no quota.
 var (
-	onlyDaemon = ratelimit.Place{
-		Of: 1,
+	onlyDaemon = ratelimit.Position{
+		Total: 1,
 	}
-	withoutQuota = ratelimit.Place{
-		Rank: 300,
-		Of:   360,
+	withoutQuota = ratelimit.Position{
+		Rank:  300,
+		Total: 360,
 	}
 )
 
 // sendMax sends as many requests as possible at once, at most 1000, and returns their number.
-func sendMax(limiter *ratelimit.Book, position ratelimit.Place) int {
+func sendMax(limiter *ratelimit.Limiter, position ratelimit.Position) int {
 	const maxRequests = 1000
 	count := 0
 	for range maxRequests {
@@ -41,30 +41,30 @@
 }
 
 // isLimited reports whether the start has an announced limit.
-func isLimited(limiter *ratelimit.Book) bool {
-	limit, _ := limiter.Known(start)
-	return limit.IsNamed
+func isLimited(limiter *ratelimit.Limiter) bool {
+	limit, _ := limiter.AnnouncedLimit(start)
+	return limit.IsSet
 }
 
 func TestLimitHoldsUntilAnAnswerNamesNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
+		var limiter ratelimit.Limiter
 		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
 		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 1000)
 
-		qt.Assert(t, limiter.Observed(start, ratelimit.Named(2), time.Now()), qt.IsTrue)
+		qt.Assert(t, limiter.Observe(start, ratelimit.NewLimit(2), time.Now()), qt.IsTrue)
 		// Requests before the announcement were not counted, so nothing may be sent at first.
 		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 0)
 		time.Sleep(time.Second)
 		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 2)
 		time.Sleep(500 * time.Millisecond)
 		qt.Assert(t, sendMax(&limiter, onlyDaemon), qt.Equals, 1)
-		qt.Assert(t, limiter.Observed(start, ratelimit.Named(2), time.Now()), qt.IsFalse)
+		qt.Assert(t, limiter.Observe(start, ratelimit.NewLimit(2), time.Now()), qt.IsFalse)
 
 		time.Sleep(time.Millisecond)
-		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsTrue)
+		qt.Assert(t, limiter.Observe(start, ratelimit.Limit{}, time.Now()), qt.IsTrue)
 		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
-		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, time.Now()), qt.IsFalse)
+		qt.Assert(t, limiter.Observe(start, ratelimit.Limit{}, time.Now()), qt.IsFalse)
 	})
 }
 
@@ -73,24 +73,24 @@
 // either.
 func TestAnswerToAnOlderRequestNeitherRaisesNorEndsALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
+		var limiter ratelimit.Limiter
 		earlier := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		limiter.Observed(start, ratelimit.Named(2), time.Now())
-		for _, observed := range []ratelimit.Limit{{}, ratelimit.Named(20), ratelimit.Named(-1)} {
-			qt.Assert(t, limiter.Observed(start, observed, earlier), qt.IsFalse)
-			qt.Assert(t, limiter.Observed(start, observed, time.Time{}), qt.IsFalse)
-			limit, _ := limiter.Known(start)
-			qt.Assert(t, limit, qt.Equals, ratelimit.Named(2))
+		limiter.Observe(start, ratelimit.NewLimit(2), time.Now())
+		for _, observed := range []ratelimit.Limit{{}, ratelimit.NewLimit(20), ratelimit.NewLimit(-1)} {
+			qt.Assert(t, limiter.Observe(start, observed, earlier), qt.IsFalse)
+			qt.Assert(t, limiter.Observe(start, observed, time.Time{}), qt.IsFalse)
+			limit, _ := limiter.AnnouncedLimit(start)
+			qt.Assert(t, limit, qt.Equals, ratelimit.NewLimit(2))
 		}
 		time.Sleep(100 * time.Millisecond)
-		qt.Assert(t, limiter.Observed(start, ratelimit.Named(-1), time.Now()), qt.IsFalse)
+		qt.Assert(t, limiter.Observe(start, ratelimit.NewLimit(-1), time.Now()), qt.IsFalse)
 		// A lower limit applies at once, whichever answer it came with.
-		qt.Assert(t, limiter.Observed(start, ratelimit.Named(1), time.Time{}), qt.IsTrue)
+		qt.Assert(t, limiter.Observe(start, ratelimit.NewLimit(1), time.Time{}), qt.IsTrue)
 		time.Sleep(100 * time.Millisecond)
-		qt.Assert(t, limiter.Observed(start, ratelimit.Named(20), time.Now()), qt.IsTrue)
-		limit, _ := limiter.Known(start)
-		qt.Assert(t, limit, qt.Equals, ratelimit.Named(20))
+		qt.Assert(t, limiter.Observe(start, ratelimit.NewLimit(20), time.Now()), qt.IsTrue)
+		limit, _ := limiter.AnnouncedLimit(start)
+		qt.Assert(t, limit, qt.Equals, ratelimit.NewLimit(20))
 	})
 }
 
@@ -98,17 +98,17 @@
 // and a report ends the limit as well. An answer to an earlier request does not end it.
 func TestReportOfAnotherDaemonSetsAndEndsALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
+		var limiter ratelimit.Limiter
 		before := time.Now()
 		time.Sleep(time.Millisecond)
-		limiter.Reported(start, ratelimit.Named(1.7))
-		qt.Assert(t, limiter.Observed(start, ratelimit.Limit{}, before), qt.IsFalse)
+		limiter.ApplyReport(start, ratelimit.NewLimit(1.7))
+		qt.Assert(t, limiter.Observe(start, ratelimit.Limit{}, before), qt.IsFalse)
 		time.Sleep(30 * time.Second)
 		qt.Assert(t, sendMax(&limiter, withoutQuota), qt.Equals, 0)
-		limiter.Reported(start, ratelimit.Limit{})
+		limiter.ApplyReport(start, ratelimit.Limit{})
 		qt.Assert(t, sendMax(&limiter, withoutQuota), qt.Equals, 1000)
 		// No limit is known, so a report of its end changes nothing.
-		limiter.Reported(start, ratelimit.Limit{})
+		limiter.ApplyReport(start, ratelimit.Limit{})
 		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
 	})
 }
@@ -117,21 +117,21 @@
 // is no longer recent.
 func TestRecentObservationTakesPrecedenceOverReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
-		for _, reported := range []ratelimit.Limit{{}, ratelimit.Named(5)} {
-			limiter.Observed(start, ratelimit.Named(2), time.Now())
-			limiter.Reported(start, reported)
-			limit, _ := limiter.Known(start)
-			qt.Assert(t, limit, qt.Equals, ratelimit.Named(2))
-			limiter.Reported(start, ratelimit.Named(1))
-			limit, _ = limiter.Known(start)
-			qt.Assert(t, limit, qt.Equals, ratelimit.Named(1))
-
-			limiter.Observed(start, ratelimit.Named(0.5), time.Now())
-			limiter.Reported(start, reported)
+		var limiter ratelimit.Limiter
+		for _, reported := range []ratelimit.Limit{{}, ratelimit.NewLimit(5)} {
+			limiter.Observe(start, ratelimit.NewLimit(2), time.Now())
+			limiter.ApplyReport(start, reported)
+			limit, _ := limiter.AnnouncedLimit(start)
+			qt.Assert(t, limit, qt.Equals, ratelimit.NewLimit(2))
+			limiter.ApplyReport(start, ratelimit.NewLimit(1))
+			limit, _ = limiter.AnnouncedLimit(start)
+			qt.Assert(t, limit, qt.Equals, ratelimit.NewLimit(1))
+
+			limiter.Observe(start, ratelimit.NewLimit(0.5), time.Now())
+			limiter.ApplyReport(start, reported)
 			time.Sleep(5 * time.Second)
-			limiter.HasRoom(start, onlyDaemon)
-			limit, _ = limiter.Known(start)
+			limiter.HasCapacity(start, onlyDaemon)
+			limit, _ = limiter.AnnouncedLimit(start)
 			qt.Assert(t, limit, qt.Equals, reported)
 		}
 	})
@@ -141,25 +141,25 @@
 func TestReservationIsExclusiveAndReleasable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 0.05
-		var limiter ratelimit.Book
-		limiter.Observed(start, ratelimit.Named(perSecond), time.Now())
-		position := ratelimit.Place{
-			Of: 2,
+		var limiter ratelimit.Limiter
+		limiter.Observe(start, ratelimit.NewLimit(perSecond), time.Now())
+		position := ratelimit.Position{
+			Total: 2,
 		}
-		delay, hasQuota := limiter.Wait(start, position)
+		delay, hasQuota := limiter.Delay(start, position)
 		qt.Assert(t, hasQuota, qt.IsTrue)
 		qt.Assert(t, delay, qt.Equals, 2*20*time.Second)
 		time.Sleep(delay)
 		reservation, ok := limiter.Reserve(start, position)
 		qt.Assert(t, ok, qt.IsTrue)
-		qt.Assert(t, limiter.HasRoom(start, position), qt.IsFalse)
+		qt.Assert(t, limiter.HasCapacity(start, position), qt.IsFalse)
 		reservation.Release()
-		qt.Assert(t, limiter.HasRoom(start, position), qt.IsTrue)
+		qt.Assert(t, limiter.HasCapacity(start, position), qt.IsTrue)
 		qt.Assert(t, sendMax(&limiter, position), qt.Equals, 1)
 		// Capacity that was used does not come back.
 		reservation.Release()
-		qt.Assert(t, limiter.HasRoom(start, position), qt.IsFalse)
-		_, hasQuota = limiter.Wait(start, withoutQuota)
+		qt.Assert(t, limiter.HasCapacity(start, position), qt.IsFalse)
+		_, hasQuota = limiter.Delay(start, withoutQuota)
 		qt.Assert(t, hasQuota, qt.IsFalse)
 	})
 }
@@ -168,10 +168,10 @@
 // waits for its connection.
 func TestReservationIsRejectedAfterALimitIsSetOrLowered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
+		var limiter ratelimit.Limiter
 		chosen, ok := limiter.Reserve(start, onlyDaemon)
 		qt.Assert(t, ok, qt.IsTrue)
-		limiter.Observed(start, ratelimit.Named(20), time.Now())
+		limiter.Observe(start, ratelimit.NewLimit(20), time.Now())
 		_, ok = chosen.Take(onlyDaemon)
 		qt.Assert(t, ok, qt.IsFalse)
 
@@ -190,22 +190,22 @@
 func TestTokensAccrueWhileTheVMIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
-		limiter := ratelimit.Book{
+		limiter := ratelimit.Limiter{
 			Clock: boottime.Clock{
 				Suspended: func() time.Duration { return suspended },
 			},
 		}
-		limiter.Observed(start, ratelimit.Named(1), limiter.Clock.Now())
-		qt.Assert(t, limiter.HasRoom(start, onlyDaemon), qt.IsFalse)
+		limiter.Observe(start, ratelimit.NewLimit(1), limiter.Clock.Now())
+		qt.Assert(t, limiter.HasCapacity(start, onlyDaemon), qt.IsFalse)
 		suspended += time.Second
-		qt.Assert(t, limiter.HasRoom(start, onlyDaemon), qt.IsTrue)
+		qt.Assert(t, limiter.HasCapacity(start, onlyDaemon), qt.IsTrue)
 	})
 }
 
 func TestLimitsOfUnknownServersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
-		limiter.Observed(start, ratelimit.Named(1), time.Now())
+		var limiter ratelimit.Limiter
+		limiter.Observe(start, ratelimit.NewLimit(1), time.Now())
 		isKnown := true
 		sweep := func() {
 			limiter.Sweep(func(string) bool { return isKnown })
@@ -214,7 +214,7 @@
 		sweep()
 		qt.Assert(t, isLimited(&limiter), qt.IsTrue)
 		isKnown = false
-		limiter.Observed(start, ratelimit.Named(1), time.Now())
+		limiter.Observe(start, ratelimit.NewLimit(1), time.Now())
 		sweep()
 		qt.Assert(t, isLimited(&limiter), qt.IsTrue)
 		time.Sleep(time.Hour)
--- a/core/ratelimit/bucket.go
+++ b/core/ratelimit/bucket.go
@@ -4,8 +4,8 @@
 
 // bucket is the token bucket of this daemon's quota. Each request takes one token.
 type bucket struct {
-	quota    Part
-	position Place
+	quota    Quota
+	position Position
 	tokens   float64
 	// refilledAt is the time up to which tokens have been added. It starts when the limit was
 	// learnt.
@@ -18,9 +18,9 @@
 // changed starts empty: until all daemons know the new list, others may still use their quota
 // of the old one. After a change of the limit alone the bucket keeps its tokens, up to the new
 // burst.
-func (b *bucket) refill(limit Limit, position Place, now time.Time) {
-	quota := limit.Part(position)
-	isNew := b.position == Place{}
+func (b *bucket) refill(limit Limit, position Position, now time.Time) {
+	quota := limit.Quota(position)
+	isNew := b.position == Position{}
 	if !isNew && position != b.position && quota.PerSecond > b.quota.PerSecond {
 		b.tokens = 0
 		b.refilledAt = now
--- a/core/ratelimit/cold_test.go
+++ b/core/ratelimit/cold_test.go
@@ -21,7 +21,7 @@
 // setCold sets the cold limit at all daemons.
 func (m *model) setCold(perSecond float64, duration time.Duration) {
 	for _, d := range m.daemons {
-		d.limiter.LimitCold(m.start, ratelimit.Cold(perSecond, coldFactor, coldExtra), duration)
+		d.limiter.SetColdLimit(m.start, ratelimit.NewColdLimit(perSecond, coldFactor, coldExtra), duration)
 	}
 }
 
@@ -71,7 +71,7 @@
 			qt.Check(t, rate >= 0.8*perSecond && rate <= perSecond, qt.IsTrue, qt.Commentf("%d daemons: %v", count, rate))
 			time.Sleep(time.Second)
 			for _, d := range m.daemons {
-				qt.Assert(t, d.limiter.Has(m.start), qt.IsFalse)
+				qt.Assert(t, d.limiter.IsLimited(m.start), qt.IsFalse)
 			}
 		})
 	}
@@ -86,17 +86,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		const count = 90
 		m := newModel(count)
-		limit := ratelimit.Cold(perSecond, coldFactor, coldExtra)
+		limit := ratelimit.NewColdLimit(perSecond, coldFactor, coldExtra)
 		began := time.Now()
 		for i, d := range m.daemons {
 			time.AfterFunc(time.Duration(i)*maxDelay/count, func() {
-				d.limiter.LimitCold(m.start, limit, time.Minute)
+				d.limiter.SetColdLimit(m.start, limit, time.Minute)
 			})
 		}
 		next := began
 		for ; time.Since(began) < 4*time.Second; time.Sleep(sendInterval) {
 			for _, d := range m.daemons {
-				isLate := !d.limiter.Has(m.start)
+				isLate := !d.limiter.IsLimited(m.start)
 				if isLate && time.Now().Before(next) {
 					continue
 				}
@@ -123,8 +123,8 @@
 		m.run(20 * time.Second)
 		m.check(t, 1)
 		for _, d := range m.daemons {
-			d.limiter.Reported(m.start, ratelimit.Limit{})
-			qt.Assert(t, d.limiter.Has(m.start), qt.IsTrue)
+			d.limiter.ApplyReport(m.start, ratelimit.Limit{})
+			qt.Assert(t, d.limiter.IsLimited(m.start), qt.IsTrue)
 		}
 	})
 }
@@ -133,16 +133,16 @@
 // latest.
 func TestWaitEndsWhenTheColdLimitExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter ratelimit.Book
-		limiter.LimitCold(start, ratelimit.Cold(1, coldFactor, coldExtra), 3*time.Second)
-		delay, hasQuota := limiter.Wait(start, ratelimit.Place{
-			Rank: 80,
-			Of:   90,
+		var limiter ratelimit.Limiter
+		limiter.SetColdLimit(start, ratelimit.NewColdLimit(1, coldFactor, coldExtra), 3*time.Second)
+		delay, hasQuota := limiter.Delay(start, ratelimit.Position{
+			Rank:  80,
+			Total: 90,
 		})
 		qt.Assert(t, hasQuota, qt.IsTrue)
 		qt.Assert(t, delay, qt.Equals, 3*time.Second)
 		time.Sleep(3 * time.Second)
-		qt.Assert(t, limiter.HasRoom(start, ratelimit.Place{}), qt.IsTrue)
+		qt.Assert(t, limiter.HasCapacity(start, ratelimit.Position{}), qt.IsTrue)
 		qt.Assert(t, limiter.IsEmpty(), qt.IsTrue)
 	})
 }
