--- a/core/ratelimit/limit.go
+++ b/core/ratelimit/limit.go
@@ -16,27 +16,27 @@
 // Limit is the rate limit in one answer of a server. The zero value is no limit.
 type Limit struct {
 	// PerSecond is how many requests a second the server accepts, from 0 to MaxPerSecond. It is
-	// valid only if IsNamed.
+	// valid only if IsSet.
 	PerSecond float64
-	IsNamed   bool
-	// IsUnclear reports that the answer has an invalid limit. It sets no limit and does not end
+	IsSet     bool
+	// IsInvalid reports that the answer has an invalid limit. It sets no limit and does not end
 	// the one before.
-	IsUnclear bool
-	// Excess is how many requests beyond the limit all daemons together may send in a window; 0
+	IsInvalid bool
+	// MaxExcess is how many requests beyond the limit all daemons together may send in a window; 0
 	// selects the excess that is tolerated for announced limits.
-	Excess float64
+	MaxExcess float64
 }
 
-// Named returns a limit in requests a second. It is invalid if the number is negative or NaN.
-func Named(perSecond float64) Limit {
+// NewLimit returns a limit in requests a second. It is invalid if the number is negative or NaN.
+func NewLimit(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || perSecond < 0 {
 		return Limit{
-			IsUnclear: true,
+			IsInvalid: true,
 		}
 	}
 	return Limit{
 		PerSecond: min(perSecond, MaxPerSecond),
-		IsNamed:   true,
+		IsSet:     true,
 	}
 }
 
@@ -45,32 +45,32 @@
 // cold send more than their quota.
 const coldFraction = 0.9
 
-// Cold returns the limit of a cold server that can bear perSecond requests a second. In any
+// NewColdLimit returns the limit of a cold server that can bear perSecond requests a second. In any
 // second it may get factor times as many plus extra, from all daemons together.
-func Cold(perSecond, factor, extra float64) Limit {
-	limit := Named(coldFraction * perSecond)
-	limit.Excess = max(1, factor*perSecond+extra-limit.PerSecond)
+func NewColdLimit(perSecond, factor, extra float64) Limit {
+	limit := NewLimit(coldFraction * perSecond)
+	limit.MaxExcess = max(1, factor*perSecond+extra-limit.PerSecond)
 	return limit
 }
 
 // maxExcess returns how many requests beyond the limit may arrive in a window.
 func (l Limit) maxExcess() float64 {
-	if l.Excess > 0 {
-		return l.Excess
+	if l.MaxExcess > 0 {
+		return l.MaxExcess
 	}
 	rate := max(l.PerSecond, minPerSecond)
 	return (toleratedFactor-1)*rate*excessWindow.Seconds() + toleratedExtra
 }
 
-// Lowest returns the strictest of the limits in one answer. An invalid limit counts only if no
+// Strictest returns the strictest of the limits in one answer. An invalid limit counts only if no
 // other is given.
-func Lowest(limits ...Limit) Limit {
+func Strictest(limits ...Limit) Limit {
 	var lowest Limit
 	for _, limit := range limits {
 		switch {
-		case limit.IsNamed && (!lowest.IsNamed || limit.PerSecond < lowest.PerSecond):
+		case limit.IsSet && (!lowest.IsSet || limit.PerSecond < lowest.PerSecond):
 			lowest = limit
-		case limit.IsUnclear && !lowest.IsNamed:
+		case limit.IsInvalid && !lowest.IsSet:
 			lowest = limit
 		}
 	}
@@ -102,8 +102,8 @@
 	if report.PerSecond == nil {
 		return Limit{}, errors.New("decode limit: per_second is missing")
 	}
-	limit := Named(*report.PerSecond)
-	if !limit.IsNamed {
+	limit := NewLimit(*report.PerSecond)
+	if !limit.IsSet {
 		return Limit{}, errors.Errorf("decode limit: per_second %v is below 0", *report.PerSecond)
 	}
 	return limit, nil
--- a/core/ratelimit/limit_test.go
+++ b/core/ratelimit/limit_test.go
@@ -10,11 +10,11 @@
 
 func TestEncodedLimitDecodesToTheSame(t *testing.T) {
 	for _, perSecond := range testedLimits {
-		encoded, err := ratelimit.Named(perSecond).Encode("front-1")
+		encoded, err := ratelimit.NewLimit(perSecond).Encode("front-1")
 		qt.Assert(t, err, qt.IsNil)
 		decoded, err := ratelimit.Decode(encoded)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, decoded, qt.Equals, ratelimit.Named(perSecond))
+		qt.Assert(t, decoded, qt.Equals, ratelimit.NewLimit(perSecond))
 	}
 }
 
@@ -46,7 +46,7 @@
 		if err != nil {
 			return
 		}
-		if !limit.IsNamed || !(limit.PerSecond >= 0) || limit.PerSecond > ratelimit.MaxPerSecond {
+		if !limit.IsSet || !(limit.PerSecond >= 0) || limit.PerSecond > ratelimit.MaxPerSecond {
 			t.Fatalf("%q decodes to %+v", value, limit)
 		}
 	})
--- a/core/ratelimit/notices.go
+++ b/core/ratelimit/notices.go
@@ -19,11 +19,11 @@
 	changeThreshold = 0.1
 )
 
-// Notices holds the reports of limits that this daemon has read from the others, and decides
+// LimitReports holds the reports of limits that this daemon has read from the others, and decides
 // when it writes one itself. With reports, a daemon needs no request of its own to learn that a
 // server is limited, and a daemon without a quota can only learn by them that the limit is
 // over. The zero value is empty. It is safe for concurrent use.
-type Notices struct {
+type LimitReports struct {
 	mutex   sync.Mutex
 	reports map[string]storedReport
 	// reportedAt is when this daemon last reported on a start.
@@ -37,7 +37,7 @@
 }
 
 // Take stores a report that was read, and reports whether the limit changed.
-func (n *Notices) Take(start string, limit Limit) bool {
+func (n *LimitReports) Take(start string, limit Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	isChange := n.reports[start].limit != limit
@@ -53,7 +53,7 @@
 
 // Remove discards the report of a start that no longer exists, and reports whether there was
 // one.
-func (n *Notices) Remove(start string) bool {
+func (n *LimitReports) Remove(start string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	_, isKnown := n.reports[start]
@@ -62,14 +62,14 @@
 }
 
 // Len returns the number of starts with a report.
-func (n *Notices) Len() int {
+func (n *LimitReports) Len() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.reports)
 }
 
-// Others returns the starts with a report that are not in the given set.
-func (n *Notices) Others(starts map[string]bool) []string {
+// StartsNotIn returns the starts with a report that are not in the given set.
+func (n *LimitReports) StartsNotIn(starts map[string]bool) []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var others []string
@@ -81,8 +81,8 @@
 	return others
 }
 
-// Old returns the starts whose reports were last read more than retentionTime ago.
-func (n *Notices) Old() []string {
+// StaleStarts returns the starts whose reports were last read more than retentionTime ago.
+func (n *LimitReports) StaleStarts() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var stale []string
@@ -94,17 +94,17 @@
 	return stale
 }
 
-// Wants reports whether this daemon is to report what it has observed of a start. It is if the
+// ShouldReport reports whether this daemon is to report what it has observed of a start. It is if the
 // limit is unknown to the others, differs from the reported one, or was not reported for
 // refreshInterval, or if the reported limit is over.
-func (n *Notices) Wants(start string, observed Limit) bool {
+func (n *LimitReports) ShouldReport(start string, observed Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.isReportDue(start, observed) && time.Since(n.reportedAt[start]) >= minReportInterval
 }
 
-// Speak checks again whether a report is due, and if so records it as written now.
-func (n *Notices) Speak(start string, observed Limit) bool {
+// ClaimReport checks again whether a report is due, and if so records it as written now.
+func (n *LimitReports) ClaimReport(start string, observed Limit) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if !n.isReportDue(start, observed) || time.Since(n.reportedAt[start]) < minReportInterval {
@@ -117,12 +117,12 @@
 	return true
 }
 
-// isReportDue is Wants without the interval between reports of this daemon. The mutex must be
+// isReportDue is ShouldReport without the interval between reports of this daemon. The mutex must be
 // held.
-func (n *Notices) isReportDue(start string, observed Limit) bool {
+func (n *LimitReports) isReportDue(start string, observed Limit) bool {
 	known, isKnown := n.reports[start]
-	if observed.IsNamed != isKnown || !isKnown {
-		return observed.IsNamed != isKnown
+	if observed.IsSet != isKnown || !isKnown {
+		return observed.IsSet != isKnown
 	}
 	age := time.Since(known.readAt)
 	difference := math.Abs(observed.PerSecond - known.limit.PerSecond)
@@ -131,7 +131,7 @@
 }
 
 // Sweep discards the times of reports that no longer delay a further one.
-func (n *Notices) Sweep() {
+func (n *LimitReports) Sweep() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for start, reportedAt := range n.reportedAt {
--- a/core/ratelimit/quota.go
+++ b/core/ratelimit/quota.go
@@ -26,42 +26,42 @@
 	sameZoneWeight = 3
 )
 
-// Place is a daemon's position among those that may share a server's limit. The zero value is a
+// Position is a daemon's position among those that may share a server's limit. The zero value is a
 // daemon that knows no others; it has no quota.
-type Place struct {
+type Position struct {
 	// Rank is the daemon's number, from 0, in an order that is the same at all daemons and
 	// begins with those in the server's availability zone.
 	Rank int
-	// Near is the number of daemons in that zone, Of the number of all daemons.
-	Near int
-	Of   int
+	// SameZone is the number of daemons in that zone, Total the number of all daemons.
+	SameZone int
+	Total    int
 }
 
-// Part is one daemon's quota of a limit. The zero value allows nothing.
-type Part struct {
+// Quota is one daemon's quota of a limit. The zero value allows nothing.
+type Quota struct {
 	PerSecond float64
 	// Burst is how many requests may be sent at once after an idle time.
 	Burst int
 }
 
-// Part returns the quota of the daemon at a position. Each daemon sends whole requests, so all
+// Quota returns the quota of the daemon at a position. Each daemon sends whole requests, so all
 // daemons together may send up to the window times the limit, plus one request for each daemon.
 // With quotas for hundreds of daemons, their first requests alone would exceed the limit. So
 // only as many daemons have a quota as burstFraction of the excess has requests; the others
 // send nothing to the server.
-func (l Limit) Part(position Place) Part {
+func (l Limit) Quota(position Position) Quota {
 	rate := max(l.PerSecond, minPerSecond)
 	bursts := max(1, int(burstFraction*l.maxExcess()))
-	sharers := min(bursts, position.Of)
+	sharers := min(bursts, position.Total)
 	if position.Rank >= sharers {
-		return Part{}
+		return Quota{}
 	}
-	sameZone := min(position.Near, sharers)
+	sameZone := min(position.SameZone, sharers)
 	weight := 1.0
 	if position.Rank < sameZone {
 		weight = sameZoneWeight
 	}
-	return Part{
+	return Quota{
 		PerSecond: rate * weight / float64(sameZoneWeight*sameZone+sharers-sameZone),
 		Burst:     int(math.Floor(float64(bursts) / float64(sharers))),
 	}
--- a/core/ratelimit/quota_test.go
+++ b/core/ratelimit/quota_test.go
@@ -18,10 +18,10 @@
 				sum, sharers := 0.0, 0
 				minimum := math.Inf(1)
 				for rank := range total {
-					quota := ratelimit.Named(perSecond).Part(ratelimit.Place{
-						Rank: rank,
-						Near: sameZone,
-						Of:   total,
+					quota := ratelimit.NewLimit(perSecond).Quota(ratelimit.Position{
+						Rank:     rank,
+						SameZone: sameZone,
+						Total:    total,
 					})
 					sum += quota.PerSecond
 					if quota.PerSecond > 0 {
@@ -40,9 +40,9 @@
 		}
 	}
 	// A daemon that knows no list, or is not in it, has no quota.
-	qt.Assert(t, ratelimit.Named(5).Part(ratelimit.Place{}), qt.Equals, ratelimit.Part{})
-	qt.Assert(t, ratelimit.Named(5).Part(ratelimit.Place{
-		Rank: 9,
-		Of:   9,
-	}), qt.Equals, ratelimit.Part{})
+	qt.Assert(t, ratelimit.NewLimit(5).Quota(ratelimit.Position{}), qt.Equals, ratelimit.Quota{})
+	qt.Assert(t, ratelimit.NewLimit(5).Quota(ratelimit.Position{
+		Rank:  9,
+		Total: 9,
+	}), qt.Equals, ratelimit.Quota{})
 }
--- a/core/ratelimit/reservation.go
+++ b/core/ratelimit/reservation.go
@@ -5,7 +5,7 @@
 // Reservation reserves capacity for one request that was chosen and not yet sent. Tokens are
 // spent only by Take. It is not safe for concurrent use.
 type Reservation struct {
-	limiter *Book
+	limiter *Limiter
 	start   string
 	// limits are the limits whose capacity is reserved; empty if there is none, or after the
 	// reservation ended.
@@ -15,7 +15,7 @@
 // Take spends the reserved tokens right before the first byte of the request, and returns the
 // current time by Clock. ok is false if the request may not be sent, because a limit
 // was set or lowered since the request was chosen.
-func (r *Reservation) Take(position Place) (sent time.Time, ok bool) {
+func (r *Reservation) Take(position Position) (sent time.Time, ok bool) {
 	r.limiter.mutex.Lock()
 	defer r.limiter.mutex.Unlock()
 	r.release()
@@ -37,7 +37,7 @@
 	r.release()
 }
 
-// release ends the reservation. The mutex of the Book must be held.
+// release ends the reservation. The mutex of the Limiter must be held.
 func (r *Reservation) release() {
 	for _, e := range r.limits {
 		e.bucket.reserved--
--- a/core/request/request.go
+++ b/core/request/request.go
@@ -21,13 +21,13 @@
 	Body   []byte
 	// Headers are the forwarded headers, in the client's order.
 	Headers []Header
-	// Arrived is when the request was read; Wait is the timeout of the client.
-	Arrived time.Time
-	Wait    time.Duration
-	Key     string
-	// LastEvent is the ID of the event after which the client wants to resume a
+	// ReceivedAt is when the request was read; ClientTimeout is the timeout of the client.
+	ReceivedAt    time.Time
+	ClientTimeout time.Duration
+	APIKey        string
+	// LastEventID is the ID of the event after which the client wants to resume a
 	// stream; 0: none.
-	LastEvent int64
+	LastEventID int64
 	// Model is the requested model; PromptTokens is the size of the prompt,
 	// MaxTokens the maximum size of the answer.
 	Model        string
@@ -64,14 +64,14 @@
 
 // Attempt is what a backend server is told about one attempt to run a request.
 type Attempt struct {
-	// Server is the ID of the start that the request is meant for; any other start
+	// ServerID is the ID of the start that the request is meant for; any other start
 	// refuses it.
-	Server       string
+	ServerID     string
 	Organisation string
-	// Left is the time until the deadline of the request.
-	Left      time.Duration
-	Priority  int
-	LastEvent int64
+	// Remaining is the time until the deadline of the request.
+	Remaining   time.Duration
+	Priority    int
+	LastEventID int64
 }
 
 // Answer is the head of a backend server's answer.
@@ -80,16 +80,16 @@
 	Headers []Header
 	// ID is the ID of the request that the answer is for.
 	ID string
-	// Signed is set if the answer has the server's signature.
-	Signed bool
-	// NotRun is set if the server did not run the request.
-	NotRun bool
-	// Encoded is set if the body has a content encoding, although none was requested.
-	Encoded bool
-	// KeepFor is how long the server keeps the connection open; 0: unknown. Close is
+	// IsSigned is set if the answer has the server's signature.
+	IsSigned bool
+	// IsNotExecuted is set if the server did not run the request.
+	IsNotExecuted bool
+	// IsEncoded is set if the body has a content encoding, although none was requested.
+	IsEncoded bool
+	// KeepAlive is how long the server keeps the connection open; 0: unknown. Close is
 	// set if the server closes it.
-	KeepFor time.Duration
-	Close   bool
+	KeepAlive time.Duration
+	Close     bool
 	// Directive is what the server asks for concerning further requests.
 	Directive directive.Directive
 	// Limit is the rate limit that the server states for all daemons together.
@@ -104,26 +104,26 @@
 
 // The reasons.
 const (
-	ReasonNone          Reason = ""
-	ReasonNotConfigured Reason = "not_configured"
-	ReasonStale         Reason = "configuration_stale"
-	ReasonNoRoute       Reason = "no_route"
-	ReasonNoKey         Reason = "unknown_key"
-	ReasonBadRequest    Reason = "bad_request"
-	ReasonNoServer      Reason = "no_server"
-	ReasonConnect       Reason = "connect_failed"
-	ReasonRefused       Reason = "server_refused"
-	ReasonOtherServer   Reason = "other_server"
-	ReasonBroken        Reason = "connection_broken"
-	ReasonBadAnswer     Reason = "bad_answer"
-	ReasonServerError   Reason = "server_error"
-	ReasonStalled       Reason = "stalled"
-	ReasonDeadline      Reason = "deadline"
-	ReasonClientGone    Reason = "client_gone"
-	ReasonNoBudget      Reason = "retry_budget"
-	ReasonOverload      Reason = "overload"
-	ReasonCrashes       Reason = "crashes_servers"
-	ReasonPaused        Reason = "servers_paused"
-	ReasonLimited       Reason = "servers_limited"
-	ReasonEvacuated     Reason = "zone_evacuated"
+	ReasonNone               Reason = ""
+	ReasonNotConfigured      Reason = "not_configured"
+	ReasonConfigurationStale Reason = "configuration_stale"
+	ReasonNoRoute            Reason = "no_route"
+	ReasonUnknownKey         Reason = "unknown_key"
+	ReasonBadRequest         Reason = "bad_request"
+	ReasonNoServer           Reason = "no_server"
+	ReasonConnectFailed      Reason = "connect_failed"
+	ReasonServerRefused      Reason = "server_refused"
+	ReasonOtherServer        Reason = "other_server"
+	ReasonConnectionBroken   Reason = "connection_broken"
+	ReasonBadAnswer          Reason = "bad_answer"
+	ReasonServerError        Reason = "server_error"
+	ReasonStalled            Reason = "stalled"
+	ReasonDeadline           Reason = "deadline"
+	ReasonClientGone         Reason = "client_gone"
+	ReasonRetryBudgetSpent   Reason = "retry_budget"
+	ReasonOverload           Reason = "overload"
+	ReasonCrashesServers     Reason = "crashes_servers"
+	ReasonServersPaused      Reason = "servers_paused"
+	ReasonServersLimited     Reason = "servers_limited"
+	ReasonZoneEvacuated      Reason = "zone_evacuated"
 )
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// Share is the default share of the traffic that retries may add.
-	Share = 0.1
-	// Burst is the default number of retries that may be made at once after an idle time.
-	Burst = 20.0
+	// DefaultShare is the default share of the traffic that retries may add.
+	DefaultShare = 0.1
+	// DefaultBurst is the default number of retries that may be made at once after an idle time.
+	DefaultBurst = 20.0
 )
 
 // burstFraction is the fraction of the total burst that is divided among daemons. If all
@@ -23,15 +23,15 @@
 // must be below one half.
 const burstFraction = 0.45
 
-// BurstPart returns one daemon's burst out of a total burst for all daemons. Budgets rounds a
+// BurstPerDaemon returns one daemon's burst out of a total burst for all daemons. Budgets rounds a
 // burst below 1 at random. If each daemon had at least one retry, hundreds of daemons would
 // exceed the total; if each had none, a service with few requests at each daemon would never be
 // retried.
-func BurstPart(burst float64, daemons int) float64 {
+func BurstPerDaemon(burst float64, daemons int) float64 {
 	return burstFraction * burst / float64(max(1, daemons))
 }
 
-// Budget is a retry budget. The zero value starts with Burst retries and earns Share of a token
+// Budget is a retry budget. The zero value starts with DefaultBurst retries and earns DefaultShare of a token
 // for each request. It is safe for concurrent use.
 //
 // With a window, requests and retries expire after the window: in any window, retries are at
@@ -39,7 +39,7 @@
 // burst.
 type Budget struct {
 	mutex sync.Mutex
-	// share, burst and window are the arguments of SetFigures. Zero means the defaults, and no
+	// share, burst and window are the arguments of SetLimits. Zero means the defaults, and no
 	// window.
 	share  float64
 	burst  float64
@@ -62,9 +62,9 @@
 	retries  float64
 }
 
-// SetFigures sets the share of the traffic, the burst and the window, for instance to one
+// SetLimits sets the share of the traffic, the burst and the window, for instance to one
 // daemon's part of the limits for all daemons.
-func (b *Budget) SetFigures(share, burst float64, window time.Duration) {
+func (b *Budget) SetLimits(share, burst float64, window time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.share = share
@@ -75,7 +75,7 @@
 // limits returns the effective share and burst. The mutex must be held.
 func (b *Budget) limits() (share, burst float64) {
 	if b.share == 0 && b.burst == 0 {
-		return Share, Burst
+		return DefaultShare, DefaultBurst
 	}
 	return b.share, b.burst
 }
@@ -107,8 +107,8 @@
 	return requests, retries
 }
 
-// Earn records a first attempt.
-func (b *Budget) Earn() {
+// RecordRequest records a first attempt.
+func (b *Budget) RecordRequest() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.window > 0 {
@@ -119,8 +119,8 @@
 	b.spent = max(0, b.spent-share)
 }
 
-// Spend reports whether a retry may be made, and takes its token if so.
-func (b *Budget) Spend() bool {
+// TrySpend reports whether a retry may be made, and takes its token if so.
+func (b *Budget) TrySpend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	share, burst := b.limits()
@@ -154,18 +154,18 @@
 	window time.Duration
 }
 
-// SetFigures sets the limits of all current and future budgets.
-func (b *Budgets) SetFigures(share, burst float64, window time.Duration) {
+// SetLimits sets the limits of all current and future budgets.
+func (b *Budgets) SetLimits(share, burst float64, window time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.share, b.burst, b.window = share, burst, window
 	for _, budget := range b.byName {
-		budget.SetFigures(share, burst, window)
+		budget.SetLimits(share, burst, window)
 	}
 }
 
-// Of returns the budget with the given name.
-func (b *Budgets) Of(name string) *Budget {
+// ForName returns the budget with the given name.
+func (b *Budgets) ForName(name string) *Budget {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	budget, ok := b.byName[name]
@@ -175,7 +175,7 @@
 	budget = &Budget{
 		rounding: rand.Float64(),
 	}
-	budget.SetFigures(b.share, b.burst, b.window)
+	budget.SetLimits(b.share, b.burst, b.window)
 	if b.byName == nil {
 		b.byName = map[string]*Budget{}
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -16,27 +16,27 @@
 	retries := 0
 	const requests = 10000
 	for range requests {
-		budget.Earn()
+		budget.RecordRequest()
 		for range 3 {
-			if budget.Spend() {
+			if budget.TrySpend() {
 				retries++
 			}
 		}
 	}
-	maximum := retry.Share*requests + retry.Burst + 1
+	maximum := retry.DefaultShare*requests + retry.DefaultBurst + 1
 	qt.Assert(t, float64(retries) <= maximum, qt.IsTrue, qt.Commentf("%d", retries))
-	qt.Assert(t, float64(retries) >= retry.Share*requests-1, qt.IsTrue, qt.Commentf("%d", retries))
+	qt.Assert(t, float64(retries) >= retry.DefaultShare*requests-1, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
 func TestRequestsAndRetriesExpireWithTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budget retry.Budget
-		budget.SetFigures(0.2, 2, 10*time.Second)
+		budget.SetLimits(0.2, 2, 10*time.Second)
 		for range 100 {
-			budget.Earn()
+			budget.RecordRequest()
 		}
 		spent := 0
-		for budget.Spend() {
+		for budget.TrySpend() {
 			spent++
 		}
 		qt.Assert(t, spent, qt.Equals, 22)
@@ -44,7 +44,7 @@
 		// Requests expire with the window, and so do retries.
 		time.Sleep(11 * time.Second)
 		spent = 0
-		for budget.Spend() {
+		for budget.TrySpend() {
 			spent++
 		}
 		qt.Assert(t, spent, qt.Equals, 2)
@@ -56,17 +56,17 @@
 func TestServicesHaveSeparateBudgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budgets retry.Budgets
-		budgets.SetFigures(0.2, 1, 10*time.Second)
+		budgets.SetLimits(0.2, 1, 10*time.Second)
 		for range 100 {
-			budgets.Of("board").Earn()
+			budgets.ForName("board").RecordRequest()
 		}
 		spent := 0
-		for budgets.Of("engines").Spend() {
+		for budgets.ForName("engines").TrySpend() {
 			spent++
 		}
 		qt.Assert(t, spent, qt.Equals, 1)
-		budgets.SetFigures(0.2, 5, 10*time.Second)
-		for budgets.Of("engines").Spend() {
+		budgets.SetLimits(0.2, 5, 10*time.Second)
+		for budgets.ForName("engines").TrySpend() {
 			spent++
 		}
 		qt.Assert(t, spent, qt.Equals, 5)
@@ -76,13 +76,13 @@
 func TestRetriesInAnyWindowStayWithinTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var budget retry.Budget
-		budget.SetFigures(0.2, 5, 10*time.Second)
+		budget.SetLimits(0.2, 5, 10*time.Second)
 		var requests, retries []time.Time
 		for range 3000 {
 			time.Sleep(10 * time.Millisecond)
-			budget.Earn()
+			budget.RecordRequest()
 			requests = append(requests, time.Now())
-			for budget.Spend() {
+			for budget.TrySpend() {
 				retries = append(retries, time.Now())
 			}
 		}
@@ -110,12 +110,12 @@
 			var budgets []*retry.Budget
 			for range daemons {
 				budget := &retry.Budget{}
-				budget.SetFigures(share, retry.BurstPart(burst, daemons), window)
+				budget.SetLimits(share, retry.BurstPerDaemon(burst, daemons), window)
 				budgets = append(budgets, budget)
 			}
 			retries, requests := 0, 0
 			for _, budget := range budgets {
-				for budget.Spend() {
+				for budget.TrySpend() {
 					retries++
 				}
 			}
@@ -123,10 +123,10 @@
 			// Fractions of a retry add up.
 			for _, budget := range budgets {
 				for range 20 {
-					budget.Earn()
+					budget.RecordRequest()
 					requests++
 				}
-				for budget.Spend() {
+				for budget.TrySpend() {
 					retries++
 				}
 			}
--- a/core/retry/rounding_test.go
+++ b/core/retry/rounding_test.go
@@ -19,9 +19,9 @@
 	retries := 0
 	for _, budgets := range daemons {
 		for range requests {
-			budgets.Of(rareService).Earn()
+			budgets.ForName(rareService).RecordRequest()
 		}
-		for budgets.Of(rareService).Spend() {
+		for budgets.ForName(rareService).TrySpend() {
 			retries++
 		}
 	}
@@ -34,7 +34,7 @@
 	daemons := make([]*retry.Budgets, count)
 	for i := range daemons {
 		daemons[i] = &retry.Budgets{}
-		daemons[i].SetFigures(0.2, retry.BurstPart(burst, count), 10*time.Second)
+		daemons[i].SetLimits(0.2, retry.BurstPerDaemon(burst, count), 10*time.Second)
 	}
 	return daemons
 }
@@ -47,7 +47,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			const burst = 1040.0
 			retries := spendAll(restartedDaemons(count, burst), 0)
-			total := retry.BurstPart(burst, count) * float64(count)
+			total := retry.BurstPerDaemon(burst, count) * float64(count)
 			qt.Check(t, float64(retries) >= 0.75*total, qt.IsTrue, qt.Commentf("%d daemons: %d retries of %v", count, retries, total))
 			// All daemons restart within the window.
 			retries += spendAll(restartedDaemons(count, burst), 0)
--- a/core/revocation/revocation.go
+++ b/core/revocation/revocation.go
@@ -26,14 +26,14 @@
 	// IsStrict is set if a revoked key must be rejected within the bound by every daemon,
 	// also by one that cannot learn of the revocation.
 	IsStrict bool
-	// Within is the bound: the time within which daemons must reject a revoked key.
-	Within time.Duration
+	// Bound is the bound: the time within which daemons must reject a revoked key.
+	Bound time.Duration
 }
 
 // IsCurrent reports whether a configuration that was confirmed age ago contains every change
 // that is older than the bound. Routes and keys that it lacks may then be rejected.
 func (p Policy) IsCurrent(age time.Duration) bool {
-	return age < p.Within-Margin
+	return age < p.Bound-Margin
 }
 
 // MayAccept reports whether keys of a configuration that was confirmed age ago may be
--- a/core/revocation/revocation_test.go
+++ b/core/revocation/revocation_test.go
@@ -14,7 +14,7 @@
 func TestStrictPolicyRejectsKeysBeforeBound(t *testing.T) {
 	policy := revocation.Policy{
 		IsStrict: true,
-		Within:   within,
+		Bound:    within,
 	}
 	qt.Assert(t, policy.MayAccept(within-revocation.Margin-time.Millisecond), qt.IsTrue)
 	qt.Assert(t, policy.MayAccept(within-revocation.Margin), qt.IsFalse)
@@ -23,7 +23,7 @@
 
 func TestLenientPolicyAcceptsKeysOfStaleConfiguration(t *testing.T) {
 	policy := revocation.Policy{
-		Within: within,
+		Bound: within,
 	}
 	qt.Assert(t, policy.MayAccept(time.Hour), qt.IsTrue)
 	// It is not current, so no key or route is rejected as unknown.
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -21,20 +21,20 @@
 	return KeyPrefix + id
 }
 
-// Daemon is the value of a daemon's row. Peer is the IP:port at which other daemons reach it.
+// Daemon is the value of a daemon's row. PeerAddress is the IP:port at which other daemons reach it.
 type Daemon struct {
-	ID   string `json:"id"`
-	Zone string `json:"zone"`
-	Peer string `json:"peer"`
+	ID          string `json:"id"`
+	Zone        string `json:"zone"`
+	PeerAddress string `json:"peer"`
 }
 
 // Roster is a list of daemons, sorted by ID.
 type Roster []Daemon
 
-// Of returns the roster of a catalog. Rows that cannot be decoded are skipped.
-func Of(rows catalog.Catalog) Roster {
+// FromCatalog returns the roster of a catalog. Rows that cannot be decoded are skipped.
+func FromCatalog(rows catalog.Catalog) Roster {
 	var daemons Roster
-	for _, row := range rows.Under(KeyPrefix) {
+	for _, row := range rows.WithPrefix(KeyPrefix) {
 		var daemon Daemon
 		if row.Decode(&daemon) == nil {
 			daemons = append(daemons, daemon)
@@ -52,8 +52,8 @@
 	return ids
 }
 
-// Has reports whether a daemon is listed.
-func (r Roster) Has(id string) bool {
+// Contains reports whether a daemon is listed.
+func (r Roster) Contains(id string) bool {
 	for _, daemon := range r {
 		if daemon.ID == id {
 			return true
@@ -65,7 +65,7 @@
 // Rank returns the position of a daemon for a piece of work by rendezvous hashing, from 0. It
 // returns -1 for a daemon that is not listed.
 func (r Roster) Rank(work, id string) int {
-	if !r.Has(id) {
+	if !r.Contains(id) {
 		return -1
 	}
 	ownScore := rendezvousScore(work, id)
@@ -100,18 +100,18 @@
 
 // Sizes of the pull topology.
 const (
-	// FlatSize is the maximum number of daemons at which every daemon pulls from all others.
-	FlatSize = 12
-	// Relays is the number of daemons per zone that pull from all daemons of their zone and from
+	// MaxFullMeshSize is the maximum number of daemons at which every daemon pulls from all others.
+	MaxFullMeshSize = 12
+	// RelaysPerZone is the number of daemons per zone that pull from all daemons of their zone and from
 	// the relays of other zones.
-	Relays = 2
+	RelaysPerZone = 2
 )
 
-// Source is a daemon to pull from. If Full is set, the pull requests all reports that the source
+// Source is a daemon to pull from. If IncludesReceived is set, the pull requests all reports that the source
 // has received, otherwise only the source's own observations.
 type Source struct {
-	Daemon Daemon
-	Full   bool
+	Daemon           Daemon
+	IncludesReceived bool
 }
 
 // Sources returns the daemons that one daemon pulls from. In a small roster these are all others,
@@ -119,17 +119,17 @@
 // its zone, and all reports from the relays of other zones. Every other daemon pulls all reports
 // from the relays of its own zone.
 func (r Roster) Sources(self Daemon) []Source {
-	isSmall := len(r) <= FlatSize
+	isSmall := len(r) <= MaxFullMeshSize
 	relays := r.relays()
-	isRelay := relays.Has(self.ID)
+	isRelay := relays.Contains(self.ID)
 	var sources []Source
 	for _, daemon := range r.without(self.ID) {
-		isSourceRelay := relays.Has(daemon.ID)
+		isSourceRelay := relays.Contains(daemon.ID)
 		isSameZone := daemon.Zone == self.Zone
 		if isSmall || (isRelay && (isSameZone || isSourceRelay)) || (isSameZone && isSourceRelay) {
 			sources = append(sources, Source{
-				Daemon: daemon,
-				Full:   !isSmall && isSourceRelay,
+				Daemon:           daemon,
+				IncludesReceived: !isSmall && isSourceRelay,
 			})
 		}
 	}
@@ -145,7 +145,7 @@
 	var relays Roster
 	for zone, members := range zones {
 		for _, daemon := range members {
-			if members.Rank("relay/"+zone, daemon.ID) < Relays {
+			if members.Rank("relay/"+zone, daemon.ID) < RelaysPerZone {
 				relays = append(relays, daemon)
 			}
 		}
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -62,7 +62,7 @@
 				next[daemon.ID] = informed[daemon.ID]
 				for _, source := range all.Sources(daemon) {
 					isOwn := source.Daemon.ID == reporter
-					if informed[source.Daemon.ID] && (source.Full || isOwn) {
+					if informed[source.Daemon.ID] && (source.IncludesReceived || isOwn) {
 						next[daemon.ID] = true
 					}
 				}
@@ -80,9 +80,9 @@
 	all := newRoster(360, 8)
 	relayCount := 0
 	for _, daemon := range all {
-		if len(all.Sources(daemon)) > roster.Relays {
+		if len(all.Sources(daemon)) > roster.RelaysPerZone {
 			relayCount++
 		}
 	}
-	qt.Assert(t, relayCount, qt.Equals, 8*roster.Relays)
+	qt.Assert(t, relayCount, qt.Equals, 8*roster.RelaysPerZone)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -4,7 +4,7 @@
 // the same group, but a hot prefix must not overload that group. Rendezvous
 // hashing ranks the groups by the prefix. The ranking is the same at every
 // daemon without any communication. The request goes to the first group in that
-// order whose load is at most Slack times the mean.
+// order whose load is at most MaxLoadRatio times the mean.
 //
 // This needs no cache events of the engines, which are late and incomplete. The
 // loads that engines report are stale, so the requests that this daemon has sent
@@ -21,18 +21,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slack is the maximum load of a group, as a multiple of the mean, at which it still
+// MaxLoadRatio is the maximum load of a group, as a multiple of the mean, at which it still
 // gets requests because of their prefix.
-const Slack = 1.25
+const MaxLoadRatio = 1.25
 
 // Candidate is a group that may get the request.
 type Candidate struct {
 	Group string
-	// Reported is the number of requests in flight that the engine reported at
+	// ReportedInFlight is the number of requests in flight that the engine reported at
 	// ReportedAt. Slots is how many requests it runs at the same time.
-	Reported   int
-	Slots      int
-	ReportedAt time.Time
+	ReportedInFlight int
+	Slots            int
+	ReportedAt       time.Time
 }
 
 // Tracker counts the requests that this daemon has in flight at each group. It is
@@ -93,7 +93,7 @@
 			sentSince++
 		}
 	}
-	return max(candidate.Reported+sentSince, len(startTimes))
+	return max(candidate.ReportedInFlight+sentSince, len(startTimes))
 }
 
 // Policy picks one of the candidates, or none if all are full.
@@ -119,7 +119,7 @@
 		loads[i] = load(candidate)
 		total += loads[i]
 	}
-	maxLoad := int(math.Ceil(Slack * float64(total+1) / float64(len(ranked))))
+	maxLoad := int(math.Ceil(MaxLoadRatio * float64(total+1) / float64(len(ranked))))
 	leastLoaded := -1
 	for i, candidate := range ranked {
 		if loads[i] >= candidate.Slots {
@@ -174,8 +174,8 @@
 	return h
 }
 
-// Prefix returns a hash of the organisation and the first 512 bytes of the prompt.
-func Prefix(organisation string, prompt []byte) uint64 {
+// PrefixHash returns a hash of the organisation and the first 512 bytes of the prompt.
+func PrefixHash(organisation string, prompt []byte) uint64 {
 	const prefixBytes = 512
 	hash := xxhash.New()
 	_, _ = hash.WriteString(organisation)
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestHotPrefixDoesNotOverloadOneGroup sends a thousand requests with one prefix. None
-// of the ten groups may get more than Slack times the mean.
+// of the ten groups may get more than MaxLoadRatio times the mean.
 func TestHotPrefixDoesNotOverloadOneGroup(t *testing.T) {
 	groups := candidates(10, 1000)
 	loads := map[string]int{}
@@ -37,7 +37,7 @@
 		loads[picked.Group]++
 	}
 	for _, group := range groups {
-		qt.Assert(t, float64(loads[group.Group]) <= route.Slack*100+1, qt.IsTrue, qt.Commentf("%v", loads))
+		qt.Assert(t, float64(loads[group.Group]) <= route.MaxLoadRatio*100+1, qt.IsTrue, qt.Commentf("%v", loads))
 	}
 }
 
@@ -46,12 +46,12 @@
 	idle := func(route.Candidate) int {
 		return 0
 	}
-	first, _ := route.Affinity{}.Pick(route.Prefix("o", []byte("shift summary")), groups, idle)
-	again, _ := route.Affinity{}.Pick(route.Prefix("o", []byte("shift summary")), groups, idle)
+	first, _ := route.Affinity{}.Pick(route.PrefixHash("o", []byte("shift summary")), groups, idle)
+	again, _ := route.Affinity{}.Pick(route.PrefixHash("o", []byte("shift summary")), groups, idle)
 	qt.Assert(t, again.Group, qt.Equals, first.Group)
 	used := map[string]bool{}
 	for number := range 100 {
-		picked, _ := route.Affinity{}.Pick(route.Prefix("o", fmt.Append(nil, number)), groups, idle)
+		picked, _ := route.Affinity{}.Pick(route.PrefixHash("o", fmt.Append(nil, number)), groups, idle)
 		used[picked.Group] = true
 	}
 	qt.Assert(t, len(used), qt.Equals, 10)
@@ -75,9 +75,9 @@
 		endFirst := tracker.Begin("g")
 		time.Sleep(time.Second)
 		candidate := route.Candidate{
-			Group:      "g",
-			Reported:   5,
-			ReportedAt: time.Now(),
+			Group:            "g",
+			ReportedInFlight: 5,
+			ReportedAt:       time.Now(),
 		}
 		time.Sleep(time.Second)
 		endSecond := tracker.Begin("g")
--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -33,28 +33,28 @@
 	errFormerEra = errors.Wrap(ErrNoCopy, "its copy is of a former era")
 )
 
-// Chain reads tables from the first relay that has a fresh copy, and from the store if no relay has
+// ReaderChain reads tables from the first relay that has a fresh copy, and from the store if no relay has
 // one or this daemon is the first relay. Standbys are called if relays answer that they have no
 // copy. A failed relay costs one short timeout. The store is always the last resort, so relays only
 // save calls and never make a read fail. If the store fails for this daemon, the chain calls the
 // fallbacks, which have a copy if the store serves one of them. Copies that come from fallbacks are
-// not served to other daemons (IsSecondHand); otherwise two daemons would follow each other. Use
-// NewChain.
-type Chain struct {
-	// IsDirect, if set, selects tables whose changes are followed at the store itself, without
+// not served to other daemons (IsFromFallback); otherwise two daemons would follow each other. Use
+// NewReaderChain.
+type ReaderChain struct {
+	// BypassesRelays, if set, selects tables whose changes are followed at the store itself, without
 	// relays, to see them as early as possible; relays are used while the store fails. Set it
 	// before use.
-	IsDirect func(table string) bool
-	// IsUrgent, if set, selects tables that are retried as often as age-bounded ones while the
+	BypassesRelays func(table string) bool
+	// HasPriority, if set, selects tables that are retried as often as age-bounded ones while the
 	// store fails. Set it before use.
-	IsUrgent func(table string) bool
-	// Sharing, if set, returns how many daemons call the store in the same way as this one if their
+	HasPriority func(table string) bool
+	// ContenderCount, if set, returns how many daemons call the store in the same way as this one if their
 	// relays have no copy. Set it before use.
-	Sharing func() int
-	// Patience is the minimum time that a read tries relays before it calls the store. Set it
+	ContenderCount func() int
+	// MinRelayTime is the minimum time that a read tries relays before it calls the store. Set it
 	// before use. At a start of the whole system it can be long, since there are no requests to
 	// serve yet.
-	Patience time.Duration
+	MinRelayTime time.Duration
 
 	store Reader
 	clock *Freshness
@@ -89,10 +89,10 @@
 	Fallbacks []Relay
 }
 
-// NewChain returns a chain without relays. Calls to the store itself must update clock. maxAges
+// NewReaderChain returns a chain without relays. Calls to the store itself must update clock. maxAges
 // holds the maximum age of a copy by table.
-func NewChain(store Reader, clock *Freshness, maxAges map[string]time.Duration) *Chain {
-	return &Chain{
+func NewReaderChain(store Reader, clock *Freshness, maxAges map[string]time.Duration) *ReaderChain {
+	return &ReaderChain{
 		store:    store,
 		clock:    clock,
 		maxAges:  maxAges,
@@ -101,35 +101,35 @@
 }
 
 // SetPeers replaces the daemons that this one calls.
-func (c *Chain) SetPeers(peers Peers) {
+func (c *ReaderChain) SetPeers(peers Peers) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.peers = peers
 }
 
-// IsSecondHand reports whether this daemon's copies come from daemons that call it.
-func (c *Chain) IsSecondHand() bool {
+// IsFromFallback reports whether this daemon's copies come from daemons that call it.
+func (c *ReaderChain) IsFromFallback() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.isFromFallback
 }
 
 // recordSource records whether the last answer came from a fallback.
-func (c *Chain) recordSource(isFallback bool) {
+func (c *ReaderChain) recordSource(isFallback bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.isFromFallback = isFallback
 }
 
-// Counts returns the number of calls to the store and of answers from relays.
-func (c *Chain) Counts() (storeCalls, relayAnswers int64) {
+// CallCounts returns the number of calls to the store and of answers from relays.
+func (c *ReaderChain) CallCounts() (storeCalls, relayAnswers int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.storeCalls, c.relayAnswers
 }
 
 // availableRelays returns the relays that are not backed off.
-func (c *Chain) availableRelays() []Relay {
+func (c *ReaderChain) availableRelays() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.withoutBackedOff(c.peers.Relays)
@@ -137,7 +137,7 @@
 
 // availableStandbys returns the standbys that are not backed off, or none unless a relay has
 // answered recently that it has no copy. Unresponsive relays have used up the time of a call.
-func (c *Chain) availableStandbys() []Relay {
+func (c *ReaderChain) availableStandbys() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.limiter.relaysLackCopies(time.Now()) {
@@ -148,7 +148,7 @@
 
 // availableFallbacks returns the fallbacks that are not backed off, or none unless the store has
 // failed recently.
-func (c *Chain) availableFallbacks() []Relay {
+func (c *ReaderChain) availableFallbacks() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.limiter.failedRecently(time.Now()) {
@@ -158,7 +158,7 @@
 }
 
 // withoutBackedOff returns the daemons that are not backed off. The mutex must be held.
-func (c *Chain) withoutBackedOff(relays []Relay) []Relay {
+func (c *ReaderChain) withoutBackedOff(relays []Relay) []Relay {
 	var available []Relay
 	for _, relay := range relays {
 		if !c.backoffs.isBackedOff(relay.Name) {
@@ -169,7 +169,7 @@
 }
 
 // recordRelayResult counts a relay's answer, or backs off from a relay that failed.
-func (c *Chain) recordRelayResult(name string, err error) {
+func (c *ReaderChain) recordRelayResult(name string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.backoffs.record(name, err)
@@ -185,13 +185,13 @@
 // the store.
 var errWaitForRelays = errors.Wrap(ErrRefused, "relays have no copy yet, and other daemons read it from the store")
 
-// Read reads a table. It tries relays for relayReadTimeout, or for Patience if that is longer, and
+// Read reads a table. It tries relays for relayReadTimeout, or for MinRelayTime if that is longer, and
 // then the store. If relays answer but have no copy, and other daemons are to read the table from
 // the store, Read tries the relays again, each time for twice as long. Otherwise, at a start of all
 // daemons at the same moment, hundreds of reads of a large table would saturate the store's link
 // and delay the relays.
-func (c *Chain) Read(ctx context.Context, table string) (Result, error) {
-	for timeout := max(relayReadTimeout, c.Patience); ; timeout += timeout {
+func (c *ReaderChain) Read(ctx context.Context, table string) (Result, error) {
+	for timeout := max(relayReadTimeout, c.MinRelayTime); ; timeout += timeout {
 		result, err := c.readOnce(ctx, table, timeout)
 		if !errors.Is(err, errWaitForRelays) {
 			return result, err
@@ -219,7 +219,7 @@
 }
 
 // readOnce reads a table once, from relays for up to timeout, or else from the store.
-func (c *Chain) readOnce(ctx context.Context, table string, timeout time.Duration) (Result, error) {
+func (c *ReaderChain) readOnce(ctx context.Context, table string, timeout time.Duration) (Result, error) {
 	relays := c.availableRelays()
 	var joined []Relay
 	if len(relays) > 0 {
@@ -238,14 +238,14 @@
 }
 
 // HasRelays reports whether the chain has any daemon to call before the store.
-func (c *Chain) HasRelays() bool {
+func (c *ReaderChain) HasRelays() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.peers.Relays) > 0
 }
 
 // sample reads the first rows of a table from the store, if the limiter admits the call.
-func (c *Chain) sample(ctx context.Context, table string, rows int, from Sampler) (result Result, isComplete bool, err error) {
+func (c *ReaderChain) sample(ctx context.Context, table string, rows int, from Sampler) (result Result, isComplete bool, err error) {
 	result, err = c.callStore(ctx, table, func(ctx context.Context, _ Reader) (Result, error) {
 		var sampled Result
 		var sampleErr error
@@ -273,7 +273,7 @@
 
 // Feed follows a table. A relay whose copy must be fresh is asked to wait for half of the maximum
 // age at most, so that a relay that is cut off is detected in time.
-func (c *Chain) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
+func (c *ReaderChain) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	relayWait := min(wait, maxRelayWait)
 	if maxAge, ok := c.maxAges[table]; ok {
 		relayWait = min(wait, maxAge/2)
@@ -284,7 +284,7 @@
 		fallbacks: c.availableFallbacks,
 		timeout:   relayWait + relayMargin,
 	}
-	if c.IsDirect != nil && c.IsDirect(table) && !c.storeFailedRecently() {
+	if c.BypassesRelays != nil && c.BypassesRelays(table) && !c.storeFailedRecently() {
 		sources.relays = nil
 		sources.standbys = noRelays
 	}
@@ -326,7 +326,7 @@
 }
 
 // callInOrder calls the relays in turn, then the standbys, then the fallbacks, and then the store.
-func (c *Chain) callInOrder(ctx context.Context, table string, sources sources, call readerCall) (Result, error) {
+func (c *ReaderChain) callInOrder(ctx context.Context, table string, sources sources, call readerCall) (Result, error) {
 	result, err := c.callRelays(ctx, table, sources.relays, sources.timeout, call)
 	if isLeftToNext(ctx, err) {
 		result, err = c.callRelays(ctx, table, sources.standbys(), sources.timeout, call)
@@ -357,7 +357,7 @@
 
 // callRelays calls daemons in turn, each with a timeout. It fails with errNoPeerAnswered if none
 // answers with a fresh copy.
-func (c *Chain) callRelays(ctx context.Context, table string, relays []Relay, timeout time.Duration, call readerCall) (Result, error) {
+func (c *ReaderChain) callRelays(ctx context.Context, table string, relays []Relay, timeout time.Duration, call readerCall) (Result, error) {
 	for _, relay := range relays {
 		sent := c.clock.Now()
 		limited, cancel := context.WithTimeout(ctx, timeout)
@@ -382,7 +382,7 @@
 }
 
 // callStore calls the store, if the limiter admits the call.
-func (c *Chain) callStore(ctx context.Context, table string, call readerCall) (Result, error) {
+func (c *ReaderChain) callStore(ctx context.Context, table string, call readerCall) (Result, error) {
 	if !c.admitStoreCall(table) {
 		if c.relaysLackCopies() {
 			return Result{}, errWaitForRelays
@@ -407,22 +407,22 @@
 
 // observeStoreClock updates the clock with a relay's upper bound of the store's clock at the time
 // the relay was called.
-func (c *Chain) observeStoreClock(sent time.Time, result Result) {
-	if result.Latest > 0 {
-		c.clock.Prove(result.Era, sent, result.Latest)
+func (c *ReaderChain) observeStoreClock(sent time.Time, result Result) {
+	if result.MaxStoreTime > 0 {
+		c.clock.ObserveClock(result.Era, sent, result.MaxStoreTime)
 	}
 }
 
 // admitStoreCall reports whether the store itself may be called now, and records the call.
-func (c *Chain) admitStoreCall(table string) bool {
+func (c *ReaderChain) admitStoreCall(table string) bool {
 	contenders := 1
-	if c.Sharing != nil {
-		contenders = c.Sharing()
+	if c.ContenderCount != nil {
+		contenders = c.ContenderCount()
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	_, isAgeBounded := c.maxAges[table]
-	isAgeBounded = isAgeBounded || (c.IsUrgent != nil && c.IsUrgent(table))
+	isAgeBounded = isAgeBounded || (c.HasPriority != nil && c.HasPriority(table))
 	isAdmitted := c.limiter.admit(time.Now(), storeCall{
 		isAgeBounded: isAgeBounded,
 		relays:       len(c.peers.Relays),
@@ -437,21 +437,21 @@
 
 // relaysLackCopies reports whether a relay answered recently that it has no copy, while the store
 // has not failed.
-func (c *Chain) relaysLackCopies() bool {
+func (c *ReaderChain) relaysLackCopies() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.limiter.relaysLackCopies(time.Now()) && !c.limiter.failedRecently(time.Now())
 }
 
 // storeFailedRecently reports whether the store failed recently, so that calls to it are limited.
-func (c *Chain) storeFailedRecently() bool {
+func (c *ReaderChain) storeFailedRecently() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.limiter.failedRecently(time.Now())
 }
 
 // recordStoreResult records the result of a call to the store.
-func (c *Chain) recordStoreResult(err error) {
+func (c *ReaderChain) recordStoreResult(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil || errors.Is(err, ErrCompacted) {
@@ -463,7 +463,7 @@
 
 // checkAge returns errFormerEra for a copy of a former era, and errStale for a copy that is too old
 // or cannot be dated.
-func (c *Chain) checkAge(table string, result Result) error {
+func (c *ReaderChain) checkAge(table string, result Result) error {
 	if result.Era < c.clock.Era() {
 		return errFormerEra
 	}
@@ -471,7 +471,7 @@
 	if !ok {
 		return nil
 	}
-	shownAt := c.clock.When(result.Era, result.Now)
+	shownAt := c.clock.LocalTime(result.Era, result.Now)
 	if shownAt.IsZero() || c.clock.Since(shownAt) > maxAge {
 		return errStale
 	}
--- a/core/rowstore/chain_test.go
+++ b/core/rowstore/chain_test.go
@@ -153,7 +153,7 @@
 		advance(100 * time.Millisecond)
 		storeCalls := 0
 		clock := &rowstore.Freshness{}
-		chain := rowstore.NewChain(countingReader{
+		chain := rowstore.NewReaderChain(countingReader{
 			Reader: store,
 			calls:  &storeCalls,
 		}, clock, nil)
@@ -193,8 +193,8 @@
 			upAt:   time.Now().Add(time.Hour),
 		}
 		clock := &rowstore.Freshness{}
-		chain := rowstore.NewChain(failingStore, clock, nil)
-		chain.IsDirect = func(string) bool {
+		chain := rowstore.NewReaderChain(failingStore, clock, nil)
+		chain.BypassesRelays = func(string) bool {
 			return true
 		}
 		chain.SetPeers(rowstore.Peers{
@@ -232,7 +232,7 @@
 					Name:   "relay",
 					Reader: &relay.hub,
 				})
-				chain.Sharing = func() int {
+				chain.ContenderCount = func() int {
 					return daemons
 				}
 				downstream = append(downstream, startFollower(ctx, chain, clock))
@@ -261,7 +261,7 @@
 
 // newDownstreamChain returns a chain with one relay that many daemons share, and a function that
 // cuts the relay off from the store. The chain reaches the store through storeReader.
-func newDownstreamChain(ctx context.Context, storeReader rowstore.Reader, store *fakeStore, daemons int) (chain *rowstore.Chain, clock *rowstore.Freshness, isolateRelay func()) {
+func newDownstreamChain(ctx context.Context, storeReader rowstore.Reader, store *fakeStore, daemons int) (chain *rowstore.ReaderChain, clock *rowstore.Freshness, isolateRelay func()) {
 	relayStore := newFakeStore()
 	relayStore.started = store.started
 	relayStore.put("a", "1")
@@ -271,7 +271,7 @@
 		Name:   "relay",
 		Reader: &relay.hub,
 	})
-	chain.Sharing = func() int {
+	chain.ContenderCount = func() int {
 		return daemons
 	}
 	return chain, clock, func() {
--- a/core/rowstore/fleet_test.go
+++ b/core/rowstore/fleet_test.go
@@ -69,7 +69,7 @@
 // testDaemon is a daemon that follows two tables, one of them with a maximum age.
 type testDaemon struct {
 	access    *storeAccess
-	hub       rowstore.Hub
+	hub       rowstore.TableCache
 	lastValue string
 }
 
@@ -97,7 +97,7 @@
 		f.daemons = append(f.daemons, neighbours.Daemon{
 			Name:     fmt.Sprintf("front-%d", i),
 			Zone:     []string{"a", "b", "c"}[i%3],
-			Strength: max(0, 6-float64(i)),
+			Capacity: max(0, 6-float64(i)),
 		})
 	}
 	f.list = neighbours.NewList(f.daemons)
@@ -108,8 +108,8 @@
 				failureMode: failureMode,
 				calls:       &f.calls,
 			},
-			hub: rowstore.Hub{
-				ContactLimit: maxCopyAge,
+			hub: rowstore.TableCache{
+				MaxContactAge: maxCopyAge,
 			},
 		}
 	}
@@ -123,19 +123,19 @@
 func (f *fleet) start(ctx context.Context, daemon neighbours.Daemon) {
 	started := f.byName[daemon.Name]
 	clock := &rowstore.Freshness{}
-	clock.Prove(0, time.Now(), time.Since(f.store.started))
+	clock.ObserveClock(0, time.Now(), time.Since(f.store.started))
 	started.hub.Clock = clock
-	chain := rowstore.NewChain(started.access, clock, map[string]time.Duration{
+	chain := rowstore.NewReaderChain(started.access, clock, map[string]time.Duration{
 		"t": maxCopyAge,
 	})
 	chain.SetPeers(rowstore.Peers{
-		Relays:    f.relays(f.list.For(daemon.Name, daemon.Zone)),
+		Relays:    f.relays(f.list.RelaysFor(daemon.Name, daemon.Zone)),
 		Standbys:  f.relays(f.list.StandbysFor(daemon.Name, daemon.Zone)),
 		Fallbacks: f.relays(f.list.FallbacksFor(daemon.Name)),
 	})
-	started.hub.IsSecondHand = chain.IsSecondHand
-	chain.Sharing = func() int {
-		return f.list.Sharing(daemon.Name)
+	started.hub.IsFromFallback = chain.IsFromFallback
+	chain.ContenderCount = func() int {
+		return f.list.ContenderCount(daemon.Name)
 	}
 	recordValue := func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 		for _, row := range rows {
@@ -147,17 +147,17 @@
 		"u": 1500 * time.Millisecond,
 	} {
 		tableFollower := &rowstore.Follower{
-			Store:   chain,
-			Table:   table,
-			Wait:    wait,
-			Whole:   func([]rowstore.Row, rowstore.Revision, time.Time) {},
-			Changed: func([]rowstore.Row, rowstore.Revision, time.Time) {},
-			Hub:     &started.hub,
-			Clock:   clock,
+			Store:       chain,
+			Table:       table,
+			FeedTimeout: wait,
+			OnSnapshot:  func([]rowstore.Row, rowstore.Revision, time.Time) {},
+			OnChanges:   func([]rowstore.Row, rowstore.Revision, time.Time) {},
+			TableCache:  &started.hub,
+			Clock:       clock,
 		}
 		if table == "t" {
-			tableFollower.Whole = recordValue
-			tableFollower.Changed = recordValue
+			tableFollower.OnSnapshot = recordValue
+			tableFollower.OnChanges = recordValue
 		}
 		go tableFollower.Run(ctx)
 	}
--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -29,34 +29,34 @@
 type Follower struct {
 	Store Reader
 	Table string
-	// Wait is how long one feed call waits for changes. Settle, if set, returns the pause after
+	// FeedTimeout is how long one feed call waits for changes. PauseAfterChanges, if set, returns the pause after
 	// changes, which lets the next call return several changes at once.
-	Wait   time.Duration
-	Settle func() time.Duration
-	// Whole receives all rows after a read, and Changed the rows of a feed, both with their
-	// revision and the local time as of which they are valid. Changed also receives feeds without
+	FeedTimeout       time.Duration
+	PauseAfterChanges func() time.Duration
+	// OnSnapshot receives all rows after a read, and OnChanges the rows of a feed, both with their
+	// revision and the local time as of which they are valid. OnChanges also receives feeds without
 	// rows.
-	Whole   func(rows []Row, revision Revision, asOf time.Time)
-	Changed func(rows []Row, revision Revision, asOf time.Time)
-	// Restored, if set, is called instead of Whole in a new era, in which rows may be older than
-	// those known before. Rewrite, if set, returns how long the owners of rows take to write what
+	OnSnapshot func(rows []Row, revision Revision, asOf time.Time)
+	OnChanges  func(rows []Row, revision Revision, asOf time.Time)
+	// OnRestoredSnapshot, if set, is called instead of OnSnapshot in a new era, in which rows may be older than
+	// those known before. RewriteWait, if set, returns how long the owners of rows take to write what
 	// the restored store lacks; after that time the table is read once more.
-	Restored func(rows []Row, revision Revision, asOf time.Time)
-	Rewrite  func() time.Duration
-	// Merge, if set, returns the result that replaces a full read, since a restored store may lack
+	OnRestoredSnapshot func(rows []Row, revision Revision, asOf time.Time)
+	RewriteWait        func() time.Duration
+	// MergeSnapshot, if set, returns the result that replaces a full read, since a restored store may lack
 	// rows that must not be lost.
-	Merge func(Result) Result
-	// Hub, if set, receives every accepted result, so that other daemons can follow it.
-	Hub *Hub
-	// EraChanged, if set, is called before Whole when the table was read in a new era.
-	EraChanged func(previous, next Revision)
-	// Dropped, if set, receives each rejected answer and the known revision.
-	Dropped func(answer Result, known Revision)
-	// Failed receives the error of each failed call. Recovered is called at the first success after
+	MergeSnapshot func(Result) Result
+	// TableCache, if set, receives every accepted result, so that other daemons can follow it.
+	TableCache *TableCache
+	// OnEraChange, if set, is called before OnSnapshot when the table was read in a new era.
+	OnEraChange func(previous, next Revision)
+	// OnRejected, if set, receives each rejected answer and the known revision.
+	OnRejected func(answer Result, known Revision)
+	// OnFailure receives the error of each failed call. OnRecovery is called at the first success after
 	// failures, with the time since the first failure.
-	Failed    func(err error)
-	Recovered func(downtime time.Duration)
-	Clock     *Freshness
+	OnFailure  func(err error)
+	OnRecovery func(downtime time.Duration)
+	Clock      *Freshness
 
 	revision Revision
 	// canFollow is set while feeds can continue from revision, hasRead once the table was read.
@@ -95,8 +95,8 @@
 	f.recordSuccess()
 	asOf := f.asOf(sent, result)
 	if result.Revision().Compare(f.revision) < 0 || result.Era < f.Clock.Era() {
-		if f.Dropped != nil {
-			f.Dropped(result, f.revision)
+		if f.OnRejected != nil {
+			f.OnRejected(result, f.revision)
 		}
 		return retryPause
 	}
@@ -105,21 +105,21 @@
 		f.canFollow = false
 		return 0
 	}
-	if !f.canFollow && f.Merge != nil {
-		result = f.Merge(result)
+	if !f.canFollow && f.MergeSnapshot != nil {
+		result = f.MergeSnapshot(result)
 	}
 	previous := f.revision
 	f.revision = result.Revision()
-	if f.Hub != nil {
-		f.Hub.Take(f.Table, result, !f.canFollow, asOf)
+	if f.TableCache != nil {
+		f.TableCache.Apply(f.Table, result, !f.canFollow, asOf)
 	}
 	if !f.canFollow {
 		f.applySnapshot(result.Rows, previous, asOf)
 		return 0
 	}
-	f.Changed(result.Rows, f.revision, asOf)
-	if len(result.Rows) > 0 && f.Settle != nil {
-		return f.Settle()
+	f.OnChanges(result.Rows, f.revision, asOf)
+	if len(result.Rows) > 0 && f.PauseAfterChanges != nil {
+		return f.PauseAfterChanges()
 	}
 	return 0
 }
@@ -129,31 +129,31 @@
 	isNewEra := f.hasRead && f.revision.Era != previous.Era
 	f.canFollow = true
 	f.hasRead = true
-	if isNewEra && f.EraChanged != nil {
-		f.EraChanged(previous, f.revision)
+	if isNewEra && f.OnEraChange != nil {
+		f.OnEraChange(previous, f.revision)
 	}
-	if isNewEra && f.Rewrite != nil {
-		f.rereadAt = time.Now().Add(f.Rewrite())
+	if isNewEra && f.RewriteWait != nil {
+		f.rereadAt = time.Now().Add(f.RewriteWait())
 	}
-	if f.Restored != nil && (isNewEra || !f.rereadAt.IsZero()) {
-		f.Restored(rows, f.revision, asOf)
+	if f.OnRestoredSnapshot != nil && (isNewEra || !f.rereadAt.IsZero()) {
+		f.OnRestoredSnapshot(rows, f.revision, asOf)
 		return
 	}
-	f.Whole(rows, f.revision, asOf)
+	f.OnSnapshot(rows, f.revision, asOf)
 }
 
 // asOf returns a local time as of which a result is valid. An answer from a copy proves nothing
 // about the store's clock, but the clock's known readings date it.
 func (f *Follower) asOf(sent time.Time, result Result) time.Time {
 	if result.IsRelayed {
-		return f.Clock.When(result.Era, result.Now)
+		return f.Clock.LocalTime(result.Era, result.Now)
 	}
-	return f.Clock.Prove(result.Era, sent, result.Now)
+	return f.Clock.ObserveClock(result.Era, sent, result.Now)
 }
 
 // readOrFeed reads the table, or waits for its changes.
 func (f *Follower) readOrFeed(ctx context.Context) (Result, error) {
-	wait := f.Wait
+	wait := f.FeedTimeout
 	if !f.rereadAt.IsZero() {
 		wait = max(0, min(wait, time.Until(f.rereadAt)))
 	}
@@ -211,8 +211,8 @@
 	if f.failingSince.IsZero() {
 		f.failingSince = sent
 	}
-	if f.Failed != nil {
-		f.Failed(err)
+	if f.OnFailure != nil {
+		f.OnFailure(err)
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	downtime := time.Since(f.failingSince)
 	f.failingSince = time.Time{}
-	if f.Recovered != nil {
-		f.Recovered(downtime)
+	if f.OnRecovery != nil {
+		f.OnRecovery(downtime)
 	}
 }
--- a/core/rowstore/freshness.go
+++ b/core/rowstore/freshness.go
@@ -40,10 +40,10 @@
 	return f.Clock.Since(t)
 }
 
-// Prove records that a call sent at sent was answered when the store's clock showed storeTime in an
+// ObserveClock records that a call sent at sent was answered when the store's clock showed storeTime in an
 // era. It returns a local time as of which the answer is valid, or the zero time if a newer era is
 // known.
-func (f *Freshness) Prove(era int64, sent time.Time, storeTime time.Duration) time.Time {
+func (f *Freshness) ObserveClock(era int64, sent time.Time, storeTime time.Duration) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if era < f.era {
@@ -62,9 +62,9 @@
 	return f.clockZero.Add(storeTime)
 }
 
-// When returns a local time at or slightly before the one at which the store's clock showed
+// LocalTime returns a local time at or slightly before the one at which the store's clock showed
 // storeTime in an era. It returns the zero time if no call has proved anything about that era.
-func (f *Freshness) When(era int64, storeTime time.Duration) time.Time {
+func (f *Freshness) LocalTime(era int64, storeTime time.Duration) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if !f.hasProof || era != f.era {
@@ -95,17 +95,17 @@
 	return f.eraEnded
 }
 
-// Latest returns an upper bound of the store's clock now in an era, and false if there is no proof
+// MaxStoreTime returns an upper bound of the store's clock now in an era, and false if there is no proof
 // for it. Another daemon that receives this bound in an answer can date answers without a call to
 // the store of its own, because the store's clock showed no more when it sent its call.
-func (f *Freshness) Latest(era int64) (time.Duration, bool) {
+func (f *Freshness) MaxStoreTime(era int64) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.Clock.Since(f.clockZero), f.hasProof && era == f.era
 }
 
-// Confirm records that the view is complete as of a time.
-func (f *Freshness) Confirm(asOf time.Time) {
+// ConfirmView records that the view is complete as of a time.
+func (f *Freshness) ConfirmView(asOf time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if asOf.After(f.viewAsOf) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Age returns the maximum age of the view, and false if nothing was confirmed yet.
-func (f *Freshness) Age() (time.Duration, bool) {
+// ViewAge returns the maximum age of the view, and false if nothing was confirmed yet.
+func (f *Freshness) ViewAge() (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.viewAsOf.IsZero() {
--- a/core/rowstore/hub.go
+++ b/core/rowstore/hub.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Hub holds copies of tables that other daemons read and follow, so that only a few daemons follow
+// TableCache holds copies of tables that other daemons read and follow, so that only a few daemons follow
 // the store. It implements Reader. Its results are as old as the copies and carry the store's
 // clock, by which the caller dates them. The zero value is empty and safe for concurrent use.
-type Hub struct {
-	// ContactLimit is the longest time without an answer from the store after which copies are
+type TableCache struct {
+	// MaxContactAge is the longest time without an answer from the store after which copies are
 	// still served, since the daemon may be cut off from the store. 0 means no limit.
-	ContactLimit time.Duration
+	MaxContactAge time.Duration
 	// Clock, if set, supplies the upper bound of the store's clock for results.
 	Clock *Freshness
-	// IsSecondHand, if set, reports that the copies come from daemons that call this one. Such
+	// IsFromFallback, if set, reports that the copies come from daemons that call this one. Such
 	// copies are not served.
-	IsSecondHand func() bool
+	IsFromFallback func() bool
 
 	mutex sync.Mutex
 	// lastContact is the latest local time as of which any copy is known to be valid.
@@ -46,8 +46,8 @@
 // has to read the table.
 const maxRemovedRows = 2000
 
-// Take applies the result of a read (isSnapshot), or of a feed in the same era, to the copy.
-func (h *Hub) Take(table string, result Result, isSnapshot bool, asOf time.Time) {
+// Apply applies the result of a read (isSnapshot), or of a feed in the same era, to the copy.
+func (h *TableCache) Apply(table string, result Result, isSnapshot bool, asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	cached := h.table(table)
@@ -70,7 +70,7 @@
 }
 
 // table returns the copy of a table and creates it if needed. The mutex must be held.
-func (h *Hub) table(name string) *tableCopy {
+func (h *TableCache) table(name string) *tableCopy {
 	if h.tables == nil {
 		h.tables = map[string]*tableCopy{}
 	}
@@ -99,21 +99,21 @@
 }
 
 // isServable reports whether a copy may be served: it is of the newest known era, the store
-// answered within ContactLimit, and the copy does not come from a fallback. The mutex must be held.
-func (h *Hub) isServable(cached *tableCopy) bool {
-	hasContact := h.ContactLimit == 0 || h.sinceContact() <= h.ContactLimit
-	isOwnCopy := h.IsSecondHand == nil || !h.IsSecondHand()
+// answered within MaxContactAge, and the copy does not come from a fallback. The mutex must be held.
+func (h *TableCache) isServable(cached *tableCopy) bool {
+	hasContact := h.MaxContactAge == 0 || h.sinceContact() <= h.MaxContactAge
+	isOwnCopy := h.IsFromFallback == nil || !h.IsFromFallback()
 	return h.isOfNewestEra(cached) && hasContact && isOwnCopy
 }
 
 // isOfNewestEra reports whether a copy exists and is of the newest known era. The mutex must be
 // held.
-func (h *Hub) isOfNewestEra(cached *tableCopy) bool {
+func (h *TableCache) isOfNewestEra(cached *tableCopy) bool {
 	return cached.rows != nil && (h.Clock == nil || cached.era >= h.Clock.Era())
 }
 
 // sinceContact returns the time since lastContact. The mutex must be held.
-func (h *Hub) sinceContact() time.Duration {
+func (h *TableCache) sinceContact() time.Duration {
 	if h.Clock == nil {
 		return time.Since(h.lastContact)
 	}
@@ -128,7 +128,7 @@
 
 // Read returns all rows of a table. It fails with ErrNoCopy if the first copy does not arrive
 // within firstCopyTimeout, or if the copy may not be served.
-func (h *Hub) Read(ctx context.Context, table string) (Result, error) {
+func (h *TableCache) Read(ctx context.Context, table string) (Result, error) {
 	h.awaitCopy(ctx, table)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -144,7 +144,7 @@
 }
 
 // awaitCopy waits up to firstCopyTimeout for a copy of a table in the newest known era.
-func (h *Hub) awaitCopy(ctx context.Context, table string) {
+func (h *TableCache) awaitCopy(ctx context.Context, table string) {
 	h.mutex.Lock()
 	cached := h.table(table)
 	hasCopy := h.isOfNewestEra(cached)
@@ -163,7 +163,7 @@
 }
 
 // Feed returns the rows that changed since a revision as soon as there is one, or none after wait.
-func (h *Hub) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
+func (h *TableCache) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	ticker := time.NewTicker(contactCheckInterval)
@@ -187,7 +187,7 @@
 
 // changesSince returns the changes since a revision, and a channel that is closed at the next
 // change. It fails with ErrNoCopy if the caller's era is newer than the copy's.
-func (h *Hub) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
+func (h *TableCache) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	cached := h.table(table)
@@ -222,7 +222,7 @@
 }
 
 // emptyResult returns a result with the state of a copy, without rows.
-func (h *Hub) emptyResult(cached *tableCopy) Result {
+func (h *TableCache) emptyResult(cached *tableCopy) Result {
 	result := Result{
 		Era:       cached.era,
 		Version:   cached.version,
@@ -232,8 +232,8 @@
 	if h.Clock == nil {
 		return result
 	}
-	if latest, isProved := h.Clock.Latest(cached.era); isProved {
-		result.Latest = latest
+	if latest, isProved := h.Clock.MaxStoreTime(cached.era); isProved {
+		result.MaxStoreTime = latest
 	}
 	return result
 }
--- a/core/rowstore/restart_test.go
+++ b/core/rowstore/restart_test.go
@@ -83,7 +83,7 @@
 // relayLink is the connection to another daemon. Reading its answer takes time, and a call that is
 // cut short counts as unanswered.
 type relayLink struct {
-	hub      *rowstore.Hub
+	hub      *rowstore.TableCache
 	rowCount int
 }
 
@@ -111,7 +111,7 @@
 type restartedFleet struct {
 	store *tableStore
 	list  neighbours.List
-	hubs  map[string]*rowstore.Hub
+	hubs  map[string]*rowstore.TableCache
 	began time.Time
 	mutex sync.Mutex
 	// readTimes are the times that each daemon took to read the table.
@@ -137,26 +137,26 @@
 func (f *restartedFleet) start(ctx context.Context, daemon neighbours.Daemon) {
 	time.Sleep(rand.N(startSpread))
 	clock := &rowstore.Freshness{}
-	clock.Prove(0, time.Now(), time.Hour)
-	chain := rowstore.NewChain(f.store, clock, nil)
+	clock.ObserveClock(0, time.Now(), time.Hour)
+	chain := rowstore.NewReaderChain(f.store, clock, nil)
 	chain.SetPeers(rowstore.Peers{
-		Relays:    f.relays(f.list.For(daemon.Name, daemon.Zone)),
+		Relays:    f.relays(f.list.RelaysFor(daemon.Name, daemon.Zone)),
 		Standbys:  f.relays(f.list.StandbysFor(daemon.Name, daemon.Zone)),
 		Fallbacks: f.relays(f.list.FallbacksFor(daemon.Name)),
 	})
-	chain.Sharing = func() int { return f.list.Sharing(daemon.Name) }
+	chain.ContenderCount = func() int { return f.list.ContenderCount(daemon.Name) }
 	follower := rowstore.Follower{
-		Store: chain,
-		Table: "servers",
-		Wait:  time.Second,
-		Hub:   f.hubs[daemon.Name],
-		Clock: clock,
-		Whole: func([]rowstore.Row, rowstore.Revision, time.Time) {
+		Store:       chain,
+		Table:       "servers",
+		FeedTimeout: time.Second,
+		TableCache:  f.hubs[daemon.Name],
+		Clock:       clock,
+		OnSnapshot: func([]rowstore.Row, rowstore.Revision, time.Time) {
 			f.mutex.Lock()
 			defer f.mutex.Unlock()
 			f.readTimes = append(f.readTimes, time.Since(f.began))
 		},
-		Changed: func([]rowstore.Row, rowstore.Revision, time.Time) {},
+		OnChanges: func([]rowstore.Row, rowstore.Revision, time.Time) {},
 	}
 	follower.Run(ctx)
 }
@@ -180,7 +180,7 @@
 				store: &tableStore{
 					rows: serversPerDaemon * count,
 				},
-				hubs:  map[string]*rowstore.Hub{},
+				hubs:  map[string]*rowstore.TableCache{},
 				began: time.Now(),
 			}
 			var daemons []neighbours.Daemon
@@ -188,9 +188,9 @@
 				daemons = append(daemons, neighbours.Daemon{
 					Name:     fmt.Sprintf("front-%04d", i),
 					Zone:     string(rune('a' + i%5)),
-					Strength: float64(i % 20),
+					Capacity: float64(i % 20),
 				})
-				f.hubs[daemons[i].Name] = &rowstore.Hub{}
+				f.hubs[daemons[i].Name] = &rowstore.TableCache{}
 			}
 			f.list = neighbours.NewList(daemons)
 			ctx, stop := context.WithCancel(t.Context())
@@ -206,7 +206,7 @@
 			qt.Assert(t, len(f.readTimes), qt.Equals, count, comment)
 			isHalfRead := f.readTimes[count/2] < maxHalfReadTime || count > fullFleetDaemons
 			qt.Check(t, isHalfRead, qt.IsTrue, qt.Commentf("%d daemons: half after %s", count, f.readTimes[count/2]))
-			qt.Check(t, f.store.reads <= 2*len(f.list.Relays())+neighbours.Standbys, qt.IsTrue, comment)
+			qt.Check(t, f.store.reads <= 2*len(f.list.Relays())+neighbours.MaxStandbys, qt.IsTrue, comment)
 			t.Log(comment)
 		})
 	}
--- a/core/rowstore/restore_test.go
+++ b/core/rowstore/restore_test.go
@@ -157,10 +157,10 @@
 		store.put("a", "1")
 		restored := 0
 		w := startFollower(ctx, store, &rowstore.Freshness{})
-		w.follower.Restored = func([]rowstore.Row, rowstore.Revision, time.Time) {
+		w.follower.OnRestoredSnapshot = func([]rowstore.Row, rowstore.Revision, time.Time) {
 			restored++
 		}
-		w.follower.Rewrite = func() time.Duration {
+		w.follower.RewriteWait = func() time.Duration {
 			return rewrite
 		}
 		advance(100 * time.Millisecond)
@@ -189,12 +189,12 @@
 	runWithFakeClock(t, func(_ context.Context, t *testing.T) {
 		var clock rowstore.Freshness
 		start := time.Now()
-		clock.Prove(1, start, time.Hour)
-		qt.Assert(t, clock.Prove(2, start.Add(time.Second), 2*time.Hour), qt.Equals, start.Add(time.Second))
-		qt.Assert(t, clock.When(2, 2*time.Hour+time.Second), qt.Equals, start.Add(2*time.Second))
-		qt.Assert(t, clock.When(1, time.Hour).IsZero(), qt.IsTrue)
-		qt.Assert(t, clock.Prove(1, start.Add(2*time.Second), time.Hour).IsZero(), qt.IsTrue)
-		qt.Assert(t, clock.Prove(3, start.Add(3*time.Second), time.Minute), qt.Equals, start.Add(3*time.Second))
+		clock.ObserveClock(1, start, time.Hour)
+		qt.Assert(t, clock.ObserveClock(2, start.Add(time.Second), 2*time.Hour), qt.Equals, start.Add(time.Second))
+		qt.Assert(t, clock.LocalTime(2, 2*time.Hour+time.Second), qt.Equals, start.Add(2*time.Second))
+		qt.Assert(t, clock.LocalTime(1, time.Hour).IsZero(), qt.IsTrue)
+		qt.Assert(t, clock.ObserveClock(1, start.Add(2*time.Second), time.Hour).IsZero(), qt.IsTrue)
+		qt.Assert(t, clock.ObserveClock(3, start.Add(3*time.Second), time.Minute), qt.Equals, start.Add(3*time.Second))
 	})
 }
 
@@ -210,13 +210,13 @@
 		relayClock := &rowstore.Freshness{}
 		relay := startFollower(ctx, relayStore, relayClock)
 		relay.hub.Clock = relayClock
-		relay.hub.ContactLimit = 0
+		relay.hub.MaxContactAge = 0
 		advance(100 * time.Millisecond)
 		former, err := relay.hub.Read(ctx, "t")
 		qt.Assert(t, err, qt.IsNil)
 
 		clock := &rowstore.Freshness{}
-		chain := rowstore.NewChain(store, clock, nil)
+		chain := rowstore.NewReaderChain(store, clock, nil)
 		chain.SetPeers(rowstore.Peers{
 			Relays: []rowstore.Relay{
 				{
@@ -232,12 +232,12 @@
 			f.isDown = true
 		})
 		relayStore.restore(before, 0)
-		clock.Prove(1, time.Now(), time.Since(store.started))
+		clock.ObserveClock(1, time.Now(), time.Since(store.started))
 		result, err := chain.Read(ctx, "t")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, result.Era, qt.Equals, int64(1))
 
-		relayClock.Prove(1, time.Now(), time.Since(store.started))
+		relayClock.ObserveClock(1, time.Now(), time.Since(store.started))
 		_, err = relay.hub.Feed(ctx, "t", result.Revision(), 0)
 		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrNoCopy)
 		_, err = relay.hub.Read(ctx, "t")
@@ -336,7 +336,7 @@
 		before := store.snapshot()
 		store.restore(before, 0)
 		store.put("a", "2")
-		clock.Prove(1, time.Now(), time.Since(store.started))
+		clock.ObserveClock(1, time.Now(), time.Since(store.started))
 		advance(10 * time.Millisecond)
 		qt.Assert(t, w.rows["a"], qt.Equals, "2")
 		qt.Assert(t, w.failures, qt.Equals, 0)
--- a/core/rowstore/revision.go
+++ b/core/rowstore/revision.go
@@ -28,7 +28,7 @@
 	return r.Era<<eraShift + r.Version
 }
 
-// EraOf returns the era of an ordinal.
-func EraOf(ordinal int64) int64 {
+// EraOfOrdinal returns the era of an ordinal.
+func EraOfOrdinal(ordinal int64) int64 {
 	return ordinal >> eraShift
 }
--- a/core/rowstore/roundrobin_test.go
+++ b/core/rowstore/roundrobin_test.go
@@ -138,7 +138,7 @@
 
 		clock := &rowstore.Freshness{}
 		storeCalls := 0
-		chain := rowstore.NewChain(countingReader{
+		chain := rowstore.NewReaderChain(countingReader{
 			Reader: store,
 			calls:  &storeCalls,
 		}, clock, map[string]time.Duration{
@@ -156,8 +156,8 @@
 		advance(2 * time.Second)
 		qt.Assert(t, downstream.rows["a"], qt.Equals, "1")
 		qt.Assert(t, storeCalls, qt.Equals, 0)
-		relayLatest, _ := relayClock.Latest(0)
-		latest, isProved := clock.Latest(0)
+		relayLatest, _ := relayClock.MaxStoreTime(0)
+		latest, isProved := clock.MaxStoreTime(0)
 		qt.Assert(t, isProved, qt.IsTrue)
 		qt.Assert(t, latest >= relayLatest, qt.IsTrue, qt.Commentf("%v before %v", latest, relayLatest))
 	})
--- a/core/rowstore/rowstore_test.go
+++ b/core/rowstore/rowstore_test.go
@@ -20,7 +20,7 @@
 	asOf       time.Time
 	failures   int
 	recoveries int
-	hub        rowstore.Hub
+	hub        rowstore.TableCache
 }
 
 // startFollower starts a follower that ends with ctx.
@@ -49,27 +49,27 @@
 		w.asOf = asOf
 	}
 	w.follower = &rowstore.Follower{
-		Store: source,
-		Table: table,
-		Wait:  wait,
-		Whole: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
+		Store:       source,
+		Table:       table,
+		FeedTimeout: wait,
+		OnSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
 			w.snapshots++
 			w.rows = map[string]string{}
 			apply(rows, asOf)
 		},
-		Changed: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
+		OnChanges: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
 			apply(rows, asOf)
 		},
-		Failed: func(error) {
+		OnFailure: func(error) {
 			w.failures++
 		},
-		Recovered: func(time.Duration) {
+		OnRecovery: func(time.Duration) {
 			w.recoveries++
 		},
-		Hub:   &w.hub,
-		Clock: clock,
+		TableCache: &w.hub,
+		Clock:      clock,
 	}
-	w.hub.ContactLimit = 900 * time.Millisecond
+	w.hub.MaxContactAge = 900 * time.Millisecond
 	go w.follower.Run(ctx)
 	return w
 }
@@ -167,13 +167,13 @@
 		var clock rowstore.Freshness
 		start := time.Now()
 		const offset = time.Hour
-		clock.Prove(0, time.Now(), offset)
+		clock.ObserveClock(0, time.Now(), offset)
 		advance(10 * time.Second)
 		// An answer that was produced 3 s after the start arrives only now.
-		asOf := clock.Prove(0, start.Add(2*time.Second), offset+3*time.Second)
+		asOf := clock.ObserveClock(0, start.Add(2*time.Second), offset+3*time.Second)
 		qt.Assert(t, asOf.After(start.Add(3*time.Second)), qt.IsFalse)
-		clock.Confirm(asOf)
-		age, isKnown := clock.Age()
+		clock.ConfirmView(asOf)
+		age, isKnown := clock.ViewAge()
 		qt.Assert(t, isKnown, qt.IsTrue)
 		qt.Assert(t, age >= 7*time.Second, qt.IsTrue)
 	})
@@ -190,40 +190,40 @@
 			},
 		}
 		const offset = time.Hour
-		clock.Confirm(clock.Prove(0, clock.Now(), offset))
+		clock.ConfirmView(clock.ObserveClock(0, clock.Now(), offset))
 		advance(time.Second)
 		suspended += 5 * time.Second
-		age, _ := clock.Age()
+		age, _ := clock.ViewAge()
 		qt.Assert(t, age, qt.Equals, 6*time.Second)
 
 		// A copy of another daemon that is 4 s old by the store's clock gets that age.
-		when := clock.When(0, offset+2*time.Second)
+		when := clock.LocalTime(0, offset+2*time.Second)
 		qt.Assert(t, clock.Since(when), qt.Equals, 4*time.Second)
 		// A call during which the VM was suspended proves only a state from before the suspension.
 		sent := clock.Now()
 		suspended += 5 * time.Second
-		clock.Confirm(clock.Prove(0, sent, offset+6*time.Second))
-		age, _ = clock.Age()
+		clock.ConfirmView(clock.ObserveClock(0, sent, offset+6*time.Second))
+		age, _ = clock.ViewAge()
 		qt.Assert(t, age, qt.Equals, 5*time.Second)
 	})
 }
 
 func TestFreshnessHasNoAgeBeforeConfirm(t *testing.T) {
 	var clock rowstore.Freshness
-	_, isKnown := clock.Age()
+	_, isKnown := clock.ViewAge()
 	qt.Assert(t, isKnown, qt.IsFalse)
 }
 
 // newChain returns a chain over a store and relays, with a clock that has a proof.
-func newChain(store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
+func newChain(store *fakeStore, relays ...rowstore.Relay) (*rowstore.ReaderChain, *rowstore.Freshness) {
 	return newChainVia(store, store, relays...)
 }
 
 // newChainVia is newChain with another reader of the store.
-func newChainVia(storeReader rowstore.Reader, store *fakeStore, relays ...rowstore.Relay) (*rowstore.Chain, *rowstore.Freshness) {
+func newChainVia(storeReader rowstore.Reader, store *fakeStore, relays ...rowstore.Relay) (*rowstore.ReaderChain, *rowstore.Freshness) {
 	clock := &rowstore.Freshness{}
-	clock.Prove(0, time.Now(), time.Since(store.started))
-	chain := rowstore.NewChain(storeReader, clock, map[string]time.Duration{
+	clock.ObserveClock(0, time.Now(), time.Since(store.started))
+	chain := rowstore.NewReaderChain(storeReader, clock, map[string]time.Duration{
 		"t": 900 * time.Millisecond,
 	})
 	chain.SetPeers(rowstore.Peers{
@@ -248,7 +248,7 @@
 		store.put("a", "2")
 		advance(10 * time.Millisecond)
 		qt.Assert(t, downstream.rows["a"], qt.Equals, "2")
-		direct, relayed := chain.Counts()
+		direct, relayed := chain.CallCounts()
 		qt.Assert(t, direct, qt.Equals, int64(0))
 		qt.Assert(t, relayed > 5, qt.IsTrue)
 		qt.Assert(t, store.calls-before < 20, qt.IsTrue)
@@ -343,7 +343,7 @@
 		store := newFakeStore()
 		relayStore := newFakeStore()
 		relayStore.isRelayed = true
-		chain := rowstore.NewChain(store, &rowstore.Freshness{}, map[string]time.Duration{
+		chain := rowstore.NewReaderChain(store, &rowstore.Freshness{}, map[string]time.Duration{
 			"t": time.Second,
 		})
 		chain.SetPeers(rowstore.Peers{
--- a/core/rowstore/seeded_test.go
+++ b/core/rowstore/seeded_test.go
@@ -69,7 +69,7 @@
 type startingFleet struct {
 	store *listStore
 	list  neighbours.List
-	hubs  map[string]*rowstore.Hub
+	hubs  map[string]*rowstore.TableCache
 	// unresponsive are daemons that do not start again.
 	unresponsive map[string]bool
 }
@@ -81,7 +81,7 @@
 	var daemons []neighbours.Daemon
 	f := &startingFleet{
 		store:        &listStore{},
-		hubs:         map[string]*rowstore.Hub{},
+		hubs:         map[string]*rowstore.TableCache{},
 		unresponsive: map[string]bool{},
 	}
 	for i := range count {
@@ -89,9 +89,9 @@
 			Name:     fmt.Sprintf("front-%04d", i),
 			Zone:     string(rune('a' + i%3)),
 			Address:  "10.0.0.1:7700",
-			Strength: float64(i % 20),
+			Capacity: float64(i % 20),
 		})
-		f.hubs[daemons[i].Name] = &rowstore.Hub{}
+		f.hubs[daemons[i].Name] = &rowstore.TableCache{}
 	}
 	f.list = neighbours.NewList(daemons)
 	if isPublished {
@@ -116,18 +116,18 @@
 // read lets a daemon read the list, and then serves it to others.
 func (f *startingFleet) read(ctx context.Context, self neighbours.Daemon) (rowstore.Result, error) {
 	clock := &rowstore.Freshness{}
-	chain := rowstore.NewChain(f.store, clock, nil)
-	seeded := rowstore.Seeded{
-		Chain: chain,
-		From:  f.store,
-		Rows:  listRows,
+	chain := rowstore.NewReaderChain(f.store, clock, nil)
+	seeded := rowstore.SeededReader{
+		ReaderChain: chain,
+		Sampler:     f.store,
+		SampleRows:  listRows,
 		Seeds: func(sample []rowstore.Row) []rowstore.Relay {
 			return f.seeds(sample, self)
 		},
 	}
 	result, err := seeded.Read(ctx, neighbours.Table)
 	if err == nil {
-		f.hubs[self.Name].Take(neighbours.Table, result, true, time.Now())
+		f.hubs[self.Name].Apply(neighbours.Table, result, true, time.Now())
 	}
 	return result, err
 }
@@ -144,7 +144,7 @@
 		candidates = append(candidates, daemon)
 	}
 	var relays []rowstore.Relay
-	for _, candidate := range neighbours.Nearest(candidates, self.Name, self.Zone) {
+	for _, candidate := range neighbours.InCallOrder(candidates, self.Name, self.Zone) {
 		if candidate.Name == self.Name {
 			return nil
 		}
@@ -158,7 +158,7 @@
 	hub := f.hubs[name]
 	if f.unresponsive[name] {
 		// No copy is ever applied to this hub.
-		hub = &rowstore.Hub{}
+		hub = &rowstore.TableCache{}
 	}
 	return rowstore.Relay{
 		Name:   name,
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -16,58 +16,58 @@
 	Name string
 	IP   string
 	Zone string
-	// Clients and Readiness are the IP:port to listen on for clients and for
-	// readiness checks; Store is that of the platform's table store.
-	Clients   string
-	Readiness string
-	Store     string
-	// Relay is the IP:port at which other daemons can watch the store's tables.
-	Relay string
-	// Strength is the capacity of the VM relative to others.
-	Strength float64
-	// Metrics is the IP:port at which metrics are served; empty: not served.
-	Metrics string
+	// ClientAddress and ReadinessAddress are the IP:port to listen on for clients and for
+	// readiness checks; StoreAddress is that of the platform's table store.
+	ClientAddress    string
+	ReadinessAddress string
+	StoreAddress     string
+	// RelayAddress is the IP:port at which other daemons can watch the store's tables.
+	RelayAddress string
+	// RelativeCapacity is the capacity of the VM relative to others.
+	RelativeCapacity float64
+	// MetricsAddress is the IP:port at which metrics are served; empty: not served.
+	MetricsAddress string
 	// IsFirstStart is set if the whole system is started for the first time.
 	IsFirstStart bool
-	// StopTime passes between SIGTERM and SIGKILL.
-	StopTime time.Duration
-	// ApplyWithin is the time within which a new configuration must be in force.
-	ApplyWithin time.Duration
-	// RevokeWithin is the time within which all daemons must reject a revoked key.
-	RevokeWithin time.Duration
+	// StopTimeout passes between SIGTERM and SIGKILL.
+	StopTimeout time.Duration
+	// ApplyBound is the time within which a new configuration must be in force.
+	ApplyBound time.Duration
+	// RevocationBound is the time within which all daemons must reject a revoked key.
+	RevocationBound time.Duration
 	// IsRevocationStrict is set if this also holds for daemons that cannot learn of
 	// the revocation.
 	IsRevocationStrict bool
-	// DrainWithin is the time within which a draining server must get no new requests.
-	DrainWithin time.Duration
+	// DrainBound is the time within which a draining server must get no new requests.
+	DrainBound time.Duration
 	// HeartbeatInterval is the heartbeat interval of the servers.
 	HeartbeatInterval time.Duration
-	// StallTime is how long a group that lost a member stalls before it breaks.
-	StallTime time.Duration
-	// In any RetryWindow, all daemons together may retry RetryShare of the requests
+	// StallTimeout is how long a group that lost a member stalls before it breaks.
+	StallTimeout time.Duration
+	// In any RetryWindow, all daemons together may retry RetryRatio of the requests
 	// and RetryBurst more.
-	RetryShare  float64
+	RetryRatio  float64
 	RetryBurst  float64
 	RetryWindow time.Duration
 	// LoadWindow and LoadExcess limit how many loads of weights may begin.
 	LoadWindow time.Duration
 	LoadExcess float64
 	// In any second, a cold server may get ColdExcess times the requests that it can serve
-	// and ColdSlack more, from all daemons together. With 0 for both it gets no more than it
+	// and ColdExtraRequests more, from all daemons together. With 0 for both it gets no more than it
 	// can serve.
-	ColdExcess float64
-	ColdSlack  float64
-	// EvacuateWithin is the time within which an evacuated zone must get no more requests;
+	ColdExcess        float64
+	ColdExtraRequests float64
+	// EvacuationBound is the time within which an evacuated zone must get no more requests;
 	// 0: at once.
-	EvacuateWithin time.Duration
+	EvacuationBound time.Duration
 }
 
 // WithMetricsPort returns the settings with metrics served at a port of the VM's IP
 // address; 0: not served.
 func (s Settings) WithMetricsPort(port int) Settings {
-	s.Metrics = ""
+	s.MetricsAddress = ""
 	if port != 0 {
-		s.Metrics = net.JoinHostPort(s.IP, strconv.Itoa(port))
+		s.MetricsAddress = net.JoinHostPort(s.IP, strconv.Itoa(port))
 	}
 	return s
 }
@@ -83,19 +83,19 @@
 	}{
 		{
 			name:  "address for clients",
-			value: s.Clients,
+			value: s.ClientAddress,
 		},
 		{
 			name:  "address for readiness",
-			value: s.Readiness,
+			value: s.ReadinessAddress,
 		},
 		{
 			name:  "address for other daemons",
-			value: s.Relay,
+			value: s.RelayAddress,
 		},
 		{
 			name:  "address of the store",
-			value: s.Store,
+			value: s.StoreAddress,
 		},
 	}
 	for _, address := range addresses {
@@ -110,15 +110,15 @@
 	}{
 		{
 			name:  "time to stop",
-			value: s.StopTime,
+			value: s.StopTimeout,
 		},
 		{
 			name:  "time to apply configurations",
-			value: s.ApplyWithin,
+			value: s.ApplyBound,
 		},
 		{
 			name:  "time to withdraw keys",
-			value: s.RevokeWithin,
+			value: s.RevocationBound,
 		},
 		{
 			name:  "window of the bound on retries",
@@ -126,7 +126,7 @@
 		},
 		{
 			name:  "time to drain",
-			value: s.DrainWithin,
+			value: s.DrainBound,
 		},
 	}
 	for _, bound := range times {
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -12,17 +12,17 @@
 // validSettings returns settings that pass Check.
 func validSettings() settings.Settings {
 	return settings.Settings{
-		Name:         "front-a",
-		IP:           "10.2.3.4",
-		Clients:      "10.2.3.4:8080",
-		Readiness:    "10.2.3.4:8081",
-		Relay:        "10.2.3.4:9000",
-		Store:        "[fd00::7]:7000",
-		StopTime:     4 * time.Second,
-		ApplyWithin:  2 * time.Second,
-		RevokeWithin: 5 * time.Second,
-		RetryWindow:  10 * time.Second,
-		DrainWithin:  2 * time.Second,
+		Name:             "front-a",
+		IP:               "10.2.3.4",
+		ClientAddress:    "10.2.3.4:8080",
+		ReadinessAddress: "10.2.3.4:8081",
+		RelayAddress:     "10.2.3.4:9000",
+		StoreAddress:     "[fd00::7]:7000",
+		StopTimeout:      4 * time.Second,
+		ApplyBound:       2 * time.Second,
+		RevocationBound:  5 * time.Second,
+		RetryWindow:      10 * time.Second,
+		DrainBound:       2 * time.Second,
 	}
 }
 
@@ -41,31 +41,31 @@
 		},
 		{
 			name:       "address for clients",
-			invalidate: func(s *settings.Settings) { s.Clients = "" },
+			invalidate: func(s *settings.Settings) { s.ClientAddress = "" },
 		},
 		{
 			name:       "address for readiness",
-			invalidate: func(s *settings.Settings) { s.Readiness = "10.2.3.4" },
+			invalidate: func(s *settings.Settings) { s.ReadinessAddress = "10.2.3.4" },
 		},
 		{
 			name:       "address for other daemons",
-			invalidate: func(s *settings.Settings) { s.Relay = "front-a:9000" },
+			invalidate: func(s *settings.Settings) { s.RelayAddress = "front-a:9000" },
 		},
 		{
 			name:       "address of the store",
-			invalidate: func(s *settings.Settings) { s.Store = ":7000" },
+			invalidate: func(s *settings.Settings) { s.StoreAddress = ":7000" },
 		},
 		{
 			name:       "time to stop",
-			invalidate: func(s *settings.Settings) { s.StopTime = 0 },
+			invalidate: func(s *settings.Settings) { s.StopTimeout = 0 },
 		},
 		{
 			name:       "time to apply configurations",
-			invalidate: func(s *settings.Settings) { s.ApplyWithin = 0 },
+			invalidate: func(s *settings.Settings) { s.ApplyBound = 0 },
 		},
 		{
 			name:       "time to withdraw keys",
-			invalidate: func(s *settings.Settings) { s.RevokeWithin = -time.Second },
+			invalidate: func(s *settings.Settings) { s.RevocationBound = -time.Second },
 		},
 		{
 			name:       "window of the bound on retries",
@@ -73,7 +73,7 @@
 		},
 		{
 			name:       "time to drain",
-			invalidate: func(s *settings.Settings) { s.DrainWithin = 0 },
+			invalidate: func(s *settings.Settings) { s.DrainBound = 0 },
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 func TestWithMetricsPortUsesAddressOfVM(t *testing.T) {
 	original := validSettings()
 	served := original.WithMetricsPort(9100)
-	qt.Assert(t, served.Metrics, qt.Equals, "10.2.3.4:9100")
-	qt.Assert(t, original.Metrics, qt.Equals, "")
-	qt.Assert(t, served.WithMetricsPort(0).Metrics, qt.Equals, "")
+	qt.Assert(t, served.MetricsAddress, qt.Equals, "10.2.3.4:9100")
+	qt.Assert(t, original.MetricsAddress, qt.Equals, "")
+	qt.Assert(t, served.WithMetricsPort(0).MetricsAddress, qt.Equals, "")
 }
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -28,23 +28,23 @@
 // choice, and a busy daemon cannot spread its load.
 const minSize = 4
 
-// Daemon is a daemon's position among the daemons that share servers.
-type Daemon struct {
+// Position is a daemon's position among the daemons that share servers.
+type Position struct {
 	// Rank is the daemon's number, from 0.
 	Rank int
-	// Of is the number of daemons; 0 if not known.
-	Of int
+	// Total is the number of daemons; 0 if not known.
+	Total int
 }
 
 // Size returns the size of the daemon's subset for the given number of servers and their total
 // capacity in requests in flight. It is the number of requests that the daemon itself has in
 // flight while all servers are full. A daemon among few uses all servers.
-func (d Daemon) Size(servers, capacity int) int {
-	if d.Of <= 0 {
+func (d Position) Size(servers, capacity int) int {
+	if d.Total <= 0 {
 		return servers
 	}
 	const half = 2
-	size := max(minSize, int(math.Ceil(float64(capacity)/float64(d.Of))))
+	size := max(minSize, int(math.Ceil(float64(capacity)/float64(d.Total))))
 	if half*size > servers {
 		return servers
 	}
@@ -52,7 +52,7 @@
 }
 
 // Choose returns the IDs of the daemon's subset.
-func (d Daemon) Choose(ids []string, capacity int) []string {
+func (d Position) Choose(ids []string, capacity int) []string {
 	size := d.Size(len(ids), capacity)
 	if size >= len(ids) {
 		return ids
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -30,9 +30,9 @@
 		const capacity = 22
 		uses := map[string]int{}
 		for rank := range daemons {
-			chosen := subset.Daemon{
-				Rank: rank,
-				Of:   daemons,
+			chosen := subset.Position{
+				Rank:  rank,
+				Total: daemons,
 			}.Choose(servers, capacity*len(servers))
 			distinct := slices.Compact(slices.Sorted(slices.Values(chosen)))
 			if len(distinct) != len(chosen) || len(chosen) < min(4, len(servers)) {
@@ -56,13 +56,13 @@
 	servers := serverIDs(13)
 	const capacity = 13 * 22
 	for _, daemons := range []int{0, 1, 3, 9, 40} {
-		chosen := subset.Daemon{
-			Of: daemons,
+		chosen := subset.Position{
+			Total: daemons,
 		}.Choose(servers, capacity)
 		qt.Assert(t, chosen, qt.HasLen, len(servers), qt.Commentf("%d daemons", daemons))
 	}
-	chosen := subset.Daemon{
-		Of: 59,
+	chosen := subset.Position{
+		Total: 59,
 	}.Choose(servers, capacity)
 	qt.Assert(t, chosen, qt.HasLen, 5)
 }
@@ -72,9 +72,9 @@
 	servers := serverIDs(40)
 	reversed := slices.Clone(servers)
 	slices.Reverse(reversed)
-	daemon := subset.Daemon{
-		Rank: 17,
-		Of:   100,
+	daemon := subset.Position{
+		Rank:  17,
+		Total: 100,
 	}
 	qt.Assert(t, daemon.Choose(servers, 880), qt.DeepEquals, daemon.Choose(reversed, 880))
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,9 +1,9 @@
 // Package table defines the interface to the platform's transactional table service: rows with
 // versions, and transactions that are applied as a whole or not at all.
 //
-// If the answer to a write is lost, its outcome is unknown. Settling wraps a Store so that every
+// If the answer to a write is lost, its outcome is unknown. ResolvingStore wraps a Store so that every
 // transaction also writes a marker row, whose key contains the transaction's ID. When an answer is
-// lost, Settling tries to write that marker itself. If it succeeds, the original transaction can no
+// lost, ResolvingStore tries to write that marker itself. If it succeeds, the original transaction can no
 // longer commit; if it is refused because the marker exists, the transaction has committed. For
 // example, a transaction "a1" that writes group/redactor-7 also writes write/a1. A caller that
 // finds write/a1 knows that the other row was written as well.
@@ -34,7 +34,7 @@
 	ErrAbandoned = errors.New("transaction abandoned")
 )
 
-// MarkerPrefix is the prefix of the keys of marker rows that Settling writes.
+// MarkerPrefix is the prefix of the keys of marker rows that ResolvingStore writes.
 const MarkerPrefix = "write/"
 
 // Row is one row at one version. Version is the number of the commit that wrote it. It increases
@@ -110,11 +110,11 @@
 }
 
 // ScanResult holds the rows found. Version is the version that the table had reached when it
-// answered. More is set if the limit cut off rows.
+// answered. HasMore is set if the limit cut off rows.
 type ScanResult struct {
 	Rows    []Row  `json:"rows"`
 	Version uint64 `json:"version"`
-	More    bool   `json:"more"`
+	HasMore bool   `json:"more"`
 }
 
 // Store is the table service. Commit returns the commit's version.
@@ -127,10 +127,10 @@
 // ----------------------------------------------------------------------------
 // Resolving lost answers
 
-// Settling wraps a Store and resolves the outcome of a commit whose answer was lost. The marker of
+// ResolvingStore wraps a Store and resolves the outcome of a commit whose answer was lost. The marker of
 // a transaction with a known outcome is no longer needed, and is deleted together with a later
 // transaction.
-type Settling struct {
+type ResolvingStore struct {
 	Store
 
 	mutex       sync.Mutex
@@ -141,7 +141,7 @@
 const maxMarkersPerCommit = 16
 
 // takeUsedMarkers returns markers to delete with the next transaction.
-func (s *Settling) takeUsedMarkers() []string {
+func (s *ResolvingStore) takeUsedMarkers() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := min(len(s.usedMarkers), maxMarkersPerCommit)
@@ -151,7 +151,7 @@
 }
 
 // addUsedMarkers adds markers to delete.
-func (s *Settling) addUsedMarkers(markers ...string) {
+func (s *ResolvingStore) addUsedMarkers(markers ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.usedMarkers = append(s.usedMarkers, markers...)
@@ -159,8 +159,8 @@
 
 // Commit commits a transaction and resolves its outcome if the answer is lost. It returns
 // ErrUnknown only if ctx ends before the outcome is resolved.
-func (s *Settling) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
-	marked, marker := Mark(transaction)
+func (s *ResolvingStore) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
+	marked, marker := WithMarker(transaction)
 	usedMarkers := s.takeUsedMarkers()
 	for _, usedMarker := range usedMarkers {
 		marked = marked.WithWrite(Write{
@@ -169,7 +169,7 @@
 		})
 	}
 	version, err := s.Store.Commit(ctx, marked)
-	if !IsCertain(err) {
+	if !IsOutcomeKnown(err) {
 		version, err = s.resolve(ctx, marker)
 	}
 	if err == nil {
@@ -180,8 +180,8 @@
 	return version, err
 }
 
-// Mark returns the transaction with its marker row, and the marker's key.
-func Mark(transaction Transaction) (marked Transaction, marker string) {
+// WithMarker returns the transaction with its marker row, and the marker's key.
+func WithMarker(transaction Transaction) (marked Transaction, marker string) {
 	if transaction.ID == "" {
 		transaction.ID = uuid.NewString()
 	}
@@ -195,10 +195,10 @@
 }
 
 // resolve resolves the outcome of a transaction whose answer was lost, by its marker row.
-func (s *Settling) resolve(ctx context.Context, marker string) (uint64, error) {
+func (s *ResolvingStore) resolve(ctx context.Context, marker string) (uint64, error) {
 	for ctx.Err() == nil {
-		version, err := s.SettleOnce(ctx, marker)
-		if IsCertain(err) {
+		version, err := s.ResolveOnce(ctx, marker)
+		if IsOutcomeKnown(err) {
 			return version, err
 		}
 		if waitErr := waitResolveInterval(ctx); waitErr != nil {
@@ -208,9 +208,9 @@
 	return 0, errors.Wrapf(ErrUnknown, "resolve outcome of %q at the table service", marker)
 }
 
-// SettleOnce reads the marker and writes it if it is absent. It returns ErrUnknown if the outcome
+// ResolveOnce reads the marker and writes it if it is absent. It returns ErrUnknown if the outcome
 // remains unknown.
-func (s *Settling) SettleOnce(ctx context.Context, marker string) (uint64, error) {
+func (s *ResolvingStore) ResolveOnce(ctx context.Context, marker string) (uint64, error) {
 	row, err := s.Read(ctx, marker)
 	if err != nil {
 		return 0, ErrUnknown
@@ -256,8 +256,8 @@
 	return row.Version, nil
 }
 
-// IsCertain reports whether err says for certain whether the writes were committed.
-func IsCertain(err error) bool {
+// IsOutcomeKnown reports whether err says for certain whether the writes were committed.
+func IsOutcomeKnown(err error) bool {
 	return err == nil || errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAbandoned)
 }
 
@@ -265,9 +265,9 @@
 // Deleting old rows
 
 const (
-	// MarkerKept is how long a marker is kept that its writer did not delete. It is far longer than
+	// MarkerRetention is how long a marker is kept that its writer did not delete. It is far longer than
 	// a transaction can take to arrive.
-	MarkerKept      = time.Hour
+	MarkerRetention = time.Hour
 	maxRowsPerSweep = 400
 )
 
@@ -299,8 +299,8 @@
 	return len(deletion.Writes), errors.Wrapf(err, "sweep %q", prefix)
 }
 
-// IsOldMarker reports whether a row is a marker older than MarkerKept.
-func IsOldMarker(row Row) bool {
+// IsExpiredMarker reports whether a row is a marker older than MarkerRetention.
+func IsExpiredMarker(row Row) bool {
 	var value markerValue
-	return row.Decode(&value) == nil && time.Since(value.At) > MarkerKept
+	return row.Decode(&value) == nil && time.Since(value.At) > MarkerRetention
 }
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -30,7 +30,7 @@
 				return rapid.IntRange(0, n-1).Draw(rt, name)
 			},
 		}
-		resolver := &table.Settling{
+		resolver := &table.ResolvingStore{
 			Store: store,
 		}
 		committed := map[string]bool{}
@@ -39,17 +39,17 @@
 			transaction := table.Transaction{}
 			transaction = transaction.WithCondition(key, 0)
 			transaction = transaction.WithWrite(table.Put(key, number))
-			marked, marker := table.Mark(transaction)
+			marked, marker := table.WithMarker(transaction)
 			_, err := store.Commit(ctx, marked)
-			for !table.IsCertain(err) {
+			for !table.IsOutcomeKnown(err) {
 				if store.Draw("arrives meanwhile", 3) == 0 {
-					store.Arrive(ctx)
+					store.DeliverDelayed(ctx)
 				}
-				_, err = resolver.SettleOnce(ctx, marker)
+				_, err = resolver.ResolveOnce(ctx, marker)
 			}
 			committed[key] = err == nil
 		}
-		for store.Arrive(ctx) {
+		for store.DeliverDelayed(ctx) {
 			continue
 		}
 		for key, isCommitted := range committed {
--- a/core/urgency/lane.go
+++ b/core/urgency/lane.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Lane limits how many late requests of a kind wait for their first event at once. When all
+// LateLimiter limits how many late requests of a kind wait for their first event at once. When all
 // clients come back after an outage, late requests would otherwise occupy all places of the
 // engines, and the next requests, which can still meet their goals, would find none. Levels do
 // not help there, since running requests are not preempted. The zero value is empty. It is safe
 // for concurrent use.
-type Lane struct {
+type LateLimiter struct {
 	mutex sync.Mutex
 	kinds map[string]*kindState
 }
@@ -22,10 +22,10 @@
 	released chan struct{}
 }
 
-// Enter waits until fewer than limit requests of a kind are admitted, or until the timeout, and
+// Acquire waits until fewer than limit requests of a kind are admitted, or until the timeout, and
 // then admits the request. The caller must call release when the answer begins or fails;
 // further calls have no effect.
-func (l *Lane) Enter(kind string, limit int, timeout time.Duration) (release func()) {
+func (l *LateLimiter) Acquire(kind string, limit int, timeout time.Duration) (release func()) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
@@ -43,7 +43,7 @@
 }
 
 // stateOf returns the state of a kind and creates it if necessary. The mutex must be held.
-func (l *Lane) stateOf(kind string) *kindState {
+func (l *LateLimiter) stateOf(kind string) *kindState {
 	if l.kinds == nil {
 		l.kinds = map[string]*kindState{}
 	}
@@ -59,7 +59,7 @@
 
 // tryAcquire admits a request if the limit allows it. Otherwise it returns a channel that is
 // closed when a request is released.
-func (l *Lane) tryAcquire(kind string, limit int) <-chan struct{} {
+func (l *LateLimiter) tryAcquire(kind string, limit int) <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	state := l.stateOf(kind)
@@ -71,14 +71,14 @@
 }
 
 // acquireOverLimit admits a request regardless of the limit.
-func (l *Lane) acquireOverLimit(kind string) {
+func (l *LateLimiter) acquireOverLimit(kind string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.stateOf(kind).admitted++
 }
 
 // releaseFunc returns the function that releases one request.
-func (l *Lane) releaseFunc(kind string) func() {
+func (l *LateLimiter) releaseFunc(kind string) func() {
 	return sync.OnceFunc(func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
--- a/core/urgency/lane_test.go
+++ b/core/urgency/lane_test.go
@@ -15,12 +15,12 @@
 // seconds.
 func TestAdmittedLateRequestsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter urgency.Lane
+		var limiter urgency.LateLimiter
 		const limit, sent = 3, 10
 		admitted := make(chan func(), sent)
 		for range sent {
 			go func() {
-				admitted <- limiter.Enter("engines/large", limit, time.Second)
+				admitted <- limiter.Acquire("engines/large", limit, time.Second)
 			}()
 		}
 		synctest.Wait()
@@ -43,15 +43,15 @@
 
 func TestKindsAreLimitedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var limiter urgency.Lane
+		var limiter urgency.LateLimiter
 		began := time.Now()
-		release := limiter.Enter("engines/large", 1, time.Second)
-		limiter.Enter("engines/small", 1, time.Second)
+		release := limiter.Acquire("engines/large", 1, time.Second)
+		limiter.Acquire("engines/small", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Duration(0))
 		release()
-		limiter.Enter("engines/large", 1, time.Second)
+		limiter.Acquire("engines/large", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Duration(0))
-		limiter.Enter("engines/large", 1, time.Second)
+		limiter.Acquire("engines/large", 1, time.Second)
 		qt.Assert(t, time.Since(began), qt.Equals, time.Second)
 	})
 }
--- a/core/urgency/overload.go
+++ b/core/urgency/overload.go
@@ -16,17 +16,17 @@
 	maxKinds = 4096
 )
 
-// Overload decides which fraction of the requests of a kind yields to the others if not all can
+// YieldController decides which fraction of the requests of a kind yields to the others if not all can
 // be in time. If none yielded, all requests would delay each other and all would be late. A
 // yielding request is served as soon as there is capacity, so yielding without an overload
 // costs nothing. In the zero value no request yields. It is safe for concurrent use.
-type Overload struct {
+type YieldController struct {
 	mutex          sync.Mutex
 	yieldFractions map[string]float64
 }
 
-// Note records whether a request that did not yield was in time.
-func (o *Overload) Note(kind string, inTime bool) {
+// Record records whether a request that did not yield was in time.
+func (o *YieldController) Record(kind string, inTime bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, isKnown := o.yieldFractions[kind]
@@ -40,8 +40,8 @@
 	o.yieldFractions[kind] = min(maxYieldFraction, o.yieldFractions[kind]+lateIncrement)
 }
 
-// Part returns the fraction of the requests of a kind that should yield.
-func (o *Overload) Part(kind string) float64 {
+// YieldFraction returns the fraction of the requests of a kind that should yield.
+func (o *YieldController) YieldFraction(kind string) float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.yieldFractions[kind]
--- a/core/urgency/overload_test.go
+++ b/core/urgency/overload_test.go
@@ -10,41 +10,41 @@
 )
 
 func TestYieldFractionFollowsLateRequests(t *testing.T) {
-	var controller urgency.Overload
-	qt.Assert(t, controller.Part("engines/large"), qt.Equals, 0.0)
+	var controller urgency.YieldController
+	qt.Assert(t, controller.YieldFraction("engines/large"), qt.Equals, 0.0)
 	for range 20 {
-		controller.Note("engines/large", false)
+		controller.Record("engines/large", false)
 	}
-	fraction := controller.Part("engines/large")
+	fraction := controller.YieldFraction("engines/large")
 	qt.Assert(t, fraction > 0.5 && fraction < 1, qt.IsTrue, qt.Commentf("%v", fraction))
 	// Each kind has a yield fraction of its own.
-	qt.Assert(t, controller.Part("engines/small"), qt.Equals, 0.0)
+	qt.Assert(t, controller.YieldFraction("engines/small"), qt.Equals, 0.0)
 	for range 100 {
-		controller.Note("engines/large", true)
+		controller.Record("engines/large", true)
 	}
-	qt.Assert(t, controller.Part("engines/large"), qt.Equals, 0.0)
+	qt.Assert(t, controller.YieldFraction("engines/large"), qt.Equals, 0.0)
 }
 
 func TestFewLateRequestsKeepTheYieldFractionLow(t *testing.T) {
-	var controller urgency.Overload
+	var controller urgency.YieldController
 	for i := range 200 {
-		controller.Note("engines/large", i%20 != 0)
+		controller.Record("engines/large", i%20 != 0)
 	}
-	qt.Assert(t, controller.Part("engines/large") < 0.1, qt.IsTrue)
+	qt.Assert(t, controller.YieldFraction("engines/large") < 0.1, qt.IsTrue)
 }
 
 // An engine that can serve 10 requests a second in time gets 15. While a fraction of them
 // yields, most of the others are in time.
 func TestMostRequestsMeetTheGoalWhileOthersYield(t *testing.T) {
 	const served, sent = 10, 15
-	var controller urgency.Overload
+	var controller urgency.YieldController
 	inTime, late := 0, 0
 	for second := range 60 {
-		fraction := controller.Part("engines/large")
+		fraction := controller.YieldFraction("engines/large")
 		urgent := int(float64(sent) * (1 - fraction))
 		for i := range urgent {
 			isInTime := i < served && urgent <= served+1
-			controller.Note("engines/large", isInTime)
+			controller.Record("engines/large", isInTime)
 			if second >= 30 && isInTime {
 				inTime++
 			} else if second >= 30 {
@@ -57,7 +57,7 @@
 
 func TestZeroGoalIsAlwaysMet(t *testing.T) {
 	requestedAt := time.Now()
-	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(time.Hour), 0), qt.IsTrue)
-	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(300*time.Millisecond), 300*time.Millisecond), qt.IsTrue)
-	qt.Assert(t, urgency.InTime(requestedAt, requestedAt.Add(301*time.Millisecond), 300*time.Millisecond), qt.IsFalse)
+	qt.Assert(t, urgency.MeetsGoal(requestedAt, requestedAt.Add(time.Hour), 0), qt.IsTrue)
+	qt.Assert(t, urgency.MeetsGoal(requestedAt, requestedAt.Add(300*time.Millisecond), 300*time.Millisecond), qt.IsTrue)
+	qt.Assert(t, urgency.MeetsGoal(requestedAt, requestedAt.Add(301*time.Millisecond), 300*time.Millisecond), qt.IsFalse)
 }
--- a/core/urgency/urgency.go
+++ b/core/urgency/urgency.go
@@ -10,7 +10,7 @@
 // been waiting for the difference.
 //
 // If not all requests can be in time although none has waited before, a random fraction of them
-// yields so that the others are in time. Overload decides how large that fraction is.
+// yields so that the others are in time. YieldController decides how large that fraction is.
 package urgency
 
 import (
@@ -27,16 +27,16 @@
 	maxRoutes = 4096
 )
 
-// Patience records the longest wait of each route's clients, which is their initial timeout.
+// WaitEstimator records the longest wait of each route's clients, which is their initial timeout.
 // The zero value is empty. It is safe for concurrent use.
-type Patience struct {
+type WaitEstimator struct {
 	mutex        sync.Mutex
 	longestWaits map[string]time.Duration
 }
 
-// Waited records how long a client of a route will still wait, and returns how long it has been
+// TimeWaited records how long a client of a route will still wait, and returns how long it has been
 // waiting.
-func (p *Patience) Waited(route string, wait time.Duration) time.Duration {
+func (p *WaitEstimator) TimeWaited(route string, wait time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	_, isKnown := p.longestWaits[route]
@@ -58,7 +58,7 @@
 	return min(level, lowestLevel)
 }
 
-// InTime reports whether an answer began within the goal. A goal of 0 is always met.
-func InTime(requestedAt, answeredAt time.Time, goal time.Duration) bool {
+// MeetsGoal reports whether an answer began within the goal. A goal of 0 is always met.
+func MeetsGoal(requestedAt, answeredAt time.Time, goal time.Duration) bool {
 	return goal <= 0 || answeredAt.Sub(requestedAt) <= goal
 }
--- a/core/urgency/urgency_test.go
+++ b/core/urgency/urgency_test.go
@@ -11,39 +11,39 @@
 )
 
 func TestShorterRemainingWaitCountsAsTimeWaited(t *testing.T) {
-	var estimator urgency.Patience
-	qt.Assert(t, estimator.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
-	qt.Assert(t, estimator.Waited("plans", 4500*time.Millisecond), qt.Equals, 1500*time.Millisecond)
-	qt.Assert(t, estimator.Waited("plans", 6*time.Second), qt.Equals, time.Duration(0))
+	var estimator urgency.WaitEstimator
+	qt.Assert(t, estimator.TimeWaited("plans", 6*time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.TimeWaited("plans", 4500*time.Millisecond), qt.Equals, 1500*time.Millisecond)
+	qt.Assert(t, estimator.TimeWaited("plans", 6*time.Second), qt.Equals, time.Duration(0))
 	// Each route has an initial wait of its own.
-	qt.Assert(t, estimator.Waited("meters", time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.TimeWaited("meters", time.Second), qt.Equals, time.Duration(0))
 }
 
 func TestLongerWaitRaisesTheInitialWait(t *testing.T) {
-	var estimator urgency.Patience
-	estimator.Waited("plans", 2*time.Second)
-	qt.Assert(t, estimator.Waited("plans", 8*time.Second), qt.Equals, time.Duration(0))
-	qt.Assert(t, estimator.Waited("plans", 2*time.Second), qt.Equals, 6*time.Second)
+	var estimator urgency.WaitEstimator
+	estimator.TimeWaited("plans", 2*time.Second)
+	qt.Assert(t, estimator.TimeWaited("plans", 8*time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.TimeWaited("plans", 2*time.Second), qt.Equals, 6*time.Second)
 }
 
 func TestNewRouteClearsAFullMap(t *testing.T) {
-	var estimator urgency.Patience
-	estimator.Waited("plans", 8*time.Second)
+	var estimator urgency.WaitEstimator
+	estimator.TimeWaited("plans", 8*time.Second)
 	for i := range 5000 {
-		estimator.Waited(fmt.Sprint(i), time.Second)
+		estimator.TimeWaited(fmt.Sprint(i), time.Second)
 	}
 	// The route was discarded and is recorded anew; no request counts as late.
-	qt.Assert(t, estimator.Waited("plans", 2*time.Second), qt.Equals, time.Duration(0))
+	qt.Assert(t, estimator.TimeWaited("plans", 2*time.Second), qt.Equals, time.Duration(0))
 }
 
 func TestKnownRoutesDoNotClearAFullMap(t *testing.T) {
 	const maxRoutes = 4096
-	var estimator urgency.Patience
+	var estimator urgency.WaitEstimator
 	for i := range maxRoutes {
-		estimator.Waited(fmt.Sprint(i), 8*time.Second)
+		estimator.TimeWaited(fmt.Sprint(i), 8*time.Second)
 	}
 	for i := range maxRoutes {
-		qt.Assert(t, estimator.Waited(fmt.Sprint(i), 2*time.Second), qt.Equals, 6*time.Second)
+		qt.Assert(t, estimator.TimeWaited(fmt.Sprint(i), 2*time.Second), qt.Equals, 6*time.Second)
 	}
 }
 
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -27,9 +27,9 @@
 	Answer float64
 }
 
-// Sizes holds the mean request size of each model. The zero value is empty. It is safe for
+// SizeEstimator holds the mean request size of each model. The zero value is empty. It is safe for
 // concurrent use.
-type Sizes struct {
+type SizeEstimator struct {
 	mutex     sync.Mutex
 	estimates map[string]estimate
 }
@@ -40,8 +40,8 @@
 	count float64
 }
 
-// Note records the size of a request that was answered in full.
-func (s *Sizes) Note(model string, size Size) {
+// Record records the size of a request that was answered in full.
+func (s *SizeEstimator) Record(model string, size Size) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known, ok := s.estimates[model]
@@ -55,8 +55,8 @@
 	s.estimates[model] = known
 }
 
-// Of returns the mean request size of a model, or fallback if there are too few samples.
-func (s *Sizes) Of(model string, fallback Size) Size {
+// PerRequest returns the mean request size of a model, or fallback if there are too few samples.
+func (s *SizeEstimator) PerRequest(model string, fallback Size) Size {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known := s.estimates[model]; known.count >= minSamples {
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -10,66 +10,66 @@
 )
 
 func TestMeanFollowsRecordedSizes(t *testing.T) {
-	var sizes usage.Sizes
+	var sizes usage.SizeEstimator
 	fallback := usage.Size{
 		Prompt: 1000,
 		Answer: 100,
 	}
-	qt.Assert(t, sizes.Of("large", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.PerRequest("large", fallback), qt.Equals, fallback)
 	for range 400 {
-		sizes.Note("large", usage.Size{
+		sizes.Record("large", usage.Size{
 			Prompt: 2000,
 			Answer: 20,
 		})
-		sizes.Note("large", usage.Size{
+		sizes.Record("large", usage.Size{
 			Prompt: 1000,
 			Answer: 120,
 		})
 	}
-	mean := sizes.Of("large", fallback)
+	mean := sizes.PerRequest("large", fallback)
 	qt.Assert(t, mean.Prompt > 1450 && mean.Prompt < 1550, qt.IsTrue, qt.Commentf("%v", mean))
 	qt.Assert(t, mean.Answer > 65 && mean.Answer < 75, qt.IsTrue, qt.Commentf("%v", mean))
 	// Each model has an estimate of its own.
-	qt.Assert(t, sizes.Of("small", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.PerRequest("small", fallback), qt.Equals, fallback)
 }
 
 func TestNewModelClearsAFullMap(t *testing.T) {
-	var sizes usage.Sizes
+	var sizes usage.SizeEstimator
 	for i := range 10_000 {
-		sizes.Note(fmt.Sprint(i), usage.Size{
+		sizes.Record(fmt.Sprint(i), usage.Size{
 			Prompt: 1,
 		})
 	}
 	for range 4 {
-		sizes.Note("9999", usage.Size{
+		sizes.Record("9999", usage.Size{
 			Prompt: 1,
 		})
 	}
 	// The last model is known, and the first one was discarded.
-	qt.Assert(t, sizes.Of("9999", usage.Size{}).Prompt, qt.Equals, 1.0)
-	qt.Assert(t, sizes.Of("0", usage.Size{}).Prompt, qt.Equals, 0.0)
+	qt.Assert(t, sizes.PerRequest("9999", usage.Size{}).Prompt, qt.Equals, 1.0)
+	qt.Assert(t, sizes.PerRequest("0", usage.Size{}).Prompt, qt.Equals, 0.0)
 }
 
 // Guards against a first request that sets the mean. A daemon among 295 gets a request for the
 // larger model every two seconds. The first one to end, mostly a short one, stood for all of
 // them through the day, and the estimate halved the groups that the model needed.
 func TestFirstRequestDoesNotSetTheMean(t *testing.T) {
-	var sizes usage.Sizes
+	var sizes usage.SizeEstimator
 	fallback := usage.Size{
 		Prompt: 1000,
 		Answer: 100,
 	}
-	sizes.Note("large", usage.Size{
+	sizes.Record("large", usage.Size{
 		Prompt: 40,
 		Answer: 8,
 	})
-	qt.Assert(t, sizes.Of("large", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.PerRequest("large", fallback), qt.Equals, fallback)
 	for range 9 {
-		sizes.Note("large", usage.Size{
+		sizes.Record("large", usage.Size{
 			Prompt: 1540,
 			Answer: 158,
 		})
 	}
-	mean := sizes.Of("large", fallback)
+	mean := sizes.PerRequest("large", fallback)
 	qt.Assert(t, mean.Answer > 130 && mean.Answer < 150, qt.IsTrue, qt.Commentf("%v", mean))
 }
--- a/core/vm/vm.go
+++ b/core/vm/vm.go
@@ -39,8 +39,8 @@
 	Retired bool `json:"retired,omitempty"`
 }
 
-// Free reports whether a new group may claim the VM.
-func (c Claim) Free() bool {
+// IsFree reports whether a new group may claim the VM.
+func (c Claim) IsFree() bool {
 	return c.Group == "" && c.Plan == "" && !c.Retired
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,7 +42,7 @@
 	log      *zap.Logger
 	self     roster.Daemon
 
-	store   *table.Settling
+	store   *table.ResolvingStore
 	vmList  *vmlist.Client
 	engines *engine.Client
 	peers   *peer.Client
@@ -70,7 +70,7 @@
 	d := &Daemon{
 		settings: settings,
 		log:      log,
-		store: &table.Settling{
+		store: &table.ResolvingStore{
 			Store: tablestore.New(settings.Table),
 		},
 		vmList:          vmlist.New(settings.VMList),
@@ -85,9 +85,9 @@
 	}
 	d.server = server
 	d.self = roster.Daemon{
-		ID:   newDaemonID(settings, server.Address()),
-		Zone: settings.Zone,
-		Peer: server.Address(),
+		ID:          newDaemonID(settings, server.Address()),
+		Zone:        settings.Zone,
+		PeerAddress: server.Address(),
 	}
 	d.peers = peer.NewClient(peer.Hello{
 		Key:    settings.PeerKey,
@@ -97,7 +97,7 @@
 	d.probeTargets.Store(&[]control.Target{})
 	d.pullSources.Store(&[]roster.Source{})
 	d.startGoroutines()
-	d.log.Info("daemon: started", zap.String("id", d.self.ID), zap.String("zone", settings.Zone), zap.String("peers", d.self.Peer))
+	d.log.Info("daemon: started", zap.String("id", d.self.ID), zap.String("zone", settings.Zone), zap.String("peers", d.self.PeerAddress))
 	return d, nil
 }
 
@@ -120,7 +120,7 @@
 
 // PeerAddress returns the IP:port on which the daemon listens for other daemons.
 func (d *Daemon) PeerAddress() string {
-	return d.self.Peer
+	return d.self.PeerAddress
 }
 
 // Engines returns the client for backend servers.
@@ -129,7 +129,7 @@
 }
 
 // Store returns the store. It resolves commits whose answer was lost
-// (table.Settling).
+// (table.ResolvingStore).
 func (d *Daemon) Store() table.Store {
 	return d.store
 }
@@ -144,9 +144,9 @@
 	return &d.traffic
 }
 
-// OnChange registers a listener that is called after each published snapshot.
+// OnSnapshot registers a listener that is called after each published snapshot.
 // Register it before the daemon accepts requests. The listener must not block.
-func (d *Daemon) OnChange(listener func()) {
+func (d *Daemon) OnSnapshot(listener func()) {
 	d.runInControl(func(*control.Controller) {
 		d.snapshotListeners = append(d.snapshotListeners, listener)
 	})
@@ -175,7 +175,7 @@
 func (d *Daemon) hasLeft() bool {
 	left := false
 	d.runInControl(func(c *control.Controller) {
-		left = !c.Roster().Has(d.self.ID)
+		left = !c.Roster().Contains(d.self.ID)
 	})
 	return left
 }
@@ -223,11 +223,11 @@
 	}
 }
 
-// World returns the controller's view of the fleet.
-func (d *Daemon) World() plan.World {
-	var fleetState plan.World
+// FleetState returns the controller's view of the fleet.
+func (d *Daemon) FleetState() plan.FleetState {
+	var fleetState plan.FleetState
 	d.runInControl(func(c *control.Controller) {
-		fleetState = c.World()
+		fleetState = c.FleetState()
 	})
 	return fleetState
 }
@@ -235,7 +235,7 @@
 // ErrStopped is returned by operations on a stopped daemon.
 var ErrStopped = errors.New("daemon stopped")
 
-// IsAlive reports whether the roster lists a daemon.
-func (d *Daemon) IsAlive(id string) bool {
-	return d.Roster().Has(id)
+// IsMember reports whether the roster lists a daemon.
+func (d *Daemon) IsMember(id string) bool {
+	return d.Roster().Contains(id)
 }
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -23,29 +23,29 @@
 // applied declaration.
 const acceptanceTimeout = 12 * time.Second
 
-// Fleet implements the operators' requests to a daemon, for operator.Listen.
-type Fleet struct {
+// OperatorService implements the operators' requests to a daemon, for operator.Listen.
+type OperatorService struct {
 	daemon   *Daemon
 	registry metrics.Registry
 }
 
-// NewFleet returns the implementation of operators' requests to a daemon.
+// NewOperatorService returns the implementation of operators' requests to a daemon.
 // Counters come from the registry.
-func NewFleet(d *Daemon, registry metrics.Registry) *Fleet {
-	return &Fleet{
+func NewOperatorService(d *Daemon, registry metrics.Registry) *OperatorService {
+	return &OperatorService{
 		daemon:   d,
 		registry: registry,
 	}
 }
 
 // Declaration returns the declaration in force.
-func (f *Fleet) Declaration() declaration.Declaration {
+func (f *OperatorService) Declaration() declaration.Declaration {
 	return f.daemon.Snapshot().Declaration()
 }
 
 // awaitStoreRead waits for a read of the store that begins after the call, so
 // that replies and plans are based on the latest rows.
-func (f *Fleet) awaitStoreRead(ctx context.Context) error {
+func (f *OperatorService) awaitStoreRead(ctx context.Context) error {
 	requestedAt := time.Now()
 	for {
 		select {
@@ -54,7 +54,7 @@
 		}
 		isRead := false
 		if !f.daemon.runInControl(func(c *control.Controller) {
-			isRead = c.Contact().StoreAt().After(requestedAt)
+			isRead = c.Contact().LastStoreRead().After(requestedAt)
 		}) {
 			return ErrStopped
 		}
@@ -71,13 +71,13 @@
 
 // commit commits a transaction of an operator and waits until this daemon has
 // read it back. The error of a failed commit says whether anything was changed.
-func (f *Fleet) commit(ctx context.Context, operation string, transaction table.Transaction) error {
+func (f *OperatorService) commit(ctx context.Context, operation string, transaction table.Transaction) error {
 	_, err := f.daemon.store.Commit(ctx, transaction)
 	switch {
 	case err == nil:
 		return f.awaitStoreRead(ctx)
 	case errors.Is(err, table.ErrConflict):
-		return operator.Refuse(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", operation, err))
+		return operator.MarkInvalid(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", operation, err))
 	case errors.Is(err, table.ErrUnknown):
 		return errors.Wrapf(err, "%s: the store did not answer; whether it was changed is not known; look again", operation)
 	default:
@@ -88,15 +88,15 @@
 // Apply stores a declaration as the next revision and waits until a majority of
 // the daemons hold it. It refuses if expectedRevision is neither 0 nor the
 // revision in force.
-func (f *Fleet) Apply(ctx context.Context, operatorName string, declared declaration.Declaration, expectedRevision uint64) (operator.ApplyReply, error) {
+func (f *OperatorService) Apply(ctx context.Context, operatorName string, declared declaration.Declaration, expectedRevision uint64) (operator.ApplyReply, error) {
 	var reply operator.ApplyReply
 	if err := f.awaitStoreRead(ctx); err != nil {
 		return reply, err
 	}
-	fleetState := f.daemon.World()
+	fleetState := f.daemon.FleetState()
 	current := fleetState.Configuration
 	if expectedRevision != 0 && expectedRevision != current.Revision {
-		return reply, operator.Refuse(errors.Errorf("apply: revision %d is in force, not %d", current.Revision, expectedRevision))
+		return reply, operator.MarkInvalid(errors.Errorf("apply: revision %d is in force, not %d", current.Revision, expectedRevision))
 	}
 	next := plan.Configuration{
 		Revision:    current.Revision + 1,
@@ -115,7 +115,7 @@
 
 // awaitAccepted waits until a majority of the daemons hold this daemon's
 // configuration, for acceptanceTimeout at most.
-func (f *Fleet) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
+func (f *OperatorService) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
 	waitCtx, cancel := context.WithTimeout(ctx, acceptanceTimeout)
 	defer cancel()
 	reply := operator.ApplyReply{
@@ -125,8 +125,8 @@
 		f.daemon.runInControl(func(c *control.Controller) {
 			ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
 			reply.Daemons = len(daemonIDs)
-			reply.Holders = c.Contact().Holders(c.Self().ID, ownVersion, daemonIDs, ownVersion)
-			reply.Accepted = c.Contact().Accepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
+			reply.Holders = c.Contact().HolderCount(c.Self().ID, ownVersion, daemonIDs, ownVersion)
+			reply.Accepted = c.Contact().IsAccepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
 		})
 		if reply.Accepted || waitCtx.Err() != nil {
 			return reply
@@ -139,11 +139,11 @@
 }
 
 // Diff compares a declaration with the one in force.
-func (f *Fleet) Diff(ctx context.Context, declared declaration.Declaration) (operator.DiffReply, error) {
+func (f *OperatorService) Diff(ctx context.Context, declared declaration.Declaration) (operator.DiffReply, error) {
 	if err := f.awaitStoreRead(ctx); err != nil {
 		return operator.DiffReply{}, err
 	}
-	current := f.daemon.World().Configuration
+	current := f.daemon.FleetState().Configuration
 	return operator.DiffReply{
 		Revision:    current.Revision,
 		Differences: declaration.Diff(current.Declaration, declared),
@@ -154,13 +154,13 @@
 const planIDLength = 8
 
 // Propose builds a plan and stores it. Any daemon can confirm it later.
-func (f *Fleet) Propose(ctx context.Context, operatorName string, intent plan.Intent) (plan.Plan, error) {
+func (f *OperatorService) Propose(ctx context.Context, operatorName string, intent plan.Intent) (plan.Plan, error) {
 	if err := f.awaitStoreRead(ctx); err != nil {
 		return plan.Plan{}, err
 	}
-	proposed, err := plan.Build(uuid.NewString()[:planIDLength], operatorName, intent, f.daemon.World())
+	proposed, err := plan.Build(uuid.NewString()[:planIDLength], operatorName, intent, f.daemon.FleetState())
 	if err != nil {
-		return proposed, operator.Refuse(err)
+		return proposed, operator.MarkInvalid(err)
 	}
 	transaction := table.Transaction{}
 	transaction = transaction.WithCondition(plan.Key(proposed.ID), 0)
@@ -169,36 +169,36 @@
 }
 
 // Plans returns all plans in the store.
-func (f *Fleet) Plans(ctx context.Context) ([]plan.Plan, error) {
+func (f *OperatorService) Plans(ctx context.Context) ([]plan.Plan, error) {
 	if err := f.awaitStoreRead(ctx); err != nil {
 		return nil, err
 	}
-	return append([]plan.Plan{}, f.daemon.World().Plans...), nil
+	return append([]plan.Plan{}, f.daemon.FleetState().Plans...), nil
 }
 
 // findPlan returns a plan and the fleet state that it was read from.
-func (f *Fleet) findPlan(ctx context.Context, id string) (plan.Plan, plan.World, error) {
+func (f *OperatorService) findPlan(ctx context.Context, id string) (plan.Plan, plan.FleetState, error) {
 	var storedPlan plan.Plan
 	if err := f.awaitStoreRead(ctx); err != nil {
-		return storedPlan, plan.World{}, err
+		return storedPlan, plan.FleetState{}, err
 	}
-	fleetState := f.daemon.World()
+	fleetState := f.daemon.FleetState()
 	row := fleetState.Catalog.Row(plan.Key(id))
 	if row.Version == 0 {
-		return storedPlan, fleetState, operator.Refuse(errors.Errorf("plan %q does not exist", id))
+		return storedPlan, fleetState, operator.MarkInvalid(errors.Errorf("plan %q does not exist", id))
 	}
 	return storedPlan, fleetState, row.Decode(&storedPlan)
 }
 
 // Confirm confirms a proposed plan, so that the daemons start to carry it out.
-func (f *Fleet) Confirm(ctx context.Context, operatorName, id string) (plan.Plan, error) {
+func (f *OperatorService) Confirm(ctx context.Context, operatorName, id string) (plan.Plan, error) {
 	storedPlan, fleetState, err := f.findPlan(ctx, id)
 	if err != nil {
 		return storedPlan, err
 	}
 	transaction, err := plan.Confirm(storedPlan, fleetState)
 	if err != nil {
-		return storedPlan, operator.Refuse(err)
+		return storedPlan, operator.MarkInvalid(err)
 	}
 	if err = f.commit(ctx, "confirm plan "+id, transaction); err != nil {
 		return storedPlan, err
@@ -208,14 +208,14 @@
 }
 
 // Change pauses, resumes or abandons a plan.
-func (f *Fleet) Change(ctx context.Context, operatorName, id string, change plan.Change) (plan.Plan, error) {
+func (f *OperatorService) Change(ctx context.Context, operatorName, id string, change plan.Change) (plan.Plan, error) {
 	storedPlan, fleetState, err := f.findPlan(ctx, id)
 	if err != nil {
 		return storedPlan, err
 	}
-	changed, err := storedPlan.Apply(change)
+	changed, err := storedPlan.ApplyChange(change)
 	if err != nil {
-		return storedPlan, operator.Refuse(err)
+		return storedPlan, operator.MarkInvalid(err)
 	}
 	transaction := table.Transaction{}
 	transaction = transaction.WithCondition(plan.Key(id), fleetState.Catalog.Row(plan.Key(id)).Version)
@@ -231,32 +231,32 @@
 // Status of the fleet
 
 // Status returns this daemon's view of the daemons, leases and zones.
-func (f *Fleet) Status() operator.Status {
+func (f *OperatorService) Status() operator.Status {
 	var status operator.Status
 	snapshot := f.daemon.Snapshot()
 	now := time.Now()
 	f.daemon.runInControl(func(c *control.Controller) {
 		ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
 		status.Daemon = c.Self().ID
-		status.StoreAge = now.Sub(c.Contact().StoreAt()).Seconds()
-		status.Accepted = ownVersion != 0 && c.Contact().Accepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
+		status.StoreAgeSeconds = now.Sub(c.Contact().LastStoreRead()).Seconds()
+		status.Accepted = ownVersion != 0 && c.Contact().IsAccepted(c.Self().ID, ownVersion, daemonIDs, ownVersion)
 		for _, daemon := range c.Roster() {
 			report, _ := c.Contact().Report(daemon.ID)
 			daemonStatus := operator.DaemonStatus{
-				ID:            daemon.ID,
-				Zone:          daemon.Zone,
-				HeardAge:      now.Sub(report.At).Seconds(),
-				HoldsRevision: report.ConfigVersion >= ownVersion,
+				ID:               daemon.ID,
+				Zone:             daemon.Zone,
+				ReportAgeSeconds: now.Sub(report.ObservedAt).Seconds(),
+				HoldsRevision:    report.ConfigVersion >= ownVersion,
 			}
 			if daemon.ID == c.Self().ID {
-				daemonStatus.HeardAge = 0
+				daemonStatus.ReportAgeSeconds = 0
 				daemonStatus.HoldsRevision = true
 			}
 			status.Daemons = append(status.Daemons, daemonStatus)
 		}
-		for shard := range lease.Shards {
+		for shard := range lease.ShardCount {
 			var grant lease.Grant
-			row := c.World().Catalog.Row(lease.Key(shard))
+			row := c.FleetState().Catalog.Row(lease.Key(shard))
 			if row.Version != 0 && row.Decode(&grant) == nil {
 				status.Leases = append(status.Leases, operator.LeaseStatus{
 					Shard:  shard,
@@ -264,7 +264,7 @@
 				})
 			}
 		}
-		status.Zones = zoneStatuses(c.World(), snapshot, now)
+		status.Zones = zoneStatuses(c.FleetState(), snapshot, now)
 	})
 	status.Revision = snapshot.Configuration.Revision
 	status.Serving = now.Before(snapshot.ServeUntil)
@@ -272,12 +272,12 @@
 }
 
 // zoneStatuses returns the totals of each declared zone.
-func zoneStatuses(fleetState plan.World, snapshot *control.Snapshot, now time.Time) []operator.ZoneStatus {
+func zoneStatuses(fleetState plan.FleetState, snapshot *control.Snapshot, now time.Time) []operator.ZoneStatus {
 	var statuses []operator.ZoneStatus
 	for _, zone := range fleetState.Configuration.Declaration.Zones {
 		status := operator.ZoneStatus{
 			Zone:   zone.Name,
-			Closed: fleetState.Closed[zone.Name],
+			Closed: fleetState.ClosedZones[zone.Name],
 		}
 		isServingVM := map[string]bool{}
 		for _, record := range fleetState.Groups {
@@ -309,7 +309,7 @@
 	if listedVM.State == vm.Leaving {
 		status.Leaving++
 	}
-	if listedVM.Domain != "" && claim.Free() {
+	if listedVM.Domain != "" && claim.IsFree() {
 		status.Free++
 	}
 	if !isServing {
@@ -320,28 +320,28 @@
 // isServeable reports whether requests may be routed to a group now.
 func isServeable(record group.Record, snapshot *control.Snapshot, now time.Time) bool {
 	evidence, _ := snapshot.Book.Newest(record.Name)
-	return record.Serveable(evidence, snapshot.IsLeaving, now)
+	return record.CanServe(evidence, snapshot.IsLeaving, now)
 }
 
 // Groups returns the status of all groups.
-func (f *Fleet) Groups() []operator.GroupStatus {
+func (f *OperatorService) Groups() []operator.GroupStatus {
 	snapshot := f.daemon.Snapshot()
 	now := time.Now()
 	groups := make([]operator.GroupStatus, 0, len(snapshot.Groups))
 	for _, record := range snapshot.Groups {
 		evidence, _ := snapshot.Book.Newest(record.Name)
 		groups = append(groups, operator.GroupStatus{
-			Record:    record,
-			Serveable: isServeable(record, snapshot, now),
-			InFlight:  evidence.InFlight,
-			Age:       now.Sub(evidence.At).Seconds(),
+			Record:             record,
+			Serveable:          isServeable(record, snapshot, now),
+			InFlight:           evidence.InFlight,
+			EvidenceAgeSeconds: now.Sub(evidence.ObservedAt).Seconds(),
 		})
 	}
 	return groups
 }
 
 // Counters returns the registry's counters and the bytes exchanged with peers.
-func (f *Fleet) Counters() operator.Counters {
+func (f *OperatorService) Counters() operator.Counters {
 	counters := operator.Counters{
 		"peer.bytes_read":    f.daemon.traffic.Read.Load(),
 		"peer.bytes_written": f.daemon.traffic.Written.Load(),
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -144,7 +144,7 @@
 func (d *Daemon) publish(controller *control.Controller) {
 	snapshot := controller.Snapshot()
 	d.snapshot.Store(&snapshot)
-	targets := controller.Targets()
+	targets := controller.ProbeTargets()
 	d.probeTargets.Store(&targets)
 	sources := controller.Roster().Sources(d.self)
 	d.pullSources.Store(&sources)
@@ -155,7 +155,7 @@
 
 // startActions starts the actions of a step without waiting for their outcomes.
 func (d *Daemon) startActions(ctx context.Context, actions control.Actions) {
-	if actions.Refresh {
+	if actions.NeedsRefresh {
 		select {
 		case d.refreshRequests <- struct{}{}:
 		default:
@@ -166,7 +166,7 @@
 			d.commit(ctx, commit)
 		})
 	}
-	for _, send := range actions.Sends {
+	for _, send := range actions.Orders {
 		d.goroutines.Go(func() {
 			d.sendOrder(send)
 		})
@@ -179,16 +179,16 @@
 	defer cancel()
 	version, err := d.store.Commit(commitCtx, commit.Transaction)
 	if err != nil {
-		d.log.Debug("control: commit failed", zap.String("about", commit.About), zap.Error(err))
+		d.log.Debug("control: commit failed", zap.String("about", commit.Name), zap.Error(err))
 	}
 	d.postToControl(ctx, func(c *control.Controller) {
-		c.Committed(commit, version, err)
+		c.RecordCommit(commit, version, err)
 	})
 }
 
 // sendOrder sends an order if the lease under which it was decided remains valid
 // long enough for the order to arrive.
-func (d *Daemon) sendOrder(send control.Send) {
+func (d *Daemon) sendOrder(send control.OutgoingOrder) {
 	if err := send.Lease.Check(lease.OrderMargin); err != nil {
 		d.log.Warn("control: order not sent", zap.String("vm", send.VM), zap.Error(err))
 		return
@@ -217,14 +217,14 @@
 		} else {
 			afterVersion = result.Version
 			d.postToControl(ctx, func(c *control.Controller) {
-				if result.More {
-					c.LearnRows(result.Rows)
+				if result.HasMore {
+					c.ApplyRows(result.Rows)
 					return
 				}
-				c.LearnStore(result.Rows, result.Version, startedAt)
+				c.ApplyScan(result.Rows, result.Version, startedAt)
 			})
 		}
-		if err == nil && result.More {
+		if err == nil && result.HasMore {
 			continue
 		}
 		select {
@@ -246,7 +246,7 @@
 		return
 	}
 	d.postToControl(ctx, func(c *control.Controller) {
-		c.LearnVMs(vms)
+		c.ApplyVMList(vms)
 	})
 }
 
@@ -255,7 +255,7 @@
 func (d *Daemon) sweepExpiredRows(ctx context.Context) {
 	holdsFirstShard := false
 	d.runInControl(func(c *control.Controller) {
-		holdsFirstShard = slices.ContainsFunc(c.Usable(), func(held lease.Held) bool {
+		holdsFirstShard = slices.ContainsFunc(c.UsableLeases(), func(held lease.Lease) bool {
 			return held.Shard == 0
 		})
 	})
@@ -263,8 +263,8 @@
 		return
 	}
 	for prefix, isExpired := range map[string]func(table.Row) bool{
-		table.MarkerPrefix:    table.IsOldMarker,
-		idempotency.KeyPrefix: idempotency.IsExpired,
+		table.MarkerPrefix:       table.IsExpiredMarker,
+		idempotency.RowKeyPrefix: idempotency.IsExpired,
 	} {
 		if count, err := table.Sweep(ctx, d.store, prefix, isExpired); err != nil {
 			d.log.Warn("store: sweep failed", zap.Error(err))
@@ -299,10 +299,10 @@
 	state, isRefused, err := d.engines.Probe(target.Address)
 	d.postToControl(ctx, func(c *control.Controller) {
 		if err != nil {
-			c.LearnSilence(target.ID, startedAt, isRefused)
+			c.RecordUnansweredProbe(target.ID, startedAt, isRefused)
 			return
 		}
-		c.LearnProbe(target.ID, startedAt, state)
+		c.RecordAnsweredProbe(target.ID, startedAt, state)
 	})
 }
 
@@ -330,7 +330,7 @@
 // pullResult is the outcome of one pull.
 type pullResult struct {
 	address string
-	answer  peer.Answer
+	answer  peer.PullAnswer
 	err     error
 }
 
@@ -340,7 +340,7 @@
 	addresses, isFullPull := p.pullAddresses()
 	for _, address := range addresses {
 		request := p.positions[address]
-		request.Full = isFullPull[address]
+		request.IncludeRelayed = isFullPull[address]
 		results.Go(func() pullResult {
 			answer, err := p.daemon.peers.Pull(ctx, address, request)
 			return pullResult{
@@ -364,8 +364,8 @@
 	isFullPull = map[string]bool{}
 	sources := *p.daemon.pullSources.Load()
 	for _, source := range sources {
-		addresses = append(addresses, source.Daemon.Peer)
-		isFullPull[source.Daemon.Peer] = source.Full
+		addresses = append(addresses, source.Daemon.PeerAddress)
+		isFullPull[source.Daemon.PeerAddress] = source.IncludesReceived
 	}
 	if len(addresses) == 0 {
 		addresses = p.daemon.settings.Seeds
@@ -389,27 +389,27 @@
 		Position:    result.answer.Position,
 	}
 	p.daemon.postToControl(ctx, func(c *control.Controller) {
-		c.LearnRows(result.answer.Rows)
+		c.ApplyRows(result.answer.Rows)
 		if !result.answer.More {
-			c.LearnReports(result.answer.Reports, result.answer.Evidence)
+			c.ApplyReports(result.answer.Reports, result.answer.Evidence)
 		}
 	})
 }
 
-// AnswerPull answers a pull of another daemon. A position of another
+// HandlePull answers a pull of another daemon. A position of another
 // incarnation, such as an earlier start of this daemon, is replaced by 0.
-func (d *Daemon) AnswerPull(_ context.Context, request peer.PullRequest) (peer.Answer, error) {
-	answer := peer.Answer{
+func (d *Daemon) HandlePull(_ context.Context, request peer.PullRequest) (peer.PullAnswer, error) {
+	answer := peer.PullAnswer{
 		Incarnation: d.self.ID,
 	}
 	if request.Incarnation != d.self.ID {
 		request.Position = 0
 	}
 	isAnswered := d.runInControl(func(c *control.Controller) {
-		answer.Rows, answer.Position, answer.More = c.Changes(request.Position, pullRowLimit)
+		answer.Rows, answer.Position, answer.More = c.ChangedRows(request.Position, pullRowLimit)
 		answer.Reports = []contact.Report{c.OwnReport()}
 		answer.Evidence = c.OwnEvidence()
-		if request.Full {
+		if request.IncludeRelayed {
 			answer.Reports = append(answer.Reports, c.Contact().Reports()...)
 			answer.Evidence = c.AllEvidence()
 		}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -35,7 +35,7 @@
 		daemon.Stop()
 		return nil, err
 	}
-	operators, err := operator.Listen(settings.Operators, settings.BootstrapHash, NewFleet(daemon, registry), log)
+	operators, err := operator.Listen(settings.Operators, settings.BootstrapHash, NewOperatorService(daemon, registry), log)
 	if err != nil {
 		callers.Kill()
 		daemon.Stop()
@@ -56,13 +56,13 @@
 	return n.daemon
 }
 
-// Callers returns the IP:port on which the daemon listens for callers.
-func (n *Node) Callers() string {
+// CallersAddress returns the IP:port on which the daemon listens for callers.
+func (n *Node) CallersAddress() string {
 	return n.callers.Address()
 }
 
-// Operators returns the IP:port on which the daemon listens for operators.
-func (n *Node) Operators() string {
+// OperatorsAddress returns the IP:port on which the daemon listens for operators.
+func (n *Node) OperatorsAddress() string {
 	return n.operators.Address()
 }
 
@@ -76,7 +76,7 @@
 // were cut off.
 func (n *Node) Stop() error {
 	n.log.Info("daemon: leaving", zap.String("id", n.daemon.ID()))
-	n.callers.Unready()
+	n.callers.SetUnready()
 	time.Sleep(n.settings.UnreadyTime)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTime)
 	defer cancel()
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -38,7 +38,7 @@
 	standIns, err := platform.Start(platform.Settings{
 		VMs:            deployment.VMs(),
 		Slots:          16,
-		EachToken:      time.Millisecond,
+		TokenInterval:  time.Millisecond,
 		LoadsPerSecond: 1000,
 		LoadBurst:      1000,
 	})
@@ -86,7 +86,7 @@
 
 // operatorClient returns an operator's client for a daemon.
 func (c *cluster) operatorClient(node *daemon.Node) *operator.Client {
-	return operator.NewClient(node.Operators(), examples.Key(operatorName))
+	return operator.NewClient(node.OperatorsAddress(), examples.Key(operatorName))
 }
 
 // waitUntil waits until a condition holds. The timeout of the test run bounds the
@@ -114,7 +114,7 @@
 	qt.Assert(c.t, err, qt.IsNil)
 	for _, node := range c.nodes {
 		waitUntil(func() bool {
-			return len(node.Daemon().Snapshot().Serveable("redactor", time.Now())) == 8
+			return len(node.Daemon().Snapshot().ServingGroups("redactor", time.Now())) == 8
 		})
 	}
 }
@@ -125,7 +125,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + node.Callers() + "/v1/chat/completions")
+	request.SetRequestURI("http://" + node.CallersAddress() + "/v1/chat/completions")
 	request.Header.SetMethod("POST")
 	request.Header.Set("Authorization", "Bearer "+examples.Key("epmaps"))
 	request.SetBodyString(`{"model":"redactor","messages":[{"role":"user","content":"x"}],"max_tokens":3,"stream":true}`)
@@ -155,11 +155,11 @@
 	for _, node := range c.nodes {
 		qt.Assert(t, strings.HasSuffix(c.sendChatUntilOK(node), "data: [DONE]\n\n"), qt.IsTrue)
 	}
-	_, err := operator.NewClient(c.nodes[0].Operators(), "a-wrong-key-0123").Status()
+	_, err := operator.NewClient(c.nodes[0].OperatorsAddress(), "a-wrong-key-0123").Status()
 	qt.Assert(t, err, qt.IsNotNil)
 
 	c.platform.TableFaults.Set(fault.Faults{
-		Dark: true,
+		DropRequests: true,
 	})
 	// A daemon started during a store outage reads the configuration from its peers.
 	c.addDaemon(3)
@@ -176,11 +176,11 @@
 
 	c.platform.TableFaults.Set(fault.Faults{})
 	waitUntil(func() bool {
-		return lateNode.Daemon().Roster().Has(lateNode.Daemon().ID())
+		return lateNode.Daemon().Roster().Contains(lateNode.Daemon().ID())
 	})
 	qt.Assert(t, c.nodes[1].Stop(), qt.IsNil)
 	waitUntil(func() bool {
-		return !c.nodes[0].Daemon().Roster().Has(c.nodes[1].Daemon().ID())
+		return !c.nodes[0].Daemon().Roster().Contains(c.nodes[1].Daemon().ID())
 	})
 }
 
@@ -208,7 +208,7 @@
 		Files: []declaration.File{c.deployment.File},
 		From:  7,
 	})
-	qt.Assert(t, operator.IsRefused(err), qt.IsTrue)
+	qt.Assert(t, operator.IsInvalid(err), qt.IsTrue)
 	_, err = client.Propose(plan.Intent{
 		Kind: plan.DrainSite,
 		Site: "nowhere",
--- a/entry/coldstarts.go
+++ b/entry/coldstarts.go
@@ -16,10 +16,10 @@
 		return ratelimit.Limit{}, false
 	}
 	found := current.Service(service)
-	if found == nil || found.Cold.PerSecond <= 0 {
+	if found == nil || found.ColdStart.RequestsPerSecond <= 0 {
 		return ratelimit.Limit{}, false
 	}
-	return ratelimit.Cold(found.Cold.PerSecond, d.settings.ColdExcess, d.settings.ColdSlack), true
+	return ratelimit.NewColdLimit(found.ColdStart.RequestsPerSecond, d.settings.ColdExcess, d.settings.ColdExtraRequests), true
 }
 
 // applyColdLimit limits a server whose entry says that it is cold.
@@ -28,7 +28,7 @@
 		return
 	}
 	if limit, ok := d.coldLimit(current, server.Service); ok {
-		d.serverLimits.LimitCold(server.Start(), limit, server.ColdFor)
+		d.serverLimits.SetColdLimit(server.StartID(), limit, server.ColdFor)
 	}
 }
 
@@ -48,12 +48,12 @@
 			continue
 		}
 		if limit, ok := d.coldLimit(view.Config, server.Service); ok {
-			d.serverLimits.LimitCold(server.Start(), limit, view.Config.Service(server.Service).Cold.Start)
+			d.serverLimits.SetColdLimit(server.StartID(), limit, view.Config.Service(server.Service).ColdStart.Duration)
 		}
 	}
 }
 
-// ServerCold applies the cold limit to a server whose answer says that it is cold.
-func (d *Daemon) ServerCold(server fleet.Server) {
+// ObserveColdServer applies the cold limit to a server whose answer says that it is cold.
+func (d *Daemon) ObserveColdServer(server fleet.Server) {
 	d.applyColdLimit(d.view.Load().Config, server)
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -35,15 +35,15 @@
 // newElector returns this daemon's candidate in the leader election.
 func (d *Daemon) newElector() *leader.Elector {
 	return &leader.Elector{
-		Store: d.store,
-		Name:  d.settings.Name,
-		Start: d.startID,
-		Clock: d.bootClock,
-		Rank:  d.candidateRank,
-		IsAway: func() bool {
-			return d.storeOutage.Load().IsUnderWay()
+		Store:   d.store,
+		Name:    d.settings.Name,
+		StartID: d.startID,
+		Clock:   d.bootClock,
+		Rank:    d.candidateRank,
+		IsStoreUnavailable: func() bool {
+			return d.storeOutage.Load().IsOngoing()
 		},
-		Changed: func(isLeader bool, lease rowstore.Revision, reason string) {
+		OnChange: func(isLeader bool, lease rowstore.Revision, reason string) {
 			d.log.Info("control: lease changed",
 				zap.Bool("is_leader", isLeader),
 				zap.Int64("era", lease.Era),
@@ -57,23 +57,23 @@
 func (d *Daemon) leaseFollower(elector *leader.Elector) *rowstore.Follower {
 	observe := func(isSnapshot bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
 		return func(rows []rowstore.Row, at rowstore.Revision, _ time.Time) {
-			if err := elector.See(rows, at.Era, isSnapshot); err != nil {
-				d.log.Error("control: lease row not decoded", logline.Err(err))
+			if err := elector.Observe(rows, at.Era, isSnapshot); err != nil {
+				d.log.Error("control: lease row not decoded", logline.ErrorField(err))
 			}
 		}
 	}
 	return &rowstore.Follower{
-		Store:      d.tableReader,
-		Table:      leader.Table,
-		Wait:       leaseWatchTimeout,
-		Whole:      observe(true),
-		Changed:    observe(false),
-		Hub:        &d.tableCache,
-		Failed:     d.recordStoreError(leader.Table),
-		Recovered:  d.recordStoreRecovery(leader.Table),
-		EraChanged: d.recordEraChange(leader.Table),
-		Dropped:    d.recordDroppedAnswer(leader.Table),
-		Clock:      &d.storeClock,
+		Store:       d.tableReader,
+		Table:       leader.Table,
+		FeedTimeout: leaseWatchTimeout,
+		OnSnapshot:  observe(true),
+		OnChanges:   observe(false),
+		TableCache:  &d.tableCache,
+		OnFailure:   d.recordStoreError(leader.Table),
+		OnRecovery:  d.recordStoreRecovery(leader.Table),
+		OnEraChange: d.recordEraChange(leader.Table),
+		OnRejected:  d.recordDroppedAnswer(leader.Table),
+		Clock:       &d.storeClock,
 	}
 }
 
@@ -151,7 +151,7 @@
 // is held and the records are known, nor while server entries may come from an older copy of
 // the store: a server that looks free in it may be a member of a serving group.
 func (t *term) step(ctx context.Context) {
-	if !t.lease.Holds() || !t.daemon.serversLoaded.Load() || !t.lease.HasSettled(t.daemon.rewriteWindow()) {
+	if !t.lease.IsValid() || !t.daemon.serversLoaded.Load() || !t.lease.IsPastRestore(t.daemon.rewriteWindow()) {
 		return
 	}
 	if t.mustReadRecords && (t.isCommitting || !t.readRecords(ctx)) {
@@ -162,8 +162,8 @@
 		return
 	}
 	plan := t.controller.Step(input)
-	for _, note := range plan.Notes {
-		t.daemon.log.Info("groups: "+note.What, zap.String("group", note.Group), zap.Int64("epoch", note.Epoch), zap.String("model", note.Model), zap.String("reason", note.Reason))
+	for _, note := range plan.Events {
+		t.daemon.log.Info("groups: "+note.Message, zap.String("group", note.Group), zap.Int64("epoch", note.Epoch), zap.String("model", note.Model), zap.String("reason", note.Reason))
 	}
 	for _, server := range plan.Probes {
 		go t.probe(ctx, server)
@@ -176,27 +176,27 @@
 }
 
 // controllerInput returns the state that the controller decides on.
-func (t *term) controllerInput() assembly.World {
+func (t *term) controllerInput() assembly.Input {
 	d := t.daemon
 	view := d.view.Load()
-	return assembly.World{
-		Config:     view.Config,
-		Fleet:      view.Fleet,
-		Evacuated:  view.Evacuated,
-		Era:        t.lease.Era(),
-		IsSteady:   d.storeOutage.Load().IsSteady(),
-		IsStart:    d.settings.IsFirstStart && !d.gateway.HadRequests() && time.Since(d.startedAt) < maxFirstStartDuration,
-		IsIdle:     d.isIdle(),
-		StallTime:  d.settings.StallTime,
-		LoadWindow: d.settings.LoadWindow,
-		LoadExcess: d.settings.LoadExcess,
-		Asked:      d.demandFor,
+	return assembly.Input{
+		Config:               view.Config,
+		Fleet:                view.Fleet,
+		EvacuatedZones:       view.Evacuated,
+		Era:                  t.lease.Era(),
+		IsStoreStable:        d.storeOutage.Load().IsSettled(),
+		IsStartupPhase:       d.settings.IsFirstStart && !d.gateway.HadRequests() && time.Since(d.startedAt) < maxFirstStartDuration,
+		IsBeforeFirstRequest: d.isIdle(),
+		StallTimeout:         d.settings.StallTimeout,
+		LoadWindow:           d.settings.LoadWindow,
+		LoadLimitFactor:      d.settings.LoadExcess,
+		DemandOf:             d.demandFor,
 	}
 }
 
 // demandFor returns the demand for a model at all daemons, and whether it is known.
 func (d *Daemon) demandFor(service, model string) (usage.Rate, bool) {
-	return d.demandTotals.Tokens(demand.Kind{
+	return d.demandTotals.TokenRates(demand.Kind{
 		Service: service,
 		Model:   model,
 	})
@@ -206,10 +206,10 @@
 func (t *term) probe(ctx context.Context, server fleet.Server) {
 	result := t.daemon.engines.Probe(server)
 	t.enqueue(ctx, func() {
-		t.controller.Probed(server.ID, result)
+		t.controller.ProbeCompleted(server.ID, result)
 	})
-	if result.Sign != assembly.Alive || result.IsSlow() {
-		t.daemon.log.Info("groups: server probed", zap.String("server", server.ID), zap.String("sign", result.Sign.String()), zap.Float64("pace", result.Pace))
+	if result.Status != assembly.Answered || result.IsSlow() {
+		t.daemon.log.Info("groups: server probed", zap.String("server", server.ID), zap.String("sign", result.Status.String()), zap.Float64("pace", result.Slowdown))
 	}
 }
 
@@ -223,11 +223,11 @@
 	defer func() {
 		<-t.orderSlots
 	}()
-	if !t.lease.Holds() {
+	if !t.lease.IsValid() {
 		return
 	}
 	sentAt := time.Now()
-	result, err := t.daemon.engines.Order(order)
+	result, err := t.daemon.engines.SendOrder(order)
 	t.daemon.observeDuration("order_ms", time.Since(sentAt))
 	t.daemon.log.Info("groups: order given",
 		zap.String("order", order.Kind.String()),
@@ -237,8 +237,8 @@
 		zap.String("model", order.Model),
 		zap.String("reason", order.Reason),
 		zap.String("result", result.String()),
-		logline.Err(err))
+		logline.ErrorField(err))
 	t.enqueue(ctx, func() {
-		t.controller.Ordered(order, result)
+		t.controller.OrderCompleted(order, result)
 	})
 }
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -52,26 +52,26 @@
 }
 
 // parseCrashKey decodes the key of a crash row.
-func parseCrashKey(key string) (quarantine.End, error) {
+func parseCrashKey(key string) (quarantine.Crash, error) {
 	digest, start, ok := strings.Cut(strings.TrimPrefix(key, crashPrefix), "/")
 	if !ok || start == "" {
-		return quarantine.End{}, errors.Errorf("decode key %.200q: it names no start of a server", key)
+		return quarantine.Crash{}, errors.Errorf("decode key %.200q: it names no start of a server", key)
 	}
 	parsed, err := quarantine.ParseDigest(digest)
-	return quarantine.End{
+	return quarantine.Crash{
 		Digest: parsed,
 		Start:  start,
 	}, err
 }
 
-// Ended reports to all daemons that a server crashed during a request. It does not block.
-func (d *Daemon) Ended(end quarantine.End) {
+// ReportCrash reports to all daemons that a server crashed during a request. It does not block.
+func (d *Daemon) ReportCrash(end quarantine.Crash) {
 	encoded, err := json.Marshal(crashReport{
 		ReportedBy: d.settings.Name,
 		Trial:      end.Trial,
 	})
 	if err != nil {
-		d.log.Error("requests: server crash not reported", logline.Err(err))
+		d.log.Error("requests: server crash not reported", logline.ErrorField(err))
 		return
 	}
 	d.enqueueReport(report{
@@ -80,8 +80,8 @@
 	})
 }
 
-// Cleared removes a request's crash and trial rows from the store. It does not block.
-func (d *Daemon) Cleared(cleared quarantine.Cleared) {
+// RemoveCrashReports removes a request's crash and trial rows from the store. It does not block.
+func (d *Daemon) RemoveCrashReports(cleared quarantine.StoredRows) {
 	for _, start := range cleared.Starts {
 		d.enqueueReport(report{
 			key: crashKey(cleared.Digest, start),
@@ -94,15 +94,15 @@
 	}
 }
 
-// MayTry claims a trial. It returns false if another daemon has claimed it or the store does
+// ClaimTrial claims a trial. It returns false if another daemon has claimed it or the store does
 // not answer.
-func (d *Daemon) MayTry(trial quarantine.Trial) bool {
+func (d *Daemon) ClaimTrial(trial quarantine.Trial) bool {
 	encoded, err := json.Marshal(trialReport{
 		StartedBy: d.settings.Name,
 		Number:    trial.Number,
 	})
 	if err != nil {
-		d.log.Error("requests: trial not started", logline.Err(err))
+		d.log.Error("requests: trial not started", logline.ErrorField(err))
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
@@ -112,8 +112,8 @@
 		Key:   trialKey(trial.Digest),
 		Value: encoded,
 	}
-	era := trial.After.Era
-	if trial.After.Version == 0 {
+	era := trial.PreviousRevision.Era
+	if trial.PreviousRevision.Version == 0 {
 		era = d.reportsEra.Load()
 	}
 	revision, err := d.store.Commit(ctx, rowstore.Transaction{
@@ -122,7 +122,7 @@
 			{
 				Table:   row.Table,
 				Key:     row.Key,
-				Version: trial.After.Version,
+				Version: trial.PreviousRevision.Version,
 			},
 		},
 		Writes: []rowstore.Row{row},
@@ -130,9 +130,9 @@
 	var conflict *rowstore.Conflict
 	switch {
 	case err == nil:
-		if !d.crashLedger.Tried(trial, revision) {
+		if !d.crashLedger.ApplyTrial(trial, revision) {
 			// The request was answered completely in the meantime, so no trial is needed.
-			d.Cleared(quarantine.Cleared{
+			d.RemoveCrashReports(quarantine.StoredRows{
 				Digest:   trial.Digest,
 				HasTrial: true,
 			})
@@ -156,7 +156,7 @@
 		return
 	}
 	if row.Deleted {
-		d.crashLedger.Removed(end)
+		d.crashLedger.RemoveCrash(end)
 		return
 	}
 	var reported crashReport
@@ -165,8 +165,8 @@
 		return
 	}
 	end.Trial = reported.Trial
-	if !d.crashLedger.Told(end) {
-		d.Cleared(quarantine.Cleared{
+	if !d.crashLedger.ApplyCrash(end) {
+		d.RemoveCrashReports(quarantine.StoredRows{
 			Digest: end.Digest,
 			Starts: []string{end.Start},
 		})
@@ -181,7 +181,7 @@
 		return
 	}
 	if row.Deleted {
-		d.crashLedger.RemovedTrial(digest)
+		d.crashLedger.RemoveTrial(digest)
 		return
 	}
 	var reported trialReport
@@ -189,7 +189,7 @@
 		d.recordRejectedRow(reportTable, row, errors.Wrap(err, "decode trial report"))
 		return
 	}
-	isAccepted := d.crashLedger.Tried(quarantine.Trial{
+	isAccepted := d.crashLedger.ApplyTrial(quarantine.Trial{
 		Digest: digest,
 		Number: reported.Number,
 	}, rowstore.Revision{
@@ -197,7 +197,7 @@
 		Version: row.Version,
 	})
 	if !isAccepted {
-		d.Cleared(quarantine.Cleared{
+		d.RemoveCrashReports(quarantine.StoredRows{
 			Digest:   digest,
 			HasTrial: true,
 		})
@@ -206,7 +206,7 @@
 
 // retainCrashes forgets all crashes and trials that a snapshot of the table does not contain.
 func (d *Daemon) retainCrashes(rows []rowstore.Row) {
-	var crashes []quarantine.End
+	var crashes []quarantine.Crash
 	var trials []quarantine.Digest
 	for _, row := range rows {
 		if end, err := parseCrashKey(row.Key); isCrashRow(row) && err == nil {
@@ -216,7 +216,7 @@
 			trials = append(trials, digest)
 		}
 	}
-	d.crashLedger.Keep(crashes, trials)
+	d.crashLedger.Reconcile(crashes, trials)
 }
 
 // isCrashRow returns whether a row of reportTable reports a crash, isTrialRow whether it
@@ -236,6 +236,6 @@
 		return
 	}
 	for _, cleared := range expired {
-		d.Cleared(cleared)
+		d.RemoveCrashReports(cleared)
 	}
 }
--- a/entry/crashes_test.go
+++ b/entry/crashes_test.go
@@ -20,19 +20,19 @@
 func crashingRequest(kind string) (path string, send func(client *standin.Client) standin.Answer) {
 	switch kind {
 	case "repeatable":
-		path = standin.PathSafe + standin.NameCrashing
+		path = standin.PathSafe + standin.CrashingSegment
 		return path, func(client *standin.Client) standin.Answer {
-			return client.Ask(context.Background(), http.MethodGet, path, nil, "")
+			return client.Send(context.Background(), http.MethodGet, path, nil, "")
 		}
 	case "not repeatable":
-		path = standin.PathUnsafe + standin.NameCrashing
+		path = standin.PathUnsafe + standin.CrashingSegment
 		return path, func(client *standin.Client) standin.Answer {
-			return client.Ask(context.Background(), http.MethodPost, path, nil, "a report that no server survives")
+			return client.Send(context.Background(), http.MethodPost, path, nil, "a report that no server survives")
 		}
 	default:
-		path = standin.PathSmall + standin.NameCrashing
+		path = standin.PathSmall + standin.CrashingSegment
 		return path, func(client *standin.Client) standin.Answer {
-			return client.Ask(context.Background(), http.MethodPost, path, map[string]string{
+			return client.Send(context.Background(), http.MethodPost, path, map[string]string{
 				wire.HeaderModel:  standin.ModelSmall,
 				wire.HeaderTokens: "100,15",
 			}, "a prompt that no engine survives")
@@ -57,14 +57,14 @@
 			s := newSite(t, 3)
 			path, send := crashingRequest(kind)
 			for turn := 0; s.standin.Crashes(path) < maxCrashes; turn++ {
-				send(s.client(turn%len(s.daemons), standin.KeyOne))
+				send(s.client(turn%len(s.daemons), standin.KeyCuenca))
 			}
 			isNotSent := func(answer standin.Answer) bool {
 				return answer.Status == http.StatusServiceUnavailable && answer.Reason == "crashes_servers" && s.standin.Runs(answer.ID) == 0
 			}
 			for i := range s.daemons {
 				s.await(func() standin.Answer {
-					return send(s.client(i, standin.KeyOne))
+					return send(s.client(i, standin.KeyCuenca))
 				}, isNotSent)
 			}
 			// All daemons know, including one that starts now.
@@ -75,7 +75,7 @@
 					// A starting daemon may reject requests until it has a view, but sends
 					// nothing.
 					s.await(func() standin.Answer {
-						return send(s.client(i, standin.KeyOne))
+						return send(s.client(i, standin.KeyCuenca))
 					}, isNotSent)
 				}
 			}
@@ -88,7 +88,7 @@
 			for i := range s.daemons {
 				for _, other := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
 					s.await(func() standin.Answer {
-						return other(s.client(i, standin.KeyOne))
+						return other(s.client(i, standin.KeyCuenca))
 					}, isNotHeld)
 				}
 			}
@@ -102,13 +102,13 @@
 func TestTrialRowIsRemovedWhenRequestIsAnsweredMeanwhile(t *testing.T) {
 	s := newSite(t, 1)
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, isSuccess)
 	trial := quarantine.Trial{
 		Digest: quarantine.DigestOf(standin.PathSafe+"gate", "cuenca", nil),
 		Number: 1,
 	}
-	qt.Assert(t, s.daemons[0].MayTry(trial), qt.IsTrue)
+	qt.Assert(t, s.daemons[0].ClaimTrial(trial), qt.IsTrue)
 	// The row of the trial is removed, so that no other daemon waits for its end.
-	s.awaitTrue(func() bool { return s.daemons[0].MayTry(trial) })
+	s.awaitTrue(func() bool { return s.daemons[0].ClaimTrial(trial) })
 }
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -36,8 +36,8 @@
 
 // setRetryBudgets sets this daemon's part of the system's retry budget and returns its burst.
 func (d *Daemon) setRetryBudgets(daemons int) float64 {
-	burst := retry.BurstPart(d.settings.RetryBurst, daemons)
-	d.retryBudgets.SetFigures(retryShareFactor*d.settings.RetryShare, burst, d.settings.RetryWindow)
+	burst := retry.BurstPerDaemon(d.settings.RetryBurst, daemons)
+	d.retryBudgets.SetLimits(retryShareFactor*d.settings.RetryRatio, burst, d.settings.RetryWindow)
 	return burst
 }
 
@@ -46,7 +46,7 @@
 	return neighbours.Daemon{
 		Name:     d.settings.Name,
 		Zone:     d.settings.Zone,
-		Strength: d.settings.Strength,
+		Capacity: d.settings.RelativeCapacity,
 		Address:  d.relayServer.Address(),
 	}
 }
@@ -80,33 +80,33 @@
 // count is never too low and the daemons' retry budgets together never exceed the limit.
 func (d *Daemon) listFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store: d.listReader(),
-		Table: neighbours.Table,
-		Wait:  listWatchTimeout,
-		Settle: func() time.Duration {
+		Store:       d.listReader(),
+		Table:       neighbours.Table,
+		FeedTimeout: listWatchTimeout,
+		PauseAfterChanges: func() time.Duration {
 			return listCoalesceDelay
 		},
-		Whole: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
+		OnSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 			d.applyList(rows, true)
 		},
-		// Daemons that a restored list lacks register again. Until then they still count, so
+		// DaemonCount that a restored list lacks register again. Until then they still count, so
 		// that the shares of all daemons do not add up to more than the limit.
-		Restored: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
+		OnRestoredSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 			d.applyList(rows, false)
 			d.updateSelfMissing(rows)
 		},
-		Rewrite: d.reregistrationWindow,
-		Changed: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
+		RewriteWait: d.reregistrationWindow,
+		OnChanges: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 			if len(rows) > 0 {
 				d.applyList(rows, false)
 			}
 		},
-		Hub:        &d.tableCache,
-		Failed:     d.recordListError,
-		Recovered:  d.recordStoreRecovery(neighbours.Table),
-		EraChanged: d.recordEraChange(neighbours.Table),
-		Dropped:    d.recordDroppedAnswer(neighbours.Table),
-		Clock:      &d.storeClock,
+		TableCache:  &d.tableCache,
+		OnFailure:   d.recordListError,
+		OnRecovery:  d.recordStoreRecovery(neighbours.Table),
+		OnEraChange: d.recordEraChange(neighbours.Table),
+		OnRejected:  d.recordDroppedAnswer(neighbours.Table),
+		Clock:       &d.storeClock,
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	directory.list = neighbours.NewList(daemons)
 	directory.initClients()
-	relays := d.relayReaders(directory.list.For(d.settings.Name, d.settings.Zone))
+	relays := d.relayReaders(directory.list.RelaysFor(d.settings.Name, d.settings.Zone))
 	d.tableReader.SetPeers(rowstore.Peers{
 		Relays:    relays,
 		Standbys:  d.relayReaders(directory.list.StandbysFor(d.settings.Name, d.settings.Zone)),
@@ -262,8 +262,8 @@
 	client := relay.NewClient(address)
 	client.Self = d.settings.Name
 	client.Peer = name
-	client.Board = &d.demandTotals
-	client.Refused = d.logRejectedDemand
+	client.Aggregator = &d.demandTotals
+	client.OnInvalidDemand = d.logRejectedDemand
 	return client
 }
 
@@ -293,10 +293,10 @@
 	if d.settings.IsFirstStart && time.Since(d.startedAt) < firstStartJitter+firstStartSettleTime {
 		return deferredRank
 	}
-	if !list.Has(d.selfEntry()) {
+	if !list.Contains(d.selfEntry()) {
 		return max(minUnregisteredRank, list.Len())
 	}
-	return list.Rank(d.settings.Name)
+	return list.Position(d.settings.Name)
 }
 
 // isFirstRelay returns whether this daemon watches the store on behalf of all relays.
@@ -304,14 +304,14 @@
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
 	list := d.directory.list
-	return list.IsRelay(d.settings.Name) && len(list.For(d.settings.Name, d.settings.Zone)) == 0
+	return list.IsRelay(d.settings.Name) && len(list.RelaysFor(d.settings.Name, d.settings.Zone)) == 0
 }
 
 // storeReaderCount returns how many daemons would read the store in the same way as this one.
 func (d *Daemon) storeReaderCount() int {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
-	return d.directory.list.Sharing(d.settings.Name)
+	return d.directory.list.ContenderCount(d.settings.Name)
 }
 
 // isRelay returns whether other daemons read tables from this one.
@@ -321,8 +321,8 @@
 	return d.directory.list.IsRelay(d.settings.Name)
 }
 
-// Daemons returns the known number of daemons, at least 1.
-func (d *Daemon) Daemons() int {
+// DaemonCount returns the known number of daemons, at least 1.
+func (d *Daemon) DaemonCount() int {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
 	return max(1, d.directory.list.Len())
@@ -332,5 +332,5 @@
 func (d *Daemon) isRegistered() bool {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
-	return !d.directory.isSelfMissing && d.directory.list.Has(d.selfEntry())
+	return !d.directory.isSelfMissing && d.directory.list.Contains(d.selfEntry())
 }
--- a/entry/directives_test.go
+++ b/entry/directives_test.go
@@ -18,11 +18,11 @@
 	s := newSite(t, 2)
 	plain := s.standin.Servers(standin.ServicePlain)
 	head := s.standin.Heads(standin.ModelSmall)[0]
-	plain[0].AskForPauses(pause)
-	head.AskForPauses(pause)
+	plain[0].RejectWithRetryAfter(pause)
+	head.RejectWithRetryAfter(pause)
 	for began := time.Now(); time.Since(began) < 2*pause; {
 		for i := range s.daemons {
-			client := s.client(i, standin.KeyOne)
+			client := s.client(i, standin.KeyCuenca)
 			qt.Assert(t, isSuccess(get(client)), qt.IsTrue)
 			qt.Assert(t, isSuccess(post(client)), qt.IsTrue)
 			qt.Assert(t, isSuccess(streamSmall(client)), qt.IsTrue)
@@ -30,24 +30,24 @@
 	}
 	// If all servers ask for a pause, requests are rejected at once until the pauses end.
 	for _, server := range plain {
-		server.AskForPauses(2 * pause)
+		server.RejectWithRetryAfter(2 * pause)
 	}
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, hasStatus(http.StatusServiceUnavailable))
 	for began := time.Now(); time.Since(began) < pause; {
-		answer := get(s.client(0, standin.KeyOne))
+		answer := get(s.client(0, standin.KeyCuenca))
 		qt.Assert(t, answer.Status, qt.Equals, http.StatusServiceUnavailable)
-		qt.Assert(t, answer.Retry, qt.Not(qt.Equals), "")
+		qt.Assert(t, answer.RetryAfter, qt.Not(qt.Equals), "")
 	}
-	qt.Assert(t, s.standin.DirectiveCounts().Pauses > 0, qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().PausesRequested > 0, qt.IsTrue)
 	for _, server := range append(plain, head) {
-		server.AskForPauses(0)
+		server.RejectWithRetryAfter(0)
 	}
 	for i := range s.daemons {
 		for _, send := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
 			s.await(func() standin.Answer {
-				return send(s.client(i, standin.KeyOne))
+				return send(s.client(i, standin.KeyCuenca))
 			}, isSuccess)
 		}
 	}
@@ -57,18 +57,18 @@
 // header of their answers that they are draining.
 func TestServerDrainingByAnswerHeaderGetsNoNewRequests(t *testing.T) {
 	s := newSite(t, 2)
-	s.standin.Servers(standin.ServicePlain)[0].LeaveByAnswersAlone()
-	s.standin.Heads(standin.ModelSmall)[0].LeaveByAnswersAlone()
+	s.standin.Servers(standin.ServicePlain)[0].LeaveInAnswersOnly()
+	s.standin.Heads(standin.ModelSmall)[0].LeaveInAnswersOnly()
 	// Both servers live for longer than this, and daemons must stop sending them requests
 	// earlier.
 	const length = 4 * time.Second
 	for began := time.Now(); time.Since(began) < length; {
 		for i := range s.daemons {
-			client := s.client(i, standin.KeyOne)
+			client := s.client(i, standin.KeyCuenca)
 			qt.Assert(t, isSuccess(get(client)), qt.IsTrue)
 			qt.Assert(t, isSuccess(post(client)), qt.IsTrue)
 			qt.Assert(t, isSuccess(streamSmall(client)), qt.IsTrue)
 		}
 	}
-	qt.Assert(t, s.standin.DirectiveCounts().Leaves >= len(s.daemons), qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().LeavesAnnounced >= len(s.daemons), qt.IsTrue)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -78,12 +78,12 @@
 	store     *platform.Store
 	// rowWriter batches writes of daemon rows.
 	rowWriter    *rowstore.Batcher
-	engines      *platform.Workers
+	engines      *platform.EngineClient
 	gateway      *gateway.Server
 	readiness    *readiness
 	retryBudgets retry.Budgets
 	// suspension measures how long the VM was suspended; bootClock includes that time.
-	suspension kernel.Sleep
+	suspension kernel.SuspendClock
 	bootClock  boottime.Clock
 	// storeClock dates the store's answers; configFreshness tracks the age of the
 	// configuration.
@@ -91,11 +91,11 @@
 	configFreshness rowstore.Freshness
 	// tableReader reads tables from other daemons or the store. tableCache is this daemon's
 	// copy of them, which relayServer passes to other daemons.
-	tableReader *rowstore.Chain
-	tableCache  rowstore.Hub
+	tableReader *rowstore.ReaderChain
+	tableCache  rowstore.TableCache
 	relayServer *relay.Server
 	// errorLogLimiter limits the rate of log lines about failed calls.
-	errorLogLimiter logline.Rarely
+	errorLogLimiter logline.Throttle
 	// directory is the list of all daemons, from which relays are selected. position is this
 	// daemon's position in it.
 	directory daemonDirectory
@@ -103,7 +103,7 @@
 	// demandMeter measures the demand at this daemon, demandTotals sums the demand at all
 	// daemons.
 	demandMeter  demand.Meter
-	demandTotals demand.Board
+	demandTotals demand.Aggregator
 	// metricsServer is nil if metrics are not served.
 	metricsServer *exposition.Server
 
@@ -138,10 +138,10 @@
 	recentReports recentReports
 	// serverLimits are the request rates that servers accept from all daemons together.
 	// limitNotices tracks the reports that daemons exchange about them.
-	serverLimits ratelimit.Book
-	limitNotices ratelimit.Notices
+	serverLimits ratelimit.Limiter
+	limitNotices ratelimit.LimitReports
 	// limitLogLimiter limits the rate of log lines about limits.
-	limitLogLimiter logline.Rarely
+	limitLogLimiter logline.Throttle
 	// viewChanged signals a changed view to the leader.
 	viewChanged chan struct{}
 	// viewLoaded is set after the first read of the configuration and the servers.
@@ -188,7 +188,7 @@
 		registry:       metrics.NewRegistry(),
 		startID:        uuid.NewString(),
 		startedAt:      time.Now(),
-		engines:        platform.NewWorkers(),
+		engines:        platform.NewEngineClient(),
 		stalledHeads:   make(chan fleet.Server, stallQueueCapacity),
 		pendingReports: make(chan report, reportQueueCapacity),
 		viewChanged:    make(chan struct{}, 1),
@@ -201,31 +201,31 @@
 	d.storeClock.Clock = d.bootClock
 	d.serverLimits.Clock = d.bootClock
 	d.configFreshness.Clock = d.bootClock
-	d.errorLogLimiter.Every = errorLogInterval
-	d.limitLogLimiter.Every = limitLogInterval
-	store := platform.NewStore(nodeSettings.Store)
-	store.Called = func(operation string, took time.Duration) {
+	d.errorLogLimiter.Interval = errorLogInterval
+	d.limitLogLimiter.Interval = limitLogInterval
+	store := platform.NewStore(nodeSettings.StoreAddress)
+	store.OnCall = func(operation string, took time.Duration) {
 		metrics.GetOrRegisterCounter("store_calls."+operation, d.registry).Inc(1)
 		d.observeDuration("store_call_ms."+operation, took)
 	}
-	store.EraRefused = d.recordRejectedEra
+	store.OnEraRejected = d.recordRejectedEra
 	d.store = store
 	d.rowWriter = rowstore.NewBatcher(store, maxCommitRows)
 	maxCopyAge := map[string]time.Duration{
-		platform.ConfigTable: fraction(nodeSettings.ApplyWithin, maxCopyAgeFraction),
+		platform.ConfigTable: fraction(nodeSettings.ApplyBound, maxCopyAgeFraction),
 	}
-	d.tableReader = rowstore.NewChain(store, &d.storeClock, maxCopyAge)
-	d.tableReader.IsDirect = func(table string) bool {
+	d.tableReader = rowstore.NewReaderChain(store, &d.storeClock, maxCopyAge)
+	d.tableReader.BypassesRelays = func(table string) bool {
 		return table == platform.ServerTable && d.isLeader.Load()
 	}
-	d.tableReader.IsUrgent = d.isInitialListRead
-	d.tableReader.Sharing = d.storeReaderCount
+	d.tableReader.HasPriority = d.isInitialListRead
+	d.tableReader.ContenderCount = d.storeReaderCount
 	if nodeSettings.IsFirstStart {
-		d.tableReader.Patience = firstStartRelayWait
+		d.tableReader.MinRelayTime = firstStartRelayWait
 	}
-	d.tableCache.ContactLimit = maxCopyAge[platform.ConfigTable]
+	d.tableCache.MaxContactAge = maxCopyAge[platform.ConfigTable]
 	d.tableCache.Clock = &d.storeClock
-	d.tableCache.IsSecondHand = d.tableReader.IsSecondHand
+	d.tableCache.IsFromFallback = d.tableReader.IsFromFallback
 	d.demandTotals.Meter = &d.demandMeter
 	d.demandTotals.Zone = nodeSettings.Zone
 	d.position.Store(&daemonPosition{})
@@ -239,9 +239,9 @@
 func (d *Daemon) listen() error {
 	var err error
 	d.gateway, err = gateway.Listen(gateway.Options{
-		Address:  d.settings.Clients,
+		Address:  d.settings.ClientAddress,
 		Source:   d,
-		Dialect:  platform.Dialect{},
+		Dialect:  platform.Codec{},
 		Meter:    &d.demandMeter,
 		Budgets:  &d.retryBudgets,
 		Ledger:   &d.crashLedger,
@@ -253,16 +253,16 @@
 	if err != nil {
 		return err
 	}
-	d.readiness, err = listenReadiness(d.settings.Readiness, d.isReady)
+	d.readiness, err = listenReadiness(d.settings.ReadinessAddress, d.isReady)
 	if err != nil {
 		return errors.Wrap(err, "start daemon")
 	}
 	d.relayServer, err = relay.Listen(relay.Options{
-		Address: d.settings.Relay,
-		Reader:  &d.tableCache,
-		Board:   &d.demandTotals,
-		Refused: d.logRejectedDemand,
-		Enlist:  d.registerDaemon,
+		Address:         d.settings.RelayAddress,
+		Reader:          &d.tableCache,
+		Aggregator:      &d.demandTotals,
+		OnInvalidDemand: d.logRejectedDemand,
+		Enlist:          d.registerDaemon,
 	})
 	return errors.Wrap(err, "start daemon")
 }
@@ -298,17 +298,17 @@
 	return d.readiness.address
 }
 
-// StoreAnswers returns how many table reads the store answered directly, and how many other
+// ReadCounts returns how many table reads the store answered directly, and how many other
 // daemons relayed.
-func (d *Daemon) StoreAnswers() (direct, relayed int64) {
-	return d.tableReader.Counts()
+func (d *Daemon) ReadCounts() (direct, relayed int64) {
+	return d.tableReader.CallCounts()
 }
 
 // Reload logs that the settings were read again. Settings do not change while the daemon runs,
 // so it warns of changed addresses.
 func (d *Daemon) Reload(nodeSettings settings.Settings) {
 	d.log.Info("daemon: settings reloaded", zap.String("name", nodeSettings.Name))
-	if nodeSettings.Clients != d.settings.Clients || nodeSettings.Store != d.settings.Store {
+	if nodeSettings.ClientAddress != d.settings.ClientAddress || nodeSettings.StoreAddress != d.settings.StoreAddress {
 		d.log.Warn("daemon: changed addresses take effect after a restart")
 	}
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -45,9 +45,9 @@
 func newSiteWith(t *testing.T, daemons int, edit func(nodeSettings *settings.Settings)) *site {
 	t.Helper()
 	return newSiteOfSize(t, daemons, standin.Size{
-		Domains:   2,
-		PerDomain: 8,
-		Plain:     3,
+		Domains:          2,
+		ServersPerDomain: 8,
+		PlainServers:     3,
 	}, edit)
 }
 
@@ -101,7 +101,7 @@
 	s.standin.Close()
 	qt.Check(s.t, s.standin.Violations(), qt.HasLen, 0)
 	for _, line := range s.lines("") {
-		qt.Check(s.t, strings.Contains(line, standin.KeyOne) || strings.Contains(line, standin.KeyTwo), qt.IsFalse, qt.Commentf("%s", line))
+		qt.Check(s.t, strings.Contains(line, standin.KeyCuenca) || strings.Contains(line, standin.KeyLoja), qt.IsFalse, qt.Commentf("%s", line))
 	}
 }
 
@@ -150,7 +150,7 @@
 	for i := range s.daemons {
 		for _, model := range []string{standin.ModelLarge, standin.ModelSmall} {
 			s.await(func() standin.Answer {
-				return s.client(i, standin.KeyOne).Stream(context.Background(), model, 3)
+				return s.client(i, standin.KeyCuenca).Stream(context.Background(), model, 3)
 			}, isSuccess)
 		}
 	}
@@ -172,17 +172,17 @@
 
 // get sends a repeatable request, post one that is not repeatable.
 func get(client *standin.Client) standin.Answer {
-	return client.Ask(context.Background(), http.MethodGet, standin.PathSafe+"gate", nil, "")
+	return client.Send(context.Background(), http.MethodGet, standin.PathSafe+"gate", nil, "")
 }
 
 func post(client *standin.Client) standin.Answer {
-	return client.Ask(context.Background(), http.MethodPost, standin.PathUnsafe+"report", nil, "leak at valve 7")
+	return client.Send(context.Background(), http.MethodPost, standin.PathUnsafe+"report", nil, "leak at valve 7")
 }
 
 func TestEveryDaemonServesEveryKindOfRequest(t *testing.T) {
 	s := newSite(t, 3)
 	for i := range s.daemons {
-		client := s.client(i, standin.KeyOne)
+		client := s.client(i, standin.KeyCuenca)
 		qt.Assert(t, isSuccess(get(client)), qt.IsTrue)
 		answer := post(client)
 		qt.Assert(t, isSuccess(answer), qt.IsTrue)
@@ -195,13 +195,13 @@
 	s := newSite(t, 1)
 	qt.Assert(t, get(s.client(0, "no-such-key")).Status, qt.Equals, http.StatusUnauthorized)
 	qt.Assert(t, get(s.client(0, "")).Status, qt.Equals, http.StatusUnauthorized)
-	answer := s.client(0, standin.KeyOne).Ask(context.Background(), http.MethodGet, "/nowhere/", nil, "")
+	answer := s.client(0, standin.KeyCuenca).Send(context.Background(), http.MethodGet, "/nowhere/", nil, "")
 	qt.Assert(t, answer.Status, qt.Equals, http.StatusNotFound)
 }
 
 func TestClientCannotSetSystemHeaders(t *testing.T) {
 	s := newSite(t, 1)
-	answer := s.client(0, standin.KeyOne).Ask(context.Background(), http.MethodGet, standin.PathSafe+"x", map[string]string{
+	answer := s.client(0, standin.KeyCuenca).Send(context.Background(), http.MethodGet, standin.PathSafe+"x", map[string]string{
 		wire.HeaderTenant:   "somebody-else",
 		wire.HeaderInstance: "i-9999",
 	}, "")
@@ -215,9 +215,9 @@
 	})
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
-			return get(s.client(i, standin.KeyOne))
+			return get(s.client(i, standin.KeyCuenca))
 		}, hasStatus(http.StatusUnauthorized))
-		qt.Assert(t, isSuccess(get(s.client(i, standin.KeyTwo))), qt.IsTrue)
+		qt.Assert(t, isSuccess(get(s.client(i, standin.KeyLoja))), qt.IsTrue)
 	}
 }
 
@@ -230,7 +230,7 @@
 	lines := s.lines("configuration: not taken")
 	qt.Assert(t, len(lines) >= 2, qt.IsTrue)
 	qt.Assert(t, lines[0], qt.Contains, `route 0 (r): kind \"sometimes\"`)
-	qt.Assert(t, isSuccess(get(s.client(0, standin.KeyOne))), qt.IsTrue)
+	qt.Assert(t, isSuccess(get(s.client(0, standin.KeyCuenca))), qt.IsTrue)
 }
 
 func TestStreamContinuesAfterMemberDies(t *testing.T) {
@@ -241,7 +241,7 @@
 	answers := make(chan standin.Answer, streams)
 	for i := range streams {
 		go func() {
-			answers <- s.client(i%2, standin.KeyOne).Stream(context.Background(), standin.ModelLarge, events)
+			answers <- s.client(i%2, standin.KeyCuenca).Stream(context.Background(), standin.ModelLarge, events)
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -278,7 +278,7 @@
 	s := newSite(t, 1)
 	draining := s.standin.Servers(standin.ServicePlain)[0]
 	draining.Drain()
-	client := s.client(0, standin.KeyOne)
+	client := s.client(0, standin.KeyCuenca)
 	isElsewhere := func(answer standin.Answer) bool {
 		return isSuccess(answer) && !strings.Contains(answer.Seal, draining.ID())
 	}
@@ -295,20 +295,20 @@
 func TestRequestRejectedByAllServersIsReportedAsNotRun(t *testing.T) {
 	s := newSite(t, 1)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		server.SetMood(standin.Shedding)
+		server.SetBehaviour(standin.Rejecting)
 	}
-	answer := post(s.client(0, standin.KeyOne))
+	answer := post(s.client(0, standin.KeyCuenca))
 	qt.Assert(t, answer.Status, qt.Equals, http.StatusServiceUnavailable)
-	qt.Assert(t, answer.Retry, qt.Not(qt.Equals), "")
+	qt.Assert(t, answer.RetryAfter, qt.Not(qt.Equals), "")
 	qt.Assert(t, s.standin.Runs(answer.ID), qt.Equals, 0)
 }
 
 func TestTruncatedAnswerIsNotReportedAsNotRun(t *testing.T) {
 	s := newSite(t, 1)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		server.SetMood(standin.Cutting)
+		server.SetBehaviour(standin.Truncating)
 	}
-	answer := post(s.client(0, standin.KeyOne))
+	answer := post(s.client(0, standin.KeyCuenca))
 	qt.Assert(t, answer.Status, qt.Equals, http.StatusBadGateway)
 	qt.Assert(t, s.standin.Runs(answer.ID), qt.Equals, 1)
 }
@@ -316,11 +316,11 @@
 func TestRepeatableRequestIsRetriedOnAnotherServer(t *testing.T) {
 	s := newSite(t, 1)
 	servers := s.standin.Servers(standin.ServicePlain)
-	servers[0].SetMood(standin.Cutting)
-	servers[1].SetMood(standin.Shedding)
+	servers[0].SetBehaviour(standin.Truncating)
+	servers[1].SetBehaviour(standin.Rejecting)
 	succeeded := 0
 	for range 20 {
-		if isSuccess(get(s.client(0, standin.KeyOne))) {
+		if isSuccess(get(s.client(0, standin.KeyCuenca))) {
 			succeeded++
 		}
 	}
@@ -330,9 +330,9 @@
 func TestSurplusAnswerIsDiscarded(t *testing.T) {
 	s := newSite(t, 1)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		server.SetMood(standin.Extra)
+		server.SetBehaviour(standin.ExtraAnswer)
 	}
-	client := s.client(0, standin.KeyOne)
+	client := s.client(0, standin.KeyCuenca)
 	for range 30 {
 		answer := post(client)
 		qt.Assert(t, isSuccess(answer), qt.IsTrue, qt.Commentf("%+v", answer))
@@ -342,13 +342,13 @@
 
 func TestStoreOutageLimitsHowLongKeysAreAccepted(t *testing.T) {
 	s := newSite(t, 2)
-	s.standin.Store.SetFault(standin.Silent)
+	s.standin.Store.SetFault(standin.Unresponsive)
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, hasStatus(http.StatusServiceUnavailable))
-	s.standin.Store.SetFault(standin.Well)
+	s.standin.Store.SetFault(standin.NoFault)
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, isSuccess)
 }
 
@@ -361,24 +361,24 @@
 		nodeSettings.IsRevocationStrict = false
 	}))
 	s.await(func() standin.Answer {
-		return get(s.client(1, standin.KeyOne))
+		return get(s.client(1, standin.KeyCuenca))
 	}, isSuccess)
 
-	s.standin.Store.SetFault(standin.Silent)
+	s.standin.Store.SetFault(standin.Unresponsive)
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, hasStatus(http.StatusServiceUnavailable))
 	s.await(func() standin.Answer {
 		return get(s.client(1, "a key that may have been added"))
 	}, hasStatus(http.StatusServiceUnavailable))
-	qt.Assert(t, get(s.client(1, standin.KeyOne)), qt.Satisfies, isSuccess)
+	qt.Assert(t, get(s.client(1, standin.KeyCuenca)), qt.Satisfies, isSuccess)
 
-	s.standin.Store.SetFault(standin.Well)
+	s.standin.Store.SetFault(standin.NoFault)
 	s.standin.ChangeConfig(func(config *wire.Config) {
 		config.Tenants[0].APIKeys = []string{"new-key"}
 	})
 	s.await(func() standin.Answer {
-		return get(s.client(1, standin.KeyOne))
+		return get(s.client(1, standin.KeyCuenca))
 	}, hasStatus(http.StatusUnauthorized))
 	s.await(func() standin.Answer {
 		return get(s.client(1, "new-key"))
@@ -387,12 +387,12 @@
 
 func TestCompactedHistoryAndLostAnswersAreTolerated(t *testing.T) {
 	s := newSite(t, 2)
-	s.standin.Store.SetFault(standin.Lossy)
+	s.standin.Store.SetFault(standin.LosingAnswers)
 	heads := s.standin.Heads(standin.ModelSmall)
 	s.standin.Members(heads[0])[1].Kill()
 	time.Sleep(time.Second)
-	s.standin.Store.Forget()
-	s.standin.Store.SetFault(standin.Well)
+	s.standin.Store.DropHistory()
+	s.standin.Store.SetFault(standin.NoFault)
 	s.standin.ChangeConfig(func(config *wire.Config) {
 		config.Tenants[0].APIKeys = []string{"new-key"}
 	})
@@ -412,7 +412,7 @@
 	answers := make(chan standin.Answer, 4)
 	for range 4 {
 		go func() {
-			answers <- s.client(0, standin.KeyOne).Stream(context.Background(), standin.ModelSmall, 100)
+			answers <- s.client(0, standin.KeyCuenca).Stream(context.Background(), standin.ModelSmall, 100)
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -447,16 +447,16 @@
 // although no server had received them.
 func TestConnectFailureCostsNoRetryBudget(t *testing.T) {
 	s := newSite(t, 1)
-	client := s.client(0, standin.KeyOne)
+	client := s.client(0, standin.KeyCuenca)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		server.SetMood(standin.Shedding)
+		server.SetBehaviour(standin.Rejecting)
 	}
 	// This exceeds the budget of one daemon: a share of its requests plus its part of a burst.
 	for range 200 {
 		get(client)
 	}
 	servers := s.standin.Servers(standin.ServicePlain)
-	servers[0].SetMood(standin.Good)
+	servers[0].SetBehaviour(standin.Normal)
 	servers[1].Stop()
 	servers[2].Stop()
 	succeeded := 0
@@ -472,14 +472,14 @@
 func TestRequestIDFindsCauseOfFailureInLog(t *testing.T) {
 	s := newSite(t, 1)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		server.SetMood(standin.Cutting)
+		server.SetBehaviour(standin.Truncating)
 	}
-	cut := post(s.client(0, standin.KeyOne))
+	cut := post(s.client(0, standin.KeyCuenca))
 	refused := get(s.client(0, "no-such-key"))
 	for _, head := range s.standin.Servers(standin.ServiceModel) {
-		head.SetMood(standin.Shedding)
+		head.SetBehaviour(standin.Rejecting)
 	}
-	busy := s.client(0, standin.KeyOne).Stream(context.Background(), standin.ModelLarge, 3)
+	busy := s.client(0, standin.KeyCuenca).Stream(context.Background(), standin.ModelLarge, 3)
 	for id, cause := range map[string]string{
 		cut.ID:     ":connection_broken",
 		refused.ID: `"reason":"unknown_key"`,
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -13,7 +13,7 @@
 	"headcourse/platform"
 )
 
-// An operator evacuates a zone by a row in the table of the configuration. Daemons watch both
+// An operator evacuates a zone by a row in the table of the configuration. DaemonCount watch both
 // together, so an evacuation reaches them through the same relays and equally fast.
 
 // evacuatedZonesGauge is the number of evacuated zones.
@@ -59,11 +59,11 @@
 // evacuationDeadline returns the time from which a newly evacuated zone gets no requests. It
 // counts from the last time the configuration's table was known to be current.
 func (d *Daemon) evacuationDeadline() time.Time {
-	bound := evacuation.Bound{
-		Within: d.settings.EvacuateWithin,
-		Draw:   rand.Float64(),
+	bound := evacuation.LeaveSchedule{
+		Within:   d.settings.EvacuationBound,
+		Position: rand.Float64(),
 	}
-	age, isKnown := d.configFreshness.Age()
+	age, isKnown := d.configFreshness.ViewAge()
 	if !isKnown {
 		return bound.LeaveAt(time.Time{})
 	}
@@ -74,7 +74,7 @@
 // They may have become cold in the meantime, and their entries may only show it a moment later.
 func (d *Daemon) prepareReopenedZones(former, next evacuation.Zones) {
 	for _, zone := range former.Names() {
-		if !next.Has(zone) {
+		if !next.Contains(zone) {
 			d.assumeZoneCold(zone)
 		}
 	}
@@ -84,19 +84,19 @@
 func (d *Daemon) logEvacuations(former, next evacuation.Zones) {
 	metrics.GetOrRegisterGauge(evacuatedZonesGauge, d.registry).Update(int64(len(next.Names())))
 	for _, zone := range next.Names() {
-		if former.Has(zone) {
+		if former.Contains(zone) {
 			continue
 		}
-		zoneEvacuation, _ := next.Of(zone)
+		zoneEvacuation, _ := next.Get(zone)
 		d.log.Info("zones: evacuated",
 			zap.String("zone", zone),
 			zap.Int64("row_version", zoneEvacuation.Version),
 			zap.Int64("left_in_ms", max(0, d.bootClock.Until(zoneEvacuation.LeaveAt).Milliseconds())),
-			zap.Int64("config_age_ms", d.Age().Milliseconds()))
+			zap.Int64("config_age_ms", d.MaxViewAge().Milliseconds()))
 	}
 	for _, zone := range former.Names() {
-		if !next.Has(zone) {
-			zoneEvacuation, _ := former.Of(zone)
+		if !next.Contains(zone) {
+			zoneEvacuation, _ := former.Get(zone)
 			d.log.Info("zones: taken back", zap.String("zone", zone), zap.Int64("row_version", zoneEvacuation.Version))
 		}
 	}
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -17,10 +17,10 @@
 func newThreeZoneSite(t *testing.T, daemons int) *site {
 	t.Helper()
 	return newSiteOfSize(t, daemons, standin.Size{
-		Domains:   3,
-		PerDomain: 8,
-		Plain:     3,
-		Zones:     3,
+		Domains:          3,
+		ServersPerDomain: 8,
+		PlainServers:     3,
+		Zones:            3,
 	}, func(*settings.Settings) {})
 }
 
@@ -29,7 +29,7 @@
 	s.t.Helper()
 	s.awaitTrue(func() bool {
 		for _, daemon := range s.daemons {
-			if daemon.View().Evacuated.Has(zone) != isEvacuated {
+			if daemon.View().Evacuated.Contains(zone) != isEvacuated {
 				return false
 			}
 		}
@@ -43,7 +43,7 @@
 	s.t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		for i := range s.daemons {
-			client := s.client(i, standin.KeyOne)
+			client := s.client(i, standin.KeyCuenca)
 			qt.Assert(s.t, get(client), qt.Satisfies, isSuccess)
 			qt.Assert(s.t, post(client), qt.Satisfies, isSuccess)
 			qt.Assert(s.t, client.Stream(context.Background(), standin.ModelLarge, 3), qt.Satisfies, isSuccess)
@@ -57,14 +57,14 @@
 	t.Parallel()
 	s := newThreeZoneSite(t, 3)
 	zone := standin.Zone(0)
-	s.standin.Evacuate(zone, standin.EvacuateTime)
+	s.standin.Evacuate(zone, standin.EvacuationDeadline)
 	s.assertAllServed(3 * time.Second)
 	s.awaitEvacuated(zone, true)
 	qt.Assert(t, s.lines("zones: evacuated"), qt.HasLen, len(s.daemons))
-	s.standin.TakeBack(zone)
+	s.standin.EndEvacuation(zone)
 	s.awaitEvacuated(zone, false)
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, func(answer standin.Answer) bool {
 		return strings.Contains(answer.Seal, s.standin.Servers(standin.ServicePlain)[0].ID())
 	})
@@ -75,9 +75,9 @@
 	t.Parallel()
 	s := newThreeZoneSite(t, 1)
 	zone := standin.Zone(0)
-	s.standin.Evacuate(zone, standin.EvacuateTime)
+	s.standin.Evacuate(zone, standin.EvacuationDeadline)
 	s.awaitEvacuated(zone, true)
-	time.Sleep(standin.EvacuateTime)
+	time.Sleep(standin.EvacuationDeadline)
 	s.daemons = append(s.daemons, s.startDaemon("front-b"))
 	s.assertAllServed(time.Second)
 }
@@ -89,11 +89,11 @@
 	s := newThreeZoneSite(t, 2)
 	zone := standin.Zone(0)
 	snapshot := s.standin.Store.Snapshot()
-	s.standin.Evacuate(zone, standin.EvacuateTime)
+	s.standin.Evacuate(zone, standin.EvacuationDeadline)
 	s.awaitEvacuated(zone, true)
-	time.Sleep(standin.EvacuateTime)
-	s.restore(snapshot, standin.Restoring{
-		RewriteWithin: 300 * time.Millisecond,
+	time.Sleep(standin.EvacuationDeadline)
+	s.restore(snapshot, standin.RestoreOptions{
+		MaxRewriteDelay: 300 * time.Millisecond,
 	})
 	s.assertAllServed(time.Second)
 	s.awaitEvacuated(zone, true)
@@ -103,20 +103,20 @@
 func TestEvacuatingUnknownZoneAndAllZones(t *testing.T) {
 	t.Parallel()
 	s := newThreeZoneSite(t, 1)
-	s.standin.Evacuate("no-such-zone", standin.EvacuateTime)
+	s.standin.Evacuate("no-such-zone", standin.EvacuationDeadline)
 	s.awaitEvacuated("no-such-zone", true)
 	s.assertAllServed(100 * time.Millisecond)
 	for i := range 3 {
-		s.standin.Evacuate(standin.Zone(i), standin.EvacuateTime)
+		s.standin.Evacuate(standin.Zone(i), standin.EvacuationDeadline)
 	}
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, func(answer standin.Answer) bool {
 		return answer.Status == http.StatusServiceUnavailable && answer.Reason == "zone_evacuated"
 	})
-	s.standin.TakeBack(standin.Zone(1))
+	s.standin.EndEvacuation(standin.Zone(1))
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, isSuccess)
 }
 
@@ -126,10 +126,10 @@
 	t.Parallel()
 	s := newThreeZoneSite(t, 3)
 	for _, server := range s.standin.Servers(standin.ServicePlain)[:2] {
-		server.Cool(2 * time.Second)
+		server.MakeCold(2 * time.Second)
 	}
 	for _, head := range s.standin.Heads(standin.ModelSmall) {
-		head.Cool(2 * time.Second)
+		head.MakeCold(2 * time.Second)
 	}
 	s.awaitTrue(func() bool {
 		server, _ := s.daemons[0].View().Fleet.Server(s.standin.Servers(standin.ServicePlain)[1].ID())
@@ -137,7 +137,7 @@
 	})
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
 		for i := range s.daemons {
-			client := s.client(i, standin.KeyOne)
+			client := s.client(i, standin.KeyCuenca)
 			qt.Assert(s.t, get(client), qt.Satisfies, isSuccess)
 			qt.Assert(s.t, client.Stream(context.Background(), standin.ModelLarge, 1), qt.Satisfies, isSuccess)
 		}
