--- a/entry/followers.go
+++ b/entry/followers.go
@@ -19,7 +19,7 @@
 	apply := func(isSnapshot bool) func([]rowstore.Row, rowstore.Revision, time.Time) {
 		return func(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
 			for _, row := range rows {
-				if platform.IsConfig(row.Key) && !row.Deleted {
+				if platform.IsConfigKey(row.Key) && !row.Deleted {
 					d.applyConfig(row)
 				}
 			}
@@ -27,26 +27,26 @@
 			// the view's previous age.
 			d.applyEvacuations(rows, isSnapshot)
 			d.configEra.Store(at.Era)
-			d.configFreshness.Confirm(asOf)
+			d.configFreshness.ConfirmView(asOf)
 			d.updateInitialised()
 		}
 	}
 	return &rowstore.Follower{
-		Store:   d.tableReader,
-		Hub:     &d.tableCache,
-		Table:   platform.ConfigTable,
-		Wait:    fraction(d.settings.ApplyWithin, configWatchFraction),
-		Whole:   apply(true),
-		Changed: apply(false),
-		Merge: func(table rowstore.Result) rowstore.Result {
+		Store:       d.tableReader,
+		TableCache:  &d.tableCache,
+		Table:       platform.ConfigTable,
+		FeedTimeout: fraction(d.settings.ApplyBound, configWatchFraction),
+		OnSnapshot:  apply(true),
+		OnChanges:   apply(false),
+		MergeSnapshot: func(table rowstore.Result) rowstore.Result {
 			return d.mergeEvacuations(d.mergeNewestConfig(table))
 		},
-		Rewrite:    d.rewriteWindow,
-		Failed:     d.recordOutageStart(platform.ConfigTable),
-		Recovered:  d.recordOutageEnd(platform.ConfigTable),
-		EraChanged: d.recordEraChange(platform.ConfigTable),
-		Dropped:    d.recordDroppedAnswer(platform.ConfigTable),
-		Clock:      &d.storeClock,
+		RewriteWait: d.rewriteWindow,
+		OnFailure:   d.recordOutageStart(platform.ConfigTable),
+		OnRecovery:  d.recordOutageEnd(platform.ConfigTable),
+		OnEraChange: d.recordEraChange(platform.ConfigTable),
+		OnRejected:  d.recordDroppedAnswer(platform.ConfigTable),
+		Clock:       &d.storeClock,
 	}
 }
 
@@ -55,7 +55,7 @@
 func (d *Daemon) applyConfig(row rowstore.Row) {
 	next, err := platform.DecodeConfig(row.Value)
 	if err != nil {
-		d.log.Error("configuration: not taken, the last valid one stays in force", zap.Int64("row_version", row.Version), logline.Err(err))
+		d.log.Error("configuration: not taken, the last valid one stays in force", zap.Int64("row_version", row.Version), logline.ErrorField(err))
 		return
 	}
 	former := d.view.Load().Config
@@ -103,20 +103,20 @@
 // serverFollower watches the servers' entries.
 func (d *Daemon) serverFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:      d.tableReader,
-		Hub:        &d.tableCache,
-		Table:      platform.ServerTable,
-		Wait:       serverWatchTimeout,
-		Settle:     d.coalesceDelay,
-		Whole:      d.applyServerSnapshot,
-		Restored:   d.applyRestoredServers,
-		Rewrite:    d.rewriteWindow,
-		Changed:    d.applyServerChanges,
-		Failed:     d.recordOutageStart(platform.ServerTable),
-		Recovered:  d.recordOutageEnd(platform.ServerTable),
-		EraChanged: d.recordEraChange(platform.ServerTable),
-		Dropped:    d.recordDroppedAnswer(platform.ServerTable),
-		Clock:      &d.storeClock,
+		Store:              d.tableReader,
+		TableCache:         &d.tableCache,
+		Table:              platform.ServerTable,
+		FeedTimeout:        serverWatchTimeout,
+		PauseAfterChanges:  d.coalesceDelay,
+		OnSnapshot:         d.applyServerSnapshot,
+		OnRestoredSnapshot: d.applyRestoredServers,
+		RewriteWait:        d.rewriteWindow,
+		OnChanges:          d.applyServerChanges,
+		OnFailure:          d.recordOutageStart(platform.ServerTable),
+		OnRecovery:         d.recordOutageEnd(platform.ServerTable),
+		OnEraChange:        d.recordEraChange(platform.ServerTable),
+		OnRejected:         d.recordDroppedAnswer(platform.ServerTable),
+		Clock:              &d.storeClock,
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	former := d.view.Load().Fleet
 	if isRestored {
-		servers = former.Reconciled(servers)
+		servers = former.ReconciledWithRestored(servers)
 	}
 	// The era is stored before the view, so that a leader of a former era does not act on this
 	// view.
@@ -168,12 +168,12 @@
 	for _, server := range servers {
 		d.recordRestart(former, server)
 		previous, wasPresent := former.Server(server.ID)
-		if !wasPresent || previous.Born != server.Born || previous.ColdFor != server.ColdFor {
+		if !wasPresent || previous.StartedAtMs != server.StartedAtMs || previous.ColdFor != server.ColdFor {
 			d.applyColdLimit(current, server)
 		}
 	}
 	d.updateView(func(view *gateway.View) {
-		view.Fleet = view.Fleet.WithAll(at.Version, servers, d.storeOutage.Load().LostUntil(d.removalGrace()), invalidIDs...)
+		view.Fleet = view.Fleet.WithSnapshot(at.Version, servers, d.storeOutage.Load().GraceUntil(d.removalGrace()), invalidIDs...)
 	})
 	d.serversLoaded.Store(true)
 	d.updateInitialised()
@@ -193,17 +193,17 @@
 	for _, row := range rows {
 		if row.Deleted {
 			changes = append(changes, fleet.Change{
-				ID:   row.Key,
-				Gone: true,
+				ID:        row.Key,
+				IsRemoved: true,
 			})
 			continue
 		}
 		server, ok := d.decodeServer(row)
 		changes = append(changes, fleet.Change{
-			ID:     row.Key,
-			Server: server,
-			Gone:   !ok,
-			IsVoid: !ok,
+			ID:        row.Key,
+			Server:    server,
+			IsRemoved: !ok,
+			IsInvalid: !ok,
 		})
 	}
 	former := d.view.Load().Fleet
@@ -213,7 +213,7 @@
 		d.applyColdLimit(current, change.Server)
 	}
 	d.updateView(func(view *gateway.View) {
-		view.Fleet = view.Fleet.WithChanges(at.Version, changes, d.storeOutage.Load().LostUntil(d.removalGrace()))
+		view.Fleet = view.Fleet.WithChanges(at.Version, changes, d.storeOutage.Load().GraceUntil(d.removalGrace()))
 	})
 	if d.readsStoreDirectly() {
 		d.logServerChanges(former, changes)
@@ -223,16 +223,16 @@
 // recordRestart records that a server started again under its ID. Its recorded paces, failures
 // and timeouts belong to the former start.
 func (d *Daemon) recordRestart(former fleet.View, server fleet.Server) {
-	previous, wasKnown := former.Known(server.ID)
-	if !wasKnown || previous.Born == server.Born {
+	previous, wasKnown := former.ServerOrRemoved(server.ID)
+	if !wasKnown || previous.StartedAtMs == server.StartedAtMs {
 		return
 	}
-	d.gateway.Restarted(previous, server)
+	d.gateway.RecordRestart(previous, server)
 	if d.readsStoreDirectly() {
 		d.log.Info("servers: started again",
 			zap.String("server", server.ID),
-			zap.Int64("born", server.Born),
-			zap.Int64("former_born", previous.Born),
+			zap.Int64("born", server.StartedAtMs),
+			zap.Int64("former_born", previous.StartedAtMs),
 			zap.String("former_group", previous.Membership.Group))
 	}
 }
@@ -240,15 +240,15 @@
 // removalGrace returns how long servers whose entry is removed may still get requests.
 func (d *Daemon) removalGrace() fleet.Grace {
 	return fleet.Grace{
-		DrainWithin: d.settings.DrainWithin,
-		Heartbeat:   d.settings.HeartbeatInterval,
+		DrainBound:        d.settings.DrainBound,
+		HeartbeatInterval: d.settings.HeartbeatInterval,
 	}
 }
 
 // rewriteWindow returns how long after a restore of the store its rows may still come from the
 // older copy.
 func (d *Daemon) rewriteWindow() time.Duration {
-	return d.removalGrace().Rewritten()
+	return d.removalGrace().RewriteTime()
 }
 
 // decodeServer decodes an entry. An invalid entry names no server.
@@ -275,9 +275,9 @@
 		previous, wasPresent := former.Server(change.ID)
 		membership := change.Server.Membership
 		switch {
-		case change.Gone && wasPresent:
+		case change.IsRemoved && wasPresent:
 			d.log.Info("servers: gone", zap.String("server", change.ID), zap.String("group", previous.Membership.Group), zap.Bool("was_leaving", previous.Draining))
-		case change.Gone:
+		case change.IsRemoved:
 		case !wasPresent:
 			d.log.Info("servers: added", zap.String("server", change.ID), zap.String("service", change.Server.Service), zap.String("address", change.Server.Address))
 		case change.Server.Draining && !previous.Draining:
--- a/entry/invalidrows_test.go
+++ b/entry/invalidrows_test.go
@@ -35,7 +35,7 @@
 	const many = 40
 	for i := range many {
 		for n, value := range invalidValues {
-			for _, table := range []string{wire.TableServers, wire.TableConfig, neighbours.Table, "told", assembly.Table, assembly.RecentTable} {
+			for _, table := range []string{wire.TableServers, wire.TableConfig, neighbours.Table, "told", assembly.Table, assembly.RecentModelsTable} {
 				s.standin.Store.Write(table, fmt.Sprintf("strange-%d-%d", n, i), []byte(value))
 			}
 			s.standin.Store.Write("told", fmt.Sprintf("end/strange-%d-%d", n, i), []byte(value))
@@ -55,7 +55,7 @@
 			return get(s.client(i, "new-key"))
 		}, isSuccess)
 		for range 10 {
-			answer := get(s.client(i, standin.KeyOne))
+			answer := get(s.client(i, standin.KeyCuenca))
 			qt.Assert(t, isSuccess(answer), qt.IsTrue, qt.Commentf("%+v", answer))
 		}
 	}
@@ -81,7 +81,7 @@
 	const inARow = 12
 	count := 0
 	s.awaitTrue(func() bool {
-		if isFromFirst(get(s.client(0, standin.KeyOne))) {
+		if isFromFirst(get(s.client(0, standin.KeyCuenca))) {
 			count++
 		} else {
 			count = 0
@@ -89,6 +89,6 @@
 		return count == inARow
 	})
 	for range inARow {
-		qt.Assert(t, isFromFirst(get(s.client(0, standin.KeyOne))), qt.IsTrue)
+		qt.Assert(t, isFromFirst(get(s.client(0, standin.KeyCuenca))), qt.IsTrue)
 	}
 }
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -36,20 +36,20 @@
 	return strings.TrimPrefix(row.Key, limitPrefix)
 }
 
-// LimitObserved reports a limit to the other daemons unless they know it. It does not block.
-func (d *Daemon) LimitObserved(server fleet.Server, limit ratelimit.Limit) {
-	start := server.Start()
-	if !limit.IsNamed {
+// ObserveLimit reports a limit to the other daemons unless they know it. It does not block.
+func (d *Daemon) ObserveLimit(server fleet.Server, limit ratelimit.Limit) {
+	start := server.StartID()
+	if !limit.IsSet {
 		time.AfterFunc(rand.N(reportJitter), func() { d.reportLimitEnd(start, limitEndAttempts) })
 		return
 	}
-	if !d.limitNotices.Wants(start, limit) {
+	if !d.limitNotices.ShouldReport(start, limit) {
 		return
 	}
-	// Daemons observe a limit at the same time. The jitter lets the first report reach the
+	// DaemonCount observe a limit at the same time. The jitter lets the first report reach the
 	// others before they write theirs.
 	time.AfterFunc(rand.N(reportJitter), func() {
-		if d.limitNotices.Speak(start, limit) {
+		if d.limitNotices.ClaimReport(start, limit) {
 			d.reportLimit(start, limit)
 		}
 	})
@@ -65,10 +65,10 @@
 // reportLimitEnd reports that a limit has ended as long as the store has a row for it and this
 // daemon knows no new limit.
 func (d *Daemon) reportLimitEnd(start string, attempts int) {
-	if known, _ := d.serverLimits.Known(start); attempts == 0 || known.IsNamed {
+	if known, _ := d.serverLimits.AnnouncedLimit(start); attempts == 0 || known.IsSet {
 		return
 	}
-	if d.limitNotices.Speak(start, ratelimit.Limit{}) {
+	if d.limitNotices.ClaimReport(start, ratelimit.Limit{}) {
 		d.reportLimit(start, ratelimit.Limit{})
 	}
 	time.AfterFunc(limitEndRetryInterval, func() { d.reportLimitEnd(start, attempts-1) })
@@ -79,10 +79,10 @@
 	update := report{
 		key: limitPrefix + start,
 	}
-	if limit.IsNamed {
+	if limit.IsSet {
 		encoded, err := limit.Encode(d.settings.Name)
 		if err != nil {
-			d.log.Error("servers: limit not encoded", logline.Err(err))
+			d.log.Error("servers: limit not encoded", logline.ErrorField(err))
 			return
 		}
 		update.value = encoded
@@ -105,18 +105,18 @@
 	if d.limitNotices.Take(start, limit) {
 		d.logReportedLimit(start, limit, row.Version)
 	}
-	d.serverLimits.Reported(start, limit)
+	d.serverLimits.ApplyReport(start, limit)
 }
 
 // logReportedLimit logs a limit that another daemon reported.
 func (d *Daemon) logReportedLimit(start string, limit ratelimit.Limit, version int64) {
-	mayLog, suppressed := d.limitLogLimiter.Pass(reportTable)
+	mayLog, suppressed := d.limitLogLimiter.Allow(reportTable)
 	if !mayLog {
 		return
 	}
 	d.log.Info("servers: limit reported by another daemon",
 		zap.String("start", start),
-		zap.Bool("is_named", limit.IsNamed),
+		zap.Bool("is_named", limit.IsSet),
 		zap.Float64("per_second", limit.PerSecond),
 		zap.Int64("row_version", version),
 		zap.Int("lines_left_out", suppressed))
@@ -127,7 +127,7 @@
 	if d.limitNotices.Remove(start) {
 		d.logReportedLimit(start, ratelimit.Limit{}, version)
 	}
-	d.serverLimits.Reported(start, ratelimit.Limit{})
+	d.serverLimits.ApplyReport(start, ratelimit.Limit{})
 }
 
 // retainLimits ends all limits that a snapshot of the table does not contain.
@@ -138,7 +138,7 @@
 			starts[serverStartOf(row)] = true
 		}
 	}
-	for _, start := range d.limitNotices.Others(starts) {
+	for _, start := range d.limitNotices.StartsNotIn(starts) {
 		d.removeLimit(start, version)
 	}
 }
@@ -152,9 +152,9 @@
 	}
 	present := map[string]bool{}
 	for _, server := range d.view.Load().Fleet.Servers() {
-		present[server.Start()] = true
+		present[server.StartID()] = true
 	}
-	for _, start := range d.limitNotices.Old() {
+	for _, start := range d.limitNotices.StaleStarts() {
 		if !present[start] {
 			d.reportLimit(start, ratelimit.Limit{})
 		}
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -32,12 +32,12 @@
 		pause = 250 * time.Millisecond
 	)
 	s := newSite(t, daemons)
-	s.standin.Servers(standin.ServicePlain)[0].NameLimit(limit)
-	s.standin.Heads(standin.ModelSmall)[0].NameLimit(limit)
+	s.standin.Servers(standin.ServicePlain)[0].SetLimit(limit)
+	s.standin.Heads(standin.ModelSmall)[0].SetLimit(limit)
 	var clients conc.WaitGroup
 	for i := range s.daemons {
 		clients.Go(func() {
-			client := s.client(i, standin.KeyOne)
+			client := s.client(i, standin.KeyCuenca)
 			for began := time.Now(); time.Since(began) < length; time.Sleep(pause) {
 				qt.Check(t, isSuccess(get(client)), qt.IsTrue)
 				qt.Check(t, isSuccess(post(client)), qt.IsTrue)
@@ -46,7 +46,7 @@
 		})
 	}
 	clients.Wait()
-	qt.Assert(t, s.standin.DirectiveCounts().Limits > 0, qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().LimitsReceived > 0, qt.IsTrue)
 }
 
 // refusedWith returns a check for the reason of a rejection.
@@ -67,20 +67,20 @@
 	s := newSite(t, 5)
 	plain := s.standin.Servers(standin.ServicePlain)
 	for _, server := range plain {
-		server.NameLimit(0)
+		server.SetLimit(0)
 	}
 	s.await(func() standin.Answer {
-		return get(s.client(0, standin.KeyOne))
+		return get(s.client(0, standin.KeyCuenca))
 	}, refusedWith("servers_limited"))
 	s.awaitTrue(func() bool { return s.limitRows() == len(plain) })
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
-			return get(s.client(i, standin.KeyOne))
+			return get(s.client(i, standin.KeyCuenca))
 		}, refusedWith("servers_limited"))
 	}
 	// A server that accepts nothing gets only occasional requests, from few daemons.
 	counts := s.standin.DirectiveCounts()
-	qt.Assert(t, counts.Limits < len(s.daemons)*len(plain), qt.IsTrue, qt.Commentf("%+v", counts))
+	qt.Assert(t, counts.LimitsReceived < len(s.daemons)*len(plain), qt.IsTrue, qt.Commentf("%+v", counts))
 }
 
 // Guards against servers that stay unused after their limit ends. All daemons must use them
@@ -89,27 +89,27 @@
 	s := newSite(t, 5)
 	plain := s.standin.Servers(standin.ServicePlain)
 	for _, server := range plain {
-		server.NameLimit(0.5)
+		server.SetLimit(0.5)
 	}
 	s.awaitTrue(func() bool {
-		get(s.client(0, standin.KeyOne))
+		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() == len(plain)
 	})
 	for _, server := range plain {
-		server.EndLimit()
+		server.ClearLimit()
 	}
 	s.awaitTrue(func() bool {
 		for i := range s.daemons {
-			get(s.client(i, standin.KeyOne))
+			get(s.client(i, standin.KeyCuenca))
 		}
 		return s.limitRows() == 0
 	})
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
-			return get(s.client(i, standin.KeyOne))
+			return get(s.client(i, standin.KeyCuenca))
 		}, isSuccess)
 		for range 20 {
-			qt.Assert(t, isSuccess(get(s.client(i, standin.KeyOne))), qt.IsTrue)
+			qt.Assert(t, isSuccess(get(s.client(i, standin.KeyCuenca))), qt.IsTrue)
 		}
 	}
 }
@@ -119,13 +119,13 @@
 func TestStartingDaemonAppliesStoredLimits(t *testing.T) {
 	s := newSite(t, 2)
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
-		encoded, err := ratelimit.Named(0).Encode("front-z")
+		encoded, err := ratelimit.NewLimit(0).Encode("front-z")
 		qt.Assert(t, err, qt.IsNil)
 		s.standin.Store.Write("told", fmt.Sprintf("limit/%s", server.Start()), encoded)
 	}
 	s.daemons = append(s.daemons, s.startDaemon("front-c"))
 	answer := s.await(func() standin.Answer {
-		return get(s.client(2, standin.KeyOne))
+		return get(s.client(2, standin.KeyCuenca))
 	}, func(answer standin.Answer) bool { return answer.Reason != "not_configured" })
 	qt.Assert(t, answer.Reason, qt.Equals, "servers_limited")
 }
@@ -136,21 +136,21 @@
 	const limit = 20
 	s := newSite(t, 3)
 	server := s.standin.Servers(standin.ServicePlain)[0]
-	server.NameLimit(limit)
+	server.SetLimit(limit)
 	s.awaitTrue(func() bool {
-		get(s.client(0, standin.KeyOne))
+		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() == 1
 	})
-	server.EndLimit()
+	server.ClearLimit()
 	s.awaitTrue(func() bool {
-		get(s.client(0, standin.KeyOne))
+		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() == 0
 	})
-	encoded, err := ratelimit.Named(limit).Encode("front-z")
+	encoded, err := ratelimit.NewLimit(limit).Encode("front-z")
 	qt.Assert(t, err, qt.IsNil)
 	s.standin.Store.Write("told", "limit/"+server.Start(), encoded)
 	s.awaitTrue(func() bool {
-		get(s.client(0, standin.KeyOne))
+		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() == 0
 	})
 }
--- a/entry/listreader.go
+++ b/entry/listreader.go
@@ -21,11 +21,11 @@
 
 // listReader reads and watches the daemon list.
 func (d *Daemon) listReader() rowstore.Reader {
-	return rowstore.Seeded{
-		Chain: d.tableReader,
-		From:  d.store,
-		Rows:  sampleRows,
-		Seeds: d.seedRelays,
+	return rowstore.SeededReader{
+		ReaderChain: d.tableReader,
+		Sampler:     d.store,
+		SampleRows:  sampleRows,
+		Seeds:       d.seedRelays,
 	}
 }
 
@@ -39,7 +39,7 @@
 	if isSeed {
 		return nil
 	}
-	nearest := neighbours.Nearest(seeds, d.settings.Name, d.settings.Zone)
+	nearest := neighbours.InCallOrder(seeds, d.settings.Name, d.settings.Zone)
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
 	d.directory.initClients()
@@ -96,7 +96,7 @@
 	}
 	encoded, err := neighbours.EncodeRelays(d.directory.list.Relays())
 	if err != nil {
-		d.log.Error("daemons: relays not encoded", logline.Err(err))
+		d.log.Error("daemons: relays not encoded", logline.ErrorField(err))
 		return nil, false
 	}
 	return encoded, !bytes.Equal(encoded, d.directory.publishedRelays)
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -30,19 +30,19 @@
 				counts[name] = counter.Count()
 			}
 		})
-		d.log.Info("daemon: figures", zap.Any("counters", counts), zap.Int64("requests_open", d.gateway.Open()))
+		d.log.Info("daemon: figures", zap.Any("counters", counts), zap.Int64("requests_open", d.gateway.InFlight()))
 	}
 }
 
 // serveMetrics serves metrics if the settings give an address. A daemon that cannot serve them
 // still serves clients.
 func (d *Daemon) serveMetrics() {
-	if d.settings.Metrics == "" {
+	if d.settings.MetricsAddress == "" {
 		return
 	}
-	server, err := exposition.Listen(d.settings.Metrics, d.registry, d.updateGauges)
+	server, err := exposition.Listen(d.settings.MetricsAddress, d.registry, d.updateGauges)
 	if err != nil {
-		d.log.Warn("daemon: metrics are not served", logline.Err(err))
+		d.log.Warn("daemon: metrics are not served", logline.ErrorField(err))
 		return
 	}
 	d.metricsServer = server
@@ -55,25 +55,25 @@
 	}
 	view := d.view.Load()
 	set("config_version", configVersion(view.Config))
-	set("config_age_ms", d.Age().Milliseconds())
+	set("config_age_ms", d.MaxViewAge().Milliseconds())
 	set("servers_version", view.Fleet.Version)
 	set("store_era", d.storeClock.Era())
 	set("servers_known", int64(len(view.Fleet.Servers())))
 	set("suspended_ms", d.suspension.Suspended().Milliseconds())
-	set("requests_open", d.gateway.Open())
-	direct, relayed := d.StoreAnswers()
+	set("requests_open", d.gateway.InFlight())
+	direct, relayed := d.ReadCounts()
 	set("store_answers.direct", direct)
 	set("store_answers.relayed", relayed)
 	suspected, held := d.crashLedger.Counts()
 	set("quarantine_suspected", int64(suspected))
 	set("quarantine_held", int64(held))
 	set("servers_limited", int64(d.limitNotices.Len()))
-	opened, reused := d.gateway.Connections()
+	opened, reused := d.gateway.ConnectionCounts()
 	set("backend_connections.opened", opened)
 	set("backend_connections.reused", reused)
 }
 
 // observeDuration adds a duration to a histogram, in milliseconds.
 func (d *Daemon) observeDuration(name string, took time.Duration) {
-	exposition.Observe(d.registry, name, took)
+	exposition.ObserveDuration(d.registry, name, took)
 }
--- a/entry/outages.go
+++ b/entry/outages.go
@@ -20,18 +20,18 @@
 func (d *Daemon) recordStoreError(table string) func(error) {
 	return func(err error) {
 		metrics.GetOrRegisterCounter("store_failed."+table, d.registry).Inc(1)
-		mayLog, suppressed := d.errorLogLimiter.Pass(table)
+		mayLog, suppressed := d.errorLogLimiter.Allow(table)
 		if !mayLog {
 			return
 		}
-		d.log.Warn("store: call failed", zap.String("table", table), logline.Err(err), zap.Int("lines_left_out", suppressed))
+		d.log.Warn("store: call failed", zap.String("table", table), logline.ErrorField(err), zap.Int("lines_left_out", suppressed))
 	}
 }
 
 // recordStoreRecovery records that the store answers again.
 func (d *Daemon) recordStoreRecovery(table string) func(time.Duration) {
 	return func(downtime time.Duration) {
-		suppressed := d.errorLogLimiter.End(table)
+		suppressed := d.errorLogLimiter.Reset(table)
 		d.log.Info("store: answers again", zap.String("table", table), zap.Int64("away_ms", downtime.Milliseconds()), zap.Int("lines_left_out", suppressed))
 	}
 }
@@ -41,7 +41,7 @@
 func (d *Daemon) recordDroppedAnswer(table string) func(rowstore.Result, rowstore.Revision) {
 	return func(answer rowstore.Result, known rowstore.Revision) {
 		metrics.GetOrRegisterCounter("store_answers_dropped."+table, d.registry).Inc(1)
-		mayLog, suppressed := d.errorLogLimiter.Pass("dropped answers of " + table)
+		mayLog, suppressed := d.errorLogLimiter.Allow("dropped answers of " + table)
 		if !mayLog {
 			return
 		}
@@ -60,18 +60,18 @@
 // recordRejectedEra records an answer whose era is invalid or older than the known one.
 func (d *Daemon) recordRejectedEra(err error) {
 	metrics.GetOrRegisterCounter("store_eras_refused", d.registry).Inc(1)
-	mayLog, suppressed := d.errorLogLimiter.Pass("eras")
+	mayLog, suppressed := d.errorLogLimiter.Allow("eras")
 	if !mayLog {
 		return
 	}
-	d.log.Warn("store: answer not taken for its era", logline.Err(err), zap.Int("lines_left_out", suppressed))
+	d.log.Warn("store: answer not taken for its era", logline.ErrorField(err), zap.Int("lines_left_out", suppressed))
 }
 
 // recordOutageStart records that the configuration or the servers cannot be watched.
 func (d *Daemon) recordOutageStart(table string) func(error) {
 	return func(err error) {
 		d.readFailed.set()
-		if !d.storeOutage.Load().IsUnderWay() {
+		if !d.storeOutage.Load().IsOngoing() {
 			d.storeOutage.Store(&fleet.Outage{
 				Began: time.Now(),
 			})
@@ -97,7 +97,7 @@
 // at any rate, so the log lines are rate limited; the counter includes every row.
 func (d *Daemon) recordRejectedRow(table string, row rowstore.Row, err error) {
 	metrics.GetOrRegisterCounter("rows_not_taken."+table, d.registry).Inc(1)
-	mayLog, suppressed := d.errorLogLimiter.Pass("rows of " + table)
+	mayLog, suppressed := d.errorLogLimiter.Allow("rows of " + table)
 	if !mayLog {
 		return
 	}
@@ -106,6 +106,6 @@
 		zap.String("table", table),
 		zap.String("key", row.Key[:min(len(row.Key), maxKeyBytes)]),
 		zap.Int64("row_version", row.Version),
-		logline.Err(err),
+		logline.ErrorField(err),
 		zap.Int("lines_left_out", suppressed))
 }
--- a/entry/preference.go
+++ b/entry/preference.go
@@ -16,7 +16,7 @@
 
 // daemonPosition is this daemon's position among the others, computed once for each list.
 type daemonPosition struct {
-	subset subset.Daemon
+	subset subset.Position
 	// daemonsByZone counts the daemons of each zone. Requests are distributed by these counts
 	// until the demand is known.
 	daemonsByZone  map[string]float64
@@ -28,22 +28,22 @@
 // each server.
 type limitPositions struct {
 	mutex   sync.Mutex
-	byStart map[string]ratelimit.Place
+	byStart map[string]ratelimit.Position
 }
 
 // updatePosition computes this daemon's position in a list.
 func (d *Daemon) updatePosition(list neighbours.List) {
-	rank, count := list.InZone(d.settings.Name, d.settings.Zone)
+	rank, count := list.PositionInZone(d.settings.Name, d.settings.Zone)
 	next := &daemonPosition{
-		subset: subset.Daemon{
-			Rank: rank,
-			Of:   count,
+		subset: subset.Position{
+			Rank:  rank,
+			Total: count,
 		},
 		daemonsByZone: map[string]float64{},
 		list:          list,
 	}
 	for _, zone := range list.Zones() {
-		_, daemons := list.InZone("", zone)
+		_, daemons := list.PositionInZone("", zone)
 		next.daemonsByZone[zone] = float64(daemons)
 	}
 	d.position.Store(next)
@@ -52,34 +52,34 @@
 // Preference returns the inputs to server selection for a kind of request.
 func (d *Daemon) Preference(kind demand.Kind) balancer.Preference {
 	current := d.position.Load()
-	demandByZone := d.demandTotals.ByZone(kind)
+	demandByZone := d.demandTotals.WorkRateByZone(kind)
 	if len(demandByZone) == 0 {
 		demandByZone = current.daemonsByZone
 	}
 	return balancer.Preference{
-		Zone:   d.settings.Zone,
-		Daemon: current.subset,
-		Asked:  demandByZone,
+		Zone:     d.settings.Zone,
+		Position: current.subset,
+		Demand:   demandByZone,
 	}
 }
 
-// LimitPlace returns this daemon's position among those that may share the limit of a server.
-func (d *Daemon) LimitPlace(server fleet.Server) ratelimit.Place {
+// LimitPosition returns this daemon's position among those that may share the limit of a server.
+func (d *Daemon) LimitPosition(server fleet.Server) ratelimit.Position {
 	current := d.position.Load()
 	current.limitPositions.mutex.Lock()
 	defer current.limitPositions.mutex.Unlock()
-	start := server.Start()
+	start := server.StartID()
 	if place, ok := current.limitPositions.byStart[start]; ok {
 		return place
 	}
-	rank, nearCount := current.list.OrderFor(start, server.Zone, d.settings.Name)
-	place := ratelimit.Place{
-		Rank: rank,
-		Near: nearCount,
-		Of:   current.list.Len(),
+	rank, nearCount := current.list.PositionForKey(start, server.Zone, d.settings.Name)
+	place := ratelimit.Position{
+		Rank:     rank,
+		SameZone: nearCount,
+		Total:    current.list.Len(),
 	}
 	if current.limitPositions.byStart == nil {
-		current.limitPositions.byStart = map[string]ratelimit.Place{}
+		current.limitPositions.byStart = map[string]ratelimit.Position{}
 	}
 	current.limitPositions.byStart[start] = place
 	return place
@@ -87,5 +87,5 @@
 
 // logRejectedDemand logs that another daemon reported invalid demand.
 func (d *Daemon) logRejectedDemand(peer string, err error) {
-	d.log.Warn("daemons: what is asked of another was not taken", zap.String("peer", peer), logline.Err(err))
+	d.log.Warn("daemons: what is asked of another was not taken", zap.String("peer", peer), logline.ErrorField(err))
 }
--- a/entry/readiness.go
+++ b/entry/readiness.go
@@ -37,7 +37,7 @@
 		Handler:               r.handle,
 		ReadTimeout:           readinessTimeout,
 		NoDefaultServerHeader: true,
-		Logger:                logline.Quiet{},
+		Logger:                logline.Discard{},
 	}
 	go func() {
 		// Serve returns an error only after the listener was closed.
--- a/entry/records.go
+++ b/entry/records.go
@@ -25,7 +25,7 @@
 
 // maxCommitRows is how many rows one change may write or remove. The lease takes two more
 // entries of the transaction: its condition and its renewal.
-const maxCommitRows = platform.MaxEntries - 2
+const maxCommitRows = platform.MaxTransactionEntries - 2
 
 // commitPending starts to commit pending changes, one commit at a time and at most as many rows
 // as a transaction holds. Orders and probes continue in the meantime, since the store may be
@@ -34,7 +34,7 @@
 	if t.isCommitting || !t.pendingChanges.HasChanges() {
 		return
 	}
-	plan, rest := t.pendingChanges.Cut(maxCommitRows)
+	plan, rest := t.pendingChanges.Split(maxCommitRows)
 	t.pendingChanges = rest
 	t.isCommitting = true
 	go func() {
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.mustReadRecords = true
 		t.pendingChanges = assembly.Plan{}
-		t.daemon.log.Warn("groups: commit not confirmed, records are read again", logline.Err(err))
+		t.daemon.log.Warn("groups: commit not confirmed, records are read again", logline.ErrorField(err))
 		return
 	}
-	t.controller.Created(plan.Create, revision.Version)
-	t.controller.Removed(plan.Remove)
-	for _, record := range plan.Create {
+	t.controller.RecordsCreated(plan.NewRecords, revision.Version)
+	t.controller.RecordsRemoved(plan.RemovedGroups)
+	for _, record := range plan.NewRecords {
 		epoch := record.WithVersion(revision.Version).Epoch
 		t.daemon.log.Info("groups: created", zap.String("group", record.Name), zap.Int64("epoch", epoch), zap.String("model", record.Model), zap.Strings("members", record.Members))
 	}
@@ -90,7 +90,7 @@
 	if result.Era != t.lease.Era() {
 		return false
 	}
-	t.controller.Load(records)
+	t.controller.LoadRecords(records)
 	t.mustReadRecords = false
 	t.daemon.log.Info("groups: records read", zap.Int("groups", len(records)), zap.Int64("table_version", result.Version))
 	return true
@@ -98,22 +98,22 @@
 
 // readRecentModels reads which models servers loaded most recently.
 func (t *term) readRecentModels(ctx context.Context) bool {
-	result, err := t.daemon.store.Read(ctx, assembly.RecentTable)
+	result, err := t.daemon.store.Read(ctx, assembly.RecentModelsTable)
 	if err != nil {
-		t.daemon.recordStoreError(assembly.RecentTable)(err)
+		t.daemon.recordStoreError(assembly.RecentModelsTable)(err)
 		return false
 	}
 	models := map[string]string{}
 	for _, row := range result.Rows {
-		recent, decodeErr := assembly.DecodeRecent(row.Value)
+		recent, decodeErr := assembly.DecodeRecentModels(row.Value)
 		if decodeErr != nil {
-			t.daemon.recordRejectedRow(assembly.RecentTable, row, decodeErr)
+			t.daemon.recordRejectedRow(assembly.RecentModelsTable, row, decodeErr)
 			continue
 		}
 		maps.Copy(models, recent.Models)
 	}
 	t.daemon.updateView(func(view *gateway.View) {
-		view.Fleet = view.Fleet.WithRecent(models)
+		view.Fleet = view.Fleet.WithLastModels(models)
 	})
 	return true
 }
@@ -121,7 +121,7 @@
 // commit writes and removes records, and returns the revision of the commit.
 func (t *term) commit(ctx context.Context, plan assembly.Plan) (rowstore.Revision, error) {
 	var writes, removes []rowstore.Row
-	for _, record := range plan.Create {
+	for _, record := range plan.NewRecords {
 		value, err := record.Encode()
 		if err != nil {
 			return rowstore.Revision{}, err
@@ -132,24 +132,24 @@
 			Value: value,
 		})
 	}
-	for _, recent := range lastPerDomain(plan.Recent) {
+	for _, recent := range lastPerDomain(plan.RecentModels) {
 		value, err := recent.Encode()
 		if err != nil {
 			return rowstore.Revision{}, err
 		}
 		writes = append(writes, rowstore.Row{
-			Table: assembly.RecentTable,
+			Table: assembly.RecentModelsTable,
 			Key:   recent.Domain,
 			Value: value,
 		})
 	}
-	for _, name := range plan.Remove {
+	for _, name := range plan.RemovedGroups {
 		removes = append(removes, rowstore.Row{
 			Table: assembly.Table,
 			Key:   name,
 		})
 	}
-	reportKeys := slices.Concat(plan.Cleared, plan.Remove)
+	reportKeys := slices.Concat(plan.ClearedSuspicions, plan.RemovedGroups)
 	slices.Sort(reportKeys)
 	// A group may be both cleared and removed while the store is slow.
 	for _, name := range slices.Compact(reportKeys) {
@@ -162,8 +162,8 @@
 }
 
 // lastPerDomain returns the last entry of each domain.
-func lastPerDomain(models []assembly.Recent) []assembly.Recent {
-	var last []assembly.Recent
+func lastPerDomain(models []assembly.RecentModels) []assembly.RecentModels {
+	var last []assembly.RecentModels
 	seen := map[string]bool{}
 	for _, recent := range slices.Backward(models) {
 		if !seen[recent.Domain] {
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -61,13 +61,13 @@
 func (d *Daemon) register(ctx context.Context) bool {
 	encoded, err := d.selfEntry().Encode()
 	if err != nil {
-		d.log.Error("daemons: own entry not encoded", logline.Err(err))
+		d.log.Error("daemons: own entry not encoded", logline.ErrorField(err))
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	for _, registrar := range d.registrars() {
-		if registrar.Enlist(ctx, encoded) == nil {
+		if registrar.Register(ctx, encoded) == nil {
 			return true
 		}
 	}
@@ -86,7 +86,7 @@
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
 	var clients []*relay.Client
-	for _, daemon := range d.directory.list.For(d.settings.Name, d.settings.Zone) {
+	for _, daemon := range d.directory.list.RelaysFor(d.settings.Name, d.settings.Zone) {
 		clients = append(clients, d.directory.relayClients[daemon.Address])
 	}
 	return clients[:min(maxRegistrars, len(clients))]
--- a/entry/registration_test.go
+++ b/entry/registration_test.go
@@ -18,13 +18,13 @@
 	daemon := s.startDaemonWith("front-z", func(nodeSettings *settings.Settings) {
 		nodeSettings.IsFirstStart = false
 		// It ranks last in the list, so that it is no relay itself.
-		nodeSettings.Strength = 0.01
+		nodeSettings.RelativeCapacity = 0.01
 	})
 	s.daemons = append(s.daemons, daemon)
 	s.await(func() standin.Answer {
-		return s.client(len(s.daemons)-1, standin.KeyOne).Stream(context.Background(), standin.ModelLarge, 3)
+		return s.client(len(s.daemons)-1, standin.KeyCuenca).Stream(context.Background(), standin.ModelLarge, 3)
 	}, isSuccess)
-	direct, relayed := daemon.StoreAnswers()
+	direct, relayed := daemon.ReadCounts()
 	qt.Assert(t, direct, qt.Equals, int64(1))
 	qt.Assert(t, relayed > 0, qt.IsTrue)
 }
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeReports writes reports in transactions of at most platform.MaxEntries rows, and removes
+// writeReports writes reports in transactions of at most platform.MaxTransactionEntries rows, and removes
 // those that the store has committed from pending.
 func (d *Daemon) writeReports(ctx context.Context, pending map[string]report) {
 	for len(pending) > 0 {
@@ -95,11 +95,11 @@
 				Value: pendingReport.value,
 			}
 			if pendingReport.value == nil {
-				transaction.Removes = append(transaction.Removes, row)
+				transaction.Deletes = append(transaction.Deletes, row)
 			} else {
 				transaction.Writes = append(transaction.Writes, row)
 			}
-			if keys = append(keys, key); len(keys) == platform.MaxEntries {
+			if keys = append(keys, key); len(keys) == platform.MaxTransactionEntries {
 				break
 			}
 		}
@@ -124,6 +124,6 @@
 	}
 	d.log.Info("servers: reports written",
 		zap.Int("written", len(transaction.Writes)),
-		zap.Int("removed", len(transaction.Removes)))
+		zap.Int("removed", len(transaction.Deletes)))
 	return true
 }
--- a/entry/restore_test.go
+++ b/entry/restore_test.go
@@ -42,11 +42,11 @@
 }
 
 // restore makes the store unavailable for a moment and restores it from a copy.
-func (s *site) restore(snapshot standin.Snapshot, options standin.Restoring) {
-	s.standin.Store.SetFault(standin.Refusing)
+func (s *site) restore(snapshot standin.Snapshot, options standin.RestoreOptions) {
+	s.standin.Store.SetFault(standin.Unavailable)
 	time.Sleep(restoreOutage)
 	s.standin.Store.Restore(snapshot, options)
-	s.standin.Store.SetFault(standin.Well)
+	s.standin.Store.SetFault(standin.NoFault)
 }
 
 // replaceKey replaces the key of an organisation, and waits until all daemons accept the new
@@ -81,7 +81,7 @@
 	snapshot := s.standin.Store.Snapshot()
 	s.writeRows()
 	s.replaceKey("former-key")
-	s.restore(snapshot, standin.Restoring{})
+	s.restore(snapshot, standin.RestoreOptions{})
 	s.replaceKey("new-key")
 }
 
@@ -91,17 +91,17 @@
 	s := newSite(t, 1)
 	snapshot := s.standin.Store.Snapshot()
 	s.writeRows()
-	client := s.client(0, standin.KeyOne)
+	client := s.client(0, standin.KeyCuenca)
 	draining := s.standin.Servers(standin.ServicePlain)[0]
-	qt.Assert(t, s.standin.StartLike(draining), qt.IsNil)
+	qt.Assert(t, s.standin.StartReplacement(draining), qt.IsNil)
 	added := s.standin.Servers(standin.ServicePlain)[3]
 	s.await(func() standin.Answer {
 		return get(client)
 	}, func(answer standin.Answer) bool {
 		return strings.Contains(answer.Seal, added.ID())
 	})
-	s.restore(snapshot, standin.Restoring{})
-	draining.DrainByEntry()
+	s.restore(snapshot, standin.RestoreOptions{})
+	draining.DrainInEntryOnly()
 	s.awaitTrue(func() bool {
 		server, _ := s.daemons[0].View().Fleet.Server(draining.ID())
 		return server.Draining
@@ -117,15 +117,15 @@
 	s := newSite(t, 2)
 	snapshot := s.standin.Store.Snapshot()
 	s.replaceKey("new-key")
-	s.restore(snapshot, standin.Restoring{
-		RewriteWithin: time.Hour,
+	s.restore(snapshot, standin.RestoreOptions{
+		MaxRewriteDelay: time.Hour,
 	})
 	s.daemons = append(s.daemons, s.startDaemon("front-c"))
 	for i := range s.daemons {
 		s.await(func() standin.Answer {
 			return get(s.client(i, "new-key"))
 		}, isSuccess)
-		qt.Assert(t, get(s.client(i, standin.KeyOne)).Status, qt.Equals, http.StatusUnauthorized)
+		qt.Assert(t, get(s.client(i, standin.KeyCuenca)).Status, qt.Equals, http.StatusUnauthorized)
 	}
 }
 
@@ -144,18 +144,18 @@
 	s := newSiteWith(t, 1, withHeartbeat(time.Hour))
 	snapshot := s.standin.Store.Snapshot()
 	draining := s.standin.Servers(standin.ServicePlain)[0]
-	draining.DrainByEntry()
+	draining.DrainInEntryOnly()
 	s.awaitTrue(func() bool {
 		server, _ := s.daemons[0].View().Fleet.Server(draining.ID())
 		return server.Draining
 	})
-	s.restore(snapshot, standin.Restoring{
-		RewriteWithin: time.Hour,
+	s.restore(snapshot, standin.RestoreOptions{
+		MaxRewriteDelay: time.Hour,
 	})
 	s.awaitTrue(func() bool {
 		return len(s.lines(`"is_restored":true`)) > 0
 	})
-	s.assertUnused(draining, s.client(0, standin.KeyOne))
+	s.assertUnused(draining, s.client(0, standin.KeyCuenca))
 }
 
 // Guards against a leader that treats members of serving groups as free servers because a
@@ -165,8 +165,8 @@
 	const heartbeat, rewrite = 2 * time.Second, 5 * time.Second
 	s := newSiteWith(t, 3, withHeartbeat(heartbeat))
 	heads := len(s.standin.Heads(standin.ModelLarge))
-	s.restore(s.initialStore, standin.Restoring{
-		RewriteWithin: rewrite,
+	s.restore(s.initialStore, standin.RestoreOptions{
+		MaxRewriteDelay: rewrite,
 	})
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
@@ -180,8 +180,8 @@
 	t.Parallel()
 	s := newSite(t, 3)
 	heads := len(s.standin.Heads(standin.ModelLarge))
-	s.restore(s.initialStore, standin.Restoring{
-		RewriteWithin: 500 * time.Millisecond,
+	s.restore(s.initialStore, standin.RestoreOptions{
+		MaxRewriteDelay: 500 * time.Millisecond,
 	})
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
@@ -210,9 +210,9 @@
 	decided := len(s.lines(decision))
 	// The leader reads the restored entries at once, but learns only at its next renewal that
 	// its lease is lost.
-	s.standin.Store.SilenceTable(leader.Table)
-	s.standin.Store.Restore(s.initialStore, standin.Restoring{
-		RewriteWithin: 2 * leader.Term,
+	s.standin.Store.StopAnsweringTable(leader.Table)
+	s.standin.Store.Restore(s.initialStore, standin.RestoreOptions{
+		MaxRewriteDelay: 2 * leader.Term,
 	})
 	restored := time.Now()
 	s.awaitTrue(func() bool {
@@ -221,7 +221,7 @@
 		qt.Assert(t, s.lines(decision), qt.HasLen, decided)
 		return time.Since(restored) > leader.Term
 	})
-	s.standin.Store.SilenceTable("")
+	s.standin.Store.StopAnsweringTable("")
 	s.awaitTrue(func() bool {
 		return len(s.lines("group adopted")) > 0
 	})
@@ -233,14 +233,14 @@
 	t.Parallel()
 	s := newSite(t, 3)
 	limited := s.standin.Servers(standin.ServicePlain)[0]
-	limited.NameLimit(1)
+	limited.SetLimit(1)
 	s.awaitTrue(func() bool {
-		get(s.client(0, standin.KeyOne))
+		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() > 0
 	})
 	const noDaemons = `"daemons":0`
 	unknown := len(s.lines(noDaemons))
-	s.restore(s.initialStore, standin.Restoring{})
+	s.restore(s.initialStore, standin.RestoreOptions{})
 	s.awaitTrue(func() bool {
 		return s.limitRows() > 0
 	})
--- a/entry/restores.go
+++ b/entry/restores.go
@@ -51,7 +51,7 @@
 	row.Version = table.Version
 	rows := []rowstore.Row{row}
 	for _, readRow := range table.Rows {
-		if !platform.IsConfig(readRow.Key) {
+		if !platform.IsConfigKey(readRow.Key) {
 			rows = append(rows, readRow)
 		}
 	}
@@ -63,7 +63,7 @@
 // one in force.
 func (d *Daemon) hasCurrentConfig(rows []rowstore.Row) bool {
 	for _, row := range rows {
-		if !platform.IsConfig(row.Key) {
+		if !platform.IsConfigKey(row.Key) {
 			continue
 		}
 		decoded, err := platform.DecodeConfig(row.Value)
--- a/entry/stallchecks.go
+++ b/entry/stallchecks.go
@@ -27,8 +27,8 @@
 	writeTimeout = time.Second
 )
 
-// Stalled enqueues a check of a group at which requests stall. It does not block.
-func (d *Daemon) Stalled(server fleet.Server) {
+// ReportStall enqueues a check of a group at which requests stall. It does not block.
+func (d *Daemon) ReportStall(server fleet.Server) {
 	if server.Membership.State == fleet.NoGroup {
 		return
 	}
@@ -75,10 +75,10 @@
 	if !worstFault.isFault() {
 		return
 	}
-	// Daemons notice a stall at the same time. The jitter lets the first report reach the
+	// DaemonCount notice a stall at the same time. The jitter lets the first report reach the
 	// others before they write theirs.
 	time.Sleep(rand.N(reportJitter))
-	if d.reportedStalls.contains(head.Membership) || d.hasGroupEnded(head) || d.storeOutage.Load().IsUnderWay() {
+	if d.reportedStalls.contains(head.Membership) || d.hasGroupEnded(head) || d.storeOutage.Load().IsOngoing() {
 		// During an outage of the store nothing can be reported. A check after the outage
 		// reports the stall.
 		return
@@ -88,14 +88,14 @@
 
 // hasGroupEnded returns whether the group of a head ended while its members were probed.
 func (d *Daemon) hasGroupEnded(head fleet.Server) bool {
-	known, ok := d.view.Load().Fleet.Known(head.ID)
-	return !ok || !known.Membership.In(head.Membership.Group, head.Membership.Epoch)
+	known, ok := d.view.Load().Fleet.ServerOrRemoved(head.ID)
+	return !ok || !known.Membership.Matches(head.Membership.Group, head.Membership.Epoch)
 }
 
 // memberFault is a failed or slow probe of a group's member. The zero value means no fault.
 type memberFault struct {
 	serverID string
-	probe    assembly.Found
+	probe    assembly.ProbeResult
 }
 
 // isFault returns whether there is a fault.
@@ -105,7 +105,7 @@
 
 // isUnresponsive returns whether the member did not answer.
 func (f memberFault) isUnresponsive() bool {
-	return f.isFault() && f.probe.Sign != assembly.Alive
+	return f.isFault() && f.probe.Status != assembly.Answered
 }
 
 // worse returns the worse of two faults. An unresponsive member is worse than a slow one.
@@ -120,14 +120,14 @@
 // first probe fails, since a packet may be lost.
 func (d *Daemon) probeMember(server fleet.Server) memberFault {
 	const attempts = 2
-	var result assembly.Found
+	var result assembly.ProbeResult
 	for range attempts {
 		result = d.engines.Probe(server)
-		if result.Sign == assembly.Alive {
+		if result.Status == assembly.Answered {
 			break
 		}
 	}
-	if result.Sign == assembly.Alive && !result.IsSlow() {
+	if result.Status == assembly.Answered && !result.IsSlow() {
 		return memberFault{}
 	}
 	return memberFault{
@@ -147,7 +147,7 @@
 	}
 	encoded, err := json.Marshal(reported)
 	if err != nil {
-		d.log.Error("groups: stall not encoded", logline.Err(err))
+		d.log.Error("groups: stall not encoded", logline.ErrorField(err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -177,7 +177,7 @@
 		zap.Int64("epoch", head.Membership.Epoch),
 		zap.String("head", head.ID),
 		zap.String("member", fault.serverID),
-		zap.String("sign", fault.probe.Sign.String()),
-		zap.Float64("pace", fault.probe.Pace),
-		logline.Err(err))
+		zap.String("sign", fault.probe.Status.String()),
+		zap.Float64("pace", fault.probe.Slowdown),
+		logline.ErrorField(err))
 }
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -100,34 +100,34 @@
 	return ok && reported.Epoch == membership.Epoch && reported.UnresponsiveMember != ""
 }
 
-// IsTroubled returns whether any daemon has reported that requests stall or are slow at a
+// IsDegraded returns whether any daemon has reported that requests stall or are slow at a
 // server's group.
-func (d *Daemon) IsTroubled(server fleet.Server) bool {
+func (d *Daemon) IsDegraded(server fleet.Server) bool {
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.contains(server.Membership)
 }
 
-// IsStill returns whether any daemon has reported that requests stall at a server's group
+// HasUnresponsiveMember returns whether any daemon has reported that requests stall at a server's group
 // because a member does not answer.
-func (d *Daemon) IsStill(server fleet.Server) bool {
+func (d *Daemon) HasUnresponsiveMember(server fleet.Server) bool {
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.isUnresponsive(server.Membership)
 }
 
 // reportFollower watches the reports of all daemons about servers.
 func (d *Daemon) reportFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:      d.tableReader,
-		Table:      reportTable,
-		Wait:       reportWatchTimeout,
-		Whole:      d.applyReportSnapshot,
-		Restored:   d.applyRestoredReports,
-		Rewrite:    d.rewriteWindow,
-		Changed:    d.applyReports,
-		Hub:        &d.tableCache,
-		Failed:     d.recordReportError,
-		Recovered:  d.recordStoreRecovery(reportTable),
-		EraChanged: d.recordEraChange(reportTable),
-		Dropped:    d.recordDroppedAnswer(reportTable),
-		Clock:      &d.storeClock,
+		Store:              d.tableReader,
+		Table:              reportTable,
+		FeedTimeout:        reportWatchTimeout,
+		OnSnapshot:         d.applyReportSnapshot,
+		OnRestoredSnapshot: d.applyRestoredReports,
+		RewriteWait:        d.rewriteWindow,
+		OnChanges:          d.applyReports,
+		TableCache:         &d.tableCache,
+		OnFailure:          d.recordReportError,
+		OnRecovery:         d.recordStoreRecovery(reportTable),
+		OnEraChange:        d.recordEraChange(reportTable),
+		OnRejected:         d.recordDroppedAnswer(reportTable),
+		Clock:              &d.storeClock,
 	}
 }
 
--- a/entry/stalls_test.go
+++ b/entry/stalls_test.go
@@ -40,20 +40,20 @@
 	})
 	qt.Assert(t, err, qt.IsNil)
 	s.awaitTrue(func() bool {
-		return s.daemons[0].IsTroubled(stalled)
+		return s.daemons[0].IsDegraded(stalled)
 	})
 
-	s.standin.Store.SetFault(standin.Refusing)
+	s.standin.Store.SetFault(standin.Unavailable)
 	s.awaitTrue(func() bool {
 		return slices.ContainsFunc(s.lines("store: call failed"), func(line string) bool {
 			return strings.Contains(line, `"table":"told"`)
 		})
 	})
 	s.standin.Store.Remove(table, group)
-	s.standin.Store.Forget()
-	s.standin.Store.SetFault(standin.Well)
+	s.standin.Store.DropHistory()
+	s.standin.Store.SetFault(standin.NoFault)
 	s.awaitTrue(func() bool {
-		return !s.daemons[0].IsTroubled(stalled)
+		return !s.daemons[0].IsDegraded(stalled)
 	})
 }
 
@@ -62,7 +62,7 @@
 func TestDaemonBecomesReadyWhenReportsCannotBeRead(t *testing.T) {
 	s := newSite(t, 1)
 	s.daemons[0].Kill()
-	s.standin.Store.SilenceTable("told")
+	s.standin.Store.StopAnsweringTable("told")
 	s.daemons[0] = s.startDaemon("front-b")
 	s.awaitTrue(func() bool {
 		answer, err := http.Get("http://" + s.daemons[0].ReadinessAddress())
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -21,11 +21,11 @@
 // load balancer has noticed, and waits for requests in flight.
 func (d *Daemon) Stop() error {
 	startedAt := time.Now()
-	d.log.Info("daemon: stopping", zap.Int64("requests_open", d.gateway.Open()))
+	d.log.Info("daemon: stopping", zap.Int64("requests_open", d.gateway.InFlight()))
 	d.readiness.startDraining()
-	d.gateway.Leave()
-	time.Sleep(min(drainNoticeTime, d.settings.StopTime/2))
-	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(d.settings.StopTime-stopMargin))
+	d.gateway.DisableKeepAlive()
+	time.Sleep(min(drainNoticeTime, d.settings.StopTimeout/2))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(d.settings.StopTimeout-stopMargin))
 	defer cancel()
 	err := d.gateway.Close(ctx)
 	d.cancel()
@@ -33,7 +33,7 @@
 	d.readiness.close()
 	d.relayServer.Close()
 	d.closeMetrics()
-	d.log.Info("daemon: stopped", zap.Int64("took_ms", time.Since(startedAt).Milliseconds()), logline.Err(err))
+	d.log.Info("daemon: stopped", zap.Int64("took_ms", time.Since(startedAt).Milliseconds()), logline.ErrorField(err))
 	return err
 }
 
--- a/entry/view.go
+++ b/entry/view.go
@@ -14,23 +14,23 @@
 	return *d.view.Load()
 }
 
-// Age returns the maximum age of the view of the configuration.
-func (d *Daemon) Age() time.Duration {
-	age, _ := d.configFreshness.Age()
+// MaxViewAge returns the maximum age of the view of the configuration.
+func (d *Daemon) MaxViewAge() time.Duration {
+	age, _ := d.configFreshness.ViewAge()
 	return age
 }
 
 // MayAcceptKeys returns whether keys of the view may be accepted. It is also correct after the
 // daemon was suspended or cut off from the store.
 func (d *Daemon) MayAcceptKeys() bool {
-	age, isKnown := d.configFreshness.Age()
+	age, isKnown := d.configFreshness.ViewAge()
 	return isKnown && d.revocation().MayAccept(age)
 }
 
-// IsCurrent returns whether the view contains everything that has been in force for longer than
+// IsViewCurrent returns whether the view contains everything that has been in force for longer than
 // the bound, so that unknown keys and routes may be rejected.
-func (d *Daemon) IsCurrent() bool {
-	age, isKnown := d.configFreshness.Age()
+func (d *Daemon) IsViewCurrent() bool {
+	age, isKnown := d.configFreshness.ViewAge()
 	return isKnown && d.revocation().IsCurrent(age)
 }
 
@@ -38,7 +38,7 @@
 func (d *Daemon) revocation() revocation.Policy {
 	return revocation.Policy{
 		IsStrict: d.settings.IsRevocationStrict,
-		Within:   d.settings.RevokeWithin,
+		Bound:    d.settings.RevocationBound,
 	}
 }
 
@@ -47,9 +47,9 @@
 // off from the store keeps serving its existing connections while keys may be accepted, but
 // others serve new ones better. If all daemons are cut off, the load balancer uses all of them.
 func (d *Daemon) isReady() bool {
-	isReady := d.hasView() && d.hasReports() && d.IsCurrent()
+	isReady := d.hasView() && d.hasReports() && d.IsViewCurrent()
 	if d.wasReady.Swap(isReady) != isReady {
-		d.log.Info("daemon: readiness changed", zap.Bool("is_ready", isReady), zap.Int64("config_age_ms", d.Age().Milliseconds()), zap.Bool("accepts_keys", d.MayAcceptKeys()))
+		d.log.Info("daemon: readiness changed", zap.Bool("is_ready", isReady), zap.Int64("config_age_ms", d.MaxViewAge().Milliseconds()), zap.Bool("accepts_keys", d.MayAcceptKeys()))
 	}
 	return isReady
 }
@@ -70,19 +70,19 @@
 	return d.reportsLoaded.Load() || d.viewLoaded.since() > maxReportWait
 }
 
-// Known is closed when the daemon is ready for the first time.
-func (d *Daemon) Known() <-chan struct{} {
+// ViewReady is closed when the daemon is ready for the first time.
+func (d *Daemon) ViewReady() <-chan struct{} {
 	return d.initialised.done
 }
 
-// Unreadable is closed when the configuration, the servers, or a table needed before them could
+// ViewUnreadable is closed when the configuration, the servers, or a table needed before them could
 // not be read.
-func (d *Daemon) Unreadable() <-chan struct{} {
+func (d *Daemon) ViewUnreadable() <-chan struct{} {
 	return d.readFailed.done
 }
 
-// KnownFor returns the time since Known was closed, or 0 before.
-func (d *Daemon) KnownFor() time.Duration {
+// SinceViewReady returns the time since ViewReady was closed, or 0 before.
+func (d *Daemon) SinceViewReady() time.Duration {
 	return d.initialised.since()
 }
 
--- a/io/backend/backend.go
+++ b/io/backend/backend.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// DefaultConnect bounds connecting: links take milliseconds, and a server that does not
+	// DefaultConnectTimeout bounds connecting: links take milliseconds, and a server that does not
 	// answer within this time is down or unreachable.
-	DefaultConnect = 250 * time.Millisecond
+	DefaultConnectTimeout = 250 * time.Millisecond
 	// defaultKeepAlive is how long an idle connection is kept if the server names no keep-alive
 	// time. It is dropped keepAliveMargin before that time ends.
 	defaultKeepAlive = 4 * time.Second
@@ -43,7 +43,7 @@
 // Client pools connections to backend servers. The zero value is ready to use and safe for
 // concurrent use.
 type Client struct {
-	// ConnectTimeout bounds connecting; 0 means DefaultConnect.
+	// ConnectTimeout bounds connecting; 0 means DefaultConnectTimeout.
 	ConnectTimeout time.Duration
 
 	mutex sync.Mutex
@@ -61,8 +61,8 @@
 	reusableUntil time.Time
 }
 
-// Counts returns how many connections were opened and how often one was reused.
-func (c *Client) Counts() (opened, reused int64) {
+// ConnectionCounts returns how many connections were opened and how often one was reused.
+func (c *Client) ConnectionCounts() (opened, reused int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.opened, c.reused
@@ -90,7 +90,7 @@
 		if idle == nil {
 			break
 		}
-		if time.Now().Before(idle.reusableUntil) && tcp.Look(idle.Conn) == tcp.Quiet {
+		if time.Now().Before(idle.reusableUntil) && tcp.Probe(idle.Conn) == tcp.Idle {
 			c.mutex.Lock()
 			c.reused++
 			c.mutex.Unlock()
@@ -111,7 +111,7 @@
 // dial opens a connection.
 func (c *Client) dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout:   cmp.Or(c.ConnectTimeout, DefaultConnect),
+		Timeout:   cmp.Or(c.ConnectTimeout, DefaultConnectTimeout),
 		KeepAlive: -1,
 		Control:   setUnackedTimeout,
 	}
@@ -125,18 +125,18 @@
 	return netConn, nil
 }
 
-// HasEnded reports whether the server at an address is down: it refuses the connection or
+// IsDown reports whether the server at an address is down: it refuses the connection or
 // closes it at once, as a proxy in front of a stopped server does. A running server that only
 // broke off an answer keeps the connection open. The call takes up to closeProbeTime, or the
 // time to connect.
-func (c *Client) HasEnded(address string) bool {
+func (c *Client) IsDown(address string) bool {
 	netConn, err := c.dial(address)
 	if err != nil {
 		return true
 	}
 	defer func() { _ = netConn.Close() }()
 	time.Sleep(closeProbeTime)
-	return tcp.Look(netConn) == tcp.Closed
+	return tcp.Probe(netConn) == tcp.Closed
 }
 
 // connectError wraps the error of a failed connect.
@@ -144,10 +144,10 @@
 	var opErr *net.OpError
 	isRefused := errors.As(err, &opErr) && !opErr.Timeout()
 	return &http1.Error{
-		Peer:    address,
-		Sent:    false,
-		Refused: isRefused,
-		Cause:   err,
+		Peer:            address,
+		MayHaveBeenSent: false,
+		Refused:         isRefused,
+		Cause:           err,
 	}
 }
 
--- a/io/backend/backend_test.go
+++ b/io/backend/backend_test.go
@@ -133,7 +133,7 @@
 
 // openedConns returns how many connections a client has opened.
 func openedConns(client *backend.Client) int64 {
-	made, _ := client.Counts()
+	made, _ := client.ConnectionCounts()
 	return made
 }
 
@@ -146,7 +146,7 @@
 	qt.Check(t, s.roundTrip(client), qt.Equals, "in chunks")
 	qt.Check(t, s.roundTrip(client), qt.Equals, "")
 	qt.Check(t, s.roundTrip(client), qt.Equals, "whole")
-	made, reused := client.Counts()
+	made, reused := client.ConnectionCounts()
 	qt.Assert(t, made, qt.Equals, int64(1))
 	qt.Assert(t, reused, qt.Equals, int64(3))
 }
@@ -288,7 +288,7 @@
 	_, err = (&backend.Client{}).Connect("i-0001", address)
 	var failed *http1.Error
 	qt.Assert(t, errors.As(err, &failed), qt.IsTrue)
-	qt.Assert(t, failed.Sent, qt.IsFalse)
+	qt.Assert(t, failed.MayHaveBeenSent, qt.IsFalse)
 	qt.Assert(t, failed.Refused, qt.IsTrue)
 	qt.Assert(t, failed.Peer, qt.Equals, address)
 }
@@ -326,7 +326,7 @@
 	exchange.Abort()
 
 	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
-	made, reused := client.Counts()
+	made, reused := client.ConnectionCounts()
 	qt.Assert(t, made, qt.Equals, int64(2))
 	qt.Assert(t, reused, qt.Equals, int64(1))
 }
--- a/io/backend/exchange.go
+++ b/io/backend/exchange.go
@@ -48,9 +48,9 @@
 	}
 	e.Abort()
 	return &http1.Error{
-		Peer:  e.address,
-		Sent:  true,
-		Cause: err,
+		Peer:            e.address,
+		MayHaveBeenSent: true,
+		Cause:           err,
 	}
 }
 
@@ -154,9 +154,9 @@
 	return content, nil
 }
 
-// EndsWithConnection reports whether only the close of the connection ends the answer, since it
+// EndsAtClose reports whether only the close of the connection ends the answer, since it
 // has neither a length nor chunks.
-func (e *Exchange) EndsWithConnection() bool {
+func (e *Exchange) EndsAtClose() bool {
 	return e.endsAtClose
 }
 
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -30,16 +30,16 @@
 func startEngine(t *testing.T, eachToken time.Duration) *engine.Engine {
 	t.Helper()
 	started, err := engine.Start(engine.Settings{
-		VM:           "m-1",
-		Address:      "127.0.0.1:0",
-		ChecksOrders: true,
-		Slots:        100,
-		EachToken:    eachToken,
+		VM:            "m-1",
+		Address:       "127.0.0.1:0",
+		ChecksOrders:  true,
+		Slots:         100,
+		TokenInterval: eachToken,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(started.Kill)
 	body, err := json.Marshal(order.Order{
-		Verb:       order.Load,
+		Action:     order.Load,
 		Group:      "m-1",
 		Generation: 1,
 		Sequence:   1,
@@ -110,7 +110,7 @@
 				marker := strings.Repeat(fmt.Sprintf("%d-%d.", number, round), 1+number)
 				body, request := chatBody(marker, 5, round%2 == 0)
 				got := daemon.call(t, "POST", "/v1/chat/completions", body)
-				for _, token := range engine.Answer(request) {
+				for _, token := range engine.AnswerTokens(request) {
 					qt.Check(t, strings.Contains(string(got.body), token), qt.IsTrue)
 				}
 				echoed := daemon.call(t, "POST", "/plain/"+marker, marker)
@@ -246,7 +246,7 @@
 		body, request := chatBody(fmt.Sprint(number), 2, false)
 		got := daemon.call(t, "POST", "/v1/chat/completions", body)
 		qt.Assert(t, got.status, qt.Equals, fasthttp.StatusOK)
-		qt.Assert(t, string(got.body), qt.Contains, engine.Answer(request)[1])
+		qt.Assert(t, string(got.body), qt.Contains, engine.AnswerTokens(request)[1])
 	}
 }
 
@@ -356,13 +356,13 @@
 	waitUntil(func() bool {
 		return running.State().InFlight == 1
 	})
-	daemon.server.Unready()
+	daemon.server.SetUnready()
 	qt.Assert(t, daemon.call(t, "GET", "/health/ready", "").status, qt.Equals, 503)
 	short, _ := chatBody("y", 1, false)
 	qt.Assert(t, daemon.call(t, "POST", "/v1/chat/completions", short).status, qt.Equals, 200)
 	qt.Assert(t, daemon.close(time.Minute), qt.IsNil)
 	callers.Wait()
-	tokens := engine.Answer(request)
+	tokens := engine.AnswerTokens(request)
 	qt.Assert(t, string(stream.body), qt.Contains, tokens[len(tokens)-1])
 	qt.Assert(t, string(stream.body), qt.Contains, "[DONE]")
 }
@@ -373,7 +373,7 @@
 	running := startEngine(t, 0)
 	daemon := startTestServer(t, []string{running.Address()}, nil, nil)
 	stale := *daemon.Snapshot()
-	stale.Book = stale.Book.WithoutOlder(time.Now().Add(2 * time.Hour))
+	stale.Book = stale.Book.WithoutEvidenceBefore(time.Now().Add(2 * time.Hour))
 	daemon.snapshot.Store(&stale)
 	body, _ := chatBody("x", 2, true)
 	got := daemon.call(t, "POST", "/v1/chat/completions", body)
--- a/io/caller/job.go
+++ b/io/caller/job.go
@@ -60,7 +60,7 @@
 	// assignedAddress is the address of the backend server that the request is
 	// assigned to; cancelWork needs it.
 	assignedAddress atomic.Pointer[string]
-	claim           *idempotency.Held
+	claim           *idempotency.ActiveClaim
 	// releaseSlot releases the slot at the backend server, releaseQueuePlace the
 	// place in the queue.
 	releaseSlot       func()
@@ -74,7 +74,7 @@
 func (s *Server) authenticate(c fiber.Ctx) (declaration.Organisation, *outcome.Failure) {
 	key, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !ok || key == "" {
-		return declaration.Organisation{}, outcome.Refuse(outcome.ReasonUnauthorised, "authenticate")
+		return declaration.Organisation{}, outcome.NotRunFailure(outcome.ReasonUnauthorised, "authenticate")
 	}
 	sum := sha256.Sum256([]byte(key))
 	hash := hex.EncodeToString(sum[:])
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	return declaration.Organisation{}, outcome.Refuse(outcome.ReasonUnauthorised, "authenticate")
+	return declaration.Organisation{}, outcome.NotRunFailure(outcome.ReasonUnauthorised, "authenticate")
 }
 
 // newJob copies a request, authenticates it, and reads the headers that all kinds
@@ -148,7 +148,7 @@
 // badRequest returns the refusal of an invalid request. The text names the field and
 // what is wrong with it.
 func badRequest(text string) *outcome.Failure {
-	refusal := outcome.Refuse(outcome.ReasonBadRequest, text)
+	refusal := outcome.NotRunFailure(outcome.ReasonBadRequest, text)
 	return refusal
 }
 
@@ -172,7 +172,7 @@
 		return badRequest("body: messages: must hold at least one message")
 	}
 	if _, ok := s.source.Snapshot().Declaration().Model(parsed.Model); !ok {
-		return outcome.Refuse(outcome.ReasonUnknownModel, "read body")
+		return outcome.NotRunFailure(outcome.ReasonUnknownModel, "read body")
 	}
 	j.model = parsed.Model
 	j.request.Stream = parsed.Stream
@@ -180,7 +180,7 @@
 	for _, message := range parsed.Messages {
 		prompt = append(prompt, message...)
 	}
-	j.prefixHash = route.Prefix(j.organisation.Name, prompt)
+	j.prefixHash = route.PrefixHash(j.organisation.Name, prompt)
 	return nil
 }
 
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -180,7 +180,7 @@
 
 // recordEvent appends an event to the answer to be stored, if the job has a claimed key.
 func (r *relay) recordEvent(event []byte) {
-	if r.job.claim != nil && len(r.recorded) <= idempotency.MaxKept {
+	if r.job.claim != nil && len(r.recorded) <= idempotency.MaxStoredBody {
 		r.recorded = append(r.recorded, event...)
 	}
 }
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -45,7 +45,7 @@
 func (s *Server) readService(c fiber.Ctx, j *job) *outcome.Failure {
 	service, ok := s.source.Snapshot().Declaration().ServiceFor(j.request.Path)
 	if !ok {
-		return outcome.Refuse(outcome.ReasonUnknownRoute, "find service")
+		return outcome.NotRunFailure(outcome.ReasonUnknownRoute, "find service")
 	}
 	j.service = service.Name
 	isSafe := j.request.Method != fiber.MethodPost && j.request.Method != fiber.MethodPatch
@@ -74,7 +74,7 @@
 		j.finish()
 		return s.sendFailure(c, j.id, refusal)
 	}
-	s.budget.Earn()
+	s.budget.RecordRequest()
 	reply, failure := s.sendWithRetries(j)
 	return s.respond(c, j, reply, failure)
 }
@@ -116,7 +116,7 @@
 // the retry.
 func (s *Server) mayRetry(j *job, failure *outcome.Failure) bool {
 	switch failure.Reason {
-	case outcome.ReasonConnect, outcome.ReasonEngineRefused, outcome.ReasonEngineBusy, outcome.ReasonConnectionLost:
+	case outcome.ReasonBackendConnectFailed, outcome.ReasonEngineRefused, outcome.ReasonEngineBusy, outcome.ReasonConnectionLost:
 	default:
 		return false
 	}
@@ -126,7 +126,7 @@
 	if j.attempts >= maxAttempts || j.ctx.Err() != nil {
 		return false
 	}
-	if !s.budget.Spend() {
+	if !s.budget.TrySpend() {
 		s.count(counterRefusal + string(outcome.ReasonRetryBudget))
 		return false
 	}
@@ -158,7 +158,7 @@
 			Body:        stored.Body,
 		}, nil
 	}
-	j.request.Once = !j.repeatable
+	j.request.NewConnection = !j.repeatable
 	reply, failure := s.send(j)
 	if failure != nil {
 		s.releasePlaces(j)
@@ -171,10 +171,10 @@
 // request or could not be reached. The refusal is newer than the evidence that the
 // group is whole.
 func (s *Server) recordRefusal(j *job, failure *outcome.Failure) {
-	isRefused := failure.Reason == outcome.ReasonEngineRefused || failure.Reason == outcome.ReasonConnect
+	isRefused := failure.Reason == outcome.ReasonEngineRefused || failure.Reason == outcome.ReasonBackendConnectFailed
 	if isRefused && j.request.Group != "" {
 		evidence, _ := s.source.Snapshot().Book.Newest(j.request.Group)
-		s.refusedEvidence.Store(j.request.Group, evidence.At)
+		s.refusedEvidence.Store(j.request.Group, evidence.ObservedAt)
 	}
 }
 
@@ -229,9 +229,9 @@
 // endedBeforeSend returns the failure of a job that ended before it was sent.
 func (s *Server) endedBeforeSend(j *job) *outcome.Failure {
 	if j.isCallerGone.Load() {
-		return outcome.Refuse(outcome.ReasonCallerGone, "send request")
+		return outcome.NotRunFailure(outcome.ReasonCallerGone, "send request")
 	}
-	return outcome.Refuse(outcome.ReasonQueueDeadline, "send request")
+	return outcome.NotRunFailure(outcome.ReasonQueueDeadline, "send request")
 }
 
 // endedAfterSend returns the failure of a job that ended after it was sent.
@@ -273,7 +273,7 @@
 		Pool:         j.model + "/" + j.service,
 		Priority:     j.priority,
 		Daemons:      snapshot.Daemons,
-		Try: func() bool {
+		TryPlace: func() bool {
 			return s.pickBackend(j)
 		},
 	})
@@ -292,10 +292,10 @@
 func (s *Server) refuseUnservable(j *job) *outcome.Failure {
 	snapshot := s.source.Snapshot()
 	if j.model != "" && len(s.eligibleGroups(snapshot, j.model)) == 0 {
-		return outcome.Refuse(outcome.ReasonNoGroup, "choose group")
+		return outcome.NotRunFailure(outcome.ReasonNoGroup, "choose group")
 	}
-	if j.service != "" && len(snapshot.Servers(j.service, time.Now())) == 0 {
-		return outcome.Refuse(outcome.ReasonNoServer, "choose server")
+	if j.service != "" && len(snapshot.LiveServers(j.service, time.Now())) == 0 {
+		return outcome.NotRunFailure(outcome.ReasonNoServer, "choose server")
 	}
 	return nil
 }
@@ -303,11 +303,11 @@
 // eligibleGroups returns the groups of a model that may get a request, without those
 // whose newest evidence was disproved by a refusal.
 func (s *Server) eligibleGroups(snapshot *control.Snapshot, model string) []group.Record {
-	groups := snapshot.Serveable(model, time.Now())
+	groups := snapshot.ServingGroups(model, time.Now())
 	return slices.DeleteFunc(groups, func(record group.Record) bool {
 		evidence, _ := snapshot.Book.Newest(record.Name)
 		disproved, ok := s.refusedEvidence.Load(record.Name)
-		return ok && disproved == evidence.At
+		return ok && disproved == evidence.ObservedAt
 	})
 }
 
@@ -326,10 +326,10 @@
 	for i, record := range groups {
 		evidence, _ := snapshot.Book.Newest(record.Name)
 		candidates[i] = route.Candidate{
-			Group:      record.Name,
-			Reported:   evidence.InFlight,
-			Slots:      evidence.Slots,
-			ReportedAt: evidence.At,
+			Group:            record.Name,
+			ReportedInFlight: evidence.InFlight,
+			Slots:            evidence.Slots,
+			ReportedAt:       evidence.ObservedAt,
 		}
 	}
 	picked, ok := s.policy.Pick(j.prefixHash, candidates, s.tracker.Load)
@@ -340,7 +340,7 @@
 		if record.Name == picked.Group {
 			j.request.Group = record.Name
 			j.request.Generation = record.Generation
-			s.assign(j, record.Name, record.Leader())
+			s.assign(j, record.Name, record.LeaderAddress())
 		}
 	}
 	return true
@@ -359,7 +359,7 @@
 
 // pickServer assigns a job to the less loaded of two randomly chosen servers.
 func (s *Server) pickServer(j *job) bool {
-	servers := s.source.Snapshot().Servers(j.service, time.Now())
+	servers := s.source.Snapshot().LiveServers(j.service, time.Now())
 	if len(servers) == 0 {
 		return false
 	}
@@ -393,7 +393,7 @@
 	retention := s.source.Snapshot().Declaration().Limits.KeepKeys.Or(declaration.DefaultKeepKeys)
 	ctx, cancel := context.WithTimeout(j.ctx, claimTimeout)
 	defer cancel()
-	claim, stored, refusal := s.claims.Take(ctx, idempotency.Name{
+	claim, stored, refusal := s.claims.Claim(ctx, idempotency.ClaimName{
 		Organisation: j.organisation.Name,
 		Route:        j.request.Method + " " + j.request.Path,
 		Key:          j.idempotencyKey,
@@ -411,8 +411,8 @@
 // storeAnswer stores the answer of a job that has a claimed key. The caller does not
 // wait for the store, but a stopping daemon does.
 func (s *Server) storeAnswer(j *job, answer idempotency.Answer) {
-	s.settleClaim(j, func(ctx context.Context, claim *idempotency.Held) error {
-		return s.claims.Finish(ctx, claim, answer)
+	s.settleClaim(j, func(ctx context.Context, claim *idempotency.ActiveClaim) error {
+		return s.claims.Complete(ctx, claim, answer)
 	})
 }
 
@@ -420,14 +420,14 @@
 // unknown.
 func (s *Server) settleFailedClaim(j *job, failure *outcome.Failure) {
 	if failure.Outcome == outcome.NotRun {
-		s.settleClaim(j, s.claims.Free)
+		s.settleClaim(j, s.claims.Release)
 		return
 	}
-	s.settleClaim(j, s.claims.Lose)
+	s.settleClaim(j, s.claims.MarkUnknown)
 }
 
 // settleClaim updates the claim row of a job with write, in the background.
-func (s *Server) settleClaim(j *job, write func(ctx context.Context, claim *idempotency.Held) error) {
+func (s *Server) settleClaim(j *job, write func(ctx context.Context, claim *idempotency.ActiveClaim) error) {
 	claim := j.claim
 	if claim == nil {
 		return
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -36,8 +36,8 @@
 	Snapshot() *control.Snapshot
 	Engines() *engine.Client
 	Store() table.Store
-	OnChange(changed func())
-	IsAlive(daemon string) bool
+	OnSnapshot(changed func())
+	IsMember(daemon string) bool
 }
 
 // Server serves callers. Create it with Listen.
@@ -51,8 +51,8 @@
 	tracker     route.Tracker
 	policy      route.Policy
 	budget      retry.Budget
-	claims      idempotency.Keeper
-	disconnects tcp.Watcher
+	claims      idempotency.Claimer
+	disconnects tcp.CloseWatcher
 	// conns holds the open connections. refusedEvidence holds, by group, the time of the
 	// evidence that a refusal of the group has disproved.
 	conns           tcp.Conns
@@ -89,16 +89,16 @@
 		registry: registry,
 		listener: listener,
 		policy:   route.Affinity{},
-		claims: idempotency.Keeper{
+		claims: idempotency.Claimer{
 			Store:   source.Store(),
 			Commit:  batcher.Commit,
-			IsAlive: source.IsAlive,
+			IsAlive: source.IsMember,
 		},
 		stop: stop,
 	}
 	go batcher.Run(ctx)
 	go server.disconnects.Run(ctx)
-	source.OnChange(server.queue.Wake)
+	source.OnSnapshot(server.queue.DispatchAll)
 	server.app = fiber.New(fiber.Config{
 		AppName:                  "headcourse",
 		Immutable:                true,
@@ -110,7 +110,7 @@
 		DisableHeaderNormalizing: false,
 		ErrorHandler:             server.handleError,
 	})
-	server.app.Server().ConnState = server.conns.Note
+	server.app.Server().ConnState = server.conns.SetState
 	server.registerRoutes()
 	go server.serve()
 	return server, nil
@@ -142,9 +142,9 @@
 	return s.listener.Addr().String()
 }
 
-// Unready makes the readiness check fail, so that the load balancer sends no more
+// SetUnready makes the readiness check fail, so that the load balancer sends no more
 // requests.
-func (s *Server) Unready() {
+func (s *Server) SetUnready() {
 	s.isUnready.Store(true)
 }
 
@@ -189,9 +189,9 @@
 // handleReady serves the readiness check of the load balancer.
 func (s *Server) handleReady(c fiber.Ctx) error {
 	if s.isUnready.Load() {
-		return c.Status(fiber.StatusServiceUnavailable).SendString(string(outcome.ReasonLeaving) + "\n")
+		return c.Status(fiber.StatusServiceUnavailable).SendString(string(outcome.ReasonDaemonLeaving) + "\n")
 	}
-	if !s.source.Snapshot().Warm {
+	if !s.source.Snapshot().IsWarm {
 		return c.Status(fiber.StatusServiceUnavailable).SendString("warming_up\n")
 	}
 	if refusal := s.readiness(); refusal != nil {
@@ -205,11 +205,11 @@
 	snapshot := s.source.Snapshot()
 	switch {
 	case s.isLeaving.Load():
-		return outcome.Refuse(outcome.ReasonLeaving, "check readiness")
+		return outcome.NotRunFailure(outcome.ReasonDaemonLeaving, "check readiness")
 	case snapshot.Configuration.Revision == 0:
-		return outcome.Refuse(outcome.ReasonNotConfigured, "check readiness")
+		return outcome.NotRunFailure(outcome.ReasonDaemonNotConfigured, "check readiness")
 	case time.Now().After(snapshot.ServeUntil):
-		return outcome.Refuse(outcome.ReasonCutOff, "check readiness")
+		return outcome.NotRunFailure(outcome.ReasonDaemonCutOff, "check readiness")
 	default:
 		return nil
 	}
--- a/io/caller/testserver_test.go
+++ b/io/caller/testserver_test.go
@@ -44,15 +44,15 @@
 	listeners []func()
 }
 
-// ID, Snapshot, Engines, Store, OnChange and IsAlive implement caller.Source.
+// ID, Snapshot, Engines, Store, OnSnapshot and IsMember implement caller.Source.
 func (s *testServer) ID() string                  { return s.id }
 func (s *testServer) Snapshot() *control.Snapshot { return s.snapshot.Load() }
 func (s *testServer) Engines() *engine.Client     { return s.engines }
 func (s *testServer) Store() table.Store          { return s.store }
-func (s *testServer) IsAlive(daemon string) bool  { return daemon == s.id }
+func (s *testServer) IsMember(daemon string) bool { return daemon == s.id }
 
-// OnChange registers a listener.
-func (s *testServer) OnChange(changed func()) {
+// OnSnapshot registers a listener.
+func (s *testServer) OnSnapshot(changed func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, changed)
@@ -70,7 +70,7 @@
 		engines:  engine.New(2 * time.Second),
 		registry: metrics.NewRegistry(),
 		client:   &http1.Client{},
-		store: &table.Settling{
+		store: &table.ResolvingStore{
 			Store: store,
 		},
 	}
@@ -90,7 +90,7 @@
 	snapshot := control.Snapshot{
 		ServeUntil: inOneHour,
 		Daemons:    1,
-		Warm:       true,
+		IsWarm:     true,
 		Configuration: plan.Configuration{
 			Revision: 1,
 			Declaration: declaration.Declaration{
@@ -133,8 +133,8 @@
 		evidence = append(evidence, presence.Evidence{
 			Group:      name,
 			Generation: 1,
-			Whole:      true,
-			At:         inOneHour,
+			IsWhole:    true,
+			ObservedAt: inOneHour,
 			Slots:      100,
 		})
 	}
@@ -147,9 +147,9 @@
 			State:   vm.Live,
 		})
 		evidence = append(evidence, presence.Evidence{
-			Group: control.ServerEvidence(id),
-			Whole: true,
-			At:    inOneHour,
+			Group:      control.ServerEvidenceName(id),
+			IsWhole:    true,
+			ObservedAt: inOneHour,
 		})
 	}
 	snapshot.Book = snapshot.Book.WithEvidence(evidence...)
--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -45,15 +45,15 @@
 	return &Client{
 		streaming: http1.Client{
 			ConnectTimeout: connectTimeout,
-			IdleTimeout:    maxSilence,
+			IOTimeout:      maxSilence,
 		},
 		buffered: http1.Client{
 			ConnectTimeout: connectTimeout,
-			IdleTimeout:    bufferedTimeout,
+			IOTimeout:      bufferedTimeout,
 		},
 		control: http1.Client{
 			ConnectTimeout: probeTimeout,
-			IdleTimeout:    probeTimeout,
+			IOTimeout:      probeTimeout,
 		},
 	}
 }
@@ -63,8 +63,8 @@
 
 // Probe returns the state of a backend server. isRefused is set if its VM refused the
 // connection, so that nothing listens at the address.
-func (c *Client) Probe(address string) (state order.State, isRefused bool, err error) {
-	status, answer, err := c.control.JSON(address, "/state", nil)
+func (c *Client) Probe(address string) (state order.ServerState, isRefused bool, err error) {
+	status, answer, err := c.control.CallJSON(address, "/state", nil)
 	if err != nil {
 		var httpErr *http1.Error
 		isRefused = errors.As(err, &httpErr) && httpErr.Refused
@@ -84,12 +84,12 @@
 	if err != nil {
 		return errors.Wrap(err, "encode order")
 	}
-	status, answer, err := c.control.JSON(address, "/orders", body)
+	status, answer, err := c.control.CallJSON(address, "/orders", body)
 	if err != nil {
-		return errors.Wrapf(err, "order %s", sent.Verb)
+		return errors.Wrapf(err, "order %s", sent.Action)
 	}
 	if status != fasthttp.StatusOK {
-		return errors.Errorf("order %s at %s: status %d: %s", sent.Verb, address, status, answer)
+		return errors.Errorf("order %s at %s: status %d: %s", sent.Action, address, status, answer)
 	}
 	return nil
 }
@@ -114,8 +114,8 @@
 	IdempotencyKey string
 	// Headers are further header fields to forward.
 	Headers [][2]string
-	// Once makes the client send the request over a new connection.
-	Once bool
+	// NewConnection makes the client send the request over a new connection.
+	NewConnection bool
 	// Stream makes Send return after the head of the answer.
 	Stream bool
 }
@@ -157,7 +157,7 @@
 	if call.Stream {
 		client = &c.streaming
 	}
-	if err := client.Do(call.Address, request, response, call.Once, call.Stream); err != nil {
+	if err := client.Do(call.Address, request, response, call.NewConnection, call.Stream); err != nil {
 		fasthttp.ReleaseRequest(request)
 		fasthttp.ReleaseResponse(response)
 		return Reply{}, exchangeFailure(call, err)
@@ -179,9 +179,9 @@
 	stream.Close()
 	if err != nil {
 		return Reply{}, exchangeFailure(call, &http1.Error{
-			Peer:  call.Address,
-			Sent:  true,
-			Cause: err,
+			Peer:            call.Address,
+			MayHaveBeenSent: true,
+			Cause:           err,
 		})
 	}
 	reply.Body = body
@@ -228,9 +228,9 @@
 		Cause:   err,
 	}
 	var httpErr *http1.Error
-	if errors.As(err, &httpErr) && !httpErr.Sent {
+	if errors.As(err, &httpErr) && !httpErr.MayHaveBeenSent {
 		failure.Outcome = outcome.NotRun
-		failure.Reason = outcome.ReasonConnect
+		failure.Reason = outcome.ReasonBackendConnectFailed
 	}
 	return failure
 }
--- a/io/exposition/exposition.go
+++ b/io/exposition/exposition.go
@@ -142,7 +142,7 @@
 			},
 			ReadTimeout:           requestReadTimeout,
 			NoDefaultServerHeader: true,
-			Logger:                logline.Quiet{},
+			Logger:                logline.Discard{},
 		},
 	}
 	go func() {
--- a/io/exposition/observe.go
+++ b/io/exposition/observe.go
@@ -13,8 +13,8 @@
 	decayAlpha    = 0.015
 )
 
-// Observe records a duration, in milliseconds, in the registry's histogram of a name.
-func Observe(registry metrics.Registry, name string, duration time.Duration) {
+// ObserveDuration records a duration, in milliseconds, in the registry's histogram of a name.
+func ObserveDuration(registry metrics.Registry, name string, duration time.Duration) {
 	histogram, ok := registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 	}).(metrics.Histogram)
--- a/io/gateway/attempt.go
+++ b/io/gateway/attempt.go
@@ -38,7 +38,7 @@
 // mayHaveArrived reports whether any part of the request may have reached the server.
 func (t attemptResult) mayHaveArrived() bool {
 	switch t.reason {
-	case request.ReasonConnect, request.ReasonPaused, request.ReasonLimited, request.ReasonEvacuated:
+	case request.ReasonConnectFailed, request.ReasonServersPaused, request.ReasonServersLimited, request.ReasonZoneEvacuated:
 		return t.mayHaveRun
 	default:
 		return true
@@ -50,13 +50,13 @@
 func (j *job) attempt(lastEventID int64) attemptResult {
 	if !j.passesQuarantine() {
 		return attemptResult{
-			reason: request.ReasonCrashes,
+			reason: request.ReasonCrashesServers,
 		}
 	}
 	// The agreement on a trial waits for the store, so the view may have become too old.
 	if j.config.NeedsKey(j.route) && !j.server.source.MayAcceptKeys() {
 		return attemptResult{
-			reason: request.ReasonStale,
+			reason: request.ReasonConfigurationStale,
 		}
 	}
 	timeLeft := j.timeLeft()
@@ -77,11 +77,11 @@
 	j.lastSentAt = time.Now()
 	j.excluded[server.ID] = true
 	head := j.server.dialect.WriteHead(j.request, request.Attempt{
-		Server:       server.ID,
+		ServerID:     server.ID,
 		Organisation: j.organisation,
-		Left:         timeLeft,
+		Remaining:    timeLeft,
 		Priority:     j.serverPriority(),
-		LastEvent:    lastEventID,
+		LastEventID:  lastEventID,
 	})
 	result := j.exchangeWith(selected, head)
 	result.server = server
@@ -109,21 +109,21 @@
 	switch {
 	case errors.Is(err, errPaused):
 		return attemptResult{
-			reason: request.ReasonPaused,
+			reason: request.ReasonServersPaused,
 		}
 	case errors.Is(err, errLimited):
 		return attemptResult{
-			reason: request.ReasonLimited,
+			reason: request.ReasonServersLimited,
 		}
 	case errors.Is(err, errEvacuated):
 		return attemptResult{
-			reason: request.ReasonEvacuated,
+			reason: request.ReasonZoneEvacuated,
 		}
 	case err != nil:
 		var failed *http1.Error
-		sent := errors.As(err, &failed) && failed.Sent
+		sent := errors.As(err, &failed) && failed.MayHaveBeenSent
 		return attemptResult{
-			reason:     request.ReasonConnect,
+			reason:     request.ReasonConnectFailed,
 			mayHaveRun: sent,
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	isReusable := !answer.Close && !hadStaleAnswer
 	switch {
-	case answer.NotRun:
+	case answer.IsNotExecuted:
 		return j.handleRefusal(exchange, answer, isReusable)
 	case !isAuthentic(answer, j.request):
 		exchange.Abort()
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if j.server.directives.Forbids(server.Start()) {
+	if j.server.directives.IsExcluded(server.StartID()) {
 		exchange.Release()
 		return nil, errPaused
 	}
@@ -195,7 +195,7 @@
 		exchange.Abort()
 		return j.brokenResult(watch, err)
 	}
-	exchange.Finish(isReusable, answer.KeepFor)
+	exchange.Finish(isReusable, answer.KeepAlive)
 	j.clearSuspicion(answer, exchange)
 	result := attemptResult{
 		answer: answer,
@@ -236,9 +236,9 @@
 	if _, err := exchange.ReadAll(maxAnswerBytes); err != nil {
 		exchange.Abort()
 	} else {
-		exchange.Finish(isReusable, answer.KeepFor)
+		exchange.Finish(isReusable, answer.KeepAlive)
 	}
-	reason := request.ReasonRefused
+	reason := request.ReasonServerRefused
 	if answer.Status == fasthttp.StatusMisdirectedRequest {
 		reason = request.ReasonOtherServer
 	}
@@ -251,7 +251,7 @@
 // request. Answers other than 2xx are not checked.
 func isAuthentic(answer request.Answer, r *request.Request) bool {
 	if answer.Status >= fasthttp.StatusOK && answer.Status < fasthttp.StatusMultipleChoices {
-		return answer.Signed && answer.ID == r.ID && !answer.Encoded
+		return answer.IsSigned && answer.ID == r.ID && !answer.IsEncoded
 	}
 	return true
 }
@@ -271,12 +271,12 @@
 
 // brokenResult returns the result of an attempt that broke off or timed out.
 func (j *job) brokenResult(watch *watchdog, err error) attemptResult {
-	reason := request.ReasonBroken
+	reason := request.ReasonConnectionBroken
 	switch {
 	case j.isClientGone.Load():
 		reason = request.ReasonClientGone
 	case j.isQuarantined.Load():
-		reason = request.ReasonCrashes
+		reason = request.ReasonCrashesServers
 	case watch.hasAborted():
 		reason = request.ReasonStalled
 	case j.timeLeft() < minTimeLeft:
@@ -285,7 +285,7 @@
 	return attemptResult{
 		reason:       reason,
 		mayHaveRun:   true,
-		closedByPeer: reason == request.ReasonBroken && isClosedByPeer(err),
+		closedByPeer: reason == request.ReasonConnectionBroken && isClosedByPeer(err),
 	}
 }
 
@@ -294,19 +294,19 @@
 	tracker := &j.server.tracker
 	switch result.reason {
 	case request.ReasonNone:
-		tracker.Heard(server.ID)
+		tracker.RecordActivity(server.ID)
 		if result.stream == nil {
 			took := time.Since(j.lastSentAt)
-			tracker.Succeeded(server.ID, took.Seconds())
-			tracker.Silence(j.requestClass(), balancer.First, took)
+			tracker.RecordSuccess(server.ID, took.Seconds())
+			tracker.RecordSilence(j.requestClass(), balancer.PhaseFirstEvent, took)
 		}
-	case request.ReasonConnect, request.ReasonOtherServer, request.ReasonRefused:
-		tracker.Failed(server.ID, false)
+	case request.ReasonConnectFailed, request.ReasonOtherServer, request.ReasonServerRefused:
+		tracker.RecordFailure(server.ID, false)
 	case request.ReasonStalled:
-		tracker.Rest(server.ID)
-	case request.ReasonServerError, request.ReasonBroken, request.ReasonBadAnswer:
-		tracker.Heard(server.ID)
-		tracker.Failed(server.ID, true)
+		tracker.Eject(server.ID)
+	case request.ReasonServerError, request.ReasonConnectionBroken, request.ReasonBadAnswer:
+		tracker.RecordActivity(server.ID)
+		tracker.RecordFailure(server.ID, true)
 	}
 	if result.closedByPeer {
 		j.checkForCrash(server)
--- a/io/gateway/budget_test.go
+++ b/io/gateway/budget_test.go
@@ -20,7 +20,7 @@
 func emptyRetryBudgets() *retry.Budgets {
 	const share, burst = 0.01, 0.1
 	budgets := &retry.Budgets{}
-	budgets.SetFigures(share, burst, time.Minute)
+	budgets.SetLimits(share, burst, time.Minute)
 	return budgets
 }
 
--- a/io/gateway/directives.go
+++ b/io/gateway/directives.go
@@ -27,20 +27,20 @@
 // recordDirective records the directive in a server's answer: a pause, or the notice that the
 // server leaves.
 func (s *Server) recordDirective(server fleet.Server, received directive.Directive) {
-	if !received.IsAny() {
+	if !received.IsSet() {
 		return
 	}
-	change := s.directives.Note(server.Start(), received)
+	change := s.directives.Record(server.StartID(), received)
 	if received.Pause > 0 {
 		metrics.GetOrRegisterCounter(countPauseRequests, s.registry).Inc(1)
 	}
-	if change.IsLeaving {
+	if change.IsDraining {
 		metrics.GetOrRegisterCounter(countLeaveNotices, s.registry).Inc(1)
 	}
-	if !change.IsAny() {
+	if !change.IsSet() {
 		return
 	}
-	mayWrite, suppressed := s.directiveThrottle.Pass(server.Service)
+	mayWrite, suppressed := s.directiveThrottle.Allow(server.Service)
 	if !mayWrite {
 		return
 	}
@@ -48,7 +48,7 @@
 		zap.String("server", server.ID),
 		zap.String("group", server.Membership.Group),
 		zap.Int64("pause_ms", change.Pause.Milliseconds()),
-		zap.Bool("is_leaving", change.IsLeaving),
+		zap.Bool("is_leaving", change.IsDraining),
 		zap.Int("lines_left_out", suppressed))
 }
 
@@ -60,7 +60,7 @@
 	}
 	starts := map[string]bool{}
 	for _, server := range s.source.View().Fleet.Servers() {
-		starts[server.Start()] = true
+		starts[server.StartID()] = true
 	}
 	isKnown := func(start string) bool { return starts[start] }
 	s.directives.Sweep(isKnown)
@@ -87,13 +87,13 @@
 
 // isEvacuated reports whether the server is in an evacuated zone and must receive no requests.
 func (s *Server) isEvacuated(view View, server fleet.Server) bool {
-	return !view.Evacuated.IsEmpty() && view.Evacuated.IsLeft(server.Zone, s.clock.Now())
+	return !view.Evacuated.IsEmpty() && view.Evacuated.HasLeft(server.Zone, s.clock.Now())
 }
 
 // isPausedOrLimited reports whether the server is paused, leaving, or at this daemon's share of
 // its rate limit.
 func (s *Server) isPausedOrLimited(server fleet.Server) bool {
-	return s.directives.Forbids(server.Start()) || !s.isWithinLimit(server)
+	return s.directives.IsExcluded(server.StartID()) || !s.isWithinLimit(server)
 }
 
 // unavailability is why all servers of a service and model, or one of them, receive no
@@ -117,7 +117,7 @@
 	view := s.source.View()
 	for _, server := range view.Fleet.Serving(service, model) {
 		current := s.unavailabilityOf(view, server)
-		if isLeaving := current.reason == request.ReasonPaused && current.remaining == 0; isLeaving {
+		if isLeaving := current.reason == request.ReasonServersPaused && current.remaining == 0; isLeaving {
 			continue
 		}
 		if first.reason == request.ReasonNone || first.remaining == 0 || (current.remaining > 0 && current.remaining < first.remaining) {
@@ -132,17 +132,17 @@
 	switch {
 	case s.isEvacuated(view, server):
 		return unavailability{
-			reason: request.ReasonEvacuated,
+			reason: request.ReasonZoneEvacuated,
 		}
-	case s.directives.Forbids(server.Start()):
+	case s.directives.IsExcluded(server.StartID()):
 		return unavailability{
-			reason:    request.ReasonPaused,
-			remaining: s.directives.PauseLeft(server.Start()),
+			reason:    request.ReasonServersPaused,
+			remaining: s.directives.RemainingPause(server.StartID()),
 		}
 	default:
-		remaining, _ := s.limits.Wait(server.Start(), s.source.LimitPlace(server))
+		remaining, _ := s.limits.Delay(server.StartID(), s.source.LimitPosition(server))
 		return unavailability{
-			reason:    request.ReasonLimited,
+			reason:    request.ReasonServersLimited,
 			remaining: remaining,
 		}
 	}
--- a/io/gateway/directives_test.go
+++ b/io/gateway/directives_test.go
@@ -56,7 +56,7 @@
 }
 
 // Servers that refused requests, and asked for a pause of three seconds in each answer,
-// received up to six requests from one daemon within the pause. Daemons ignored the requested
+// received up to six requests from one daemon within the pause. DaemonCount ignored the requested
 // pause: they ejected a refusing server for 0.4 s or more of their own choice, a success of an
 // earlier request ended the ejection at once, and an ejected server was tried again if no other
 // was left. Log lines of these attempts showed all three causes.
@@ -293,9 +293,9 @@
 			nextView := view
 			before := view.Fleet.Servers()[0]
 			restarted := before
-			restarted.Born++
-			nextView.Fleet = view.Fleet.WithAll(2, []fleet.Server{restarted}, time.Now())
-			server.Restarted(before, restarted)
+			restarted.StartedAtMs++
+			nextView.Fleet = view.Fleet.WithSnapshot(2, []fleet.Server{restarted}, time.Now())
+			server.RecordRestart(before, restarted)
 			source.current.Store(&nextView)
 			qt.Assert(t, sendRequests(t, address, 1), qt.DeepEquals, []int{example.want})
 		})
--- a/io/gateway/evacuation_test.go
+++ b/io/gateway/evacuation_test.go
@@ -26,7 +26,7 @@
 		server.Zone = server.ID[len("i-"):]
 		servers = append(servers, server)
 	}
-	view.Fleet = fleet.View{}.WithAll(1, servers, time.Time{})
+	view.Fleet = fleet.View{}.WithSnapshot(1, servers, time.Time{})
 	return view
 }
 
@@ -101,7 +101,7 @@
 	cold, received := startCountingBackends(t, 1)
 	healthy, _ := startCountingBackends(t, 1)
 	opts := newOptions(newSource(serversView(config.Safe, cold[0], healthy[0])))
-	opts.Limits.LimitCold("i-0", ratelimit.Cold(2, 1.5, 5), time.Hour)
+	opts.Limits.SetColdLimit("i-0", ratelimit.NewColdLimit(2, 1.5, 5), time.Hour)
 	server := startGateway(t, opts)
 	for _, status := range sendRequests(t, server.Address(), 40) {
 		qt.Assert(t, status, qt.Equals, http.StatusOK)
--- a/io/gateway/gateway.go
+++ b/io/gateway/gateway.go
@@ -41,13 +41,13 @@
 	"headcourse/io/tcp"
 )
 
-// Dialect converts between HTTP messages and requests and answers. Name writes the request ID
+// Codec converts between HTTP messages and requests and answers. SetRequestID writes the request ID
 // into an answer that the gateway itself generates.
-type Dialect interface {
+type Codec interface {
 	ReadRequest(ctx *fasthttp.RequestCtx) (*request.Request, error)
 	WriteHead(r *request.Request, attempt request.Attempt) []byte
 	ReadAnswer(head *fasthttp.ResponseHeader) request.Answer
-	Name(ctx *fasthttp.RequestCtx, id string)
+	SetRequestID(ctx *fasthttp.RequestCtx, id string)
 }
 
 // View is a snapshot of the configuration and the fleet, used to serve a request.
@@ -62,49 +62,49 @@
 // Source provides the view and receives observations about servers and requests.
 type Source interface {
 	View() View
-	// Known is closed when the configuration and the servers have been read for the first time.
-	Known() <-chan struct{}
-	// Unreadable is closed when that first read has failed.
-	Unreadable() <-chan struct{}
-	// KnownFor is the time since the first read; 0 before it.
-	KnownFor() time.Duration
-	// Age is the maximum age of the configuration and keys in the view. MayAcceptKeys reports
-	// whether the view is recent enough to accept keys. IsCurrent reports whether it is recent
+	// ViewReady is closed when the configuration and the servers have been read for the first time.
+	ViewReady() <-chan struct{}
+	// ViewUnreadable is closed when that first read has failed.
+	ViewUnreadable() <-chan struct{}
+	// SinceViewReady is the time since the first read; 0 before it.
+	SinceViewReady() time.Duration
+	// MaxViewAge is the maximum age of the configuration and keys in the view. MayAcceptKeys reports
+	// whether the view is recent enough to accept keys. IsViewCurrent reports whether it is recent
 	// enough to reject keys and routes that it does not contain.
-	Age() time.Duration
+	MaxViewAge() time.Duration
 	MayAcceptKeys() bool
-	IsCurrent() bool
-	// Daemons is the number of daemons.
-	Daemons() int
+	IsViewCurrent() bool
+	// DaemonCount is the number of daemons.
+	DaemonCount() int
 	// Preference returns the balancing preference for requests of a kind.
 	Preference(kind demand.Kind) balancer.Preference
-	// IsTroubled reports whether other daemons observed that a server has stalled or is slow.
-	IsTroubled(server fleet.Server) bool
-	// IsStill reports whether other daemons observed that a member of the server's group does
+	// IsDegraded reports whether other daemons observed that a server has stalled or is slow.
+	IsDegraded(server fleet.Server) bool
+	// HasUnresponsiveMember reports whether other daemons observed that a member of the server's group does
 	// not answer.
-	IsStill(server fleet.Server) bool
-	// LimitPlace returns this daemon's place among the daemons that may share a server's rate
+	HasUnresponsiveMember(server fleet.Server) bool
+	// LimitPosition returns this daemon's place among the daemons that may share a server's rate
 	// limit.
-	LimitPlace(server fleet.Server) ratelimit.Place
-	// LimitObserved receives the limit in a server's answer, if the answer names one or shows
+	LimitPosition(server fleet.Server) ratelimit.Position
+	// ObserveLimit receives the limit in a server's answer, if the answer names one or shows
 	// that an earlier one has ended.
-	LimitObserved(server fleet.Server, limit ratelimit.Limit)
-	// ServerCold receives a server whose answer says that it is cold.
-	ServerCold(server fleet.Server)
-	// Stalled receives a server that makes no progress on requests in flight.
-	Stalled(server fleet.Server)
-	// Ended receives the crash of a server with a request in flight, which is reported to all
-	// daemons. Cleared receives a suspect request that was answered successfully.
-	Ended(crash quarantine.End)
-	Cleared(cleared quarantine.Cleared)
-	// MayTry reports whether the other daemons agree to a trial. It blocks on the store.
-	MayTry(trial quarantine.Trial) bool
+	ObserveLimit(server fleet.Server, limit ratelimit.Limit)
+	// ObserveColdServer receives a server whose answer says that it is cold.
+	ObserveColdServer(server fleet.Server)
+	// ReportStall receives a server that makes no progress on requests in flight.
+	ReportStall(server fleet.Server)
+	// ReportCrash receives the crash of a server with a request in flight, which is reported to all
+	// daemons. RemoveCrashReports receives a suspect request that was answered successfully.
+	ReportCrash(crash quarantine.Crash)
+	RemoveCrashReports(cleared quarantine.StoredRows)
+	// ClaimTrial reports whether the other daemons agree to a trial. It blocks on the store.
+	ClaimTrial(trial quarantine.Trial) bool
 }
 
 // Server serves client requests. Create it with Listen.
 type Server struct {
 	source      Source
-	dialect     Dialect
+	dialect     Codec
 	meter       *demand.Meter
 	maxViewWait time.Duration
 	clock       boottime.Clock
@@ -112,19 +112,19 @@
 	registry    metrics.Registry
 	backends    *backend.Client
 	tracker     balancer.Tracker
-	patience    urgency.Patience
-	overload    urgency.Overload
-	lateStreams urgency.Lane
-	sizes       usage.Sizes
+	patience    urgency.WaitEstimator
+	overload    urgency.YieldController
+	lateStreams urgency.LateLimiter
+	sizes       usage.SizeEstimator
 	budgets     *retry.Budgets
 	// directives holds the directives that servers sent: pauses, and notices that they leave.
-	directives directive.Book
+	directives directive.Registry
 	// directiveThrottle limits the log lines about directives.
-	directiveThrottle logline.Rarely
+	directiveThrottle logline.Throttle
 	// limits holds the rate limits that servers name, each shared by all daemons; limitThrottle
 	// limits the log lines about them.
-	limits        *ratelimit.Book
-	limitThrottle logline.Rarely
+	limits        *ratelimit.Limiter
+	limitThrottle logline.Throttle
 	// ledger holds the crashes recorded per request content and decides which requests are
 	// quarantined. inFlightByContent finds requests in flight by their content. crashChecks
 	// runs the checks whether a server has crashed.
@@ -134,7 +134,7 @@
 	http              *fasthttp.Server
 	listener          net.Listener
 	// clientWatcher detects clients that close their connection.
-	clientWatcher tcp.Watcher
+	clientWatcher tcp.CloseWatcher
 	stop          context.CancelFunc
 	isDraining    atomic.Bool
 	// inFlight counts requests in flight; hadRequests is set by the first request.
@@ -167,21 +167,21 @@
 type Options struct {
 	Address string
 	Source  Source
-	Dialect Dialect
+	Dialect Codec
 	// Meter measures the demand.
 	Meter   *demand.Meter
 	Budgets *retry.Budgets
 	// Ledger holds the crashes recorded per request content.
 	Ledger *quarantine.Ledger
 	// Limits holds the rate limits of servers, in requests per second, shared by all daemons.
-	Limits   *ratelimit.Book
+	Limits   *ratelimit.Limiter
 	Registry metrics.Registry
 	Log      *zap.Logger
 	// Clock continues while the VM is suspended, as clients' timeouts do.
 	Clock boottime.Clock
-	// ViewPatience is the maximum time that a request waits for the first view; 0 means the
+	// MaxViewWait is the maximum time that a request waits for the first view; 0 means the
 	// default.
-	ViewPatience time.Duration
+	MaxViewWait time.Duration
 }
 
 // Listen starts a Server on IP:port.
@@ -195,7 +195,7 @@
 		source:      options.Source,
 		dialect:     options.Dialect,
 		meter:       options.Meter,
-		maxViewWait: cmp.Or(options.ViewPatience, maxViewWait),
+		maxViewWait: cmp.Or(options.MaxViewWait, maxViewWait),
 		clock:       options.Clock,
 		log:         options.Log,
 		registry:    options.Registry,
@@ -207,8 +207,8 @@
 		stop:        stop,
 	}
 	server.directives.Clock = options.Clock
-	server.directiveThrottle.Every = throttledLogInterval
-	server.limitThrottle.Every = throttledLogInterval
+	server.directiveThrottle.Interval = throttledLogInterval
+	server.limitThrottle.Interval = throttledLogInterval
 	server.http = &fasthttp.Server{
 		Handler:                      server.handle,
 		ErrorHandler:                 server.handleBadRequest,
@@ -220,15 +220,15 @@
 		NoDefaultDate:                true,
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true,
-		Logger:                       logline.Quiet{},
+		Logger:                       logline.Discard{},
 	}
-	server.http.ConnState = server.conns.Note
-	server.ledger.Listen(server.abortQuarantined)
+	server.http.ConnState = server.conns.SetState
+	server.ledger.OnHold(server.abortQuarantined)
 	go server.clientWatcher.Run(ctx)
 	go server.sweep(ctx)
 	go func() {
 		if serveErr := server.http.Serve(listener); serveErr != nil && !server.isDraining.Load() {
-			server.log.Error("clients: HTTP server failed", logline.Err(serveErr))
+			server.log.Error("clients: HTTP server failed", logline.ErrorField(serveErr))
 		}
 	}()
 	return server, nil
@@ -244,27 +244,27 @@
 	return s.hadRequests.Load()
 }
 
-// Open returns the number of requests in flight.
-func (s *Server) Open() int64 {
+// InFlight returns the number of requests in flight.
+func (s *Server) InFlight() int64 {
 	return s.inFlight.Load()
 }
 
-// Connections returns how many connections to backend servers were opened, and how often one
+// ConnectionCounts returns how many connections to backend servers were opened, and how often one
 // was reused.
-func (s *Server) Connections() (opened, reused int64) {
-	return s.backends.Counts()
+func (s *Server) ConnectionCounts() (opened, reused int64) {
+	return s.backends.ConnectionCounts()
 }
 
-// Restarted records that a backend server has restarted under its ID. It is called before the
+// RecordRestart records that a backend server has restarted under its ID. It is called before the
 // view contains the new start.
-func (s *Server) Restarted(former, next fleet.Server) {
-	s.tracker.Forget(former.ID)
-	s.directives.Restarted(former.Start(), next.Start())
+func (s *Server) RecordRestart(former, next fleet.Server) {
+	s.tracker.Reset(former.ID)
+	s.directives.CarryPause(former.StartID(), next.StartID())
 }
 
-// Leave adds "Connection: close" to every further answer, so that clients move to other
+// DisableKeepAlive adds "Connection: close" to every further answer, so that clients move to other
 // connections.
-func (s *Server) Leave() {
+func (s *Server) DisableKeepAlive() {
 	s.isDraining.Store(true)
 }
 
@@ -293,7 +293,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			isKnown := s.source.View().Fleet.IsUsable
+			isKnown := s.source.View().Fleet.HasServerOrRemoved
 			s.backends.Sweep(isKnown)
 			s.tracker.Sweep(isKnown)
 			s.sweepDirectives()
--- a/io/gateway/gateway_test.go
+++ b/io/gateway/gateway_test.go
@@ -61,71 +61,71 @@
 // View returns the test's view.
 func (s *testSource) View() gateway.View { return s.view }
 
-// Known is closed when the view has been read.
-func (s *testSource) Known() <-chan struct{} { return s.known }
+// ViewReady is closed when the view has been read.
+func (s *testSource) ViewReady() <-chan struct{} { return s.known }
 
-// Unreadable is closed if the test closes it.
-func (s *testSource) Unreadable() <-chan struct{} { return s.unreadable }
+// ViewUnreadable is closed if the test closes it.
+func (s *testSource) ViewUnreadable() <-chan struct{} { return s.unreadable }
 
-// KnownFor returns one millisecond.
-func (s *testSource) KnownFor() time.Duration { return time.Millisecond }
+// SinceViewReady returns one millisecond.
+func (s *testSource) SinceViewReady() time.Duration { return time.Millisecond }
 
-// Age returns 0.
-func (s *testSource) Age() time.Duration { return 0 }
+// MaxViewAge returns 0.
+func (s *testSource) MaxViewAge() time.Duration { return 0 }
 
 // MayAcceptKeys returns what the test set.
 func (s *testSource) MayAcceptKeys() bool { return !s.rejectsKeys }
 
-// IsCurrent returns what the test set.
-func (s *testSource) IsCurrent() bool { return !s.isStale }
+// IsViewCurrent returns what the test set.
+func (s *testSource) IsViewCurrent() bool { return !s.isStale }
 
-// Daemons returns 1.
-func (s *testSource) Daemons() int { return 1 }
+// DaemonCount returns 1.
+func (s *testSource) DaemonCount() int { return 1 }
 
 // Preference returns no preference.
 func (s *testSource) Preference(demand.Kind) balancer.Preference { return balancer.Preference{} }
 
-// IsTroubled returns false.
-func (s *testSource) IsTroubled(fleet.Server) bool { return false }
+// IsDegraded returns false.
+func (s *testSource) IsDegraded(fleet.Server) bool { return false }
 
-// IsStill returns false.
-func (s *testSource) IsStill(fleet.Server) bool { return false }
+// HasUnresponsiveMember returns false.
+func (s *testSource) HasUnresponsiveMember(fleet.Server) bool { return false }
 
-// LimitPlace returns the place of a single daemon.
-func (s *testSource) LimitPlace(fleet.Server) ratelimit.Place {
-	return ratelimit.Place{
-		Of: 1,
+// LimitPosition returns the place of a single daemon.
+func (s *testSource) LimitPosition(fleet.Server) ratelimit.Position {
+	return ratelimit.Position{
+		Total: 1,
 	}
 }
 
-// LimitObserved does nothing.
-func (s *testSource) LimitObserved(fleet.Server, ratelimit.Limit) {}
+// ObserveLimit does nothing.
+func (s *testSource) ObserveLimit(fleet.Server, ratelimit.Limit) {}
 
-// ServerCold does nothing.
-func (s *testSource) ServerCold(fleet.Server) {}
+// ObserveColdServer does nothing.
+func (s *testSource) ObserveColdServer(fleet.Server) {}
 
-// Stalled does nothing.
-func (s *testSource) Stalled(fleet.Server) {}
+// ReportStall does nothing.
+func (s *testSource) ReportStall(fleet.Server) {}
 
-// Ended does nothing.
-func (s *testSource) Ended(quarantine.End) {}
+// ReportCrash does nothing.
+func (s *testSource) ReportCrash(quarantine.Crash) {}
 
-// Cleared does nothing.
-func (s *testSource) Cleared(quarantine.Cleared) {}
+// RemoveCrashReports does nothing.
+func (s *testSource) RemoveCrashReports(quarantine.StoredRows) {}
 
-// MayTry returns true.
-func (s *testSource) MayTry(quarantine.Trial) bool { return true }
+// ClaimTrial returns true.
+func (s *testSource) ClaimTrial(quarantine.Trial) bool { return true }
 
 // newOptions returns the options of a test's gateway.
 func newOptions(source gateway.Source) gateway.Options {
 	return gateway.Options{
 		Address:  "127.0.0.1:0",
 		Source:   source,
-		Dialect:  platform.Dialect{},
+		Dialect:  platform.Codec{},
 		Meter:    &demand.Meter{},
 		Budgets:  &retry.Budgets{},
 		Ledger:   &quarantine.Ledger{},
-		Limits:   &ratelimit.Book{},
+		Limits:   &ratelimit.Limiter{},
 		Registry: metrics.NewRegistry(),
 		Log:      zap.NewNop(),
 	}
@@ -145,7 +145,7 @@
 func startWithViewWait(t *testing.T, source gateway.Source, maxWait time.Duration) (*gateway.Server, string) {
 	t.Helper()
 	opts := newOptions(source)
-	opts.ViewPatience = maxWait
+	opts.MaxViewWait = maxWait
 	server := startGateway(t, opts)
 	return server, server.Address()
 }
@@ -189,13 +189,13 @@
 		Config: config.New(config.Config{
 			Routes: []config.Route{
 				{
-					Name:     "status",
-					Host:     host,
-					Prefix:   path,
-					Kind:     kind,
-					Goal:     time.Minute,
-					Timeout:  time.Hour,
-					Priority: 2,
+					Name:        "status",
+					Host:        host,
+					Prefix:      path,
+					Kind:        kind,
+					LatencyGoal: time.Minute,
+					Timeout:     time.Hour,
+					Priority:    2,
 					Backends: []config.Backend{
 						{
 							Service: "board",
@@ -207,7 +207,7 @@
 				},
 			},
 		}),
-		Fleet: fleet.View{}.WithAll(1, servers, time.Now()),
+		Fleet: fleet.View{}.WithSnapshot(1, servers, time.Now()),
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	server, address := startWithViewWait(t, source, time.Minute)
 	go func() {
-		for server.Open() == 0 {
+		for server.InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		close(source.known)
@@ -464,11 +464,11 @@
 	source := newSource(serversView(config.Safe, addresses...))
 	source.known = make(chan struct{})
 	opts := newOptions(source)
-	opts.ViewPatience = time.Hour
+	opts.MaxViewWait = time.Hour
 	opts.Clock.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
 	server := startGateway(t, opts)
 	go func() {
-		for server.Open() == 0 {
+		for server.InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		suspended.Add(int64(2 * time.Hour))
--- a/io/gateway/handle.go
+++ b/io/gateway/handle.go
@@ -36,9 +36,9 @@
 		excluded:    map[string]bool{},
 		priority:    noPriority,
 		acceptedAt:  acceptedAt,
-		lastEventID: parsed.LastEvent,
+		lastEventID: parsed.LastEventID,
 	}
-	setWriteDeadline(ctx, parsed.Wait)
+	setWriteDeadline(ctx, parsed.ClientTimeout)
 	if s.isDraining.Load() {
 		ctx.SetConnectionClose()
 	}
@@ -53,7 +53,7 @@
 		return
 	}
 	j.stopClientWatch = s.clientWatcher.Watch(ctx.Conn(), j.abortForClient)
-	s.budgets.Of(j.service).Earn()
+	s.budgets.ForName(j.service).RecordRequest()
 	j.serve(ctx)
 }
 
@@ -104,11 +104,11 @@
 		return 0, request.ReasonNone
 	}
 	if !j.server.source.MayAcceptKeys() {
-		return fasthttp.StatusServiceUnavailable, request.ReasonStale
+		return fasthttp.StatusServiceUnavailable, request.ReasonConfigurationStale
 	}
-	organisation := j.config.Organisation(j.request.Key)
+	organisation := j.config.Organisation(j.request.APIKey)
 	if organisation == nil {
-		return j.deny(fasthttp.StatusUnauthorized, request.ReasonNoKey)
+		return j.deny(fasthttp.StatusUnauthorized, request.ReasonUnknownKey)
 	}
 	j.organisation = organisation.Name
 	if organisation.HasPriority {
@@ -120,20 +120,20 @@
 // deny returns the refusal of a request whose route or key is not in the view. If the view is
 // stale, the refusal is 503, since the route or key may have been added since.
 func (j *job) deny(status int, reason request.Reason) (int, request.Reason) {
-	if !j.server.source.IsCurrent() {
-		return fasthttp.StatusServiceUnavailable, request.ReasonStale
+	if !j.server.source.IsViewCurrent() {
+		return fasthttp.StatusServiceUnavailable, request.ReasonConfigurationStale
 	}
 	return status, reason
 }
 
 // setDeadline sets the request's deadline and the estimated time of the client's first attempt.
 func (j *job) setDeadline() {
-	wait := j.request.Wait
+	wait := j.request.ClientTimeout
 	if j.route.Timeout > 0 {
 		wait = min(wait, j.route.Timeout)
 	}
-	alreadyWaited := j.server.patience.Waited(j.route.Name, wait)
-	j.firstAttemptAt = j.request.Arrived.Add(-alreadyWaited)
+	alreadyWaited := j.server.patience.TimeWaited(j.route.Name, wait)
+	j.firstAttemptAt = j.request.ReceivedAt.Add(-alreadyWaited)
 	j.deadline = j.acceptedAt.Add(wait)
 }
 
@@ -170,7 +170,7 @@
 func (j *job) answerWithStatus(ctx *fasthttp.RequestCtx, status int, reason request.Reason) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("text/plain")
-	j.server.dialect.Name(ctx, j.request.ID)
+	j.server.dialect.SetRequestID(ctx, j.request.ID)
 	if status == fasthttp.StatusServiceUnavailable {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(j.retryAfter(reason).Seconds(), 'f', -1, 64))
 	}
--- a/io/gateway/job.go
+++ b/io/gateway/job.go
@@ -177,10 +177,10 @@
 // recordAnswerSize records the size of a stream that was answered completely.
 func (j *job) recordAnswerSize() {
 	service := j.config.Service(j.service)
-	if service == nil || service.Engine == nil || j.request.LastEvent > 0 {
+	if service == nil || service.Engine == nil || j.request.LastEventID > 0 {
 		return
 	}
-	j.server.sizes.Note(j.request.Model, usage.Size{
+	j.server.sizes.Record(j.request.Model, usage.Size{
 		Prompt: float64(j.request.PromptTokens),
 		Answer: float64(j.eventCount * service.Engine.TokensPerEvent),
 	})
@@ -210,7 +210,7 @@
 // attempt is not aborted without a paid retry: the server may still answer, whereas an aborted
 // request that cannot be retried is lost.
 func (j *job) prepayRetry() bool {
-	if j.isRetryPaid.Load() || !j.server.budgets.Of(j.service).Spend() {
+	if j.isRetryPaid.Load() || !j.server.budgets.ForName(j.service).TrySpend() {
 		return j.isRetryPaid.Load()
 	}
 	j.isRetryPaid.Store(true)
@@ -224,7 +224,7 @@
 		return false
 	}
 	switch result.reason {
-	case request.ReasonNoServer, request.ReasonStale, request.ReasonDeadline, request.ReasonClientGone, request.ReasonCrashes:
+	case request.ReasonNoServer, request.ReasonConfigurationStale, request.ReasonDeadline, request.ReasonClientGone, request.ReasonCrashesServers:
 		return false
 	}
 	if j.possibleRuns > 0 && (!j.route.Repeatable() || j.possibleRuns >= j.route.MaxAttempts) {
@@ -233,8 +233,8 @@
 	if !j.hasUntriedServer() {
 		return false
 	}
-	if j.possibleArrivals > 0 && !j.isRetryPaid.Swap(false) && !j.server.budgets.Of(j.service).Spend() {
-		j.server.count(countRefused, request.ReasonNoBudget)
+	if j.possibleArrivals > 0 && !j.isRetryPaid.Swap(false) && !j.server.budgets.ForName(j.service).TrySpend() {
+		j.server.count(countRefused, request.ReasonRetryBudgetSpent)
 		j.isRetryBudgetSpent = true
 		return false
 	}
--- a/io/gateway/latestreams.go
+++ b/io/gateway/latestreams.go
@@ -25,13 +25,13 @@
 // each other until their clients give up.
 func (j *job) waitForLateSlot() {
 	j.releaseLateSlot = func() {}
-	isRecentStart := j.server.source.KnownFor() < lateLimitDuration
-	if !isRecentStart || j.route.Kind != config.Stream || j.isInTime(j.request.Arrived) {
+	isRecentStart := j.server.source.SinceViewReady() < lateLimitDuration
+	if !isRecentStart || j.route.Kind != config.Stream || j.isInTime(j.request.ReceivedAt) {
 		return
 	}
 	kind := j.service + "/" + j.request.Model
 	maxWait := min(maxLateWait, j.timeLeft()/lateWaitDivisor)
-	j.releaseLateSlot = j.server.lateStreams.Enter(kind, j.lateLimit(), maxWait)
+	j.releaseLateSlot = j.server.lateStreams.Acquire(kind, j.lateLimit(), maxWait)
 }
 
 // lateLimit returns how many late requests of the model this daemon may have in flight: its
@@ -41,5 +41,5 @@
 	for _, server := range j.server.availableServers(j.service, j.request.Model) {
 		capacity += server.Capacity
 	}
-	return max(1, int(lateShare*float64(capacity)/float64(max(1, j.server.source.Daemons()))))
+	return max(1, int(lateShare*float64(capacity)/float64(max(1, j.server.source.DaemonCount()))))
 }
--- a/io/gateway/limits.go
+++ b/io/gateway/limits.go
@@ -22,38 +22,38 @@
 func (j *job) recordLimit(server fleet.Server, answer request.Answer) {
 	s := j.server
 	limit := answer.Limit
-	if !limit.IsNamed && (s.limits.IsEmpty() || answer.Status == fasthttp.StatusMisdirectedRequest) {
+	if !limit.IsSet && (s.limits.IsEmpty() || answer.Status == fasthttp.StatusMisdirectedRequest) {
 		// An answer with this status comes from another process, which knows nothing of the
 		// server's limit.
 		return
 	}
 	var sentAt time.Time
-	if isOwnAnswer := answer.ID == j.request.ID && (answer.Signed || answer.NotRun); isOwnAnswer {
+	if isOwnAnswer := answer.ID == j.request.ID && (answer.IsSigned || answer.IsNotExecuted); isOwnAnswer {
 		sentAt = j.limitSentAt
 	}
-	isChanged := s.limits.Observed(server.Start(), limit, sentAt)
-	if limit.IsNamed {
+	isChanged := s.limits.Observe(server.StartID(), limit, sentAt)
+	if limit.IsSet {
 		metrics.GetOrRegisterCounter(countLimitsNamed, s.registry).Inc(1)
 	}
-	if limit.IsNamed || isChanged {
-		s.source.LimitObserved(server, limit)
+	if limit.IsSet || isChanged {
+		s.source.ObserveLimit(server, limit)
 	}
 	if !isChanged {
 		return
 	}
-	mayWrite, suppressed := s.limitThrottle.Pass(server.Service)
+	mayWrite, suppressed := s.limitThrottle.Allow(server.Service)
 	if !mayWrite {
 		return
 	}
-	place := s.source.LimitPlace(server)
+	place := s.source.LimitPosition(server)
 	s.log.Info("servers: limit changed",
 		zap.String("server", server.ID),
 		zap.String("group", server.Membership.Group),
-		zap.Bool("is_named", limit.IsNamed),
+		zap.Bool("is_named", limit.IsSet),
 		zap.Float64("per_second", limit.PerSecond),
-		zap.Float64("part_per_second", limit.Part(place).PerSecond),
+		zap.Float64("part_per_second", limit.Quota(place).PerSecond),
 		zap.Int("rank", place.Rank),
-		zap.Int("daemons", place.Of),
+		zap.Int("daemons", place.Total),
 		zap.Int("lines_left_out", suppressed))
 }
 
@@ -61,24 +61,24 @@
 func (s *Server) recordCold(server fleet.Server, coldFor time.Duration) {
 	if coldFor > 0 {
 		server.ColdFor = coldFor
-		s.source.ServerCold(server)
+		s.source.ObserveColdServer(server)
 	}
 }
 
 // isWithinLimit reports whether the server's rate limit allows a request from this daemon now.
 func (s *Server) isWithinLimit(server fleet.Server) bool {
-	start := server.Start()
-	return !s.limits.Has(start) || s.limits.HasRoom(start, s.source.LimitPlace(server))
+	start := server.StartID()
+	return !s.limits.IsLimited(start) || s.limits.HasCapacity(start, s.source.LimitPosition(server))
 }
 
 // limitPlace returns this daemon's place for a server's rate limit. For servers without a
 // limit, which are nearly all, the place is not computed: if such a server names a limit in the
 // meantime, the zero place allows no request.
-func (s *Server) limitPlace(server fleet.Server) ratelimit.Place {
-	if !s.limits.Has(server.Start()) {
-		return ratelimit.Place{}
+func (s *Server) limitPlace(server fleet.Server) ratelimit.Position {
+	if !s.limits.IsLimited(server.StartID()) {
+		return ratelimit.Position{}
 	}
-	return s.source.LimitPlace(server)
+	return s.source.LimitPosition(server)
 }
 
 // useReservation uses the reservation of the server's rate limit right before the first byte is
@@ -89,7 +89,7 @@
 		return false
 	}
 	j.limitSentAt = sent
-	if j.server.limits.Has(selected.server.Start()) {
+	if j.server.limits.IsLimited(selected.server.StartID()) {
 		metrics.GetOrRegisterCounter(countSentToLimited, j.server.registry).Inc(1)
 	}
 	return true
--- a/io/gateway/limits_test.go
+++ b/io/gateway/limits_test.go
@@ -161,11 +161,11 @@
 	hasNoShare atomic.Bool
 }
 
-// LimitPlace returns the place after all daemons with a share if the test says so.
-func (s *noShareSource) LimitPlace(server fleet.Server) ratelimit.Place {
-	place := s.testSource.LimitPlace(server)
+// LimitPosition returns the place after all daemons with a share if the test says so.
+func (s *noShareSource) LimitPlace(server fleet.Server) ratelimit.Position {
+	place := s.testSource.LimitPosition(server)
 	if s.hasNoShare.Load() {
-		place.Rank = place.Of
+		place.Rank = place.Total
 	}
 	return place
 }
--- a/io/gateway/metrics.go
+++ b/io/gateway/metrics.go
@@ -33,5 +33,5 @@
 
 // observe records a duration in a histogram.
 func (s *Server) observe(name string, took time.Duration) {
-	exposition.Observe(s.registry, name, took)
+	exposition.ObserveDuration(s.registry, name, took)
 }
--- a/io/gateway/priority.go
+++ b/io/gateway/priority.go
@@ -12,7 +12,7 @@
 // decideYielding decides at random whether the request yields to others of its class, at the
 // rate that the overload calls for.
 func (j *job) decideYielding() {
-	j.yields = rand.Float64() < j.server.overload.Part(j.requestClass())
+	j.yields = rand.Float64() < j.server.overload.YieldFraction(j.requestClass())
 	if j.yields {
 		j.server.count(countYielding, request.ReasonOverload)
 	}
@@ -31,14 +31,14 @@
 func (j *job) isLate() bool {
 	if j.eventCount > 0 {
 		// The stream is being resumed, so only the gap since its last event counts.
-		return j.route.PauseGoal > 0 && time.Since(j.lastEventAt) > j.route.PauseGoal
+		return j.route.EventGapGoal > 0 && time.Since(j.lastEventAt) > j.route.EventGapGoal
 	}
 	return j.yields || !j.isInTime(time.Now())
 }
 
 // isInTime reports whether an answer that starts at startedAt meets the route's goal.
 func (j *job) isInTime(startedAt time.Time) bool {
-	return urgency.InTime(j.firstAttemptAt, startedAt, j.route.Goal)
+	return urgency.MeetsGoal(j.firstAttemptAt, startedAt, j.route.LatencyGoal)
 }
 
 // recordTimeliness records for overload detection whether the request's answer, which starts
@@ -46,9 +46,9 @@
 // called once: at the first event, or at the end if there was none and the goal has passed. A
 // request that failed quickly was neither in time nor late.
 func (j *job) recordTimeliness() {
-	wasLate := !j.isInTime(j.request.Arrived)
+	wasLate := !j.isInTime(j.request.ReceivedAt)
 	if j.yields || wasLate || j.route.Kind != config.Stream {
 		return
 	}
-	j.server.overload.Note(j.requestClass(), j.isInTime(time.Now()))
+	j.server.overload.Record(j.requestClass(), j.isInTime(time.Now()))
 }
--- a/io/gateway/quarantine.go
+++ b/io/gateway/quarantine.go
@@ -40,17 +40,17 @@
 // recorded for its content allow that. Suspect content may be sent only in a trial that all
 // daemons agree to.
 func (j *job) passesQuarantine() bool {
-	if j.trial > 0 && j.server.ledger.MayGoOn(j.digest(), j.trial) {
+	if j.trial > 0 && j.server.ledger.MayResend(j.digest(), j.trial) {
 		return true
 	}
 	decision := j.server.ledger.Decide(j.digest())
 	j.trial = decision.Trial.Number
-	j.quarantineLeft = decision.Pause
-	switch decision.Step {
+	j.quarantineLeft = decision.RetryAfter
+	switch decision.Action {
 	case quarantine.Send:
 		return true
-	case quarantine.Try:
-		mayTry := j.server.source.MayTry(decision.Trial)
+	case quarantine.SendAsTrial:
+		mayTry := j.server.source.ClaimTrial(decision.Trial)
 		j.server.log.Info("clients: trial of a suspected request",
 			zap.String("request_id", j.request.ID),
 			zap.Stringer("content", j.digest()),
@@ -72,7 +72,7 @@
 	var crashed []string
 	hasOther := false
 	for _, server := range j.server.availableServers(j.service, j.request.Model) {
-		if slices.Contains(crashedStarts, server.Start()) {
+		if slices.Contains(crashedStarts, server.StartID()) {
 			crashed = append(crashed, server.ID)
 		} else {
 			hasOther = true
@@ -91,9 +91,9 @@
 // crashes are recorded for the content already, the request waits for the result; otherwise it
 // continues meanwhile.
 func (j *job) checkForCrash(server fleet.Server) {
-	checked := j.server.crashChecks.add(server, quarantine.End{
+	checked := j.server.crashChecks.add(server, quarantine.Crash{
 		Digest: j.digest(),
-		Start:  server.Start(),
+		Start:  server.StartID(),
 		Trial:  j.trial,
 	}, j.server.recordCrashes)
 	if len(j.server.ledger.Ends(j.digest())) > 0 {
@@ -104,16 +104,16 @@
 // recordCrashes checks whether a server is down, and if so records a crash for each request
 // that was in flight there.
 func (s *Server) recordCrashes(server fleet.Server) {
-	isDown := s.backends.HasEnded(server.Address)
+	isDown := s.backends.IsDown(server.Address)
 	crashes := s.crashChecks.finish(server)
 	if !isDown {
 		metrics.GetOrRegisterCounter(countCrashesRefuted, s.registry).Inc(int64(len(crashes)))
 		return
 	}
 	for _, crash := range crashes {
-		if s.ledger.Note(crash) {
+		if s.ledger.RecordCrash(crash) {
 			metrics.GetOrRegisterCounter(countCrashes, s.registry).Inc(1)
-			s.source.Ended(crash)
+			s.source.ReportCrash(crash)
 		}
 	}
 }
@@ -127,13 +127,13 @@
 
 // crashCheck is one check. done is closed when its crashes have been recorded.
 type crashCheck struct {
-	crashes []quarantine.End
+	crashes []quarantine.Crash
 	done    chan struct{}
 }
 
 // add adds a possible crash to the check of its server, which it starts with run if there is
 // none. It returns a channel that is closed when the check is over.
-func (c *crashChecks) add(server fleet.Server, crash quarantine.End, run func(fleet.Server)) <-chan struct{} {
+func (c *crashChecks) add(server fleet.Server, crash quarantine.Crash, run func(fleet.Server)) <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if pending, ok := c.pending[crash.Start]; ok {
@@ -144,7 +144,7 @@
 		c.pending = map[string]*crashCheck{}
 	}
 	pending := &crashCheck{
-		crashes: []quarantine.End{
+		crashes: []quarantine.Crash{
 			crash,
 		},
 		done: make(chan struct{}),
@@ -158,11 +158,11 @@
 }
 
 // finish removes the check of a server and returns the possible crashes added to it.
-func (c *crashChecks) finish(server fleet.Server) []quarantine.End {
+func (c *crashChecks) finish(server fleet.Server) []quarantine.Crash {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	finished := c.pending[server.Start()]
-	delete(c.pending, server.Start())
+	finished := c.pending[server.StartID()]
+	delete(c.pending, server.StartID())
 	return finished.crashes
 }
 
@@ -173,11 +173,11 @@
 // server crashes.
 func (j *job) clearSuspicion(answer request.Answer, exchange *backend.Exchange) {
 	isSuccess := answer.Status >= fasthttp.StatusOK && answer.Status < fasthttp.StatusMultipleChoices
-	if !isSuccess || exchange.EndsWithConnection() {
+	if !isSuccess || exchange.EndsAtClose() {
 		return
 	}
-	if cleared := j.server.ledger.Answered(j.digest()); cleared.IsAny() {
-		j.server.source.Cleared(cleared)
+	if cleared := j.server.ledger.RecordAnswer(j.digest()); cleared.HasRows() {
+		j.server.source.RemoveCrashReports(cleared)
 	}
 }
 
--- a/io/gateway/quarantine_test.go
+++ b/io/gateway/quarantine_test.go
@@ -25,31 +25,31 @@
 type ledgerSource struct {
 	*testSource
 	mutex   sync.Mutex
-	ended   []quarantine.End
-	cleared []quarantine.Cleared
+	ended   []quarantine.Crash
+	cleared []quarantine.StoredRows
 	// refusesTrials is set if other daemons do not agree to a trial.
 	refusesTrials bool
 }
 
-// Ended records a crash.
-func (s *ledgerSource) Ended(end quarantine.End) {
+// ReportCrash records a crash.
+func (s *ledgerSource) ReportCrash(end quarantine.Crash) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ended = append(s.ended, end)
 }
 
-// Cleared records a cleared request.
-func (s *ledgerSource) Cleared(cleared quarantine.Cleared) {
+// RemoveCrashReports records a cleared request.
+func (s *ledgerSource) RemoveCrashReports(cleared quarantine.StoredRows) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cleared = append(s.cleared, cleared)
 }
 
-// MayTry returns what the test set.
-func (s *ledgerSource) MayTry(quarantine.Trial) bool { return !s.refusesTrials }
+// ClaimTrial returns what the test set.
+func (s *ledgerSource) ClaimTrial(quarantine.Trial) bool { return !s.refusesTrials }
 
 // reported returns what was reported so far.
-func (s *ledgerSource) reported() (ended []quarantine.End, cleared []quarantine.Cleared) {
+func (s *ledgerSource) reported() (ended []quarantine.Crash, cleared []quarantine.StoredRows) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.ended, s.cleared
@@ -110,7 +110,7 @@
 // recordTwoCrashes records two crashes under the requests that sendRequest sends.
 func recordTwoCrashes(ledger *quarantine.Ledger) {
 	for _, start := range []string{"a", "b"} {
-		ledger.Told(quarantine.End{
+		ledger.ApplyCrash(quarantine.Crash{
 			Digest: requestDigest(),
 			Start:  start,
 		})
@@ -119,7 +119,7 @@
 
 // recordTrialCrash records a crash under a trial of the requests that sendRequest sends.
 func recordTrialCrash(ledger *quarantine.Ledger) {
-	ledger.Told(quarantine.End{
+	ledger.ApplyCrash(quarantine.Crash{
 		Digest: requestDigest(),
 		Start:  "c",
 		Trial:  1,
@@ -137,7 +137,7 @@
 		}
 		var ledger quarantine.Ledger
 		server := startWithLedger(t, source, &ledger)
-		for turn := 0; ledger.Decide(requestDigest()).Step != quarantine.Hold; turn++ {
+		for turn := 0; ledger.Decide(requestDigest()).Action != quarantine.Hold; turn++ {
 			status, _ := sendRequest(t, server.Address(), "r"+strconv.Itoa(turn), time.Minute)
 			// The attempts reached servers that may have run the request, or only crashed ones.
 			qt.Assert(t, status == http.StatusBadGateway || status == http.StatusServiceUnavailable, qt.IsTrue)
@@ -214,7 +214,7 @@
 		refusesTrials: true,
 	}
 	var ledger quarantine.Ledger
-	ledger.Told(quarantine.End{
+	ledger.ApplyCrash(quarantine.Crash{
 		Digest: requestDigest(),
 		Start:  "a",
 	})
@@ -239,16 +239,16 @@
 		testSource: newSource(serversView(config.Safe, addresses...)),
 	}
 	var ledger quarantine.Ledger
-	crash := quarantine.End{
+	crash := quarantine.Crash{
 		Digest: requestDigest(),
 		Start:  "a",
 	}
-	ledger.Told(crash)
+	ledger.ApplyCrash(crash)
 	server := startWithLedger(t, source, &ledger)
 	status, _ := sendRequest(t, server.Address(), "r1", time.Minute)
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
 	_, cleared := source.reported()
-	qt.Assert(t, cleared, qt.DeepEquals, []quarantine.Cleared{
+	qt.Assert(t, cleared, qt.DeepEquals, []quarantine.StoredRows{
 		{
 			Digest: crash.Digest,
 			Starts: []string{crash.Start},
@@ -281,7 +281,7 @@
 	} {
 		source := newSource(serversView(config.Unsafe, startBackends(t, 1, answer)...))
 		var ledger quarantine.Ledger
-		ledger.Told(quarantine.End{
+		ledger.ApplyCrash(quarantine.Crash{
 			Digest: requestDigest(),
 			Start:  "a",
 		})
@@ -302,7 +302,7 @@
 		})...)),
 	}
 	var ledger quarantine.Ledger
-	ledger.Told(quarantine.End{
+	ledger.ApplyCrash(quarantine.Crash{
 		Digest: requestDigest(),
 		Start:  "a",
 	})
@@ -347,7 +347,7 @@
 	healthy := startBackends(t, 1, answerOK)
 	var ledger quarantine.Ledger
 	for i := range crashed {
-		ledger.Told(quarantine.End{
+		ledger.ApplyCrash(quarantine.Crash{
 			Digest: requestDigest(),
 			Start:  "i-" + strconv.Itoa(i),
 		})
@@ -363,7 +363,7 @@
 	addresses := startBackends(t, 2, answerOK)
 	var ledger quarantine.Ledger
 	for i := range addresses {
-		ledger.Told(quarantine.End{
+		ledger.ApplyCrash(quarantine.Crash{
 			Digest: requestDigest(),
 			Start:  "i-" + strconv.Itoa(i),
 		})
--- a/io/gateway/requestlog.go
+++ b/io/gateway/requestlog.go
@@ -21,7 +21,7 @@
 		entry += ":" + string(reason)
 	}
 	j.attemptTrail = append(j.attemptTrail, entry)
-	if reason == request.ReasonBroken {
+	if reason == request.ReasonConnectionBroken {
 		j.breakTimes = append(j.breakTimes, time.Since(j.lastSentAt))
 	}
 }
@@ -49,7 +49,7 @@
 		j.recordTimeliness()
 	}
 	j.server.inFlight.Add(-1)
-	took := time.Since(j.request.Arrived)
+	took := time.Since(j.request.ReceivedAt)
 	isSuccess := reason == request.ReasonNone && status < fasthttp.StatusInternalServerError
 	if isSuccess {
 		j.server.count(countSucceeded, "whole")
@@ -77,7 +77,7 @@
 		zap.Int64("took_ms", took.Milliseconds()),
 		zap.String("sent_to", strings.Join(j.attemptTrail, " ")),
 		zap.Int("runs", j.possibleRuns),
-		zap.Int64("view_age_ms", j.server.source.Age().Milliseconds()),
+		zap.Int64("view_age_ms", j.server.source.MaxViewAge().Milliseconds()),
 	}
 	fields = append(fields, zap.Int64("servers_version", j.server.source.View().Fleet.Version))
 	if j.config != nil {
@@ -98,7 +98,7 @@
 			zap.Int64("first_event_ms", j.timeToFirstEvent.Milliseconds()),
 			zap.Int64("longest_pause_ms", j.longestEventGap.Milliseconds()))
 	}
-	if len(j.breakTimes) > 0 || reason == request.ReasonCrashes {
+	if len(j.breakTimes) > 0 || reason == request.ReasonCrashesServers {
 		fields = append(fields, zap.Stringer("content", j.digest()))
 	}
 	if len(j.breakTimes) > 0 {
--- a/io/gateway/retryafter.go
+++ b/io/gateway/retryafter.go
@@ -42,20 +42,20 @@
 func (j *job) retryAfter(reason request.Reason) time.Duration {
 	delay := slotRetryDelay
 	switch reason {
-	case request.ReasonCrashes:
+	case request.ReasonCrashesServers:
 		if j.quarantineLeft > trialRetryDelay {
 			// No earlier retry can succeed, so the client gets the whole remaining time.
 			return j.quarantineLeft.Round(time.Second)
 		}
 		delay = trialRetryDelay
-	case request.ReasonNotConfigured, request.ReasonStale:
+	case request.ReasonNotConfigured, request.ReasonConfigurationStale:
 		delay = storeRetryDelay
-	case request.ReasonNoServer, request.ReasonEvacuated:
+	case request.ReasonNoServer, request.ReasonZoneEvacuated:
 		delay = groupRetryDelay
 	default:
 		unavailable := j.server.soonestUnavailability(j.service, j.request.Model)
 		switch {
-		case unavailable.reason == request.ReasonLimited && (unavailable.remaining == 0 || unavailable.remaining > groupRetryDelay):
+		case unavailable.reason == request.ReasonServersLimited && (unavailable.remaining == 0 || unavailable.remaining > groupRetryDelay):
 			// The limit is shared with other daemons, which may be able to send requests
 			// earlier.
 			delay = groupRetryDelay
@@ -63,7 +63,7 @@
 			return retryAfterPause(unavailable.remaining)
 		}
 	}
-	remaining := j.request.Wait - j.server.clock.Since(j.acceptedAt)
+	remaining := j.request.ClientTimeout - j.server.clock.Since(j.acceptedAt)
 	delay = min(delay, max(0, remaining/maxDelayDivisor))
 	return time.Duration((minDelayFactor + delayFactorSpread*rand.Float64()) * float64(delay)).Round(time.Millisecond)
 }
--- a/io/gateway/selection.go
+++ b/io/gateway/selection.go
@@ -47,7 +47,7 @@
 			return server.ID == chosen.ID
 		})
 		server := available[index]
-		reservation, isReserved := j.server.limits.Reserve(server.Start(), j.server.limitPlace(server))
+		reservation, isReserved := j.server.limits.Reserve(server.StartID(), j.server.limitPlace(server))
 		if isReserved {
 			return selection{
 				server:      server,
@@ -77,7 +77,7 @@
 		Model:   j.request.Model,
 	}
 	if j.attempts == 0 {
-		j.server.meter.Note(kind, j.request.Cost(), j.tokenDemand())
+		j.server.meter.RecordRequest(kind, j.request.Cost(), j.tokenDemand())
 	}
 	return kind
 }
@@ -89,10 +89,10 @@
 	if service == nil || service.Engine == nil {
 		return usage.Rate{}
 	}
-	return usage.Of(usage.Size{
+	return usage.PerRequest(usage.Size{
 		Prompt: float64(j.request.PromptTokens),
-		Answer: j.server.sizes.Of(j.request.Model, service.Engine.Usual).Answer,
-	}, j.route.Goal)
+		Answer: j.server.sizes.PerRequest(j.request.Model, service.Engine.MeanRequestSize).Answer,
+	}, j.route.LatencyGoal)
 }
 
 // candidates returns the available servers in the form that the balancer takes.
@@ -100,12 +100,12 @@
 	candidates := make([]balancer.Candidate, len(serving))
 	for i, server := range serving {
 		candidates[i] = balancer.Candidate{
-			ID:         server.ID,
-			Capacity:   server.Capacity,
-			Zone:       server.Zone,
-			Domain:     server.Domain,
-			IsTroubled: j.server.source.IsTroubled(server),
-			IsLimited:  j.server.limits.Has(server.Start()),
+			ID:            server.ID,
+			Capacity:      server.Capacity,
+			Zone:          server.Zone,
+			Domain:        server.Domain,
+			IsDegraded:    j.server.source.IsDegraded(server),
+			IsRateLimited: j.server.limits.IsLimited(server.StartID()),
 		}
 	}
 	return candidates
--- a/io/gateway/slow_reader_test.go
+++ b/io/gateway/slow_reader_test.go
@@ -61,8 +61,8 @@
 		_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n%s: slow-%d\r\n%s: 1500\r\n\r\n", path, host, wire.HeaderID, i, wire.HeaderDeadline)
 		qt.Assert(t, err, qt.IsNil)
 	}
-	waitUntil(t, func() bool { return server.Open() == clients })
-	waitUntil(t, func() bool { return server.Open() == 0 && finished.Load() == clients })
+	waitUntil(t, func() bool { return server.InFlight() == clients })
+	waitUntil(t, func() bool { return server.InFlight() == 0 && finished.Load() == clients })
 	// Kernels buffer some MB per connection, on both of its sides.
 	const maxBytesPerClient = 16 << 20
 	qt.Assert(t, written.Load() < clients*maxBytesPerClient, qt.IsTrue, qt.Commentf("%d bytes taken", written.Load()))
--- a/io/gateway/stream.go
+++ b/io/gateway/stream.go
@@ -84,8 +84,8 @@
 	}
 	if errors.Is(err, io.EOF) {
 		s.isComplete = true
-		s.pending = append(s.pending, s.splitter.Rest()...)
-		s.exchange.Finish(s.isReusable, s.answer.KeepFor)
+		s.pending = append(s.pending, s.splitter.Remainder()...)
+		s.exchange.Finish(s.isReusable, s.answer.KeepAlive)
 		return err
 	}
 	if err != nil && len(s.pending) > 0 {
@@ -120,19 +120,19 @@
 // recordEvent records the arrival time of an event.
 func (s *stream) recordEvent() {
 	now := time.Now()
-	s.job.server.tracker.Heard(s.server.ID)
+	s.job.server.tracker.RecordActivity(s.server.ID)
 	if s.watchdog != nil {
 		s.watchdog.recordProgress()
 	}
 	tracker := &s.job.server.tracker
 	if s.lastEventAt.IsZero() {
-		tracker.Silence(s.job.requestClass(), balancer.First, now.Sub(s.sentAt))
+		tracker.RecordSilence(s.job.requestClass(), balancer.PhaseFirstEvent, now.Sub(s.sentAt))
 	} else if gap := now.Sub(s.lastEventAt); gap > minEventGap {
-		tracker.Silence(s.job.requestClass(), balancer.Pause, gap)
+		tracker.RecordSilence(s.job.requestClass(), balancer.PhaseNextEvent, gap)
 	}
 	if s.job.eventCount == 0 {
 		s.job.recordTimeliness()
-		s.job.timeToFirstEvent = now.Sub(s.job.request.Arrived)
+		s.job.timeToFirstEvent = now.Sub(s.job.request.ReceivedAt)
 	} else {
 		s.job.longestEventGap = max(s.job.longestEventGap, now.Sub(s.job.lastEventAt))
 	}
@@ -207,7 +207,7 @@
 		return nil
 	}
 	perEvent := s.lastEventAt.Sub(s.sentAt).Seconds() / float64(max(1, s.job.eventCount))
-	s.job.server.tracker.Succeeded(s.server.ID, perEvent)
+	s.job.server.tracker.RecordSuccess(s.server.ID, perEvent)
 	s.job.recordAnswerSize()
 	s.job.clearSuspicion(s.answer, s.exchange)
 	s.job.finish(fasthttp.StatusOK, request.ReasonNone)
--- a/io/gateway/viewwait.go
+++ b/io/gateway/viewwait.go
@@ -14,17 +14,17 @@
 // than a refusal. If the store is unreadable, the delay is unknown, so the request is refused
 // at once.
 func (j *job) waitForView() {
-	ready := j.server.source.Known()
+	ready := j.server.source.ViewReady()
 	select {
 	case <-ready:
 		return
 	default:
 	}
-	timer := time.NewTimer(min(j.server.maxViewWait, j.request.Wait/viewWaitDivisor))
+	timer := time.NewTimer(min(j.server.maxViewWait, j.request.ClientTimeout/viewWaitDivisor))
 	defer timer.Stop()
 	select {
 	case <-ready:
-	case <-j.server.source.Unreadable():
+	case <-j.server.source.ViewUnreadable():
 	case <-timer.C:
 	}
 }
--- a/io/gateway/watchdog.go
+++ b/io/gateway/watchdog.go
@@ -42,13 +42,13 @@
 // watchAnswerStart watches for the start of an answer. The attempt is not counted in the job's
 // possibleRuns yet.
 func (j *job) watchAnswerStart(server fleet.Server, exchange *backend.Exchange) *watchdog {
-	return j.startWatchdog(server, exchange, balancer.First, j.possibleRuns+1)
+	return j.startWatchdog(server, exchange, balancer.PhaseFirstEvent, j.possibleRuns+1)
 }
 
 // watchEventGaps watches for the next event of a stream, whose attempt is counted in
 // possibleRuns.
 func (j *job) watchEventGaps(server fleet.Server, exchange *backend.Exchange) *watchdog {
-	return j.startWatchdog(server, exchange, balancer.Pause, j.possibleRuns)
+	return j.startWatchdog(server, exchange, balancer.PhaseNextEvent, j.possibleRuns)
 }
 
 // startWatchdog starts a watchdog. For routes that are not repeatable the watchdog has no
@@ -66,9 +66,9 @@
 	if !j.route.Repeatable() {
 		return w
 	}
-	limits := j.server.tracker.Limits(w.class, phase)
+	limits := j.server.tracker.SilenceThresholds(w.class, phase)
 	w.mutex.Lock()
-	w.timer = time.AfterFunc(limits.Rest, w.check)
+	w.timer = time.AfterFunc(limits.Eject, w.check)
 	w.mutex.Unlock()
 	return w
 }
@@ -94,16 +94,16 @@
 		return
 	}
 	tracker := &w.job.server.tracker
-	limits := tracker.Limits(w.class, w.phase)
-	silence := min(time.Since(w.lastProgressAt), tracker.SilentFor(w.server.ID))
-	step, next := limits.Step(silence, w.job.server.source.IsStill(w.server))
+	limits := tracker.SilenceThresholds(w.class, w.phase)
+	silence := min(time.Since(w.lastProgressAt), tracker.SilenceDuration(w.server.ID))
+	step, next := limits.Action(silence, w.job.server.source.HasUnresponsiveMember(w.server))
 	if step != balancer.Wait && !w.isEjected {
 		w.isEjected = true
-		tracker.Rest(w.server.ID)
-		w.job.server.source.Stalled(w.server)
+		tracker.Eject(w.server.ID)
+		w.job.server.source.ReportStall(w.server)
 	}
-	if step == balancer.Move {
-		w.job.server.source.Stalled(w.server)
+	if step == balancer.Reroute {
+		w.job.server.source.ReportStall(w.server)
 		if w.mayFailOver && w.hasAlternative() && w.job.prepayRetry() {
 			w.aborted.Store(true)
 			w.exchange.Abort()
@@ -131,7 +131,7 @@
 // hasAlternative reports whether another available server is not ejected.
 func (w *watchdog) hasAlternative() bool {
 	for _, candidate := range w.job.server.availableServers(w.job.service, w.job.request.Model) {
-		if candidate.ID != w.server.ID && !w.job.server.tracker.IsResting(candidate.ID) {
+		if candidate.ID != w.server.ID && !w.job.server.tracker.IsEjected(candidate.ID) {
 			return true
 		}
 	}
--- a/io/http1/http1.go
+++ b/io/http1/http1.go
@@ -20,8 +20,8 @@
 // Error is the error of a failed exchange.
 type Error struct {
 	Peer string
-	// Sent is set if part of the request may have reached the peer.
-	Sent bool
+	// MayHaveBeenSent is set if part of the request may have reached the peer.
+	MayHaveBeenSent bool
 	// Refused is set if the peer refused the connection, so that nothing listens on its port.
 	Refused bool
 	Cause   error
@@ -30,7 +30,7 @@
 // Error returns the failed step, the peer and the cause.
 func (e *Error) Error() string {
 	step := "connect to "
-	if e.Sent {
+	if e.MayHaveBeenSent {
 		step = "exchange with "
 	}
 	return step + e.Peer + ": " + e.Cause.Error()
@@ -44,11 +44,11 @@
 // Client pools connections to many peers. The zero value is ready to use, with default
 // timeouts. It is safe for concurrent use.
 type Client struct {
-	// ConnectTimeout bounds connecting. IdleTimeout bounds each read and each write of an
-	// exchange. KeepFor is how long an unused connection is kept.
+	// ConnectTimeout bounds connecting. IOTimeout bounds each read and each write of an
+	// exchange. MaxIdleTime is how long an unused connection is kept.
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration
-	KeepFor        time.Duration
+	IOTimeout      time.Duration
+	MaxIdleTime    time.Duration
 
 	mutex    sync.Mutex
 	pooled   map[string]*fasthttp.HostClient
@@ -95,10 +95,10 @@
 	var opErr *net.OpError
 	isRefused := isDialFailure && errors.As(err, &opErr) && !opErr.Timeout()
 	return &Error{
-		Peer:    address,
-		Sent:    !isDialFailure,
-		Refused: isRefused,
-		Cause:   err,
+		Peer:            address,
+		MayHaveBeenSent: !isDialFailure,
+		Refused:         isRefused,
+		Cause:           err,
 	}
 }
 
@@ -128,7 +128,7 @@
 	return &fasthttp.HostClient{
 		Addr:                          address,
 		MaxConns:                      maxConnsPerPeer,
-		MaxIdleConnDuration:           orDefault(c.KeepFor, defaultMaxIdleTime),
+		MaxIdleConnDuration:           orDefault(c.MaxIdleTime, defaultMaxIdleTime),
 		MaxIdemponentCallAttempts:     1,
 		DisableHeaderNamesNormalizing: false,
 		DisablePathNormalizing:        true,
@@ -150,7 +150,7 @@
 	}
 	return &timeoutConn{
 		Conn:    conn,
-		timeout: orDefault(c.IdleTimeout, defaultIOTimeout),
+		timeout: orDefault(c.IOTimeout, defaultIOTimeout),
 	}, nil
 }
 
@@ -184,15 +184,15 @@
 	return t.Conn.Write(source)
 }
 
-// Reply is a copy of a complete answer.
-type Reply struct {
+// Answer is a copy of a complete answer.
+type Answer struct {
 	Status int
 	Body   []byte
 	header fasthttp.ResponseHeader
 }
 
 // Header returns all values of a header, in their order.
-func (r *Reply) Header(name string) []string {
+func (r *Answer) Header(name string) []string {
 	var values []string
 	for _, value := range r.header.PeekAll(name) {
 		values = append(values, string(value))
@@ -200,9 +200,9 @@
 	return values
 }
 
-// JSON posts body as JSON, or sends a GET if body is nil, and returns the status and a copy of
+// CallJSON posts body as CallJSON, or sends a GET if body is nil, and returns the status and a copy of
 // the body.
-func (c *Client) JSON(address, path string, body []byte) (status int, answer []byte, err error) {
+func (c *Client) CallJSON(address, path string, body []byte) (status int, answer []byte, err error) {
 	reply, err := c.Call(address, path, body)
 	if err != nil {
 		return 0, nil, err
@@ -210,8 +210,8 @@
 	return reply.Status, reply.Body, nil
 }
 
-// Call posts body as JSON, or sends a GET if body is nil, and returns the complete answer.
-func (c *Client) Call(address, path string, body []byte) (*Reply, error) {
+// Call posts body as CallJSON, or sends a GET if body is nil, and returns the complete answer.
+func (c *Client) Call(address, path string, body []byte) (*Answer, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
@@ -225,7 +225,7 @@
 	if err := c.Do(address, request, response, false, false); err != nil {
 		return nil, err
 	}
-	reply := &Reply{
+	reply := &Answer{
 		Status: response.StatusCode(),
 		Body:   append([]byte(nil), response.Body()...),
 	}
--- a/io/http1/http1_test.go
+++ b/io/http1/http1_test.go
@@ -89,7 +89,7 @@
 		err := send(client, closing.listener.Addr().String(), method, false)
 		var failed *http1.Error
 		qt.Assert(t, errors.As(err, &failed), qt.IsTrue, qt.Commentf(method))
-		qt.Assert(t, failed.Sent, qt.IsTrue)
+		qt.Assert(t, failed.MayHaveBeenSent, qt.IsTrue)
 		qt.Assert(t, closing.requests.Load(), qt.Equals, int64(1), qt.Commentf(method))
 	}
 }
@@ -110,7 +110,7 @@
 	err := send(client, address, "GET", false)
 	var failed *http1.Error
 	qt.Assert(t, errors.As(err, &failed), qt.IsTrue)
-	qt.Assert(t, failed.Sent, qt.IsTrue)
+	qt.Assert(t, failed.MayHaveBeenSent, qt.IsTrue)
 	qt.Assert(t, dying.requests.Load(), qt.Equals, int64(2))
 }
 
@@ -136,7 +136,7 @@
 	err := send(&http1.Client{}, address, "POST", true)
 	var failed *http1.Error
 	qt.Assert(t, errors.As(err, &failed), qt.IsTrue)
-	qt.Assert(t, failed.Sent, qt.IsFalse)
+	qt.Assert(t, failed.MayHaveBeenSent, qt.IsFalse)
 	qt.Assert(t, failed.Refused, qt.IsTrue)
 	qt.Assert(t, failed.Peer, qt.Equals, address)
 }
--- a/io/kernel/kernel.go
+++ b/io/kernel/kernel.go
@@ -17,18 +17,18 @@
 	maxQueryInterval = time.Second
 )
 
-// Sleep measures how long the VM has been suspended in total. A suspension makes the wall
+// SuspendClock measures how long the VM has been suspended in total. A suspension makes the wall
 // clock drift from the monotonic clock, and only then is the kernel queried. Most calls
 // therefore read just these two clocks, which needs no system call. The zero value is ready
 // to use and safe for concurrent use.
-type Sleep struct {
+type SuspendClock struct {
 	mutex     sync.Mutex
 	queriedAt time.Time
 	suspended time.Duration
 }
 
 // Suspended returns how long the VM has been suspended since it was started.
-func (s *Sleep) Suspended() time.Duration {
+func (s *SuspendClock) Suspended() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
--- a/io/kernel/kernel_test.go
+++ b/io/kernel/kernel_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSuspendedTimeNeverDecreases(t *testing.T) {
-	var sleep kernel.Sleep
+	var sleep kernel.SuspendClock
 	previous := sleep.Suspended()
 	qt.Assert(t, previous >= 0, qt.IsTrue)
 	for range 1000 {
@@ -20,7 +20,7 @@
 }
 
 func BenchmarkSuspended(b *testing.B) {
-	var sleep kernel.Sleep
+	var sleep kernel.SuspendClock
 	for b.Loop() {
 		sleep.Suspended()
 	}
--- a/io/logline/discard.go
+++ b/io/logline/discard.go
@@ -1,8 +1,8 @@
 package logline
 
-// Quiet is a logger that discards the messages of an HTTP or JSON-RPC library about broken
+// Discard is a logger that discards the messages of an HTTP or JSON-RPC library about broken
 // connections, which are logged per request or call already. The zero value is ready to use.
-type Quiet struct{}
+type Discard struct{}
 
 // Printf discards a message.
-func (Quiet) Printf(string, ...any) {}
+func (Discard) Printf(string, ...any) {}
--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -127,9 +127,9 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), out, minLevel)), nil
 }
 
-// Err returns a field with the message of an error. zap's own error field would add a stack
+// ErrorField returns a field with the message of an error. zap's own error field would add a stack
 // trace to each.
-func Err(err error) zap.Field {
+func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -132,8 +132,8 @@
 	log, err := logline.Logger("warn", writer)
 	qt.Assert(t, err, qt.IsNil)
 	log.Info("below the level")
-	log.Warn("failed", logline.Err(errors.Wrap(errors.New("cause"), "step")))
-	log.Warn("well", logline.Err(nil))
+	log.Warn("failed", logline.ErrorField(errors.Wrap(errors.New("cause"), "step")))
+	log.Warn("well", logline.ErrorField(nil))
 	writer.Close(maxWait)
 	qt.Assert(t, bytes.Contains(out.Bytes(), []byte("errorVerbose")), qt.IsFalse)
 	qt.Assert(t, decode(t, out.Bytes()), qt.DeepEquals, []logEntry{
@@ -145,7 +145,7 @@
 			Message: "well",
 		},
 	})
-	qt.Assert(t, logline.Err(nil), qt.DeepEquals, zap.Skip())
+	qt.Assert(t, logline.ErrorField(nil), qt.DeepEquals, zap.Skip())
 }
 
 func TestUnknownLevelIsAnError(t *testing.T) {
--- a/io/logline/throttle.go
+++ b/io/logline/throttle.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Rarely limits log lines to one per interval for each subject, such as a table whose calls
-// fail. The zero value suppresses none; set Every before use.
-type Rarely struct {
-	// Every is the minimum interval between two lines of one subject.
-	Every time.Duration
+// Throttle limits log lines to one per interval for each subject, such as a table whose calls
+// fail. The zero value suppresses none; set Interval before use.
+type Throttle struct {
+	// Interval is the minimum interval between two lines of one subject.
+	Interval time.Duration
 
 	mutex  sync.Mutex
 	states map[string]throttleState
@@ -22,13 +22,13 @@
 	suppressed    int
 }
 
-// Pass reports whether a line of a subject may be written, and how many were suppressed since
+// Allow reports whether a line of a subject may be written, and how many were suppressed since
 // the last one.
-func (r *Rarely) Pass(subject string) (mayWrite bool, suppressed int) {
+func (r *Throttle) Allow(subject string) (mayWrite bool, suppressed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	state, ok := r.states[subject]
-	if ok && time.Since(state.lastAllowedAt) < r.Every {
+	if ok && time.Since(state.lastAllowedAt) < r.Interval {
 		state.suppressed++
 		r.states[subject] = state
 		return false, 0
@@ -42,9 +42,9 @@
 	return true, state.suppressed
 }
 
-// End resets a subject, so that its next line is allowed at once, and returns how many lines
+// Reset resets a subject, so that its next line is allowed at once, and returns how many lines
 // were suppressed since the last one.
-func (r *Rarely) End(subject string) int {
+func (r *Throttle) Reset(subject string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	suppressed := r.states[subject].suppressed
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -30,7 +30,7 @@
 		key:     key,
 		http: &http1.Client{
 			ConnectTimeout: 2 * time.Second,
-			IdleTimeout:    requestTimeout + 5*time.Second,
+			IOTimeout:      requestTimeout + 5*time.Second,
 		},
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	if err := c.http.Do(c.address, request, response, true, false); err != nil {
 		var httpErr *http1.Error
-		if errors.As(err, &httpErr) && httpErr.Sent {
+		if errors.As(err, &httpErr) && httpErr.MayHaveBeenSent {
 			return errors.Wrap(ErrNoAnswer, err.Error())
 		}
 		return err
@@ -78,7 +78,7 @@
 	if response.StatusCode() == fasthttp.StatusServiceUnavailable {
 		return errors.New(reply.Error)
 	}
-	return Refuse(errors.New(reply.Error))
+	return MarkInvalid(errors.New(reply.Error))
 }
 
 // Apply applies a declaration.
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -28,15 +28,15 @@
 	return r.cause.Error()
 }
 
-// Refuse marks an error as one that the operator can correct.
-func Refuse(cause error) error {
+// MarkInvalid marks an error as one that the operator can correct.
+func MarkInvalid(cause error) error {
 	return invalidRequestError{
 		cause: cause,
 	}
 }
 
-// IsRefused reports whether an error was marked by Refuse.
-func IsRefused(err error) bool {
+// IsInvalid reports whether an error was marked by MarkInvalid.
+func IsInvalid(err error) bool {
 	var invalid invalidRequestError
 	return errors.As(err, &invalid)
 }
@@ -145,7 +145,7 @@
 		}
 		s.log.Warn("operators: request failed", zap.String("operator", operator), zap.String("path", c.Path()), zap.Error(err))
 		status := fiber.StatusServiceUnavailable
-		if IsRefused(err) {
+		if IsInvalid(err) {
 			status = fiber.StatusUnprocessableEntity
 		}
 		return c.Status(status).JSON(errorReply{
@@ -180,11 +180,11 @@
 func (s *Server) apply(ctx context.Context, c fiber.Ctx, operator string) (any, error) {
 	var request ApplyRequest
 	if err := c.Bind().JSON(&request); err != nil {
-		return nil, Refuse(err)
+		return nil, MarkInvalid(err)
 	}
 	declared, err := declaration.Parse(request.Files)
 	if err != nil {
-		return nil, Refuse(err)
+		return nil, MarkInvalid(err)
 	}
 	return s.fleet.Apply(ctx, operator, declared, request.From)
 }
@@ -193,11 +193,11 @@
 func (s *Server) diff(ctx context.Context, c fiber.Ctx, _ string) (any, error) {
 	var request ApplyRequest
 	if err := c.Bind().JSON(&request); err != nil {
-		return nil, Refuse(err)
+		return nil, MarkInvalid(err)
 	}
 	declared, err := declaration.Parse(request.Files)
 	if err != nil {
-		return nil, Refuse(err)
+		return nil, MarkInvalid(err)
 	}
 	return s.fleet.Diff(ctx, declared)
 }
@@ -206,7 +206,7 @@
 func (s *Server) propose(ctx context.Context, c fiber.Ctx, operator string) (any, error) {
 	var intent plan.Intent
 	if err := c.Bind().JSON(&intent); err != nil {
-		return nil, Refuse(err)
+		return nil, MarkInvalid(err)
 	}
 	return planReply(s.fleet.Propose(ctx, operator, intent))
 }
@@ -216,7 +216,7 @@
 	if err != nil {
 		return nil, err
 	}
-	downtime, stranded := proposal.Predicted()
+	downtime, stranded := proposal.PredictedTotals()
 	return PlanReply{
 		Plan:            proposal,
 		DowntimeSeconds: downtime,
@@ -240,7 +240,7 @@
 			return planReply(candidate, nil)
 		}
 	}
-	return nil, Refuse(errors.Errorf("plan %q does not exist", c.Params("id")))
+	return nil, MarkInvalid(errors.Errorf("plan %q does not exist", c.Params("id")))
 }
 
 // changeConfirm is the change that confirms a plan.
--- a/io/operator/types.go
+++ b/io/operator/types.go
@@ -49,27 +49,27 @@
 	StrandedSeconds float64   `json:"stranded_seconds"`
 }
 
-// Status is the state of the fleet as one daemon knows it. StoreAge is the time since the
+// Status is the state of the fleet as one daemon knows it. StoreAgeSeconds is the time since the
 // last answer of the store, in seconds.
 type Status struct {
-	Daemon   string         `json:"daemon"`
-	Revision uint64         `json:"revision"`
-	Accepted bool           `json:"accepted"`
-	Serving  bool           `json:"serving"`
-	StoreAge float64        `json:"store_age_seconds"`
-	Daemons  []DaemonStatus `json:"daemons"`
-	Leases   []LeaseStatus  `json:"leases"`
-	Zones    []ZoneStatus   `json:"zones"`
+	Daemon          string         `json:"daemon"`
+	Revision        uint64         `json:"revision"`
+	Accepted        bool           `json:"accepted"`
+	Serving         bool           `json:"serving"`
+	StoreAgeSeconds float64        `json:"store_age_seconds"`
+	Daemons         []DaemonStatus `json:"daemons"`
+	Leases          []LeaseStatus  `json:"leases"`
+	Zones           []ZoneStatus   `json:"zones"`
 }
 
-// DaemonStatus is the state of one daemon. HeardAge is the age of its last report in
+// DaemonStatus is the state of one daemon. ReportAgeSeconds is the age of its last report in
 // seconds. HoldsRevision is set if it holds the revision in force at the daemon that
 // answers.
 type DaemonStatus struct {
-	ID            string  `json:"id"`
-	Zone          string  `json:"zone"`
-	HeardAge      float64 `json:"heard_age_seconds"`
-	HoldsRevision bool    `json:"holds_revision"`
+	ID               string  `json:"id"`
+	Zone             string  `json:"zone"`
+	ReportAgeSeconds float64 `json:"heard_age_seconds"`
+	HoldsRevision    bool    `json:"holds_revision"`
 }
 
 // LeaseStatus is the lease of one control shard.
@@ -92,12 +92,12 @@
 }
 
 // GroupStatus is the state of one group. Serveable is set if it may get requests now.
-// Age is the age of the evidence in seconds.
+// EvidenceAgeSeconds is the age of the evidence in seconds.
 type GroupStatus struct {
-	Record    group.Record `json:"record"`
-	Serveable bool         `json:"serveable"`
-	InFlight  int          `json:"in_flight"`
-	Age       float64      `json:"evidence_age_seconds"`
+	Record             group.Record `json:"record"`
+	Serveable          bool         `json:"serveable"`
+	InFlight           int          `json:"in_flight"`
+	EvidenceAgeSeconds float64      `json:"evidence_age_seconds"`
 }
 
 // Counters are the counters of one daemon, by name.
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -35,7 +35,7 @@
 }
 
 // encode returns the wire form of an answer.
-func (e *encoder) encode(answer Answer, now time.Time) pullReply {
+func (e *encoder) encode(answer PullAnswer, now time.Time) pullReply {
 	if e.numbers == nil {
 		e.numbers = map[string]int{}
 		e.lastSent = map[int]time.Time{}
@@ -48,17 +48,17 @@
 		Names:       map[int]string{},
 	}
 	for _, report := range answer.Reports {
-		if number, shouldSend := e.assignNumber("d/"+report.Daemon, report.At, now, reply.Names); shouldSend {
-			reply.Reports = appendNumbers(reply.Reports, uint64(number), report.ConfigVersion, encodeAge(report.At, now))
+		if number, shouldSend := e.assignNumber("d/"+report.Daemon, report.ObservedAt, now, reply.Names); shouldSend {
+			reply.Reports = appendNumbers(reply.Reports, uint64(number), report.ConfigVersion, encodeAge(report.ObservedAt, now))
 		}
 	}
 	for _, observed := range answer.Evidence {
-		if number, shouldSend := e.assignNumber("g/"+observed.Group, observed.At, now, reply.Names); shouldSend {
+		if number, shouldSend := e.assignNumber("g/"+observed.Group, observed.ObservedAt, now, reply.Names); shouldSend {
 			whole := uint64(0)
-			if observed.Whole {
+			if observed.IsWhole {
 				whole = 1
 			}
-			reply.Evidence = appendNumbers(reply.Evidence, uint64(number), observed.Generation, whole, encodeAge(observed.At, now), uint64(observed.InFlight), uint64(observed.Slots))
+			reply.Evidence = appendNumbers(reply.Evidence, uint64(number), observed.Generation, whole, encodeAge(observed.ObservedAt, now), uint64(observed.InFlight), uint64(observed.Slots))
 		}
 	}
 	return reply
@@ -140,7 +140,7 @@
 		reports = append(reports, contact.Report{
 			Daemon:        daemon,
 			ConfigVersion: numbers[1],
-			At:            observationTime(requestedAt, numbers[2]),
+			ObservedAt:    observationTime(requestedAt, numbers[2]),
 		})
 	}
 	return reports, nil
@@ -163,8 +163,8 @@
 		evidence = append(evidence, presence.Evidence{
 			Group:      group,
 			Generation: numbers[1],
-			Whole:      numbers[2] == 1,
-			At:         observationTime(requestedAt, numbers[3]),
+			IsWhole:    numbers[2] == 1,
+			ObservedAt: observationTime(requestedAt, numbers[3]),
 			InFlight:   int(min(numbers[4], maxCount)),
 			Slots:      int(min(numbers[5], maxCount)),
 		})
--- a/io/peer/codec_internal_test.go
+++ b/io/peer/codec_internal_test.go
@@ -18,13 +18,13 @@
 		requestedAt := time.Now()
 		observed, _ := decodeEvidence(evidence, names, requestedAt)
 		for _, item := range observed {
-			if item.At.After(requestedAt) || item.Slots < 0 || item.InFlight < 0 {
+			if item.ObservedAt.After(requestedAt) || item.Slots < 0 || item.InFlight < 0 {
 				t.Fatalf("unpacked %+v", item)
 			}
 		}
 		decoded, _ := decodeReports(reports, names, requestedAt)
 		for _, item := range decoded {
-			if item.At.After(requestedAt) {
+			if item.ObservedAt.After(requestedAt) {
 				t.Fatalf("unpacked %+v", item)
 			}
 		}
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -43,17 +43,17 @@
 
 // PullRequest requests the rows after a position in the log of another daemon.
 // Incarnation identifies the log; a log with another incarnation is read from position
-// 0. Full requests everything that the other daemon knows, not only its own
+// 0. IncludeRelayed requests everything that the other daemon knows, not only its own
 // observations.
 type PullRequest struct {
-	Incarnation string `json:"incarnation"`
-	Position    int    `json:"position"`
-	Full        bool   `json:"full,omitempty"`
+	Incarnation    string `json:"incarnation"`
+	Position       int    `json:"position"`
+	IncludeRelayed bool   `json:"full,omitempty"`
 }
 
-// Answer is the answer to a pull. More is set if further rows were omitted; the reports
+// PullAnswer is the answer to a pull. More is set if further rows were omitted; the reports
 // must not be used then.
-type Answer struct {
+type PullAnswer struct {
 	Incarnation string
 	Position    int
 	Rows        []table.Row
@@ -62,7 +62,7 @@
 	Evidence    []presence.Evidence
 }
 
-// pullReply is the wire form of type Answer. Reports and Evidence are encoded as
+// pullReply is the wire form of type PullAnswer. Reports and Evidence are encoded as
 // described at ageResolution. Names contains, by number, the names that the session
 // uses for the first time.
 type pullReply struct {
@@ -131,18 +131,18 @@
 }
 
 // Pull sends a request to the daemon at IP:port.
-func (c *Client) Pull(ctx context.Context, address string, request PullRequest) (Answer, error) {
+func (c *Client) Pull(ctx context.Context, address string, request PullRequest) (PullAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	requestedAt := time.Now()
 	current, err := c.openSession(ctx, address)
 	if err != nil {
-		return Answer{}, err
+		return PullAnswer{}, err
 	}
 	var reply pullReply
 	if err = current.conn.Call(ctx, methodPull, request, &reply); err != nil {
 		c.closeSession(address, current)
-		return Answer{}, errors.Wrapf(err, "pull from %s", address)
+		return PullAnswer{}, errors.Wrapf(err, "pull from %s", address)
 	}
 	answer, err := current.decode(reply, requestedAt)
 	if err != nil {
@@ -152,16 +152,16 @@
 }
 
 // decode returns the answer in a reply to a request that was sent at requestedAt.
-func (s *session) decode(reply pullReply, requestedAt time.Time) (Answer, error) {
+func (s *session) decode(reply pullReply, requestedAt time.Time) (PullAnswer, error) {
 	for number, name := range reply.Names {
 		s.names[number] = name
 	}
 	reports, err := decodeReports(reply.Reports, s.names, requestedAt)
 	if err != nil {
-		return Answer{}, err
+		return PullAnswer{}, err
 	}
 	evidence, err := decodeEvidence(reply.Evidence, s.names, requestedAt)
-	return Answer{
+	return PullAnswer{
 		Incarnation: reply.Incarnation,
 		Position:    reply.Position,
 		Rows:        reply.Rows,
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -16,18 +16,18 @@
 
 // fixedHandler answers every pull with a fixed answer.
 type fixedHandler struct {
-	answer peer.Answer
+	answer peer.PullAnswer
 }
 
-// AnswerPull returns the answer.
-func (a *fixedHandler) AnswerPull(context.Context, peer.PullRequest) (peer.Answer, error) {
+// HandlePull returns the answer.
+func (a *fixedHandler) HandlePull(context.Context, peer.PullRequest) (peer.PullAnswer, error) {
 	return a.answer, nil
 }
 
 const peerKey = "test-peer-key-0123456789"
 
 // connect starts a server, and a client with a key.
-func connect(t *testing.T, key string, source peer.Answerer) (pull func() (peer.Answer, error), traffic *peer.Traffic) {
+func connect(t *testing.T, key string, source peer.PullHandler) (pull func() (peer.PullAnswer, error), traffic *peer.Traffic) {
 	t.Helper()
 	traffic = &peer.Traffic{}
 	server, err := peer.Listen("127.0.0.1:0", peerKey, source, &peer.Traffic{})
@@ -38,7 +38,7 @@
 		Daemon: "asker",
 	}, traffic)
 	t.Cleanup(client.Close)
-	return func() (peer.Answer, error) {
+	return func() (peer.PullAnswer, error) {
 		return client.Pull(context.Background(), server.Address(), peer.PullRequest{})
 	}, traffic
 }
@@ -48,7 +48,7 @@
 func TestPullReturnsWholeAnswer(t *testing.T) {
 	now := time.Now()
 	source := &fixedHandler{
-		answer: peer.Answer{
+		answer: peer.PullAnswer{
 			Incarnation: "one",
 			Position:    7,
 			Rows: []table.Row{{
@@ -59,18 +59,18 @@
 			Reports: []contact.Report{{
 				Daemon:        "daemon-1",
 				ConfigVersion: 99,
-				At:            now.Add(-time.Second),
+				ObservedAt:    now.Add(-time.Second),
 			}},
 			Evidence: []presence.Evidence{{
 				Group:      "redactor-1",
 				Generation: 4,
-				Whole:      true,
-				At:         now.Add(-2 * time.Second),
+				IsWhole:    true,
+				ObservedAt: now.Add(-2 * time.Second),
 				InFlight:   5,
 				Slots:      32,
 			}, {
-				Group: "redactor-2",
-				At:    now.Add(-time.Millisecond),
+				Group:      "redactor-2",
+				ObservedAt: now.Add(-time.Millisecond),
 			}},
 		},
 	}
@@ -83,13 +83,13 @@
 	qt.Assert(t, got.Reports, qt.HasLen, 1)
 	qt.Assert(t, got.Reports[0].Daemon, qt.Equals, "daemon-1")
 	qt.Assert(t, got.Reports[0].ConfigVersion, qt.Equals, uint64(99))
-	qt.Assert(t, got.Reports[0].At.After(source.answer.Reports[0].At), qt.IsFalse)
+	qt.Assert(t, got.Reports[0].ObservedAt.After(source.answer.Reports[0].ObservedAt), qt.IsFalse)
 	qt.Assert(t, got.Evidence, qt.HasLen, 2)
 	first := got.Evidence[0]
-	qt.Assert(t, first.At.After(source.answer.Evidence[0].At), qt.IsFalse)
-	first.At = source.answer.Evidence[0].At
+	qt.Assert(t, first.ObservedAt.After(source.answer.Evidence[0].ObservedAt), qt.IsFalse)
+	first.ObservedAt = source.answer.Evidence[0].ObservedAt
 	qt.Assert(t, first, qt.Equals, source.answer.Evidence[0])
-	qt.Assert(t, got.Evidence[1].Whole, qt.IsFalse)
+	qt.Assert(t, got.Evidence[1].IsWhole, qt.IsFalse)
 }
 
 // TestObservationIsSentAgainOnlyIfNewer checks that a session sends the same observation once,
@@ -98,9 +98,9 @@
 	source := &fixedHandler{}
 	setObservedAt := func(at time.Time) {
 		source.answer.Evidence = []presence.Evidence{{
-			Group: "g",
-			Whole: true,
-			At:    at,
+			Group:      "g",
+			IsWhole:    true,
+			ObservedAt: at,
 		}}
 	}
 	pull, _ := connect(t, peerKey, source)
@@ -137,9 +137,9 @@
 		source.answer.Evidence = nil
 		for number := range 100 {
 			source.answer.Evidence = append(source.answer.Evidence, presence.Evidence{
-				Group: fmt.Sprintf("a-group-with-quite-a-long-name-%d", number),
-				Whole: true,
-				At:    time.Now(),
+				Group:      fmt.Sprintf("a-group-with-quite-a-long-name-%d", number),
+				IsWhole:    true,
+				ObservedAt: time.Now(),
 			})
 		}
 		before := traffic.Read.Load()
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -12,22 +12,22 @@
 	"headcourse/io/rpc"
 )
 
-// Answerer answers the pulls of other daemons.
-type Answerer interface {
-	AnswerPull(ctx context.Context, request PullRequest) (Answer, error)
+// PullHandler answers the pulls of other daemons.
+type PullHandler interface {
+	HandlePull(ctx context.Context, request PullRequest) (PullAnswer, error)
 }
 
 // Server serves other daemons. Create it with Listen.
 type Server struct {
 	*rpc.Listener
 	key      string
-	answerer Answerer
+	answerer PullHandler
 	traffic  *Traffic
 }
 
 // Listen starts a server at IP:port for daemons that know the key. Port 0 chooses a
 // free port.
-func Listen(address, key string, answerer Answerer, traffic *Traffic) (*Server, error) {
+func Listen(address, key string, answerer PullHandler, traffic *Traffic) (*Server, error) {
 	server := &Server{
 		key:      key,
 		answerer: answerer,
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(params, &pull); err != nil {
 		return nil, newError(jsonrpc2.CodeInvalidParams, err.Error())
 	}
-	answer, err := s.server.answerer.AnswerPull(ctx, pull)
+	answer, err := s.server.answerer.HandlePull(ctx, pull)
 	if err != nil {
 		return nil, newError(codeFailed, err.Error())
 	}
--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -21,13 +21,13 @@
 // Client calls one other daemon. It implements rowstore.Reader over a single connection that is
 // opened on demand. Use NewClient.
 type Client struct {
-	// Self is the name of the calling daemon, Peer that of the called one. Board provides the
-	// demand that is reported with calls; nil means none. Refused, if set, is called if the
+	// Self is the name of the calling daemon, Peer that of the called one. Aggregator provides the
+	// demand that is reported with calls; nil means none. OnInvalidDemand, if set, is called if the
 	// total demand in an answer is invalid. Set them before use.
-	Self    string
-	Peer    string
-	Board   *demand.Board
-	Refused func(peer string, err error)
+	Self            string
+	Peer            string
+	Aggregator      *demand.Aggregator
+	OnInvalidDemand func(peer string, err error)
 
 	address string
 	mutex   sync.Mutex
@@ -58,9 +58,9 @@
 	}))
 }
 
-// Enlist asks the daemon to list the calling one, by its entry, in the store together with
+// Register asks the daemon to list the calling one, by its entry, in the store together with
 // others.
-func (c *Client) Enlist(ctx context.Context, entry []byte) error {
+func (c *Client) Register(ctx context.Context, entry []byte) error {
 	_, err := c.call(ctx, callEnlist, callParams{
 		From:  c.Self,
 		Entry: entry,
@@ -70,13 +70,13 @@
 
 // withDemand adds the demand to the parameters of a call, if a report is due.
 func (c *Client) withDemand(params callParams) callParams {
-	if c.Board == nil {
+	if c.Aggregator == nil {
 		return params
 	}
-	measured, isDue := c.Board.Tell(c.Peer)
+	measured, isDue := c.Aggregator.NextReport(c.Peer)
 	if isDue {
 		params.From = c.Self
-		params.Asked = encodeDemand(measured.Asked)
+		params.Asked = encodeDemand(measured.Demand)
 		params.Depth = measured.Depth
 	}
 	return params
@@ -84,11 +84,11 @@
 
 // recordTotalDemand records the total demand of all daemons from an answer.
 func (c *Client) recordTotalDemand(result callResult) {
-	if c.Board == nil || len(result.Asked) == 0 {
+	if c.Aggregator == nil || len(result.Asked) == 0 {
 		return
 	}
-	if err := c.Board.Heard(c.Peer, decodeDemand(result.Asked)); err != nil && c.Refused != nil {
-		c.Refused(c.Peer, err)
+	if err := c.Aggregator.ReceiveTotals(c.Peer, decodeDemand(result.Asked)); err != nil && c.OnInvalidDemand != nil {
+		c.OnInvalidDemand(c.Peer, err)
 	}
 }
 
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	stream := jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{})
-	c.conn = jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, jsonrpc2.SetLogger(logline.Quiet{}))
+	c.conn = jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, jsonrpc2.SetLogger(logline.Discard{}))
 	return c.conn, nil
 }
 
--- a/io/relay/demand.go
+++ b/io/relay/demand.go
@@ -25,41 +25,41 @@
 }
 
 // encodeDemand converts demand to the form in which it is sent.
-func encodeDemand(entries []demand.Asked) []demandEntry {
+func encodeDemand(entries []demand.Demand) []demandEntry {
 	var encoded []demandEntry
 	for _, entry := range entries {
 		encoded = append(encoded, demandEntry{
 			Service:  entry.Kind.Service,
 			Model:    entry.Kind.Model,
 			Zone:     entry.Zone,
-			Rate:     entry.Rate,
-			Requests: entry.Tokens.Requests,
-			Prompt:   entry.Tokens.Prompt,
-			Answer:   entry.Tokens.Answer,
-			Squares:  entry.Tokens.Squares,
-			Goals:    entry.Tokens.Goals,
+			Rate:     entry.WorkRate,
+			Requests: entry.TokenRates.Requests,
+			Prompt:   entry.TokenRates.Prompt,
+			Answer:   entry.TokenRates.Answer,
+			Squares:  entry.TokenRates.PromptSquares,
+			Goals:    entry.TokenRates.GoalPromptSeconds,
 		})
 	}
 	return encoded
 }
 
 // decodeDemand converts demand from the form in which it is sent.
-func decodeDemand(encoded []demandEntry) []demand.Asked {
-	var entries []demand.Asked
+func decodeDemand(encoded []demandEntry) []demand.Demand {
+	var entries []demand.Demand
 	for _, entry := range encoded {
-		entries = append(entries, demand.Asked{
+		entries = append(entries, demand.Demand{
 			Kind: demand.Kind{
 				Service: entry.Service,
 				Model:   entry.Model,
 			},
-			Zone: entry.Zone,
-			Rate: entry.Rate,
-			Tokens: usage.Rate{
-				Requests: entry.Requests,
-				Prompt:   entry.Prompt,
-				Answer:   entry.Answer,
-				Squares:  entry.Squares,
-				Goals:    entry.Goals,
+			Zone:     entry.Zone,
+			WorkRate: entry.Rate,
+			TokenRates: usage.Rate{
+				Requests:          entry.Requests,
+				Prompt:            entry.Prompt,
+				Answer:            entry.Answer,
+				PromptSquares:     entry.Squares,
+				GoalPromptSeconds: entry.Goals,
 			},
 		})
 	}
@@ -70,12 +70,12 @@
 // demand of all daemons. Invalid demand is reported and not recorded, and the call is still
 // answered.
 func (s *Server) recordDemand(params callParams) []demandEntry {
-	if s.board == nil || params.From == "" {
+	if s.aggregator == nil || params.From == "" {
 		return nil
 	}
-	total, err := s.board.Told(params.From, demand.Word{
-		Asked: decodeDemand(params.Asked),
-		Depth: params.Depth,
+	total, err := s.aggregator.ReceiveReport(params.From, demand.Report{
+		Demand: decodeDemand(params.Asked),
+		Depth:  params.Depth,
 	})
 	if err != nil {
 		s.reportInvalidDemand(params.From, err)
@@ -89,8 +89,8 @@
 // daemon's requests counted both at its relay and at a standby, and the leader overestimated
 // the demand by half.
 func (s *Server) retractDemand(params callParams, err error) {
-	if s.board != nil && params.From != "" && errors.Is(err, rowstore.ErrNoCopy) {
-		s.board.Retract(params.From)
+	if s.aggregator != nil && params.From != "" && errors.Is(err, rowstore.ErrNoCopy) {
+		s.aggregator.DropReport(params.From)
 	}
 }
 
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -23,10 +23,10 @@
 
 // startServer starts a server for a hub with some rows, and returns the hub, the server and a
 // client of it.
-func startServer(t *testing.T, rows ...rowstore.Row) (*rowstore.Hub, *relay.Server, *relay.Client) {
+func startServer(t *testing.T, rows ...rowstore.Row) (*rowstore.TableCache, *relay.Server, *relay.Client) {
 	t.Helper()
-	hub := &rowstore.Hub{}
-	hub.Take("t", rowstore.Result{
+	hub := &rowstore.TableCache{}
+	hub.Apply("t", rowstore.Result{
 		Rows:    rows,
 		Version: 10,
 		Now:     90 * time.Second,
@@ -78,7 +78,7 @@
 		deleted := row("a", "", 11)
 		deleted.Value = nil
 		deleted.Deleted = true
-		hub.Take("t", rowstore.Result{
+		hub.Apply("t", rowstore.Result{
 			Rows:    []rowstore.Row{deleted},
 			Version: 11,
 		}, false, time.Now())
@@ -170,7 +170,7 @@
 	_, err = client.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNil)
 
-	stallingProxy.Strand()
+	stallingProxy.BlackholeOpenConnections()
 	const readTimeout = 50 * time.Millisecond
 	bounded, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
@@ -218,7 +218,7 @@
 		qt.Assert(t, result.Rows, qt.DeepEquals, rows)
 	}
 	changed := row("i-007", `{"State":"draining"}`, 12)
-	hub.Take("t", rowstore.Result{
+	hub.Apply("t", rowstore.Result{
 		Rows:    []rowstore.Row{changed},
 		Version: 12,
 	}, false, time.Now())
@@ -236,19 +236,19 @@
 
 // startWithBoard starts a server of an empty table with a board, and returns a client that
 // reports the demand of its own board. The channel rejected receives what either side rejects.
-func startWithBoard(t *testing.T, self string, meter *demand.Meter) (client *relay.Client, board *demand.Board, rejected chan string) {
+func startWithBoard(t *testing.T, self string, meter *demand.Meter) (client *relay.Client, board *demand.Aggregator, rejected chan string) {
 	t.Helper()
-	hub := &rowstore.Hub{}
-	hub.Take("t", rowstore.Result{
+	hub := &rowstore.TableCache{}
+	hub.Apply("t", rowstore.Result{
 		Version: 10,
 	}, true, time.Now())
-	board = &demand.Board{}
+	board = &demand.Aggregator{}
 	rejected = make(chan string, 8)
 	server, err := relay.Listen(relay.Options{
-		Address: "127.0.0.1:0",
-		Reader:  hub,
-		Board:   board,
-		Refused: func(from string, err error) {
+		Address:    "127.0.0.1:0",
+		Reader:     hub,
+		Aggregator: board,
+		OnInvalidDemand: func(from string, err error) {
 			rejected <- from + ": " + err.Error()
 		},
 	})
@@ -257,7 +257,7 @@
 	client = relay.NewClient(server.Address())
 	client.Self = self
 	client.Peer = "relay"
-	client.Board = &demand.Board{
+	client.Aggregator = &demand.Aggregator{
 		Meter: meter,
 		Zone:  "quito-a",
 	}
@@ -271,12 +271,12 @@
 		Model:   "large",
 	}
 	meter := &demand.Meter{}
-	meter.Note(kind, 400, usage.Rate{})
+	meter.RecordRequest(kind, 400, usage.Rate{})
 	client, board, rejected := startWithBoard(t, "front-a", meter)
 	_, err := client.Feed(context.Background(), "t", revision(10), 0)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, board.ByZone(kind)["quito-a"] > 0, qt.IsTrue)
-	qt.Assert(t, client.Board.ByZone(kind)["quito-a"] > 0, qt.IsTrue)
+	qt.Assert(t, board.WorkRateByZone(kind)["quito-a"] > 0, qt.IsTrue)
+	qt.Assert(t, client.Aggregator.WorkRateByZone(kind)["quito-a"] > 0, qt.IsTrue)
 	qt.Assert(t, rejected, qt.HasLen, 0)
 }
 
@@ -284,21 +284,21 @@
 // the daemon's name, and the feed still works.
 func TestInvalidDemandIsRejectedWithDaemonName(t *testing.T) {
 	meter := &demand.Meter{}
-	meter.Note(demand.Kind{
+	meter.RecordRequest(demand.Kind{
 		Model: "a model of no service",
 	}, 400, usage.Rate{})
 	client, board, rejected := startWithBoard(t, "front-a", meter)
 	_, err := client.Feed(context.Background(), "t", revision(10), 0)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, <-rejected, qt.Equals, `front-a: check demand: entry 0 of zone "quito-a" has no service`)
-	qt.Assert(t, board.ByZone(demand.Kind{}), qt.IsNil)
+	qt.Assert(t, board.WorkRateByZone(demand.Kind{}), qt.IsNil)
 }
 
 func TestDaemonIsEnlistedThroughRelay(t *testing.T) {
 	listed := make(chan string, 1)
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
-		Reader:  &rowstore.Hub{},
+		Reader:  &rowstore.TableCache{},
 		Enlist: func(_ context.Context, name string, entry []byte) error {
 			if len(entry) == 0 {
 				return rowstore.ErrRefused
@@ -312,9 +312,9 @@
 	client := relay.NewClient(server.Address())
 	client.Self = "front-a"
 	t.Cleanup(client.Close)
-	qt.Assert(t, client.Enlist(context.Background(), []byte("{}")), qt.IsNil)
+	qt.Assert(t, client.Register(context.Background(), []byte("{}")), qt.IsNil)
 	qt.Assert(t, <-listed, qt.Equals, "front-a {}")
-	qt.Assert(t, client.Enlist(context.Background(), nil), qt.ErrorIs, rowstore.ErrRefused)
+	qt.Assert(t, client.Register(context.Background(), nil), qt.ErrorIs, rowstore.ErrRefused)
 }
 
 // Guards against reuse of a compressed value for a version that a restored store has assigned
@@ -327,7 +327,7 @@
 		many = append(many, row(fmt.Sprintf("i-%02d", i), "former", 9))
 	}
 	for era, rows := range [][]rowstore.Row{many, {row("config", former, 9)}, {row("config", next, 9)}, withValue(many, "next")} {
-		hub.Take("t", rowstore.Result{
+		hub.Apply("t", rowstore.Result{
 			Rows:    rows,
 			Era:     int64(era),
 			Version: 10,
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -86,8 +86,8 @@
 // Server answers calls of other daemons. Use Listen.
 type Server struct {
 	*rpc.Listener
-	reader rowstore.Reader
-	board  *demand.Board
+	reader     rowstore.Reader
+	aggregator *demand.Aggregator
 	// onInvalidDemand, if set, is called if another daemon reports invalid demand.
 	onInvalidDemand func(from string, err error)
 	enlist          func(ctx context.Context, name string, entry []byte) error
@@ -101,11 +101,11 @@
 	Address string
 	// Reader is the copy of the tables to answer from.
 	Reader rowstore.Reader
-	// Board receives the demand of other daemons; nil means that demand is not added up.
-	Board *demand.Board
-	// Refused, if set, is called if another daemon reports invalid demand.
-	Refused func(from string, err error)
-	// Enlist lists another daemon in the store; nil means that such calls are rejected.
+	// Aggregator receives the demand of other daemons; nil means that demand is not added up.
+	Aggregator *demand.Aggregator
+	// OnInvalidDemand, if set, is called if another daemon reports invalid demand.
+	OnInvalidDemand func(from string, err error)
+	// Register lists another daemon in the store; nil means that such calls are rejected.
 	Enlist func(ctx context.Context, name string, entry []byte) error
 }
 
@@ -113,8 +113,8 @@
 func Listen(options Options) (*Server, error) {
 	server := &Server{
 		reader:          options.Reader,
-		board:           options.Board,
-		onInvalidDemand: options.Refused,
+		aggregator:      options.Aggregator,
+		onInvalidDemand: options.OnInvalidDemand,
 		enlist:          options.Enlist,
 	}
 	listener, err := rpc.Listen(options.Address, server.serveConn)
@@ -129,7 +129,7 @@
 func (s *Server) serveConn(raw net.Conn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle))
-	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(logline.Quiet{}))
+	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(logline.Discard{}))
 }
 
 // handle answers one call.
@@ -225,7 +225,7 @@
 		Era:      result.Era,
 		Version:  result.Version,
 		NowUS:    result.Now.Microseconds(),
-		LatestUS: result.Latest.Microseconds(),
+		LatestUS: result.MaxStoreTime.Microseconds(),
 	}
 	for _, one := range result.Rows {
 		compressed, err := s.valueCompressor.compress(table, one.Key, rowstore.Revision{
@@ -253,11 +253,11 @@
 // decode converts a result from the form in which it is sent.
 func decode(table string, encoded callResult) (rowstore.Result, error) {
 	result := rowstore.Result{
-		Era:       encoded.Era,
-		Version:   encoded.Version,
-		Now:       time.Duration(encoded.NowUS) * time.Microsecond,
-		Latest:    time.Duration(encoded.LatestUS) * time.Microsecond,
-		IsRelayed: true,
+		Era:          encoded.Era,
+		Version:      encoded.Version,
+		Now:          time.Duration(encoded.NowUS) * time.Microsecond,
+		MaxStoreTime: time.Duration(encoded.LatestUS) * time.Microsecond,
+		IsRelayed:    true,
 	}
 	rows, err := encoded.decodeRows()
 	if err != nil {
--- a/io/tablestore/tablestore.go
+++ b/io/tablestore/tablestore.go
@@ -33,7 +33,7 @@
 		address: address,
 		http: &http1.Client{
 			ConnectTimeout: connectTimeout,
-			IdleTimeout:    idleTimeout,
+			IOTimeout:      idleTimeout,
 		},
 	}
 }
@@ -51,10 +51,10 @@
 	if err != nil {
 		return 0, errors.Wrap(table.ErrUnavailable, err.Error())
 	}
-	status, answer, err := c.http.JSON(c.address, "/commit", body)
+	status, answer, err := c.http.CallJSON(c.address, "/commit", body)
 	var httpErr *http1.Error
 	switch {
-	case errors.As(err, &httpErr) && !httpErr.Sent:
+	case errors.As(err, &httpErr) && !httpErr.MayHaveBeenSent:
 		return 0, errors.Wrapf(table.ErrUnavailable, "commit: %s", err)
 	case err != nil:
 		return 0, errors.Wrapf(table.ErrUnknown, "commit: %s", err)
@@ -92,7 +92,7 @@
 
 // query sends a request that changes nothing, and decodes the answer into target.
 func (c *Client) query(path string, body []byte, target any) error {
-	status, answer, err := c.http.JSON(c.address, path, body)
+	status, answer, err := c.http.CallJSON(c.address, path, body)
 	if err != nil {
 		return errors.Wrap(table.ErrUnavailable, err.Error())
 	}
--- a/io/tcp/conns.go
+++ b/io/tcp/conns.go
@@ -13,8 +13,8 @@
 	open sync.Map
 }
 
-// Note records a state change of a connection, as reported by the HTTP library.
-func (c *Conns) Note(conn net.Conn, state fasthttp.ConnState) {
+// SetState records a state change of a connection, as reported by the HTTP library.
+func (c *Conns) SetState(conn net.Conn, state fasthttp.ConnState) {
 	switch state {
 	case fasthttp.StateNew:
 		c.open.Store(conn, struct{}{})
--- a/io/tcp/tcp.go
+++ b/io/tcp/tcp.go
@@ -14,25 +14,25 @@
 // State is the state of a connection.
 type State int
 
-// States of a connection. Quiet: open with nothing to read. Readable: bytes can be read.
+// States of a connection. Idle: open with nothing to read. Readable: bytes can be read.
 // Closed: the peer has closed or reset the connection.
 const (
-	Quiet State = iota
+	Idle State = iota
 	Readable
 	Closed
 )
 
-// Look returns the state of a connection. Connections that are not sockets count as Quiet.
-func Look(conn net.Conn) State {
+// Probe returns the state of a connection. Connections that are not sockets count as Idle.
+func Probe(conn net.Conn) State {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return Closed
 	}
-	state := Quiet
+	state := Idle
 	err = rawConn.Control(func(fd uintptr) {
 		state = peek(int(fd))
 	})
@@ -48,7 +48,7 @@
 	n, _, err := unix.Recvfrom(fd, buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
-		return Quiet
+		return Idle
 	case err != nil || n == 0:
 		return Closed
 	default:
--- a/io/tcp/watcher.go
+++ b/io/tcp/watcher.go
@@ -11,9 +11,9 @@
 // disconnected should end within half a second.
 const pollInterval = 200 * time.Millisecond
 
-// Watcher detects clients that disconnect while their requests are in flight. The zero value is
+// CloseWatcher detects clients that disconnect while their requests are in flight. The zero value is
 // ready to use once Run is running.
-type Watcher struct {
+type CloseWatcher struct {
 	mutex   sync.Mutex
 	nextID  int
 	watched map[int]watchedConn
@@ -26,7 +26,7 @@
 }
 
 // Watch calls onClosed once if the peer closes conn, unless forget is called before.
-func (w *Watcher) Watch(conn net.Conn, onClosed func()) (forget func()) {
+func (w *CloseWatcher) Watch(conn net.Conn, onClosed func()) (forget func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.watched == nil {
@@ -46,7 +46,7 @@
 }
 
 // Run checks all connections periodically until ctx ends.
-func (w *Watcher) Run(ctx context.Context) {
+func (w *CloseWatcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -60,7 +60,7 @@
 }
 
 // poll checks all connections once.
-func (w *Watcher) poll() {
+func (w *CloseWatcher) poll() {
 	w.mutex.Lock()
 	watched := make(map[int]watchedConn, len(w.watched))
 	for id, entry := range w.watched {
@@ -68,7 +68,7 @@
 	}
 	w.mutex.Unlock()
 	for id, entry := range watched {
-		if Look(entry.conn) != Closed {
+		if Probe(entry.conn) != Closed {
 			continue
 		}
 		w.mutex.Lock()
--- a/io/vmlist/vmlist.go
+++ b/io/vmlist/vmlist.go
@@ -25,14 +25,14 @@
 		address: address,
 		http: &http1.Client{
 			ConnectTimeout: 500 * time.Millisecond,
-			IdleTimeout:    2 * time.Second,
+			IOTimeout:      2 * time.Second,
 		},
 	}
 }
 
 // VMs returns the list of VMs.
 func (c *Client) VMs() ([]vm.VM, error) {
-	status, answer, err := c.http.JSON(c.address, "/vms", nil)
+	status, answer, err := c.http.CallJSON(c.address, "/vms", nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "read VM list")
 	}
--- a/lab/comparison/comparison.go
+++ b/lab/comparison/comparison.go
@@ -13,12 +13,12 @@
 	"slices"
 )
 
-// Day holds the score of one run of one day.
-type Day struct {
+// DayRun holds the score of one run of one day.
+type DayRun struct {
 	Site  string
 	Name  string
 	Seed  int64
-	Worth float64
+	Score float64
 }
 
 // pairKey identifies the runs that are paired.
@@ -29,7 +29,7 @@
 }
 
 // pairKey returns the key by which the run is paired.
-func (d Day) pairKey() pairKey {
+func (d DayRun) pairKey() pairKey {
 	return pairKey{
 		site: d.Site,
 		name: d.Name,
@@ -53,7 +53,7 @@
 }
 
 // Pairs pairs the runs that exist both before and after, sorted by site, name and seed.
-func Pairs(before, after []Day) []Pair {
+func Pairs(before, after []DayRun) []Pair {
 	scoresBefore, scoresAfter := meanScores(before), meanScores(after)
 	var pairs []Pair
 	for key, scoreBefore := range scoresBefore {
@@ -80,11 +80,11 @@
 }
 
 // meanScores returns the mean score of each day.
-func meanScores(days []Day) map[pairKey]float64 {
+func meanScores(days []DayRun) map[pairKey]float64 {
 	sums := map[pairKey]float64{}
 	counts := map[pairKey]float64{}
 	for _, day := range days {
-		sums[day.pairKey()] += day.Worth
+		sums[day.pairKey()] += day.Score
 		counts[day.pairKey()]++
 	}
 	for key := range sums {
@@ -100,7 +100,7 @@
 const (
 	Better       Verdict = "better"
 	Worse        Verdict = "worse"
-	NotToldApart Verdict = "not told apart"
+	Inconclusive Verdict = "not told apart"
 )
 
 // minStandardErrors is the distance of the mean from zero, in standard errors, from which a
@@ -147,7 +147,7 @@
 func (s Summary) Verdict() Verdict {
 	switch {
 	case s.Pairs < 2 || math.Abs(s.Difference) < minStandardErrors*s.Error || s.Difference == 0:
-		return NotToldApart
+		return Inconclusive
 	case s.Difference > 0:
 		return Better
 	default:
--- a/lab/comparison/comparison_test.go
+++ b/lab/comparison/comparison_test.go
@@ -10,23 +10,23 @@
 )
 
 // day returns a run of one day at a fixed site.
-func day(name string, seed int64, score float64) comparison.Day {
-	return comparison.Day{
+func day(name string, seed int64, score float64) comparison.DayRun {
+	return comparison.DayRun{
 		Site:  "river",
 		Name:  name,
 		Seed:  seed,
-		Worth: score,
+		Score: score,
 	}
 }
 
 func TestPairsMatchOnlySameDayAndSeed(t *testing.T) {
-	before := []comparison.Day{
+	before := []comparison.DayRun{
 		day("quiet", 1, 0.8),
 		day("quiet", 1, 0.9),
 		day("quiet", 2, 0.5),
 		day("storm", 1, 0.4),
 	}
-	after := []comparison.Day{
+	after := []comparison.DayRun{
 		day("storm", 1, 0.6),
 		day("quiet", 1, 0.9),
 		day("quiet", 3, 0.1),
@@ -57,8 +57,8 @@
 	// their mean is half of it.
 	qt.Assert(t, math.Abs(summary.Error-0.00408) < 1e-5, qt.IsTrue, qt.Commentf("%v", summary.Error))
 	qt.Assert(t, comparison.Summarise(pairs(-0.02, -0.04)).Verdict(), qt.Equals, comparison.Worse)
-	qt.Assert(t, comparison.Summarise(pairs(0.1, -0.08, 0.03)).Verdict(), qt.Equals, comparison.NotToldApart)
-	qt.Assert(t, comparison.Summarise(pairs(0.4)).Verdict(), qt.Equals, comparison.NotToldApart)
-	qt.Assert(t, comparison.Summarise(nil).Verdict(), qt.Equals, comparison.NotToldApart)
-	qt.Assert(t, comparison.Summarise(pairs(0, 0)).Verdict(), qt.Equals, comparison.NotToldApart)
+	qt.Assert(t, comparison.Summarise(pairs(0.1, -0.08, 0.03)).Verdict(), qt.Equals, comparison.Inconclusive)
+	qt.Assert(t, comparison.Summarise(pairs(0.4)).Verdict(), qt.Equals, comparison.Inconclusive)
+	qt.Assert(t, comparison.Summarise(nil).Verdict(), qt.Equals, comparison.Inconclusive)
+	qt.Assert(t, comparison.Summarise(pairs(0, 0)).Verdict(), qt.Equals, comparison.Inconclusive)
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -28,8 +28,8 @@
 	Log      *zap.Logger
 }
 
-// ErrBroken is returned if an outcome reported to a caller violates a guarantee.
-var ErrBroken = errors.New("outcomes reported to callers violate a guarantee")
+// ErrGuaranteeViolated is returned if an outcome reported to a caller violates a guarantee.
+var ErrGuaranteeViolated = errors.New("outcomes reported to callers violate a guarantee")
 
 // session is the demo of one deployment.
 type session struct {
@@ -42,7 +42,7 @@
 	startedAt  time.Time
 }
 
-// Play runs the demo of a deployment and writes its report to out. It returns ErrBroken if a
+// Play runs the demo of a deployment and writes its report to out. It returns ErrGuaranteeViolated if a
 // guarantee was violated.
 func Play(ctx context.Context, name string, settings Settings, out io.Writer) error {
 	deployment, err := examples.Load(name)
@@ -85,15 +85,15 @@
 // start starts the stand-ins and the daemons.
 func (s *session) start() error {
 	started, err := platform.Start(platform.Settings{
-		VMs:            s.deployment.VMs(),
-		ListLag:        listLag,
-		Slots:          slots,
-		LoadTime:       loadTime,
-		FirstToken:     firstToken,
-		EachToken:      eachToken,
-		ServiceTime:    serviceTime,
-		LoadsPerSecond: loadRate,
-		LoadBurst:      loadBurst,
+		VMs:             s.deployment.VMs(),
+		VMListDelay:     listLag,
+		Slots:           slots,
+		LoadTime:        loadTime,
+		FirstTokenDelay: firstToken,
+		TokenInterval:   eachToken,
+		ServiceTime:     serviceTime,
+		LoadsPerSecond:  loadRate,
+		LoadBurst:       loadBurst,
 	})
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 		}
 		s.nodes = append(s.nodes, node)
 	}
-	s.operator = operator.NewClient(s.nodes[0].Operators(), examples.Key(operatorName))
+	s.operator = operator.NewClient(s.nodes[0].OperatorsAddress(), examples.Key(operatorName))
 	s.printf("%s: %d VMs, %d daemons", s.deployment.Declaration.Deployment, len(s.platform.VMs), len(s.nodes))
 	return nil
 }
@@ -227,7 +227,7 @@
 		return
 	}
 	for _, status := range groups {
-		s.printf("    %s %s generation %d, whole %t, evidence %.1f s old, plan %q", status.Record.Name, status.Record.Phase, status.Record.Generation, status.Serveable, status.Age, status.Record.Plan)
+		s.printf("    %s %s generation %d, whole %t, evidence %.1f s old, plan %q", status.Record.Name, status.Record.Phase, status.Record.Generation, status.Serveable, status.EvidenceAgeSeconds, status.Record.Plan)
 	}
 	daemonStatus, err := s.operator.Status()
 	if err != nil {
@@ -244,7 +244,7 @@
 func (s *session) countServing() (groups, serving int) {
 	snapshot := s.nodes[0].Daemon().Snapshot()
 	for _, model := range s.deployment.Declaration.Models {
-		serving += len(snapshot.Serveable(model.Name, time.Now()))
+		serving += len(snapshot.ServingGroups(model.Name, time.Now()))
 	}
 	return len(snapshot.Groups), serving
 }
@@ -272,16 +272,16 @@
 	}
 	service := declared.Services[0]
 	return load.Settings{
-		Rate:          s.settings.Rate,
-		Duration:      s.settings.Duration,
-		Seed:          s.settings.Seed,
-		Model:         declared.Models[0].Name,
-		ServicePrefix: service.Prefix,
-		ChargePath:    service.NotRepeatable[0].Path,
-		Keys:          keys,
-		Tokens:        24,
-		Deadline:      20 * time.Second,
-		PlainShare:    0.2,
-		ChargeShare:   0.1,
+		Rate:               s.settings.Rate,
+		Duration:           s.settings.Duration,
+		Seed:               s.settings.Seed,
+		Model:              declared.Models[0].Name,
+		ServicePrefix:      service.Prefix,
+		NonRepeatablePath:  service.NotRepeatable[0].Path,
+		APIKeys:            keys,
+		Tokens:             24,
+		Deadline:           20 * time.Second,
+		PlainReadShare:     0.2,
+		NonRepeatableShare: 0.1,
 	}
 }
--- a/lab/demo/perform.go
+++ b/lab/demo/perform.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	addresses := make([]string, len(s.nodes))
 	for i, node := range s.nodes {
-		addresses[i] = node.Callers()
+		addresses[i] = node.CallersAddress()
 	}
 	balancer := load.NewBalancer(ctx, addresses)
 	reports := make(chan *load.Report, 1)
@@ -90,7 +90,7 @@
 	}
 	s.printf("repaired %.1f s after the loss", time.Since(killedAt).Seconds())
 	s.printf("back: VM %s, empty", member.VM)
-	return s.platform.Engines[member.VM].Revive()
+	return s.platform.Engines[member.VM].Restart()
 }
 
 // killDaemon kills one daemon without warning.
@@ -128,7 +128,7 @@
 func (s *session) takeStoreDown() {
 	s.printf("table service down for %s", outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{
-		Dark: true,
+		DropRequests: true,
 	})
 	time.Sleep(outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{})
@@ -168,7 +168,7 @@
 			lastSampleAt = now
 			serving, used := 0, 0
 			for _, model := range s.deployment.Declaration.Models {
-				for _, record := range observer.Snapshot().Serveable(model.Name, now) {
+				for _, record := range observer.Snapshot().ServingGroups(model.Name, now) {
 					serving++
 					used += record.Accelerators()
 				}
@@ -185,30 +185,30 @@
 // reportOutcomes compares the outcomes reported to callers with the ledgers of the backend
 // servers and prints the totals.
 func (s *session) reportOutcomes(report *load.Report, totals measures) error {
-	engineRuns, serviceRuns := s.platform.RunsOf(), s.platform.ServiceRuns()
+	engineRuns, serviceRuns := s.platform.EngineRuns(), s.platform.ServiceRuns()
 	falseNotRun, duplicated, lost := 0, 0, 0
 	for _, outcome := range report.Outcomes {
-		executions := engineRuns[outcome.RequestID] + serviceRuns[outcome.Charge]
+		executions := engineRuns[outcome.RequestID] + serviceRuns[outcome.LedgerKey]
 		if outcome.Verdict == load.NotRun && executions > 0 {
 			falseNotRun++
 		}
-		if outcome.Charge != "" && serviceRuns[outcome.Charge] > 1 {
+		if outcome.LedgerKey != "" && serviceRuns[outcome.LedgerKey] > 1 {
 			duplicated++
 		}
-		if outcome.Charge != "" && outcome.Verdict == load.Whole && serviceRuns[outcome.Charge] == 0 {
+		if outcome.LedgerKey != "" && outcome.Verdict == load.Complete && serviceRuns[outcome.LedgerKey] == 0 {
 			lost++
 		}
 	}
 	s.printf("account of %s over %.0f s:", s.deployment.Declaration.Deployment, totals.elapsedSeconds)
-	s.printf("    requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d", len(report.Outcomes), report.Count(load.Whole), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Broken), report.Count(load.Unreached))
+	s.printf("    requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d", len(report.Outcomes), report.Count(load.Complete), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Disconnected), report.Count(load.Unreachable))
 	for _, reason := range report.Reasons() {
-		s.printf("        %-40s %4d  from %.1f s to %.1f s of the load", reason.Name, reason.Count, reason.First.Seconds(), reason.Last.Seconds())
+		s.printf("        %-40s %4d  from %.1f s to %.1f s of the load", reason.Name, reason.Count, reason.EarliestStart.Seconds(), reason.LatestStart.Seconds())
 	}
-	s.printf("    promises: lost %d, doubled %d, foreign %d, cut %d, told not run but ran %d", lost, duplicated, report.Count(load.Foreign), report.Count(load.Cut), falseNotRun)
+	s.printf("    promises: lost %d, doubled %d, foreign %d, cut %d, told not run but ran %d", lost, duplicated, report.Count(load.Mismatched), report.Count(load.Truncated), falseNotRun)
 	s.printf("    group downtime %.1f group seconds; stranded %.1f accelerators on average", totals.groupDowntimeSeconds, totals.strandedAcceleratorSeconds/totals.elapsedSeconds)
-	s.printf("    first token %d / %d / %d ms at 50 / 95 / 99%%; between tokens %d ms at 95%%", report.First.ValueAtQuantile(50)/1000, report.First.ValueAtQuantile(95)/1000, report.First.ValueAtQuantile(99)/1000, report.Gap.ValueAtQuantile(95)/1000)
-	if falseNotRun+duplicated+lost+report.Count(load.Foreign)+report.Count(load.Cut) > 0 {
-		return errors.Wrap(ErrBroken, s.deployment.Declaration.Deployment)
+	s.printf("    first token %d / %d / %d ms at 50 / 95 / 99%%; between tokens %d ms at 95%%", report.FirstEvent.ValueAtQuantile(50)/1000, report.FirstEvent.ValueAtQuantile(95)/1000, report.FirstEvent.ValueAtQuantile(99)/1000, report.EventGap.ValueAtQuantile(95)/1000)
+	if falseNotRun+duplicated+lost+report.Count(load.Mismatched)+report.Count(load.Truncated) > 0 {
+		return errors.Wrap(ErrGuaranteeViolated, s.deployment.Declaration.Deployment)
 	}
 	return nil
 }
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -32,11 +32,11 @@
 	Slots        int
 	// LoadTime is the duration of a load after the weights are fetched.
 	LoadTime time.Duration
-	// FirstToken is the delay of the first token, and EachToken the interval between later
+	// FirstTokenDelay is the delay of the first token, and TokenInterval the interval between later
 	// tokens.
-	FirstToken time.Duration
-	EachToken  time.Duration
-	Weights    *weightstore.Store
+	FirstTokenDelay time.Duration
+	TokenInterval   time.Duration
+	Weights         *weightstore.Store
 }
 
 // Engine is a running stand-in. Use Start.
@@ -95,16 +95,16 @@
 	e.loaded = false
 }
 
-// Revive restarts a killed engine without its former state.
-func (e *Engine) Revive() error {
-	return e.server.Revive()
+// Restart restarts a killed engine without its former state.
+func (e *Engine) Restart() error {
+	return e.server.Restart()
 }
 
 // State returns the state that the engine reports to probes.
-func (e *Engine) State() order.State {
+func (e *Engine) State() order.ServerState {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return order.State{
+	return order.ServerState{
 		VM:         e.settings.VM,
 		Group:      e.current.Group,
 		Generation: e.current.Generation,
@@ -179,7 +179,7 @@
 func (e *Engine) applyOrder(received order.Order) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.settings.ChecksOrders && !e.fence.Admits(received) {
+	if e.settings.ChecksOrders && !e.fence.Accepts(received) {
 		e.staleOrders++
 		return false
 	}
@@ -188,14 +188,14 @@
 		Sequence:   received.Sequence,
 	}
 	isSame := e.current.Group == received.Group && e.current.Generation == received.Generation
-	if received.Verb == order.Load && isSame {
+	if received.Action == order.Load && isSame {
 		return true
 	}
 	e.cancelCurrentOrder()
 	e.abortRuns()
 	e.loaded = false
 	e.current = order.Order{}
-	if received.Verb == order.Load {
+	if received.Action == order.Load {
 		e.current = received
 		ctx, cancel := context.WithCancel(context.Background())
 		e.cancel = cancel
@@ -296,7 +296,7 @@
 	if err != nil {
 		return false, err
 	}
-	var state order.State
+	var state order.ServerState
 	if err = json.Unmarshal(body, &state); err != nil {
 		return false, err
 	}
