--- a/lab/engine/run.go
+++ b/lab/engine/run.go
@@ -38,9 +38,9 @@
 // defaultTokens is the number of tokens of an answer if the request does not set max_tokens.
 const defaultTokens = 16
 
-// Answer returns the tokens of the answer to a request. They depend only on the messages and
+// AnswerTokens returns the tokens of the answer to a request. They depend only on the messages and
 // the maximum number of tokens.
-func Answer(request Completion) []string {
+func AnswerTokens(request Completion) []string {
 	hash := xxhash.New()
 	for _, message := range request.Messages {
 		_, _ = hash.WriteString(message.Role + "\x00" + message.Content + "\x00")
@@ -168,7 +168,7 @@
 	e.ledger[id]++
 	e.inFlight++
 	e.evictEndedRuns()
-	started = newRun(id, Answer(request))
+	started = newRun(id, AnswerTokens(request))
 	e.runs[id] = started
 	go e.generate(started)
 	return started, 0, ""
@@ -188,11 +188,11 @@
 
 // generate generates the tokens of a run at the configured intervals.
 func (e *Engine) generate(active *run) {
-	time.Sleep(e.settings.FirstToken)
+	time.Sleep(e.settings.FirstTokenDelay)
 	for active.generateToken() {
 		e.faults.WaitWhilePaused()
 		slowdown := time.Duration(e.faults.Get().SlowMS) * time.Millisecond
-		time.Sleep(e.settings.EachToken + slowdown/10)
+		time.Sleep(e.settings.TokenInterval + slowdown/10)
 	}
 	active.mutex.Lock()
 	active.endedAt = time.Now()
--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -18,11 +18,11 @@
 
 // Faults are the active faults of a stand-in. The zero value has none.
 type Faults struct {
-	Down        bool `json:"down"`
-	Dark        bool `json:"dark"`
-	LoseAnswers bool `json:"lose_answers"`
-	SlowMS      int  `json:"slow_ms"`
-	Paused      bool `json:"paused"`
+	Down         bool `json:"down"`
+	DropRequests bool `json:"dark"`
+	LoseAnswers  bool `json:"lose_answers"`
+	SlowMS       int  `json:"slow_ms"`
+	Paused       bool `json:"paused"`
 }
 
 // Switch holds the faults of one stand-in. The zero value has none.
@@ -74,7 +74,7 @@
 		faults := s.Get()
 		time.Sleep(time.Duration(faults.SlowMS) * time.Millisecond)
 		switch {
-		case faults.Dark:
+		case faults.DropRequests:
 			dropConnection(ctx)
 		case faults.Down:
 			ctx.Error("down", fasthttp.StatusServiceUnavailable)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet simulates a fleet of daemons in one goroutine. It runs the real controllers of
 // package control against an in-memory table and fake backend servers; only I/O is simulated.
-// Stateful tests inject failures and check Broken, to which the oracle appends violations.
+// Stateful tests inject failures and check Violations, to which the oracle appends violations.
 // Package measures uses the simulation as well. It must run on the paused clock of
 // testing/synctest.
 package fleet
@@ -35,30 +35,30 @@
 type StoreFault int
 
 const (
-	// StoreFine means that the store works.
-	StoreFine StoreFault = iota
+	// StoreHealthy means that the store works.
+	StoreHealthy StoreFault = iota
 	// StoreDown means that the store rejects every operation before it is executed.
 	StoreDown
 	// StoreLosesAnswers means that the store executes a commit but the daemon receives no
 	// answer.
 	StoreLosesAnswers
-	// StoreDelays means that the store executes a commit late, and that the daemon receives no
+	// StoreDelaysCommits means that the store executes a commit late, and that the daemon receives no
 	// answer.
-	StoreDelays
+	StoreDelaysCommits
 )
 
-// Host is one simulated daemon.
-type Host struct {
+// SimulatedDaemon is one simulated daemon.
+type SimulatedDaemon struct {
 	Controller *control.Controller
-	Fault      StoreFault
+	StoreFault StoreFault
 	Paused     bool
-	// CutOff daemons exchange nothing with other daemons.
-	CutOff         bool
+	// Partitioned daemons exchange nothing with other daemons.
+	Partitioned    bool
 	scannedVersion uint64
 	polledAt       time.Time
 	peerPositions  map[string]int
 	pendingCommits []pendingCommit
-	queuedOrders   []control.Send
+	queuedOrders   []control.OutgoingOrder
 	configVersion  uint64
 }
 
@@ -71,7 +71,7 @@
 
 // orderInFlight is an order that has not reached its server yet.
 type orderInFlight struct {
-	send      control.Send
+	send      control.OutgoingOrder
 	arrivesAt time.Time
 }
 
@@ -83,7 +83,7 @@
 
 // peerExchange is what one daemon read from another. It can be redelivered later.
 type peerExchange struct {
-	receiver *Host
+	receiver *SimulatedDaemon
 	rows     []table.Row
 	reports  []contact.Report
 	evidence []presence.Evidence
@@ -93,44 +93,44 @@
 type Fleet struct {
 	settings Settings
 	store    *tablestore.Memory
-	// StoreOut makes the store unavailable to all daemons.
-	StoreOut bool
-	Servers  map[string]*Server
-	IDs      []string
-	// List is the platform's VM list, by id.
-	List            map[string]vm.VM
-	Hosts           []*Host
+	// StoreUnavailable makes the store unavailable to all daemons.
+	StoreUnavailable bool
+	Servers          map[string]*Server
+	VMIDs            []string
+	// VMList is the platform's VM list, by id.
+	VMList          map[string]vm.VM
+	Daemons         []*SimulatedDaemon
 	ordersInFlight  []orderInFlight
 	delayedCommits  []delayedCommit
 	pastExchanges   []peerExchange
 	daemonsStarted  int
 	lastTransaction int
-	// Delay draws the delay of an order or of a delayed transaction, up to a limit.
-	Delay func(limit time.Duration) time.Duration
+	// DrawDelay draws the delay of an order or of a delayed transaction, up to a limit.
+	DrawDelay func(limit time.Duration) time.Duration
 	// acceptedAt holds the time when each configuration was first observed as accepted.
 	acceptedAt map[uint64]time.Time
-	// Broken holds the violations that the oracle found.
-	Broken []string
+	// Violations holds the violations that the oracle found.
+	Violations []string
 }
 
 // faultyStore is the store with the faults of one daemon.
 type faultyStore struct {
 	fleet  *Fleet
-	daemon *Host
+	daemon *SimulatedDaemon
 }
 
 // Commit commits a transaction, subject to the daemon's store fault.
 func (f faultyStore) Commit(ctx context.Context, transaction table.Transaction) (uint64, error) {
 	switch {
-	case f.fleet.StoreOut || f.daemon.Fault == StoreDown:
+	case f.fleet.StoreUnavailable || f.daemon.StoreFault == StoreDown:
 		return 0, table.ErrUnavailable
-	case f.daemon.Fault == StoreLosesAnswers:
+	case f.daemon.StoreFault == StoreLosesAnswers:
 		_, _ = f.fleet.store.Commit(ctx, transaction)
 		return 0, table.ErrUnknown
-	case f.daemon.Fault == StoreDelays:
+	case f.daemon.StoreFault == StoreDelaysCommits:
 		f.fleet.delayedCommits = append(f.fleet.delayedCommits, delayedCommit{
 			transaction: transaction,
-			arrivesAt:   time.Now().Add(f.fleet.Delay(20 * time.Second)),
+			arrivesAt:   time.Now().Add(f.fleet.DrawDelay(20 * time.Second)),
 		})
 		return 0, table.ErrUnknown
 	default:
@@ -140,7 +140,7 @@
 
 // Read reads a row, unless the store is unavailable.
 func (f faultyStore) Read(ctx context.Context, key string) (table.Row, error) {
-	if f.fleet.StoreOut || f.daemon.Fault == StoreDown {
+	if f.fleet.StoreUnavailable || f.daemon.StoreFault == StoreDown {
 		return table.Row{}, table.ErrUnavailable
 	}
 	return f.fleet.store.Read(ctx, key)
@@ -148,7 +148,7 @@
 
 // Scan scans the rows, unless the store is unavailable.
 func (f faultyStore) Scan(ctx context.Context, request table.ScanRequest) (table.ScanResult, error) {
-	if f.fleet.StoreOut || f.daemon.Fault == StoreDown {
+	if f.fleet.StoreUnavailable || f.daemon.StoreFault == StoreDown {
 		return table.ScanResult{}, table.ErrUnavailable
 	}
 	return f.fleet.store.Scan(ctx, request)
@@ -171,15 +171,15 @@
 		settings.LoadTime = defaultLoadTime
 	}
 	if settings.Repairer == nil {
-		settings.Repairer = placement.Weighed{}
+		settings.Repairer = placement.CostBased{}
 	}
 	created := &Fleet{
 		settings:   settings,
 		store:      &tablestore.Memory{},
 		Servers:    map[string]*Server{},
-		List:       map[string]vm.VM{},
+		VMList:     map[string]vm.VM{},
 		acceptedAt: map[uint64]time.Time{},
-		Delay: func(time.Duration) time.Duration {
+		DrawDelay: func(time.Duration) time.Duration {
 			return Tick
 		},
 	}
@@ -195,8 +195,8 @@
 					State:        vm.Live,
 					ChecksOrders: settings.ChecksOrders,
 				}
-				created.IDs = append(created.IDs, listed.ID)
-				created.List[listed.ID] = listed
+				created.VMIDs = append(created.VMIDs, listed.ID)
+				created.VMList[listed.ID] = listed
 				created.Servers[listed.ID] = &Server{
 					loadTime:     settings.LoadTime,
 					VM:           listed,
@@ -216,19 +216,19 @@
 func (f *Fleet) AddDaemon() {
 	f.daemonsStarted++
 	controller := control.New(roster.Daemon{
-		ID:   fmt.Sprintf("daemon-%02d", f.daemonsStarted),
-		Zone: fmt.Sprintf("z%d", f.daemonsStarted%Zones),
-		Peer: fmt.Sprintf("10.1.0.%d:1", f.daemonsStarted),
+		ID:          fmt.Sprintf("daemon-%02d", f.daemonsStarted),
+		Zone:        fmt.Sprintf("z%d", f.daemonsStarted%Zones),
+		PeerAddress: fmt.Sprintf("10.1.0.%d:1", f.daemonsStarted),
 	})
-	controller.RepairBy(f.settings.Repairer)
-	f.Hosts = append(f.Hosts, &Host{
+	controller.SetRepairer(f.settings.Repairer)
+	f.Daemons = append(f.Daemons, &SimulatedDaemon{
 		Controller:    controller,
 		peerPositions: map[string]int{},
 	})
 }
 
-// Declared returns the declaration that the tests use.
-func Declared(replicas map[string]int, version string) declaration.Declaration {
+// NewDeclaration returns the declaration that the tests use.
+func NewDeclaration(replicas map[string]int, version string) declaration.Declaration {
 	declared := declaration.Declaration{
 		Deployment: "test",
 		Weights: declaration.Weights{
@@ -270,11 +270,11 @@
 // invariants.
 func (f *Fleet) step() {
 	now := time.Now()
-	for _, id := range f.IDs {
+	for _, id := range f.VMIDs {
 		f.Servers[id].advance(now)
 	}
 	f.deliver(now)
-	for _, daemon := range f.Hosts {
+	for _, daemon := range f.Daemons {
 		if !daemon.Paused {
 			f.stepDaemon(daemon, now)
 		}
--- a/lab/fleet/host.go
+++ b/lab/fleet/host.go
@@ -12,8 +12,8 @@
 )
 
 // stepDaemon runs one step of one daemon.
-func (f *Fleet) stepDaemon(daemon *Host, now time.Time) {
-	store := &table.Settling{
+func (f *Fleet) stepDaemon(daemon *SimulatedDaemon, now time.Time) {
+	store := &table.ResolvingStore{
 		Store: faultyStore{
 			fleet:  f,
 			daemon: daemon,
@@ -25,16 +25,16 @@
 	f.pullFromPeers(daemon)
 	f.probe(daemon, now)
 	actions := daemon.Controller.Step()
-	if actions.Refresh {
+	if actions.NeedsRefresh {
 		daemon.polledAt = time.Time{}
 	}
 	for _, commit := range actions.Commits {
 		commit.Transaction.ID = fmt.Sprintf("%s/%d", daemon.Controller.Self().ID, f.nextTransactionID())
-		marked, marker := table.Mark(commit.Transaction)
+		marked, marker := table.WithMarker(commit.Transaction)
 		version, err := store.Store.Commit(context.Background(), marked)
-		if table.IsCertain(err) {
+		if table.IsOutcomeKnown(err) {
 			f.store.Drop(marker)
-			daemon.Controller.Committed(commit, version, err)
+			daemon.Controller.RecordCommit(commit, version, err)
 			continue
 		}
 		daemon.pendingCommits = append(daemon.pendingCommits, pendingCommit{
@@ -42,7 +42,7 @@
 			marker: marker,
 		})
 	}
-	daemon.queuedOrders = append(daemon.queuedOrders, actions.Sends...)
+	daemon.queuedOrders = append(daemon.queuedOrders, actions.Orders...)
 }
 
 // nextTransactionID returns the number of the next transaction.
@@ -56,28 +56,28 @@
 const maxSettleAttempts = 24
 
 // settlePending determines the outcome of commits whose answers were lost.
-func (f *Fleet) settlePending(daemon *Host, store *table.Settling) {
+func (f *Fleet) settlePending(daemon *SimulatedDaemon, store *table.ResolvingStore) {
 	var unsettled []pendingCommit
 	for _, pending := range daemon.pendingCommits {
-		version, err := store.SettleOnce(context.Background(), pending.marker)
+		version, err := store.ResolveOnce(context.Background(), pending.marker)
 		pending.attempts++
-		if !table.IsCertain(err) && pending.attempts < maxSettleAttempts {
+		if !table.IsOutcomeKnown(err) && pending.attempts < maxSettleAttempts {
 			unsettled = append(unsettled, pending)
 			continue
 		}
-		daemon.Controller.Committed(pending.commit, version, err)
+		daemon.Controller.RecordCommit(pending.commit, version, err)
 	}
 	daemon.pendingCommits = unsettled
 }
 
 // sendOrders sends the orders of the previous step. It drops an order if the lease under which
 // it was decided no longer holds, because the daemon can have been paused in between.
-func (f *Fleet) sendOrders(daemon *Host) {
+func (f *Fleet) sendOrders(daemon *SimulatedDaemon) {
 	for _, send := range daemon.queuedOrders {
 		if send.Lease.Check(lease.OrderMargin) == nil {
 			f.ordersInFlight = append(f.ordersInFlight, orderInFlight{
 				send:      send,
-				arrivesAt: time.Now().Add(f.Delay(maxOrderDelay)),
+				arrivesAt: time.Now().Add(f.DrawDelay(maxOrderDelay)),
 			})
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // poll reads the changed rows and the VM list if the poll interval has passed.
-func (f *Fleet) poll(daemon *Host, store *table.Settling, now time.Time) {
+func (f *Fleet) poll(daemon *SimulatedDaemon, store *table.ResolvingStore, now time.Time) {
 	if now.Sub(daemon.polledAt) < 2500*time.Millisecond {
 		return
 	}
@@ -98,57 +98,57 @@
 		return
 	}
 	daemon.scannedVersion = result.Version
-	daemon.Controller.LearnStore(result.Rows, result.Version, now)
-	listed := make([]vm.VM, 0, len(f.List))
-	for _, id := range f.IDs {
-		if entry, ok := f.List[id]; ok {
+	daemon.Controller.ApplyScan(result.Rows, result.Version, now)
+	listed := make([]vm.VM, 0, len(f.VMList))
+	for _, id := range f.VMIDs {
+		if entry, ok := f.VMList[id]; ok {
 			listed = append(listed, entry)
 		}
 	}
-	daemon.Controller.LearnVMs(listed)
+	daemon.Controller.ApplyVMList(listed)
 }
 
 // pullFromPeers reads changes, reports and evidence from every reachable daemon.
-func (f *Fleet) pullFromPeers(daemon *Host) {
-	if daemon.CutOff {
+func (f *Fleet) pullFromPeers(daemon *SimulatedDaemon) {
+	if daemon.Partitioned {
 		return
 	}
-	for _, peer := range f.Hosts {
-		if peer == daemon || peer.Paused || peer.CutOff {
+	for _, peer := range f.Daemons {
+		if peer == daemon || peer.Paused || peer.Partitioned {
 			continue
 		}
 		id := peer.Controller.Self().ID
-		rows, next, _ := peer.Controller.Changes(daemon.peerPositions[id], 10000)
+		rows, next, _ := peer.Controller.ChangedRows(daemon.peerPositions[id], 10000)
 		daemon.peerPositions[id] = next
-		daemon.Controller.LearnRows(rows)
+		daemon.Controller.ApplyRows(rows)
 		received := peerExchange{
 			receiver: daemon,
 			rows:     rows,
 			reports:  append(peer.Controller.Contact().Reports(), peer.Controller.OwnReport()),
 			evidence: peer.Controller.AllEvidence(),
 		}
-		daemon.Controller.LearnReports(received.reports, received.evidence)
+		daemon.Controller.ApplyReports(received.reports, received.evidence)
 		if f.pastExchanges = append(f.pastExchanges, received); len(f.pastExchanges) > 400 {
 			f.pastExchanges = f.pastExchanges[200:]
 		}
 	}
 }
 
-// HearAgain redelivers a past exchange to the daemon that received it.
-func (f *Fleet) HearAgain(daemon *Host, index int) {
+// RedeliverExchange redelivers a past exchange to the daemon that received it.
+func (f *Fleet) RedeliverExchange(daemon *SimulatedDaemon, index int) {
 	past := f.pastExchanges[index%len(f.pastExchanges)]
 	if past.receiver != daemon {
 		return
 	}
-	daemon.Controller.LearnRows(past.rows)
-	daemon.Controller.LearnReports(past.reports, past.evidence)
+	daemon.Controller.ApplyRows(past.rows)
+	daemon.Controller.ApplyReports(past.reports, past.evidence)
 }
 
-// Request starts a caller's request at a group that a daemon would route to, if the group's
+// StartRequest starts a caller's request at a group that a daemon would route to, if the group's
 // first member accepts it.
-func (f *Fleet) Request(daemon *Host, index int, duration time.Duration) {
+func (f *Fleet) StartRequest(daemon *SimulatedDaemon, index int, duration time.Duration) {
 	snapshot := daemon.Controller.Snapshot()
-	groups := snapshot.Serveable("m", time.Now())
+	groups := snapshot.ServingGroups("m", time.Now())
 	if len(groups) == 0 {
 		return
 	}
@@ -156,19 +156,19 @@
 	leader := f.Servers[record.Members[0].VM]
 	isMember := leader.State.Group == record.Name && leader.State.Generation == record.Generation
 	if leader.isAnswering() && (isMember || !leader.VM.ChecksOrders) && leader.State.Loaded {
-		leader.Ends = append(leader.Ends, time.Now().Add(duration))
-		leader.State.InFlight = len(leader.Ends)
+		leader.RequestEnds = append(leader.RequestEnds, time.Now().Add(duration))
+		leader.State.InFlight = len(leader.RequestEnds)
 	}
 }
 
 // probe probes the servers that the daemon has to probe.
-func (f *Fleet) probe(daemon *Host, now time.Time) {
-	for _, target := range daemon.Controller.Targets() {
+func (f *Fleet) probe(daemon *SimulatedDaemon, now time.Time) {
+	for _, target := range daemon.Controller.ProbeTargets() {
 		server := f.Servers[target.ID]
 		if server.isAnswering() {
-			daemon.Controller.LearnProbe(target.ID, now, server.State)
+			daemon.Controller.RecordAnsweredProbe(target.ID, now, server.State)
 		} else {
-			daemon.Controller.LearnSilence(target.ID, now, server.Dead)
+			daemon.Controller.RecordUnansweredProbe(target.ID, now, server.Crashed)
 		}
 	}
 }
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -15,8 +15,8 @@
 // Operators
 
 // Apply commits a declaration in the way the operator API does.
-func (f *Fleet) Apply(daemon *Host, declared declaration.Declaration) error {
-	world := daemon.Controller.World()
+func (f *Fleet) Apply(daemon *SimulatedDaemon, declared declaration.Declaration) error {
+	world := daemon.Controller.FleetState()
 	change := table.Transaction{}
 	change = change.WithCondition(plan.ConfigKey, world.Catalog.Row(plan.ConfigKey).Version)
 	change = change.WithWrite(table.Put(plan.ConfigKey, plan.Configuration{
@@ -28,8 +28,8 @@
 }
 
 // Propose stores the plan that a daemon builds for an intent.
-func (f *Fleet) Propose(daemon *Host, id string, intent plan.Intent) (plan.Plan, error) {
-	proposed, err := plan.Build(id, "operator", intent, daemon.Controller.World())
+func (f *Fleet) Propose(daemon *SimulatedDaemon, id string, intent plan.Intent) (plan.Plan, error) {
+	proposed, err := plan.Build(id, "operator", intent, daemon.Controller.FleetState())
 	if err != nil {
 		return proposed, err
 	}
@@ -41,12 +41,12 @@
 }
 
 // Confirm confirms a plan, based on one daemon's view of the fleet.
-func (f *Fleet) Confirm(daemon *Host, id string) error {
+func (f *Fleet) Confirm(daemon *SimulatedDaemon, id string) error {
 	found, err := f.Plan(id)
 	if err != nil {
 		return err
 	}
-	change, err := plan.Confirm(found, daemon.Controller.World())
+	change, err := plan.Confirm(found, daemon.Controller.FleetState())
 	if err != nil {
 		return err
 	}
@@ -64,9 +64,9 @@
 	return found, row.Decode(&found)
 }
 
-// Rewrite overwrites a stored plan unconditionally, which no operator can do. The baselines of
+// OverwritePlan overwrites a stored plan unconditionally, which no operator can do. The baselines of
 // package measures are built with it.
-func (f *Fleet) Rewrite(id string, rewrite func(plan.Plan) plan.Plan) error {
+func (f *Fleet) OverwritePlan(id string, rewrite func(plan.Plan) plan.Plan) error {
 	found, err := f.Plan(id)
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 	return err
 }
 
-// Change pauses, resumes or abandons a plan.
-func (f *Fleet) Change(id string, change plan.Change) error {
+// ChangePlan pauses, resumes or abandons a plan.
+func (f *Fleet) ChangePlan(id string, change plan.Change) error {
 	row, err := f.store.Read(context.Background(), plan.Key(id))
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	next, err := found.Apply(change)
+	next, err := found.ApplyChange(change)
 	if err != nil {
 		return err
 	}
@@ -97,21 +97,21 @@
 	return err
 }
 
-// StartDeclared declares two groups in each of the three zones and runs the fleet until the
+// StartWithGroups declares two groups in each of the three zones and runs the fleet until the
 // plan that creates them is done.
-func (f *Fleet) StartDeclared() error {
+func (f *Fleet) StartWithGroups() error {
 	f.Run(5 * time.Second)
-	if err := f.Apply(f.Hosts[0], Declared(map[string]int{"z0": 2, "z1": 2, "z2": 2}, "1")); err != nil {
+	if err := f.Apply(f.Daemons[0], NewDeclaration(map[string]int{"z0": 2, "z1": 2, "z2": 2}, "1")); err != nil {
 		return err
 	}
 	f.Run(6 * time.Second)
-	if _, err := f.Propose(f.Hosts[0], "first", plan.Intent{
+	if _, err := f.Propose(f.Daemons[0], "first", plan.Intent{
 		Kind: plan.Reconcile,
 	}); err != nil {
 		return err
 	}
 	f.Run(3 * time.Second)
-	if err := f.Confirm(f.Hosts[0], "first"); err != nil {
+	if err := f.Confirm(f.Daemons[0], "first"); err != nil {
 		return err
 	}
 	f.Run(60 * time.Second)
@@ -119,8 +119,8 @@
 	if err != nil {
 		return err
 	}
-	if found.State != plan.Done || len(f.Broken) > 0 {
-		return errors.Errorf("plan is %s at stage %d: %s; broken: %v", found.State, found.Stage, found.Reason, f.Broken)
+	if found.State != plan.Done || len(f.Violations) > 0 {
+		return errors.Errorf("plan is %s at stage %d: %s; broken: %v", found.State, found.Stage, found.Reason, f.Violations)
 	}
 	return nil
 }
--- a/lab/fleet/oracle.go
+++ b/lab/fleet/oracle.go
@@ -23,7 +23,7 @@
 
 // recordViolation records that an invariant was violated.
 func (f *Fleet) recordViolation(format string, arguments ...any) {
-	f.Broken = append(f.Broken, fmt.Sprintf(format, arguments...))
+	f.Violations = append(f.Violations, fmt.Sprintf(format, arguments...))
 }
 
 // groupsIn returns the groups in a table.
@@ -99,7 +99,7 @@
 			continue
 		}
 		for _, step := range candidate.Steps {
-			if step.Verb == plan.Form {
+			if step.Action == plan.Form {
 				continue
 			}
 			object := step.Group + step.Zone + step.VM
@@ -114,9 +114,9 @@
 // checkServing checks that all members of each group that a daemon routes to were loaded
 // within the maximum age of evidence.
 func (f *Fleet) checkServing(now time.Time) {
-	for _, daemon := range f.Hosts {
+	for _, daemon := range f.Daemons {
 		snapshot := daemon.Controller.Snapshot()
-		for _, record := range snapshot.Serveable("m", now) {
+		for _, record := range snapshot.ServingGroups("m", now) {
 			for _, member := range record.Members {
 				loadedAt := f.Servers[member.VM].lastLoadedAt[assignmentKey(record.Name, record.Generation)]
 				if now.Sub(loadedAt) > presence.MaxAge {
@@ -130,8 +130,8 @@
 // checkLeases checks that no two daemons hold a usable lease on one shard.
 func (f *Fleet) checkLeases() {
 	holder := map[int]string{}
-	for _, daemon := range f.Hosts {
-		for _, held := range daemon.Controller.Usable() {
+	for _, daemon := range f.Daemons {
+		for _, held := range daemon.Controller.UsableLeases() {
 			if other, ok := holder[held.Shard]; ok {
 				f.recordViolation("shard %d is held by both %s and %s", held.Shard, other, daemon.Controller.Self().ID)
 			}
@@ -144,26 +144,26 @@
 // also checks that an order aborts no request of a group whose members are listed and had no
 // fault in the last minute.
 func (f *Fleet) checkOrder(target *Server, o order.Order) {
-	if !target.VM.ChecksOrders && !target.fence.Admits(o) {
-		f.recordViolation("server %s received stale order %s %s generation %d sequence %d after %v", target.VM.ID, o.Verb, o.Group, o.Generation, o.Sequence, target.fence)
+	if !target.VM.ChecksOrders && !target.fence.Accepts(o) {
+		f.recordViolation("server %s received stale order %s %s generation %d sequence %d after %v", target.VM.ID, o.Action, o.Group, o.Generation, o.Sequence, target.fence)
 	}
-	isSame := o.Verb == order.Load && target.State.Group == o.Group && target.State.Generation == o.Generation
-	if len(target.Ends) == 0 || isSame || (target.VM.ChecksOrders && !target.fence.Admits(o)) {
+	isSame := o.Action == order.Load && target.State.Group == o.Group && target.State.Generation == o.Generation
+	if len(target.RequestEnds) == 0 || isSame || (target.VM.ChecksOrders && !target.fence.Accepts(o)) {
 		return
 	}
 	for _, id := range target.members {
-		_, isListed := f.List[id]
+		_, isListed := f.VMList[id]
 		if time.Since(f.Servers[id].lastFaultAt) < time.Minute || !isListed {
 			return
 		}
 	}
-	f.recordViolation("order %s %s generation %d aborts %d requests of %s at %s", o.Verb, o.Group, o.Generation, len(target.Ends), target.State.Group, target.VM.ID)
+	f.recordViolation("order %s %s generation %d aborts %d requests of %s at %s", o.Action, o.Group, o.Generation, len(target.RequestEnds), target.State.Group, target.VM.ID)
 }
 
 // checkConfiguration checks that no daemon reverts to an older configuration. It also checks
-// that no daemon serves without a configuration that was accepted more than contact.Bound ago.
+// that no daemon serves without a configuration that was accepted more than contact.MaxContactAge ago.
 func (f *Fleet) checkConfiguration(now time.Time) {
-	for _, daemon := range f.Hosts {
+	for _, daemon := range f.Daemons {
 		if daemon.Paused {
 			continue
 		}
@@ -173,44 +173,44 @@
 		}
 		daemon.configVersion = version
 		ids := daemon.Controller.Roster().IDs()
-		if _, ok := f.acceptedAt[version]; !ok && version > 0 && daemon.Controller.Contact().Accepted(daemon.Controller.Self().ID, version, ids, version) {
+		if _, ok := f.acceptedAt[version]; !ok && version > 0 && daemon.Controller.Contact().IsAccepted(daemon.Controller.Self().ID, version, ids, version) {
 			f.acceptedAt[version] = now
 		}
 	}
-	for _, daemon := range f.Hosts {
+	for _, daemon := range f.Daemons {
 		if !now.Before(daemon.Controller.Snapshot().ServeUntil) {
 			continue
 		}
 		for version, since := range f.acceptedAt {
-			if daemon.Controller.ConfigVersion() < version && now.Sub(since) > contact.Bound {
+			if daemon.Controller.ConfigVersion() < version && now.Sub(since) > contact.MaxContactAge {
 				f.recordViolation("%s serves with configuration %d, but configuration %d was accepted %s ago", daemon.Controller.Self().ID, daemon.Controller.ConfigVersion(), version, now.Sub(since))
 			}
 		}
 	}
 }
 
-// Serving returns the lowest number of groups that any running daemon would route to.
-func (f *Fleet) Serving() int {
+// MinServingGroups returns the lowest number of groups that any running daemon would route to.
+func (f *Fleet) MinServingGroups() int {
 	fewest := -1
-	for _, daemon := range f.Hosts {
+	for _, daemon := range f.Daemons {
 		if daemon.Paused {
 			continue
 		}
 		snapshot := daemon.Controller.Snapshot()
-		if count := len(snapshot.Serveable("m", time.Now())); fewest < 0 || count < fewest {
+		if count := len(snapshot.ServingGroups("m", time.Now())); fewest < 0 || count < fewest {
 			fewest = count
 		}
 	}
 	return fewest
 }
 
-// Unrest returns an error if a plan, group, zone or claim has not settled, and names one of
+// CheckSettled returns an error if a plan, group, zone or claim has not settled, and names one of
 // them.
-func (f *Fleet) Unrest() error {
-	world := f.Hosts[0].Controller.World()
+func (f *Fleet) CheckSettled() error {
+	world := f.Daemons[0].Controller.FleetState()
 	for _, current := range world.Plans {
 		if current.State != plan.Proposed && !current.State.IsFinal() {
-			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", current.ID, current.Intent, current.State, current.Stage, current.StepsOf(current.Stage), world.Groups, world.Claims)
+			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", current.ID, current.Intent, current.State, current.Stage, current.StageSteps(current.Stage), world.Groups, world.Claims)
 		}
 	}
 	for _, record := range world.Groups {
@@ -228,34 +228,34 @@
 		if claim.Plan != "" {
 			return errors.Errorf("VM %s is still reserved by plan %s", id, claim.Plan)
 		}
-		if record, ok := world.Group(claim.Group); claim.Group != "" && (!ok || !record.Has(id)) {
+		if record, ok := world.Group(claim.Group); claim.Group != "" && (!ok || !record.HasMember(id)) {
 			return errors.Errorf("VM %s is claimed by %s, which does not list it as a member", id, claim.Group)
 		}
 	}
 	return nil
 }
 
-// HealServers makes every server answer again.
-func (f *Fleet) HealServers() {
-	for _, id := range f.IDs {
-		f.Servers[id].Dead = false
+// RecoverServers makes every server answer again.
+func (f *Fleet) RecoverServers() {
+	for _, id := range f.VMIDs {
+		f.Servers[id].Crashed = false
 		f.Servers[id].Paused = false
 	}
 }
 
-// ResumeAll resumes all paused plans.
-func (f *Fleet) ResumeAll() {
-	for _, candidate := range f.Hosts[0].Controller.World().Plans {
+// ResumePlans resumes all paused plans.
+func (f *Fleet) ResumePlans() {
+	for _, candidate := range f.Daemons[0].Controller.FleetState().Plans {
 		if candidate.State == plan.Paused {
-			_ = f.Change(candidate.ID, plan.ChangeResume)
+			_ = f.ChangePlan(candidate.ID, plan.ChangeResume)
 		}
 	}
 }
 
-// Leases returns the contents of all lease rows in the table.
-func (f *Fleet) Leases() string {
+// LeaseRows returns the contents of all lease rows in the table.
+func (f *Fleet) LeaseRows() string {
 	text := ""
-	for shard := range lease.Shards {
+	for shard := range lease.ShardCount {
 		row, _ := f.store.Read(context.Background(), lease.Key(shard))
 		text += fmt.Sprintf("%d@%d:%s ", shard, row.Version, row.Value)
 	}
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -10,11 +10,11 @@
 
 // Server is a fake backend server.
 type Server struct {
-	VM     vm.VM
-	Dead   bool
-	Paused bool
-	fence  order.Fence
-	State  order.State
+	VM      vm.VM
+	Crashed bool
+	Paused  bool
+	fence   order.Fence
+	State   order.ServerState
 	// loadDoneAt is when the load under way completes, or zero if there is none.
 	loadDoneAt time.Time
 	// loadTime is how long the server takes to load a model.
@@ -22,8 +22,8 @@
 	// lastLoadedAt is the last time the server was answering and loaded, by group and
 	// generation.
 	lastLoadedAt map[string]time.Time
-	// Ends holds the end times of the requests in flight.
-	Ends []time.Time
+	// RequestEnds holds the end times of the requests in flight.
+	RequestEnds []time.Time
 	// lastFaultAt is the last time the server was dead or paused.
 	lastFaultAt time.Time
 	// members are the members of the group in the last applied load order.
@@ -37,7 +37,7 @@
 
 // isAnswering reports whether the server answers a probe now.
 func (s *Server) isAnswering() bool {
-	return !s.Dead && !s.Paused
+	return !s.Crashed && !s.Paused
 }
 
 // advance finishes requests and loads that are due and records when the server was last
@@ -48,12 +48,12 @@
 		return
 	}
 	var unfinished []time.Time
-	for _, end := range s.Ends {
+	for _, end := range s.RequestEnds {
 		if now.Before(end) {
 			unfinished = append(unfinished, end)
 		}
 	}
-	s.Ends = unfinished
+	s.RequestEnds = unfinished
 	s.State.InFlight = len(unfinished)
 	if !s.loadDoneAt.IsZero() && !now.Before(s.loadDoneAt) {
 		s.State.Loaded = true
@@ -66,23 +66,23 @@
 
 // applyOrder applies an order as the stand-in engine does.
 func (s *Server) applyOrder(o order.Order) {
-	if s.VM.ChecksOrders && !s.fence.Admits(o) {
+	if s.VM.ChecksOrders && !s.fence.Accepts(o) {
 		return
 	}
 	s.fence = order.Fence{
 		Generation: o.Generation,
 		Sequence:   o.Sequence,
 	}
-	if o.Verb == order.Load && s.State.Group == o.Group && s.State.Generation == o.Generation {
+	if o.Action == order.Load && s.State.Group == o.Group && s.State.Generation == o.Generation {
 		return
 	}
-	s.State = order.State{
+	s.State = order.ServerState{
 		VM:    s.VM.ID,
 		Slots: 8,
 	}
-	s.Ends = nil
+	s.RequestEnds = nil
 	s.loadDoneAt = time.Time{}
-	if o.Verb == order.Load {
+	if o.Action == order.Load {
 		s.members = o.Members
 		s.State.Group = o.Group
 		s.State.Generation = o.Generation
@@ -90,15 +90,15 @@
 	}
 }
 
-// Die simulates a crash: the server stops answering and loses all state.
-func (s *Server) Die() {
-	s.Dead = true
+// Crash simulates a crash: the server stops answering and loses all state.
+func (s *Server) Crash() {
+	s.Crashed = true
 	s.Paused = false
 	s.lastFaultAt = time.Now()
-	s.Ends = nil
+	s.RequestEnds = nil
 	s.fence = order.Fence{}
 	s.loadDoneAt = time.Time{}
-	s.State = order.State{
+	s.State = order.ServerState{
 		VM:    s.VM.ID,
 		Slots: 8,
 	}
--- a/lab/fleetlog/fleetlog.go
+++ b/lab/fleetlog/fleetlog.go
@@ -45,7 +45,7 @@
 type Spread struct {
 	Daemons int
 	First   float64
-	Middle  float64
+	Median  float64
 	Last    float64
 }
 
@@ -177,7 +177,7 @@
 	return Spread{
 		Daemons: len(times),
 		First:   times[0],
-		Middle:  times[len(times)/half],
+		Median:  times[len(times)/half],
 		Last:    times[len(times)-1],
 	}
 }
--- a/lab/fleetlog/fleetlog_test.go
+++ b/lab/fleetlog/fleetlog_test.go
@@ -58,7 +58,7 @@
 		7: {
 			Daemons: 2,
 			First:   0.5,
-			Middle:  0.7,
+			Median:  0.7,
 			Last:    0.7,
 		},
 	})
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -31,18 +31,18 @@
 	Duration time.Duration
 	Seed     uint64
 	Model    string
-	// ServicePrefix is the path prefix of the plain service, and ChargePath the path of its
+	// ServicePrefix is the path prefix of the plain service, and NonRepeatablePath the path of its
 	// endpoint that must not be repeated.
-	ServicePrefix string
-	ChargePath    string
-	// Keys are the organisations' API keys. Deadline is sent with each request.
-	Keys     []string
+	ServicePrefix     string
+	NonRepeatablePath string
+	// APIKeys are the organisations' API keys. Deadline is sent with each request.
+	APIKeys  []string
 	Tokens   int
 	Deadline time.Duration
-	// PlainShare is the share of plain reads, and ChargeShare the share of requests that must
+	// PlainReadShare is the share of plain reads, and NonRepeatableShare the share of requests that must
 	// not be repeated. All other requests are streamed completions.
-	PlainShare  float64
-	ChargeShare float64
+	PlainReadShare     float64
+	NonRepeatableShare float64
 }
 
 // Verdict is the result of one request, as its caller observed and checked it.
@@ -50,19 +50,19 @@
 
 // Verdicts of a request.
 const (
-	// Whole means that the caller received the complete answer to its own request.
-	Whole Verdict = "whole"
+	// Complete means that the caller received the complete answer to its own request.
+	Complete Verdict = "whole"
 	// NotRun and Unknown mean that the caller received an error with that outcome.
 	NotRun  Verdict = "not_run"
 	Unknown Verdict = "unknown"
-	// Foreign means that the answer belongs to another request.
-	Foreign Verdict = "foreign"
-	// Cut means that the answer ended without an error but was incomplete.
-	Cut Verdict = "cut"
-	// Broken means that the connection failed in a way that the caller could detect.
-	Broken Verdict = "broken"
-	// Unreached means that no daemon could be reached and nothing was sent.
-	Unreached Verdict = "unreached"
+	// Mismatched means that the answer belongs to another request.
+	Mismatched Verdict = "foreign"
+	// Truncated means that the answer ended without an error but was incomplete.
+	Truncated Verdict = "cut"
+	// Disconnected means that the connection failed in a way that the caller could detect.
+	Disconnected Verdict = "broken"
+	// Unreachable means that no daemon could be reached and nothing was sent.
+	Unreachable Verdict = "unreached"
 )
 
 // Outcome holds the verdict of one request and the data needed to verify it.
@@ -70,11 +70,11 @@
 	Verdict   Verdict
 	Reason    string
 	RequestID string
-	// At is the intended start of the request, relative to the start of the load.
-	At time.Duration
-	// Charge is the key of the request in the ledgers of the plain services. It is empty for
+	// IntendedStart is the intended start of the request, relative to the start of the load.
+	IntendedStart time.Duration
+	// LedgerKey is the key of the request in the ledgers of the plain services. It is empty for
 	// requests that can be repeated.
-	Charge string
+	LedgerKey string
 }
 
 // Report holds the results of a load.
@@ -82,10 +82,10 @@
 	Outcomes []Outcome
 	// Latencies of the first event of a stream and of all complete answers, in microseconds
 	// from the intended start.
-	First *hdrhistogram.Histogram
-	Total *hdrhistogram.Histogram
-	// Gap is the time between two events of a stream, in microseconds.
-	Gap *hdrhistogram.Histogram
+	FirstEvent     *hdrhistogram.Histogram
+	CompleteAnswer *hdrhistogram.Histogram
+	// EventGap is the time between two events of a stream, in microseconds.
+	EventGap *hdrhistogram.Histogram
 }
 
 // Count returns the number of requests with a verdict.
@@ -102,10 +102,10 @@
 // Reason summarises the requests that failed for one reason, with the earliest and the latest
 // intended start.
 type Reason struct {
-	Name  string
-	Count int
-	First time.Duration
-	Last  time.Duration
+	Name          string
+	Count         int
+	EarliestStart time.Duration
+	LatestStart   time.Duration
 }
 
 // Reasons returns the reasons of failures, sorted by name.
@@ -118,11 +118,11 @@
 		name := string(outcome.Verdict) + " " + outcome.Reason
 		reason, ok := byName[name]
 		if !ok {
-			reason.Name, reason.First = name, outcome.At
+			reason.Name, reason.EarliestStart = name, outcome.IntendedStart
 		}
 		reason.Count++
-		reason.First = min(reason.First, outcome.At)
-		reason.Last = max(reason.Last, outcome.At)
+		reason.EarliestStart = min(reason.EarliestStart, outcome.IntendedStart)
+		reason.LatestStart = max(reason.LatestStart, outcome.IntendedStart)
 		byName[name] = reason
 	}
 	reasons := make([]Reason, 0, len(byName))
@@ -160,12 +160,12 @@
 		balancer:  balancer,
 		startedAt: time.Now(),
 		client: &http1.Client{
-			IdleTimeout: settings.Deadline + 5*time.Second,
+			IOTimeout: settings.Deadline + 5*time.Second,
 		},
 		report: &Report{
-			First: newHistogram(),
-			Total: newHistogram(),
-			Gap:   newHistogram(),
+			FirstEvent:     newHistogram(),
+			CompleteAnswer: newHistogram(),
+			EventGap:       newHistogram(),
 		},
 	}
 	current.sendAll(ctx)
@@ -189,7 +189,7 @@
 		case <-ctx.Done():
 			return
 		}
-		draw, key, intended := random.Float64(), r.settings.Keys[random.IntN(len(r.settings.Keys))], next
+		draw, key, intended := random.Float64(), r.settings.APIKeys[random.IntN(len(r.settings.APIKeys))], next
 		topic := random.IntN(promptTopics)
 		running.Go(func() {
 			r.sendOne(draw, key, topic, intended)
@@ -204,16 +204,16 @@
 func (r *runner) sendOne(draw float64, key string, topic int, intended time.Time) {
 	var outcome Outcome
 	switch {
-	case draw < r.settings.ChargeShare:
+	case draw < r.settings.NonRepeatableShare:
 		outcome = r.sendNonRepeatable(key, intended)
-	case draw < r.settings.ChargeShare+r.settings.PlainShare:
+	case draw < r.settings.NonRepeatableShare+r.settings.PlainReadShare:
 		outcome = r.sendPlainRead(key, intended)
 	default:
 		outcome = r.sendChat(key, topic, intended)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	outcome.At = intended.Sub(r.startedAt)
+	outcome.IntendedStart = intended.Sub(r.startedAt)
 	r.report.Outcomes = append(r.report.Outcomes, outcome)
 }
 
@@ -246,7 +246,7 @@
 	address, ok := r.balancer.Pick()
 	if !ok {
 		return sent, &Outcome{
-			Verdict: Unreached,
+			Verdict: Unreachable,
 			Reason:  "no_ready_daemon",
 		}
 	}
@@ -265,11 +265,11 @@
 	var failure *http1.Error
 	if err != nil {
 		outcome := &Outcome{
-			Verdict: Broken,
+			Verdict: Disconnected,
 			Reason:  "connection",
 		}
-		if asError(err, &failure) && !failure.Sent {
-			outcome.Verdict = Unreached
+		if asError(err, &failure) && !failure.MayHaveBeenSent {
+			outcome.Verdict = Unreachable
 		}
 		return sent, outcome
 	}
@@ -288,7 +288,7 @@
 func errorOutcome(body []byte, requestID string) Outcome {
 	var parsed errorBody
 	outcome := Outcome{
-		Verdict:   Cut,
+		Verdict:   Truncated,
 		RequestID: requestID,
 	}
 	if json.Unmarshal(body, &parsed) != nil {
@@ -321,7 +321,7 @@
 	body, err := json.Marshal(request)
 	if err != nil {
 		return Outcome{
-			Verdict: Broken,
+			Verdict: Disconnected,
 			Reason:  err.Error(),
 		}
 	}
@@ -334,13 +334,13 @@
 	if sent.response.StatusCode() != fasthttp.StatusOK {
 		return errorOutcome(readBody(sent.response), requestID)
 	}
-	return r.readStream(sent, engine.Answer(request), requestID, intended)
+	return r.readStream(sent, engine.AnswerTokens(request), requestID, intended)
 }
 
 // readStream reads a stream to its end and checks that it has the expected tokens.
 func (r *runner) readStream(sent exchange, expected []string, requestID string, intended time.Time) Outcome {
 	outcome := Outcome{
-		Verdict:   Broken,
+		Verdict:   Disconnected,
 		RequestID: requestID,
 	}
 	received, isDone, isMismatched := 0, false, false
@@ -357,9 +357,9 @@
 			reported = &claimed
 			return
 		case lastEventAt.IsZero():
-			r.recordLatency(r.report.First, now.Sub(intended))
+			r.recordLatency(r.report.FirstEvent, now.Sub(intended))
 		default:
-			r.recordLatency(r.report.Gap, now.Sub(lastEventAt))
+			r.recordLatency(r.report.EventGap, now.Sub(lastEventAt))
 		}
 		lastEventAt = now
 		isMismatched = isMismatched || received >= len(expected) || !strings.Contains(data, expected[received])
@@ -367,12 +367,12 @@
 	})
 	switch {
 	case isMismatched:
-		outcome.Verdict = Foreign
+		outcome.Verdict = Mismatched
 	case isDone && received == len(expected):
-		outcome.Verdict = Whole
-		r.recordLatency(r.report.Total, time.Since(intended))
+		outcome.Verdict = Complete
+		r.recordLatency(r.report.CompleteAnswer, time.Since(intended))
 	case isDone:
-		outcome.Verdict = Cut
+		outcome.Verdict = Truncated
 	case reported != nil:
 		outcome = *reported
 	}
@@ -394,8 +394,8 @@
 // sendNonRepeatable sends a request that must not be repeated, with an idempotency key.
 func (r *runner) sendNonRepeatable(key string, intended time.Time) Outcome {
 	body := []byte(uuid.NewString())
-	outcome := r.sendToService("POST", r.settings.ChargePath, key, body, [][2]string{{"Idempotency-Key", string(body)}}, intended)
-	outcome.Charge = "POST " + r.settings.ChargePath + " " + string(body)
+	outcome := r.sendToService("POST", r.settings.NonRepeatablePath, key, body, [][2]string{{"Idempotency-Key", string(body)}}, intended)
+	outcome.LedgerKey = "POST " + r.settings.NonRepeatablePath + " " + string(body)
 	return outcome
 }
 
@@ -412,17 +412,17 @@
 		return errorOutcome(answer, requestID)
 	}
 	outcome := Outcome{
-		Verdict:   Whole,
+		Verdict:   Complete,
 		RequestID: requestID,
 	}
 	var parsed echoBody
 	switch {
 	case json.Unmarshal(answer, &parsed) != nil:
-		outcome.Verdict = Cut
+		outcome.Verdict = Truncated
 	case parsed.Path != path || parsed.Echo != string(body):
-		outcome.Verdict = Foreign
+		outcome.Verdict = Mismatched
 	default:
-		r.recordLatency(r.report.Total, time.Since(intended))
+		r.recordLatency(r.report.CompleteAnswer, time.Since(intended))
 	}
 	return outcome
 }
@@ -446,7 +446,7 @@
 	balancer := &Balancer{
 		client: &http1.Client{
 			ConnectTimeout: healthCheckInterval,
-			IdleTimeout:    time.Second,
+			IOTimeout:      time.Second,
 		},
 		daemons: daemons,
 	}
@@ -464,7 +464,7 @@
 func (b *Balancer) checkHealth() {
 	var ready []string
 	for _, address := range b.daemons {
-		status, _, err := b.client.JSON(address, "/health/ready", nil)
+		status, _, err := b.client.CallJSON(address, "/health/ready", nil)
 		if err == nil && status == fasthttp.StatusOK {
 			ready = append(ready, address)
 		}
--- a/lab/measures/measures.go
+++ b/lab/measures/measures.go
@@ -31,10 +31,10 @@
 	LoadTime time.Duration
 }
 
-// Weights holds the weights of one operator.
-type Weights struct {
-	Name    string
-	Weights declaration.Weights
+// OperatorWeights holds the weights of one operator.
+type OperatorWeights struct {
+	Operator string
+	Weights  declaration.Weights
 }
 
 // Policy is a combination of a repair policy and an order of migration steps.
@@ -48,7 +48,7 @@
 func Policies() []Policy {
 	return []Policy{{
 		Name:     "headcourse",
-		Repairer: placement.Weighed{},
+		Repairer: placement.CostBased{},
 	}, {
 		Name:     "first-fit repair",
 		Repairer: placement.FirstFit{},
@@ -57,7 +57,7 @@
 		Repairer: placement.AlwaysWait{},
 	}, {
 		Name:            "break before make",
-		Repairer:        placement.Weighed{},
+		Repairer:        placement.CostBased{},
 		BreakBeforeMake: true,
 	}}
 }
@@ -65,21 +65,21 @@
 // Result is the result of one run.
 type Result struct {
 	Policy  Policy
-	Weights Weights
+	Weights OperatorWeights
 	Seed    uint64
 	// Group downtime is in group seconds, stranded accelerators are in accelerator hours.
-	Downtime float64
-	Stranded float64
+	GroupDowntimeSeconds     float64
+	StrandedAcceleratorHours float64
 	// Cost is the weighted sum of group seconds and stranded accelerator seconds.
 	Cost float64
-	// Broken holds the invariant violations that the oracle found.
-	Broken []string
+	// Violations holds the invariant violations that the oracle found.
+	Violations []string
 }
 
 // Compare runs every policy with all weights and seeds in parallel and passes the results to
 // report. It then ends the process, because the paused clock requires the main function of
 // package testing. The exit code is 1 if report returns an error.
-func Compare(settings Settings, operators []Weights, report func([]Result) error) {
+func Compare(settings Settings, operators []OperatorWeights, report func([]Result) error) {
 	testing.Init()
 	if err := flag.CommandLine.Parse(nil); err != nil {
 		panic(err)
@@ -98,7 +98,7 @@
 }
 
 // runAll runs all combinations and returns the results in a fixed order.
-func runAll(t *testing.T, settings Settings, operators []Weights) []Result {
+func runAll(t *testing.T, settings Settings, operators []OperatorWeights) []Result {
 	var results []Result
 	for _, weights := range operators {
 		for _, policy := range Policies() {
@@ -132,8 +132,8 @@
 )
 
 // runDeclaration returns the declaration of a run.
-func runDeclaration(settings Settings, weights Weights) declaration.Declaration {
-	declared := fleet.Declared(map[string]int{
+func runDeclaration(settings Settings, weights OperatorWeights) declaration.Declaration {
+	declared := fleet.NewDeclaration(map[string]int{
 		"z0": 3,
 		"z1": 3,
 		"z2": 2,
@@ -163,17 +163,17 @@
 		returnAt: map[string]time.Time{},
 	}
 	simulated.Run(5 * time.Second)
-	_ = simulated.Apply(simulated.Hosts[0], runDeclaration(settings, result.Weights))
+	_ = simulated.Apply(simulated.Daemons[0], runDeclaration(settings, result.Weights))
 	simulated.Run(6 * time.Second)
 	current.executePlan(plan.Intent{
 		Kind: plan.Reconcile,
 	})
 	simulated.Run(5*time.Minute + 3*settings.LoadTime)
 	current.playEvents(settings, result.Seed)
-	result.Downtime = current.groupDowntimeSeconds
-	result.Stranded = current.strandedAcceleratorSeconds / 3600
+	result.GroupDowntimeSeconds = current.groupDowntimeSeconds
+	result.StrandedAcceleratorHours = current.strandedAcceleratorSeconds / 3600
 	result.Cost = result.Weights.Weights.GroupDowntime*current.groupDowntimeSeconds + result.Weights.Weights.StrandedAccelerators*current.strandedAcceleratorSeconds
-	result.Broken = simulated.Broken
+	result.Violations = simulated.Violations
 	return result
 }
 
@@ -261,11 +261,11 @@
 		s.pauseDomain(s.drawVM(random), exponentialDuration(random, 4*time.Minute))
 	})
 	draw(storeOutagesPerDay, func(random *rand.Rand) {
-		s.fleet.StoreOut = true
+		s.fleet.StoreUnavailable = true
 		s.storeReturnsAt = time.Now().Add(exponentialDuration(random, 15*time.Minute))
 	})
 	draw(daemonReplacementsPerDay, func(random *rand.Rand) {
-		s.replaceDaemon(random.IntN(len(s.fleet.Hosts)))
+		s.replaceDaemon(random.IntN(len(s.fleet.Daemons)))
 	})
 	events = append(events, event{
 		offset: time.Duration(drainZoneAfter * float64(span)),
@@ -280,7 +280,7 @@
 		offset: time.Duration(reopenZoneAfter * float64(span)),
 		apply: func() {
 			s.executePlan(plan.Intent{
-				Kind: plan.OpenZoneAgain,
+				Kind: plan.ReopenZone,
 				Zone: "z2",
 			})
 		},
@@ -298,18 +298,18 @@
 
 // drawVM returns the id of a random VM.
 func (s *simulation) drawVM(random *rand.Rand) string {
-	return s.fleet.IDs[random.IntN(len(s.fleet.IDs))]
+	return s.fleet.VMIDs[random.IntN(len(s.fleet.VMIDs))]
 }
 
 // crash crashes a VM's server, which answers again after a duration.
 func (s *simulation) crash(id string, duration time.Duration) {
-	s.fleet.Servers[id].Die()
+	s.fleet.Servers[id].Crash()
 	s.returnAt[id] = time.Now().Add(duration)
 }
 
 // pause makes a VM's server stop answering for a duration without losing its state.
 func (s *simulation) pause(id string, duration time.Duration) {
-	if !s.fleet.Servers[id].Dead {
+	if !s.fleet.Servers[id].Crashed {
 		s.fleet.Servers[id].Paused = true
 		s.returnAt[id] = time.Now().Add(duration)
 	}
@@ -317,7 +317,7 @@
 
 // pauseDomain pauses all servers in the fabric domain of a VM.
 func (s *simulation) pauseDomain(id string, duration time.Duration) {
-	for _, other := range s.fleet.IDs {
+	for _, other := range s.fleet.VMIDs {
 		if s.fleet.Servers[other].VM.Domain == s.fleet.Servers[id].VM.Domain {
 			s.pause(other, duration)
 		}
@@ -326,32 +326,32 @@
 
 // markLeaving lists a VM as leaving for a duration.
 func (s *simulation) markLeaving(id string, duration time.Duration) {
-	listed := s.fleet.List[id]
+	listed := s.fleet.VMList[id]
 	listed.State = vm.Leaving
-	s.fleet.List[id] = listed
+	s.fleet.VMList[id] = listed
 	s.returnAt["list "+id] = time.Now().Add(duration)
 }
 
 // replaceDaemon removes one daemon and starts another.
 func (s *simulation) replaceDaemon(index int) {
-	s.fleet.Hosts = append(s.fleet.Hosts[:index], s.fleet.Hosts[index+1:]...)
+	s.fleet.Daemons = append(s.fleet.Daemons[:index], s.fleet.Daemons[index+1:]...)
 	s.fleet.AddDaemon()
 }
 
 // endDueFaults ends the faults whose duration has passed.
 func (s *simulation) endDueFaults() {
 	now := time.Now()
-	if s.fleet.StoreOut && now.After(s.storeReturnsAt) {
-		s.fleet.StoreOut = false
+	if s.fleet.StoreUnavailable && now.After(s.storeReturnsAt) {
+		s.fleet.StoreUnavailable = false
 	}
-	for _, id := range s.fleet.IDs {
+	for _, id := range s.fleet.VMIDs {
 		if due, ok := s.returnAt[id]; ok && now.After(due) {
-			s.fleet.Servers[id].Dead = false
+			s.fleet.Servers[id].Crashed = false
 			s.fleet.Servers[id].Paused = false
 			delete(s.returnAt, id)
 		}
 		if due, ok := s.returnAt["list "+id]; ok && now.After(due) {
-			s.fleet.List[id] = s.fleet.Servers[id].VM
+			s.fleet.VMList[id] = s.fleet.Servers[id].VM
 			delete(s.returnAt, "list "+id)
 		}
 	}
@@ -359,11 +359,11 @@
 
 // sample adds one tick to the measures.
 func (s *simulation) sample() {
-	snapshot := s.fleet.Hosts[0].Controller.Snapshot()
-	serving := snapshot.Serveable("m", time.Now())
+	snapshot := s.fleet.Daemons[0].Controller.Snapshot()
+	serving := snapshot.ServingGroups("m", time.Now())
 	powered := 0
-	for _, id := range s.fleet.IDs {
-		if !s.fleet.Servers[id].Dead {
+	for _, id := range s.fleet.VMIDs {
+		if !s.fleet.Servers[id].Crashed {
 			powered += accelerators
 		}
 	}
@@ -377,12 +377,12 @@
 func (s *simulation) executePlan(intent plan.Intent) {
 	s.planCount++
 	id := fmt.Sprintf("plan-%d", s.planCount)
-	proposer := s.fleet.Hosts[0]
+	proposer := s.fleet.Daemons[0]
 	if _, err := s.fleet.Propose(proposer, id, intent); err != nil {
 		return
 	}
 	if s.policy.BreakBeforeMake {
-		_ = s.fleet.Rewrite(id, drainFirst)
+		_ = s.fleet.OverwritePlan(id, drainFirst)
 	}
 	s.fleet.Run(4 * time.Second)
 	_ = s.fleet.Confirm(proposer, id)
@@ -392,13 +392,13 @@
 func drainFirst(changed plan.Plan) plan.Plan {
 	hasDrain := map[int]bool{}
 	for _, step := range changed.Steps {
-		hasDrain[step.Stage] = hasDrain[step.Stage] || step.Verb == plan.Drain
+		hasDrain[step.Stage] = hasDrain[step.Stage] || step.Action == plan.Drain
 	}
 	for i, step := range changed.Steps {
 		switch {
-		case step.Verb == plan.Form && hasDrain[step.Stage+1]:
+		case step.Action == plan.Form && hasDrain[step.Stage+1]:
 			changed.Steps[i].Stage++
-		case step.Verb == plan.Drain && step.Stage > 0:
+		case step.Action == plan.Drain && step.Stage > 0:
 			changed.Steps[i].Stage--
 		}
 	}
--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -56,9 +56,9 @@
 	s.server.Kill()
 }
 
-// Revive restarts a killed service.
-func (s *Service) Revive() error {
-	return s.server.Revive()
+// Restart restarts a killed service.
+func (s *Service) Restart() error {
+	return s.server.Restart()
 }
 
 // Ledger returns the number of executions of each request, by method, path and body.
@@ -109,7 +109,7 @@
 	s.mutex.Lock()
 	inFlight := s.inFlight
 	s.mutex.Unlock()
-	body, err := json.Marshal(order.State{
+	body, err := json.Marshal(order.ServerState{
 		VM:       s.vm,
 		Loaded:   true,
 		InFlight: inFlight,
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -26,15 +26,15 @@
 	// address.
 	TableAddress  string
 	VMListAddress string
-	// ListLag is the delay until a change shows in the VM list.
-	ListLag time.Duration
-	// Slots is the number of requests that an engine runs at once. LoadTime, FirstToken
-	// and EachToken are the times that it takes to load a model, to answer with the first
+	// VMListDelay is the delay until a change shows in the VM list.
+	VMListDelay time.Duration
+	// Slots is the number of requests that an engine runs at once. LoadTime, FirstTokenDelay
+	// and TokenInterval are the times that it takes to load a model, to answer with the first
 	// token, and for each further token.
-	Slots      int
-	LoadTime   time.Duration
-	FirstToken time.Duration
-	EachToken  time.Duration
+	Slots           int
+	LoadTime        time.Duration
+	FirstTokenDelay time.Duration
+	TokenInterval   time.Duration
 	// ServiceTime is the time that a plain service takes for a request.
 	ServiceTime time.Duration
 	// LoadsPerSecond and LoadBurst are the rate and the burst of loads from the weight store.
@@ -49,7 +49,7 @@
 type Platform struct {
 	Table       *tablestore.Memory
 	TableFaults *fault.Switch
-	List        *vmlist.List
+	VMList      *vmlist.List
 	Engines     map[string]*engine.Engine
 	Services    map[string]*plainservice.Service
 	VMs         []vm.VM
@@ -73,11 +73,11 @@
 			return nil, err
 		}
 	}
-	p.List = vmlist.New(settings.ListLag, p.VMs)
+	p.VMList = vmlist.New(settings.VMListDelay, p.VMs)
 	var err error
 	p.table, err = server.Start(addressOrAnyPort(settings.TableAddress), p.TableFaults.Wrap(tablestore.Handler(p.Table)))
 	if err == nil {
-		p.vmList, err = server.Start(addressOrAnyPort(settings.VMListAddress), vmlist.Handler(p.List))
+		p.vmList, err = server.Start(addressOrAnyPort(settings.VMListAddress), vmlist.Handler(p.VMList))
 	}
 	if err != nil {
 		p.Stop()
@@ -108,14 +108,14 @@
 		return nil
 	}
 	running, err := engine.Start(engine.Settings{
-		VM:           listedVM.ID,
-		Address:      address,
-		ChecksOrders: listedVM.ChecksOrders,
-		Slots:        settings.Slots,
-		LoadTime:     settings.LoadTime,
-		FirstToken:   settings.FirstToken,
-		EachToken:    settings.EachToken,
-		Weights:      weights,
+		VM:              listedVM.ID,
+		Address:         address,
+		ChecksOrders:    listedVM.ChecksOrders,
+		Slots:           settings.Slots,
+		LoadTime:        settings.LoadTime,
+		FirstTokenDelay: settings.FirstTokenDelay,
+		TokenInterval:   settings.TokenInterval,
+		Weights:         weights,
 	})
 	if err != nil {
 		return err
@@ -152,8 +152,8 @@
 	}
 }
 
-// Domain returns the engines of a fabric domain, by VM ID.
-func (p *Platform) Domain(name string) map[string]*engine.Engine {
+// EnginesInDomain returns the engines of a fabric domain, by VM ID.
+func (p *Platform) EnginesInDomain(name string) map[string]*engine.Engine {
 	engines := map[string]*engine.Engine{}
 	for _, listedVM := range p.VMs {
 		if listedVM.Domain == name {
@@ -163,8 +163,8 @@
 	return engines
 }
 
-// RunsOf returns how often the engines ran each request, by request ID.
-func (p *Platform) RunsOf() map[string]int {
+// EngineRuns returns how often the engines ran each request, by request ID.
+func (p *Platform) EngineRuns() map[string]int {
 	runs := map[string]int{}
 	for _, running := range p.Engines {
 		for id, count := range running.Ledger() {
--- a/lab/proxy/proxy.go
+++ b/lab/proxy/proxy.go
@@ -11,23 +11,23 @@
 	"github.com/pkg/errors"
 )
 
-// Harm is the fault that a proxy injects into its connections.
-type Harm int
+// Fault is the fault that a proxy injects into its connections.
+type Fault int
 
-// Silence drops the bytes of both directions and keeps connections open. CutThere drops
-// the bytes to the server, CutBack those from it. Reset resets all connections, also
+// Blackhole drops the bytes of both directions and keeps connections open. DropToTarget drops
+// the bytes to the server, DropFromTarget those from it. Reset resets all connections, also
 // new ones. Delay holds bytes back for addedDelay.
 const (
-	None Harm = iota
+	NoFault Fault = iota
 	Delay
-	Silence
-	CutThere
-	CutBack
+	Blackhole
+	DropToTarget
+	DropFromTarget
 	Reset
 )
 
 // String returns the name of the fault in logs.
-func (f Harm) String() string {
+func (f Fault) String() string {
 	return [...]string{"none", "delay", "silence", "cut_there", "cut_back", "reset"}[f]
 }
 
@@ -45,9 +45,9 @@
 	target   string
 
 	mutex sync.Mutex
-	fault Harm
+	fault Fault
 	conns map[net.Conn]struct{}
-	// generation counts the calls of Strand; connections of earlier
+	// generation counts the calls of BlackholeOpenConnections; connections of earlier
 	// generations are blackholed.
 	generation int
 }
@@ -73,28 +73,28 @@
 	return p.listener.Addr().String()
 }
 
-// Set changes the fault from now on. Connections that lost bytes are reset when the fault
+// SetFault changes the fault from now on. Connections that lost bytes are reset when the fault
 // ends, since a byte stream with a gap is corrupt.
-func (p *Proxy) Set(fault Harm) {
+func (p *Proxy) SetFault(fault Fault) {
 	p.mutex.Lock()
 	former := p.fault
 	p.fault = fault
 	p.mutex.Unlock()
-	if former != fault && (former == Silence || former == CutThere || former == CutBack || fault == Reset) {
+	if former != fault && (former == Blackhole || former == DropToTarget || former == DropFromTarget || fault == Reset) {
 		p.resetAll()
 	}
 }
 
-// Strand blackholes the connections that are open now: they stay open, but
+// BlackholeOpenConnections blackholes the connections that are open now: they stay open, but
 // no more bytes pass, whatever fault is set. Connections that are opened later are not
 // affected.
-func (p *Proxy) Strand() {
+func (p *Proxy) BlackholeOpenConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.generation++
 }
 
-// isBlackholed reports whether Strand was called since a connection of the
+// isBlackholed reports whether BlackholeOpenConnections was called since a connection of the
 // generation was opened.
 func (p *Proxy) isBlackholed(generation int) bool {
 	p.mutex.Lock()
@@ -109,7 +109,7 @@
 }
 
 // currentFault returns the fault that is set.
-func (p *Proxy) currentFault() Harm {
+func (p *Proxy) currentFault() Fault {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.fault
@@ -161,8 +161,8 @@
 	p.conns[server] = struct{}{}
 	generation := p.generation
 	p.mutex.Unlock()
-	go p.copy(server, client, CutThere, generation)
-	p.copy(client, server, CutBack, generation)
+	go p.copy(server, client, DropToTarget, generation)
+	p.copy(client, server, DropFromTarget, generation)
 	p.mutex.Lock()
 	delete(p.conns, client)
 	delete(p.conns, server)
@@ -171,7 +171,7 @@
 
 // copy copies one direction until it ends. dropFault is the fault that drops this direction;
 // generation is that of the connection.
-func (p *Proxy) copy(to, from net.Conn, dropFault Harm, generation int) {
+func (p *Proxy) copy(to, from net.Conn, dropFault Fault, generation int) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
@@ -179,7 +179,7 @@
 		if fault == Delay {
 			time.Sleep(addedDelay)
 		}
-		isDropped := fault == Silence || fault == dropFault || p.isBlackholed(generation)
+		isDropped := fault == Blackhole || fault == dropFault || p.isBlackholed(generation)
 		if n > 0 && !isDropped {
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
--- a/lab/relaybench/relaybench.go
+++ b/lab/relaybench/relaybench.go
@@ -34,26 +34,26 @@
 // Settings configure a measurement.
 type Settings struct {
 	// Rate is the number of streams begun a second. Each stream has Tokens events at intervals
-	// of EachToken.
-	Rate      float64
-	Tokens    int
-	EachToken time.Duration
-	Duration  time.Duration
-	Seed      uint64
+	// of TokenInterval.
+	Rate          float64
+	Tokens        int
+	TokenInterval time.Duration
+	Duration      time.Duration
+	Seed          uint64
 }
 
-// Figures holds the results of one path.
-type Figures struct {
-	Events  int
-	Streams int
-	Broken  int
-	// CPU is the processor time of the whole process in seconds, including client and engine.
-	CPU     float64
-	Seconds float64
-	// First is the time to the first event and Gap the time between two events, both in
+// Measurement holds the results of one path.
+type Measurement struct {
+	Events            int
+	Streams           int
+	IncompleteStreams int
+	// CPUSeconds is the processor time of the whole process in seconds, including client and engine.
+	CPUSeconds     float64
+	ElapsedSeconds float64
+	// FirstEvent is the time to the first event and EventGap the time between two events, both in
 	// microseconds.
-	First *hdrhistogram.Histogram
-	Gap   *hdrhistogram.Histogram
+	FirstEvent *hdrhistogram.Histogram
+	EventGap   *hdrhistogram.Histogram
 }
 
 // Bench is a running engine with a daemon. Use Start.
@@ -83,7 +83,7 @@
 			ChecksOrders: true,
 		}},
 		Slots:          100000,
-		EachToken:      tokenInterval,
+		TokenInterval:  tokenInterval,
 		LoadsPerSecond: 10,
 		LoadBurst:      10,
 	})
@@ -124,8 +124,8 @@
 	}
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		for _, record := range b.node.Daemon().Snapshot().Serveable("redactor", time.Now()) {
-			b.group, b.leaderAddress, b.generation = record.Name, record.Leader(), record.Generation
+		for _, record := range b.node.Daemon().Snapshot().ServingGroups("redactor", time.Now()) {
+			b.group, b.leaderAddress, b.generation = record.Name, record.LeaderAddress(), record.Generation
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	client := operator.NewClient(b.node.Operators(), examples.Key(operatorName))
+	client := operator.NewClient(b.node.OperatorsAddress(), examples.Key(operatorName))
 	// JSON is a subset of YAML, the format of declaration files.
 	if _, err = client.Apply(operator.ApplyRequest{
 		Files: []declaration.File{{
@@ -175,37 +175,37 @@
 	b.platform.Stop()
 }
 
-// Direct measures the direct path to the engine.
-func (b *Bench) Direct(settings Settings) Figures {
+// MeasureDirect measures the direct path to the engine.
+func (b *Bench) MeasureDirect(settings Settings) Measurement {
 	return b.measure(settings, b.leaderAddress, [][2]string{
 		{"X-Group", b.group},
 		{"X-Generation", fmt.Sprint(b.generation)},
 	})
 }
 
-// Through measures the path through the daemon.
-func (b *Bench) Through(settings Settings) Figures {
-	return b.measure(settings, b.node.Callers(), [][2]string{
+// MeasureThroughDaemon measures the path through the daemon.
+func (b *Bench) MeasureThroughDaemon(settings Settings) Measurement {
+	return b.measure(settings, b.node.CallersAddress(), [][2]string{
 		{"Authorization", "Bearer " + examples.Key("epmaps")},
 	})
 }
 
 // measure sends the load to an address and returns its results.
-func (b *Bench) measure(settings Settings, address string, headers [][2]string) Figures {
+func (b *Bench) measure(settings Settings, address string, headers [][2]string) Measurement {
 	s := &sender{
 		settings: settings,
 		address:  address,
 		headers:  headers,
 		client:   &http1.Client{},
-		figures: Figures{
-			First: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
-			Gap:   hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+		figures: Measurement{
+			FirstEvent: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+			EventGap:   hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 		},
 	}
-	cpuBefore, startedAt := usage.ProcessorTime(), time.Now()
+	cpuBefore, startedAt := usage.CPUSeconds(), time.Now()
 	s.send()
-	s.figures.CPU = usage.ProcessorTime() - cpuBefore
-	s.figures.Seconds = time.Since(startedAt).Seconds()
+	s.figures.CPUSeconds = usage.CPUSeconds() - cpuBefore
+	s.figures.ElapsedSeconds = time.Since(startedAt).Seconds()
 	return s.figures
 }
 
@@ -216,7 +216,7 @@
 	headers  [][2]string
 	client   *http1.Client
 	mutex    sync.Mutex
-	figures  Figures
+	figures  Measurement
 }
 
 // send begins streams at times drawn from the seed and waits until all of them end.
@@ -289,12 +289,12 @@
 	defer s.mutex.Unlock()
 	s.figures.Streams++
 	if !isComplete {
-		s.figures.Broken++
+		s.figures.IncompleteStreams++
 		return
 	}
 	s.figures.Events += 1 + len(gaps)
-	_ = s.figures.First.RecordValue(max(1, first.Microseconds()))
+	_ = s.figures.FirstEvent.RecordValue(max(1, first.Microseconds()))
 	for _, gap := range gaps {
-		_ = s.figures.Gap.RecordValue(max(1, gap.Microseconds()))
+		_ = s.figures.EventGap.RecordValue(max(1, gap.Microseconds()))
 	}
 }
--- a/lab/routebench/routebench.go
+++ b/lab/routebench/routebench.go
@@ -54,13 +54,13 @@
 type Result struct {
 	Policy   string
 	Requests int
-	// First is the time to the first token, in microseconds.
-	First *hdrhistogram.Histogram
-	// Good counts first tokens within the deadline, Hits requests with a cached prefix, and
-	// Refused requests for which every group was full.
-	Good    int
-	Hits    int
-	Refused int
+	// FirstToken is the time to the first token, in microseconds.
+	FirstToken *hdrhistogram.Histogram
+	// WithinDeadline counts first tokens within the deadline, CacheHits requests with a cached prefix, and
+	// Rejected requests for which every group was full.
+	WithinDeadline int
+	CacheHits      int
+	Rejected       int
 }
 
 // engineModel is the model of one engine.
@@ -184,8 +184,8 @@
 	s := &simulation{
 		settings: settings,
 		result: Result{
-			Requests: len(arrivals),
-			First:    hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
+			Requests:   len(arrivals),
+			FirstToken: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
 		},
 	}
 	for group := range settings.Groups {
@@ -232,17 +232,17 @@
 	for i, engine := range s.engines {
 		index[engine.name] = i
 		candidates[i] = route.Candidate{
-			Group:    engine.name,
-			Reported: engine.reported,
-			Slots:    slots,
+			Group:            engine.name,
+			ReportedInFlight: engine.reported,
+			Slots:            slots,
 		}
 	}
-	prefix := route.Prefix("org", fmt.Appendf(nil, "topic %d", next.topic))
+	prefix := route.PrefixHash("org", fmt.Appendf(nil, "topic %d", next.topic))
 	picked, ok := s.policies[next.daemon].Pick(prefix, candidates, func(candidate route.Candidate) int {
 		return s.estimatedLoad(next.daemon, index[candidate.Group])
 	})
 	if !ok {
-		s.result.Refused++
+		s.result.Rejected++
 		return
 	}
 	s.startRequest(next, index[picked.Group])
@@ -265,7 +265,7 @@
 	engine := s.engines[index]
 	tokens := float64(uniqueTokens)
 	if position := slices.Index(engine.cachedTopics, next.topic); position >= 0 {
-		s.result.Hits++
+		s.result.CacheHits++
 		engine.cachedTopics = slices.Delete(engine.cachedTopics, position, position+1)
 	} else {
 		tokens += prefixTokens
@@ -287,8 +287,8 @@
 		startedAt: next.arrivesAt,
 	})
 	timeToFirstToken := firstTokenAt - next.arrivesAt
-	_ = s.result.First.RecordValue(int64(timeToFirstToken * 1e6))
+	_ = s.result.FirstToken.RecordValue(int64(timeToFirstToken * 1e6))
 	if timeToFirstToken <= s.settings.Deadline.Seconds() {
-		s.result.Good++
+		s.result.WithinDeadline++
 	}
 }
--- a/lab/server/server.go
+++ b/lab/server/server.go
@@ -25,7 +25,7 @@
 		handler: handler,
 		address: address,
 	}
-	return server, server.Revive()
+	return server, server.Restart()
 }
 
 // Address returns the IP:port that the server listens on.
@@ -50,8 +50,8 @@
 	s.conns = nil
 }
 
-// Revive listens again on the same address.
-func (s *Server) Revive() error {
+// Restart listens again on the same address.
+func (s *Server) Restart() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.listener != nil {
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -35,31 +35,31 @@
 	Measure time.Duration
 }
 
-// Figures holds the measured values. They are for one daemon and one second, except where a
+// Measurement holds the measured values. They are for one daemon and one second, except where a
 // field says otherwise.
-type Figures struct {
+type Measurement struct {
 	Daemons int
 	Groups  int
 	VMs     int
-	// CPU is the seconds of processor time, Memory the bytes of heap and stacks.
-	CPU    float64
-	Memory float64
-	// Peer is the number of bytes read and written between daemons. Reads and Commits are
+	// CPUCores is the seconds of processor time, MemoryBytes the bytes of heap and stacks.
+	CPUCores    float64
+	MemoryBytes float64
+	// PeerBytesPerSecond is the number of bytes read and written between daemons. ReadsPerSecond and CommitsPerSecond are
 	// operations of the store by all daemons together.
-	Peer    float64
-	Reads   float64
-	Commits float64
-	// Spread is the time in seconds from a change in the table until every daemon has applied
+	PeerBytesPerSecond float64
+	ReadsPerSecond     float64
+	CommitsPerSecond   float64
+	// PropagationSeconds is the time in seconds from a change in the table until every daemon has applied
 	// it.
-	Spread float64
+	PropagationSeconds float64
 }
 
 // Measure starts daemons and measures them while they are idle.
-func Measure(settings Settings) (Figures, error) {
-	figures := Figures{
+func Measure(settings Settings) (Measurement, error) {
+	figures := Measurement{
 		Daemons: settings.Daemons,
 	}
-	before := usage.Memory()
+	before := usage.MemoryBytes()
 	daemons, err := startDaemons(settings)
 	defer stopDaemons(daemons)
 	if err != nil {
@@ -69,12 +69,12 @@
 		return figures, err
 	}
 	time.Sleep(settings.Settle)
-	figures.Memory = (usage.Memory() - before) / float64(settings.Daemons)
+	figures.MemoryBytes = (usage.MemoryBytes() - before) / float64(settings.Daemons)
 	if err = settings.measureIdle(daemons, &figures); err != nil {
 		return figures, err
 	}
-	figures.Spread, err = measurePropagation(settings, daemons)
-	world := daemons[0].World()
+	figures.PropagationSeconds, err = measurePropagation(settings, daemons)
+	world := daemons[0].FleetState()
 	figures.Groups = len(world.Groups)
 	figures.VMs = len(world.VMs)
 	return figures, err
@@ -131,7 +131,7 @@
 	for _, count := range settings.Deployment.Declaration.Models[0].Replicas {
 		declaredGroups += count
 	}
-	world, err := waitForWorld(daemons[0], func(world plan.World) bool {
+	world, err := waitForWorld(daemons[0], func(world plan.FleetState) bool {
 		return world.Configuration.Revision > 0 && len(world.VMs) > 0
 	})
 	if err != nil {
@@ -152,7 +152,7 @@
 			return errors.Wrap(err, "confirm plan")
 		}
 	}
-	_, err = waitForWorld(daemons[len(daemons)-1], func(world plan.World) bool {
+	_, err = waitForWorld(daemons[len(daemons)-1], func(world plan.FleetState) bool {
 		serving := 0
 		for _, record := range world.Groups {
 			if record.Phase == group.Serving {
@@ -189,31 +189,31 @@
 }
 
 // waitForWorld waits until a daemon's view of the fleet meets a condition.
-func waitForWorld(target *daemon.Daemon, isReached func(plan.World) bool) (plan.World, error) {
+func waitForWorld(target *daemon.Daemon, isReached func(plan.FleetState) bool) (plan.FleetState, error) {
 	deadline := time.Now().Add(stateTimeout)
 	for time.Now().Before(deadline) {
-		if world := target.World(); isReached(world) {
+		if world := target.FleetState(); isReached(world) {
 			return world, nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return plan.World{}, errors.New("fleet did not reach the state to measure before the timeout")
+	return plan.FleetState{}, errors.New("fleet did not reach the state to measure before the timeout")
 }
 
 // measureIdle measures the daemons while nothing changes.
-func (s Settings) measureIdle(daemons []*daemon.Daemon, figures *Figures) error {
+func (s Settings) measureIdle(daemons []*daemon.Daemon, figures *Measurement) error {
 	countsBefore, err := readCounts(s.Table)
 	if err != nil {
 		return err
 	}
-	cpuBefore, peerBefore, startedAt := usage.ProcessorTime(), peerBytes(daemons), time.Now()
+	cpuBefore, peerBefore, startedAt := usage.CPUSeconds(), peerBytes(daemons), time.Now()
 	time.Sleep(s.Measure)
 	elapsed := time.Since(startedAt).Seconds()
-	figures.CPU = (usage.ProcessorTime() - cpuBefore) / elapsed / float64(s.Daemons)
-	figures.Peer = (peerBytes(daemons) - peerBefore) / elapsed / float64(s.Daemons)
+	figures.CPUCores = (usage.CPUSeconds() - cpuBefore) / elapsed / float64(s.Daemons)
+	figures.PeerBytesPerSecond = (peerBytes(daemons) - peerBefore) / elapsed / float64(s.Daemons)
 	countsAfter, err := readCounts(s.Table)
-	figures.Reads = float64(countsAfter.Reads-countsBefore.Reads) / elapsed
-	figures.Commits = float64(countsAfter.Commits-countsBefore.Commits) / elapsed
+	figures.ReadsPerSecond = float64(countsAfter.Reads-countsBefore.Reads) / elapsed
+	figures.CommitsPerSecond = float64(countsAfter.Commits-countsBefore.Commits) / elapsed
 	return err
 }
 
@@ -239,7 +239,7 @@
 // readCounts reads the operation counters of the table service.
 func readCounts(address string) (tablestore.Counts, error) {
 	var parsed tablestore.Counts
-	_, body, err := new(http1.Client).JSON(address, "/lab/counts", nil)
+	_, body, err := new(http1.Client).CallJSON(address, "/lab/counts", nil)
 	if err != nil {
 		return parsed, err
 	}
--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -39,7 +39,7 @@
 		return k.withdrawn[len(k.withdrawn)-1]
 	}
 	if k.current == "" {
-		return standin.KeyOne
+		return standin.KeyCuenca
 	}
 	return k.current
 }
@@ -51,7 +51,7 @@
 	defer k.mutex.Unlock()
 	former := k.current
 	if former == "" {
-		former = standin.KeyOne
+		former = standin.KeyCuenca
 	}
 	k.issued++
 	k.current = fmt.Sprintf("soak-key-%d", k.issued)
@@ -109,7 +109,7 @@
 		wasRevoked := s.keys.isRevoked(client.Key)
 		answer := s.sendRequest(ctx, client, turn)
 		if wasRevoked && s.platform.Runs(answer.ID) > 0 {
-			s.platform.Violate("request " + answer.ID + " ran under a key that was withdrawn more than " + revokeDeadline.String() + " before")
+			s.platform.RecordViolation("request " + answer.ID + " ran under a key that was withdrawn more than " + revokeDeadline.String() + " before")
 		}
 		outcome := fmt.Sprintf("%d", answer.Status)
 		if answer.Err != nil {
@@ -139,9 +139,9 @@
 	defer cancel()
 	switch turn % kinds {
 	case 0:
-		return client.Ask(ctx, http.MethodGet, standin.PathSafe+"gate", nil, "")
+		return client.Send(ctx, http.MethodGet, standin.PathSafe+"gate", nil, "")
 	case 1:
-		return client.Ask(ctx, http.MethodPost, standin.PathUnsafe+"report", nil, strings.Repeat("valve ", turn%3000))
+		return client.Send(ctx, http.MethodPost, standin.PathUnsafe+"report", nil, strings.Repeat("valve ", turn%3000))
 	case 2:
 		return client.Stream(ctx, standin.ModelLarge, longStreamEvents)
 	default:
--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -26,7 +26,7 @@
 // through each daemon in turn.
 func sendCrashingRequests(s *soak) func() {
 	index := len(s.crashingPaths)
-	path := []string{standin.PathSafe, standin.PathUnsafe, standin.PathSmall}[index%3] + fmt.Sprintf("%d/%s", index, standin.NameCrashing)
+	path := []string{standin.PathSafe, standin.PathUnsafe, standin.PathSmall}[index%3] + fmt.Sprintf("%d/%s", index, standin.CrashingSegment)
 	s.crashingPaths = append(s.crashingPaths, path)
 	ctx, stop := context.WithCancel(context.Background())
 	s.crashingSenders.Go(func() {
@@ -43,7 +43,7 @@
 	client := &standin.Client{
 		Platform: s.platform,
 		Address:  s.daemons[daemonIndex].clientProxy.Address(),
-		Key:      standin.KeyTwo,
+		Key:      standin.KeyLoja,
 	}
 	const timeout = 3 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -53,7 +53,7 @@
 		headers[wire.HeaderModel] = standin.ModelSmall
 		headers[wire.HeaderTokens] = "100,40"
 	}
-	client.Ask(ctx, http.MethodPost, path, headers, "what no server survives")
+	client.Send(ctx, http.MethodPost, path, headers, "what no server survives")
 }
 
 // checkCrashingRequests sends each request that crashed crashThreshold servers to every daemon
--- a/lab/soak/directives.go
+++ b/lab/soak/directives.go
@@ -27,11 +27,11 @@
 		if !isSamePause {
 			pause = s.randomDuration(minPause, maxPause)
 		}
-		server.AskForPauses(pause)
+		server.RejectWithRetryAfter(pause)
 	}
 	return func() {
 		for _, server := range chosen {
-			server.AskForPauses(0)
+			server.RejectWithRetryAfter(0)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 // replacement.
 func leaveInAnswersOnly(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
-	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveByAnswersAlone)
+	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveInAnswersOnly)
 	return nil
 }
 
@@ -57,6 +57,6 @@
 	if d != nil {
 		name = d.name
 	}
-	s.platform.Excuse(name, 1)
-	return func() { s.platform.Excuse(name, -1) }
+	s.platform.Exempt(name, 1)
+	return func() { s.platform.Exempt(name, -1) }
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -65,15 +65,15 @@
 	},
 	{
 		name:  "store refuses all",
-		begin: injectStoreFault(standin.Refusing),
+		begin: injectStoreFault(standin.Unavailable),
 	},
 	{
 		name:  "store is unresponsive",
-		begin: injectStoreFault(standin.Silent),
+		begin: injectStoreFault(standin.Unresponsive),
 	},
 	{
 		name:  "answers to writes are lost",
-		begin: injectStoreFault(standin.Lossy),
+		begin: injectStoreFault(standin.LosingAnswers),
 	},
 	{
 		name:  "store drops its history",
@@ -160,28 +160,28 @@
 	for _, timer := range s.timers {
 		timer.Stop()
 	}
-	s.platform.Store.SetFault(standin.Well)
+	s.platform.Store.SetFault(standin.NoFault)
 	for _, d := range s.daemons {
-		d.storeProxy.Set(proxy.None)
-		d.clientProxy.Set(proxy.None)
+		d.storeProxy.SetFault(proxy.NoFault)
+		d.clientProxy.SetFault(proxy.NoFault)
 		s.signalDaemon(d, unix.SIGCONT)
 	}
 	s.serverProxiesMutex.Lock()
 	for _, serverProxy := range s.serverProxies {
-		serverProxy.Set(proxy.None)
+		serverProxy.SetFault(proxy.NoFault)
 	}
 	s.serverProxiesMutex.Unlock()
 	for _, service := range []string{standin.ServicePlain, standin.ServiceModel} {
 		for _, server := range s.platform.Servers(service) {
-			server.SetMood(standin.Good)
-			server.EndLimit()
+			server.SetBehaviour(standin.Normal)
+			server.ClearLimit()
 		}
 	}
 }
 
 // randomProxyFault returns a random fault of connections.
-func (s *soak) randomProxyFault() proxy.Harm {
-	return proxy.Harm(1 + s.random.IntN(int(proxy.Reset)))
+func (s *soak) randomProxyFault() proxy.Fault {
+	return proxy.Fault(1 + s.random.IntN(int(proxy.Reset)))
 }
 
 // randomDaemon returns a random daemon.
@@ -191,20 +191,20 @@
 
 // clearProxyFault returns a function that ends the fault of a proxy.
 func clearProxyFault(disturbed *proxy.Proxy) func() {
-	return func() { disturbed.Set(proxy.None) }
+	return func() { disturbed.SetFault(proxy.NoFault) }
 }
 
 // disturbStoreConnections injects a fault into a daemon's connections to the store.
 func disturbStoreConnections(s *soak) func() {
 	d := s.randomDaemon()
-	d.storeProxy.Set(s.randomProxyFault())
+	d.storeProxy.SetFault(s.randomProxyFault())
 	return clearProxyFault(d.storeProxy)
 }
 
 // disturbClientConnections injects a fault into the connections of a daemon's clients.
 func disturbClientConnections(s *soak) func() {
 	d := s.randomDaemon()
-	d.clientProxy.Set(s.randomProxyFault())
+	d.clientProxy.SetFault(s.randomProxyFault())
 	return clearProxyFault(d.clientProxy)
 }
 
@@ -214,10 +214,10 @@
 	if disturbed == nil {
 		return nil
 	}
-	disturbed.Set(s.randomProxyFault())
+	disturbed.SetFault(s.randomProxyFault())
 	end := s.beginExemption(nil)
 	return func() {
-		disturbed.Set(proxy.None)
+		disturbed.SetFault(proxy.NoFault)
 		end()
 	}
 }
@@ -225,7 +225,7 @@
 // blackholeStoreConnections drops all further bytes of a daemon's open connections to the
 // store and keeps the connections open.
 func blackholeStoreConnections(s *soak) func() {
-	s.randomDaemon().storeProxy.Strand()
+	s.randomDaemon().storeProxy.BlackholeOpenConnections()
 	return nil
 }
 
@@ -233,7 +233,7 @@
 // server and keeps the connections open.
 func blackholeServerConnections(s *soak) func() {
 	if serverProxy := s.randomServerProxy(); serverProxy != nil {
-		serverProxy.Strand()
+		serverProxy.BlackholeOpenConnections()
 		s.exempt(nil, killExemption)
 	}
 	return nil
@@ -299,13 +299,13 @@
 func injectStoreFault(fault standin.Fault) func(s *soak) func() {
 	return func(s *soak) func() {
 		s.platform.Store.SetFault(fault)
-		return func() { s.platform.Store.SetFault(standin.Well) }
+		return func() { s.platform.Store.SetFault(standin.NoFault) }
 	}
 }
 
 // dropStoreHistory makes the store drop its history of changes.
 func dropStoreHistory(s *soak) func() {
-	s.platform.Store.Forget()
+	s.platform.Store.DropHistory()
 	return nil
 }
 
@@ -349,7 +349,7 @@
 
 // replaceServer starts an empty server like the former one, and then ends the former one.
 func (s *soak) replaceServer(former *standin.Server, end func(*standin.Server)) {
-	if err := s.platform.StartLike(former); err != nil {
+	if err := s.platform.StartReplacement(former); err != nil {
 		s.logf("server not started: %v", err)
 		return
 	}
@@ -360,8 +360,8 @@
 func misbehave(s *soak) func() {
 	servers := append(s.platform.Servers(standin.ServicePlain), s.platform.Servers(standin.ServiceModel)...)
 	server := servers[s.random.IntN(len(servers))]
-	server.SetMood(standin.Mood(1 + s.random.IntN(int(standin.Extra))))
-	return func() { server.SetMood(standin.Good) }
+	server.SetBehaviour(standin.Behaviour(1 + s.random.IntN(int(standin.ExtraAnswer))))
+	return func() { server.SetBehaviour(standin.Normal) }
 }
 
 // rotateKeys withdraws the key in force and issues another.
--- a/lab/soak/limits.go
+++ b/lab/soak/limits.go
@@ -31,12 +31,12 @@
 		if !isSame {
 			limit = s.randomLimit()
 		}
-		server.NameLimit(limit)
+		server.SetLimit(limit)
 		for step := 1; step < limitSteps; step++ {
 			nextLimit := min(max(minLimit, limit*math.Pow(factor, float64(step))), maxLimit)
-			s.schedule(duration*time.Duration(step)/limitSteps, func() { server.ChangeLimit(nextLimit) })
+			s.schedule(duration*time.Duration(step)/limitSteps, func() { server.UpdateLimit(nextLimit) })
 		}
-		s.schedule(duration, server.EndLimit)
+		s.schedule(duration, server.ClearLimit)
 	}
 	return nil
 }
@@ -92,16 +92,16 @@
 	chosen := s.randomServingServers()
 	limit := s.randomLimit()
 	for _, server := range chosen {
-		server.NameLimit(limit)
+		server.SetLimit(limit)
 	}
 	time.Sleep(checkedLimitTime)
 	for _, server := range chosen {
-		server.EndLimit()
+		server.ClearLimit()
 	}
 	after := s.platform.DirectiveCounts()
-	s.logf("%d servers named %.2f a second, the first %s: %d requests of daemons that had been told", len(chosen), limit, chosen[0].ID(), after.Limited-before.Limited)
+	s.logf("%d servers named %.2f a second, the first %s: %d requests of daemons that had been told", len(chosen), limit, chosen[0].ID(), after.LimitedRequests-before.LimitedRequests)
 	failures := s.awaitServing("the end of limits")
-	if after.Limits == before.Limits {
+	if after.LimitsReceived == before.LimitsReceived {
 		failures = append(failures, "no daemon was told of a limit")
 	}
 	return failures
--- a/lab/soak/restores.go
+++ b/lab/soak/restores.go
@@ -58,13 +58,13 @@
 // snapshot. In one of four cases it restores the newest snapshot right afterwards.
 func restoreStore(s *soak) func() {
 	s.platform.Store.SetFault([]standin.Fault{
-		standin.Refusing,
-		standin.Silent,
-		standin.Late,
+		standin.Unavailable,
+		standin.Unresponsive,
+		standin.DelayingCommits,
 	}[s.random.IntN(3)])
-	options := standin.Restoring{
-		RewriteWithin: s.randomDuration(0, maxRewriteDelay),
-		IsClockKept:   s.random.IntN(2) == 0,
+	options := standin.RestoreOptions{
+		MaxRewriteDelay: s.randomDuration(0, maxRewriteDelay),
+		KeepClock:       s.random.IntN(2) == 0,
 	}
 	index, isTwice := s.random.IntN(maxSnapshots), s.random.IntN(4) == 0
 	s.schedule(s.randomDuration(minOutage, maxOutage), func() {
@@ -77,20 +77,20 @@
 }
 
 // restore restores the store from a snapshot.
-func (s *soak) restore(index int, options standin.Restoring) {
+func (s *soak) restore(index int, options standin.RestoreOptions) {
 	s.platform.Store.Restore(s.snapshots.at(index), options)
-	s.platform.Store.SetFault(standin.Well)
-	s.logf("store restored from copy %d, rewritten within %s, its clock kept: %t", index, options.RewriteWithin, options.IsClockKept)
+	s.platform.Store.SetFault(standin.NoFault)
+	s.logf("store restored from copy %d, rewritten within %s, its clock kept: %t", index, options.MaxRewriteDelay, options.KeepClock)
 }
 
 // checkRestore rotates the keys and at once restores the store from its oldest snapshot,
 // without other faults. It returns the daemons that do not serve afterwards.
 func (s *soak) checkRestore() []string {
 	s.rotateKeys()
-	s.platform.Store.SetFault(standin.Refusing)
+	s.platform.Store.SetFault(standin.Unavailable)
 	time.Sleep(minOutage)
-	s.restore(maxSnapshots, standin.Restoring{
-		RewriteWithin: maxRewriteDelay,
+	s.restore(maxSnapshots, standin.RestoreOptions{
+		MaxRewriteDelay: maxRewriteDelay,
 	})
 	return s.awaitServing("a restore of the store")
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -131,8 +131,8 @@
 	clients.Wait()
 	s.logf("%s", s.outcomes.String())
 	counts := s.platform.DirectiveCounts()
-	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.Pauses, counts.InPause, counts.Leaves)
-	s.logf("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.Limits, counts.Limited)
+	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.PausesRequested, counts.RequestsInPause, counts.LeavesAnnounced)
+	s.logf("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.LimitsReceived, counts.LimitedRequests)
 	return append(failures, s.platform.Violations()...), nil
 }
 
@@ -146,11 +146,11 @@
 func (s *soak) setUp() error {
 	var err error
 	s.platform, err = standin.Start(s.options.Dir, standin.Size{
-		Domains:   2,
-		PerDomain: 8,
-		Plain:     3,
-		Zones:     serverZones,
-		Lead:      s.addServerProxy,
+		Domains:           2,
+		ServersPerDomain:  8,
+		PlainServers:      3,
+		Zones:             serverZones,
+		AdvertisedAddress: s.addServerProxy,
 	})
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err = s.platform.WriteSettingsFor(name, storeProxy.Address(), ports[0], ports[1], ports[2]); err != nil {
+	if _, err = s.platform.WriteSettingsWithStore(name, storeProxy.Address(), ports[0], ports[1], ports[2]); err != nil {
 		return err
 	}
 	s.daemons = append(s.daemons, &daemon{
--- a/lab/standin/answers.go
+++ b/lab/standin/answers.go
@@ -34,7 +34,7 @@
 		return
 	}
 	id := r.Header.Get(wire.HeaderID)
-	if behaviour == Shedding || !s.awaitCompleteGroup(r) {
+	if behaviour == Rejecting || !s.awaitCompleteGroup(r) {
 		s.addRetryAfter(w, r)
 		w.Header().Set(wire.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -58,15 +58,15 @@
 }
 
 // writeAnswer answers a request that is not streamed.
-func (s *Server) writeAnswer(w http.ResponseWriter, id string, body []byte, behaviour Mood) {
+func (s *Server) writeAnswer(w http.ResponseWriter, id string, body []byte, behaviour Behaviour) {
 	time.Sleep(processingTime)
 	content := "answer to " + id + " with " + strconv.Itoa(len(body)) + " bytes"
 	switch behaviour {
-	case Cutting:
+	case Truncating:
 		w.Header().Set("Content-Length", strconv.Itoa(len(content)))
 		// The connection ends before Content-Length bytes are written.
 		_, _ = io.WriteString(w, content[:len(content)/2])
-	case Extra:
+	case ExtraAnswer:
 		s.writeExtraAnswer(w, content)
 	default:
 		_, _ = io.WriteString(w, content)
@@ -103,7 +103,7 @@
 }
 
 // writeStream writes the events of a stream that follow the last one that the caller received.
-func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, behaviour Mood) {
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, behaviour Behaviour) {
 	_, maxTokens, _ := strings.Cut(r.Header.Get(wire.HeaderTokens), ",")
 	tokens, _ := strconv.Atoi(maxTokens)
 	count := max(1, tokens/tokensPerEvent)
@@ -115,8 +115,8 @@
 		if !s.awaitCompleteGroup(r) || r.Context().Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
-		event := Event(r.Header.Get(wire.HeaderID), i)
-		if behaviour == Cutting && i == count/2 {
+		event := StreamEvent(r.Header.Get(wire.HeaderID), i)
+		if behaviour == Truncating && i == count/2 {
 			_, _ = io.WriteString(w, event[:len(event)/2])
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Event returns the text of one event, by its number, in the stream that answers a
+// StreamEvent returns the text of one event, by its number, in the stream that answers a
 // request.
-func Event(id string, number int) string {
+func StreamEvent(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: piece %d of %s\n\n", number, number, id)
 }
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -35,9 +35,9 @@
 	// Reason is the text with which the daemon rejected the request; empty if a server
 	// answered.
 	Reason string
-	// Retry is the pause that a rejection requests, in seconds, as the header has it;
+	// RetryAfter is the pause that a rejection requests, in seconds, as the header has it;
 	// empty if it requests none.
-	Retry string
+	RetryAfter string
 	// Err is the error that kept the client from reading the complete answer.
 	Err error
 }
@@ -45,8 +45,8 @@
 // lastRequestNumber makes request IDs unique across all clients of the process.
 var lastRequestNumber atomic.Int64
 
-// Ask sends a request and reads its complete answer.
-func (c *Client) Ask(ctx context.Context, method, path string, headers map[string]string, body string) Answer {
+// Send sends a request and reads its complete answer.
+func (c *Client) Send(ctx context.Context, method, path string, headers map[string]string, body string) Answer {
 	id := fmt.Sprintf("%08x", lastRequestNumber.Add(1))
 	answer := Answer{
 		ID: id,
@@ -75,7 +75,7 @@
 	defer func() { _ = response.Body.Close() }()
 	answer.Status = response.StatusCode
 	answer.Seal = response.Header.Get(wire.HeaderSeal)
-	answer.Retry = response.Header.Get("Retry-After")
+	answer.RetryAfter = response.Header.Get("Retry-After")
 	content, err := io.ReadAll(response.Body)
 	answer.Body = string(content)
 	if answer.Seal == "" {
@@ -107,7 +107,7 @@
 	if model == ModelSmall {
 		path = PathSmall
 	}
-	answer := c.Ask(ctx, http.MethodPost, path+"x", map[string]string{
+	answer := c.Send(ctx, http.MethodPost, path+"x", map[string]string{
 		wire.HeaderModel:  model,
 		wire.HeaderTokens: "100," + strconv.Itoa(events*tokensPerEvent),
 	}, "prompt")
@@ -116,7 +116,7 @@
 	}
 	var expected strings.Builder
 	for i := 1; i <= events; i++ {
-		expected.WriteString(Event(answer.ID, i))
+		expected.WriteString(StreamEvent(answer.ID, i))
 	}
 	if answer.Body != expected.String() {
 		c.Platform.recordViolation(fmt.Sprintf("stream %s ended as complete with %d bytes instead of the expected %d", answer.ID, len(answer.Body), expected.Len()))
--- a/lab/standin/crash.go
+++ b/lab/standin/crash.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// NameCrashing is the last segment of the path of requests that crash every server that
+// CrashingSegment is the last segment of the path of requests that crash every server that
 // starts to run them.
-const NameCrashing = "crashing"
+const CrashingSegment = "crashing"
 
 // crashDelay is how long a server runs a request before it crashes. restartDelay is the time
 // from the crash to the next start.
@@ -19,7 +19,7 @@
 
 // isCrashing reports whether a request crashes the server that runs it.
 func isCrashing(r *http.Request) bool {
-	return strings.HasSuffix(r.URL.Path, "/"+NameCrashing)
+	return strings.HasSuffix(r.URL.Path, "/"+CrashingSegment)
 }
 
 // crash ends the server that runs the request and restarts it after restartDelay. Crashes for
@@ -42,7 +42,7 @@
 		s.Stop()
 	} else {
 		s.Kill()
-		restart = func() error { return p.StartLike(s) }
+		restart = func() error { return p.StartReplacement(s) }
 	}
 	time.AfterFunc(restartDelay, func() {
 		defer p.restarts.Done()
--- a/lab/standin/directives.go
+++ b/lab/standin/directives.go
@@ -44,13 +44,13 @@
 // DirectiveCounts counts the directives that accountable daemons received, and the requests
 // that they sent afterwards.
 type DirectiveCounts struct {
-	Pauses  int
-	Leaves  int
-	InPause int
-	// Limits counts the pairs of a server and a daemon that received its limit.
-	// Limited counts the requests from such a daemon to such a server.
-	Limits  int
-	Limited int
+	PausesRequested int
+	LeavesAnnounced int
+	RequestsInPause int
+	// LimitsReceived counts the pairs of a server and a daemon that received its limit.
+	// LimitedRequests counts the requests from such a daemon to such a server.
+	LimitsReceived  int
+	LimitedRequests int
 }
 
 // DirectiveCounts returns the counts so far.
@@ -78,9 +78,9 @@
 	requests    int
 }
 
-// Excuse begins (1) or ends (-1) an exemption from the checks for one daemon, or for all if
+// Exempt begins (1) or ends (-1) an exemption from the checks for one daemon, or for all if
 // the name is empty: a fault may make a daemon lose directives that it received before.
-func (p *Platform) Excuse(daemon string, change int) {
+func (p *Platform) Exempt(daemon string, change int) {
 	p.directives.mutex.Lock()
 	defer p.directives.mutex.Unlock()
 	if p.directives.exempt == nil {
@@ -133,21 +133,21 @@
 	return l.sent[key]
 }
 
-// AskForPauses makes the server reject all requests and request the pause with each
+// RejectWithRetryAfter makes the server reject all requests and request the pause with each
 // rejection; 0 ends this.
-func (s *Server) AskForPauses(pause time.Duration) {
+func (s *Server) RejectWithRetryAfter(pause time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.retryAfter = pause
-	s.behaviour = Good
+	s.behaviour = Normal
 	if pause > 0 {
-		s.behaviour = Shedding
+		s.behaviour = Rejecting
 	}
 }
 
-// LeaveByAnswersAlone makes the server announce in all its answers that it is leaving, while
+// LeaveInAnswersOnly makes the server announce in all its answers that it is leaving, while
 // its entry still says that it is ready. The server ends after drainTime and leavingGrace.
-func (s *Server) LeaveByAnswersAlone() {
+func (s *Server) LeaveInAnswersOnly() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.isLeaving = true
@@ -169,7 +169,7 @@
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	if sent := ledger.directivesSent(s.id, r.Header.Get(headerDaemon)); sent != nil {
-		ledger.counts.Pauses++
+		ledger.counts.PausesRequested++
 		sent.pauses = append(sent.pauses, &sentPause{
 			from:  now.Add(pauseGrace),
 			until: now.Add(pause),
@@ -209,7 +209,7 @@
 	defer l.mutex.Unlock()
 	if sent := l.directivesSent(server, daemon); sent != nil && sent.leavingSince.IsZero() {
 		sent.leavingSince = time.Now()
-		l.counts.Leaves++
+		l.counts.LeavesAnnounced++
 	}
 }
 
@@ -229,7 +229,7 @@
 			continue
 		}
 		pause.requests++
-		p.directives.counts.InPause++
+		p.directives.counts.RequestsInPause++
 		if pause.requests == maxRequestsInPause+1 {
 			p.recordViolation(fmt.Sprintf("%s requested a pause from %s and received more than %d requests during it", s.id, daemon, maxRequestsInPause))
 		}
--- a/lab/standin/evacuation.go
+++ b/lab/standin/evacuation.go
@@ -8,9 +8,9 @@
 	"headcourse/platform/wire"
 )
 
-// EvacuateTime is the time from the acknowledgement of an evacuation until the zone must
+// EvacuationDeadline is the time from the acknowledgement of an evacuation until the zone must
 // receive no more requests.
-const EvacuateTime = 1500 * time.Millisecond
+const EvacuationDeadline = 1500 * time.Millisecond
 
 // The declared cold phase of a server, and the number of requests that all daemons together
 // may send it in any coldWindow, by the users' rule: coldFactor times the declared rate plus
@@ -49,8 +49,8 @@
 	p.evacuations.isViolated[zone] = false
 }
 
-// TakeBack ends the evacuation of a zone.
-func (p *Platform) TakeBack(zone string) {
+// EndEvacuation ends the evacuation of a zone.
+func (p *Platform) EndEvacuation(zone string) {
 	// The check ends before the row is removed: requests may arrive at once after that.
 	p.evacuations.mutex.Lock()
 	delete(p.evacuations.emptyFrom, zone)
@@ -87,8 +87,8 @@
 	arrivals []time.Time
 }
 
-// Cool makes the server cold for a while, as after a start.
-func (s *Server) Cool(duration time.Duration) {
+// MakeCold makes the server cold for a while, as after a start.
+func (s *Server) MakeCold(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cold = coldState{
--- a/lab/standin/limits.go
+++ b/lab/standin/limits.go
@@ -47,24 +47,24 @@
 	daemon    string
 }
 
-// NameLimit makes the server announce a limit in all its answers, in requests per second from
+// SetLimit makes the server announce a limit in all its answers, in requests per second from
 // all daemons together.
-func (s *Server) NameLimit(perSecond float64) {
+func (s *Server) SetLimit(perSecond float64) {
 	s.replaceLimit(&perSecond)
 }
 
-// ChangeLimit replaces the limit of a server that announces one.
-func (s *Server) ChangeLimit(perSecond float64) {
+// UpdateLimit replaces the limit of a server that announces one.
+func (s *Server) UpdateLimit(perSecond float64) {
 	s.mutex.Lock()
 	isSet := s.limit != nil
 	s.mutex.Unlock()
 	if isSet {
-		s.NameLimit(perSecond)
+		s.SetLimit(perSecond)
 	}
 }
 
-// EndLimit makes the server announce no limit.
-func (s *Server) EndLimit() {
+// ClearLimit makes the server announce no limit.
+func (s *Server) ClearLimit() {
 	s.replaceLimit(nil)
 }
 
@@ -121,7 +121,7 @@
 	}
 	if record.sentAt[daemon].IsZero() {
 		record.sentAt[daemon] = now
-		l.counts.Limits++
+		l.counts.LimitsReceived++
 	}
 }
 
@@ -135,7 +135,7 @@
 	if record == nil || !p.directives.isChecked(daemon) || !record.isChecked(daemon, now) {
 		return
 	}
-	p.directives.counts.Limited++
+	p.directives.counts.LimitedRequests++
 	record.arrivals = append(record.arrivals, limitArrival{
 		arrivedAt: now,
 		daemon:    daemon,
--- a/lab/standin/platform.go
+++ b/lab/standin/platform.go
@@ -41,8 +41,8 @@
 // Names in the stand-in's configuration.
 const (
 	Host         = "water.example"
-	KeyOne       = "key-of-cuenca"
-	KeyTwo       = "key-of-loja"
+	KeyCuenca    = "key-of-cuenca"
+	KeyLoja      = "key-of-loja"
 	ServicePlain = "board"
 	ServiceModel = "engines"
 	ModelLarge   = "large"
@@ -81,15 +81,15 @@
 
 // Size is the number of servers and zones of a stand-in.
 type Size struct {
-	Domains   int
-	PerDomain int
-	Plain     int
+	Domains          int
+	ServersPerDomain int
+	PlainServers     int
 	// Zones is the number of zones over which domains and plain servers are distributed in
 	// turn; 0 means one.
 	Zones int
-	// Lead, if set, returns the address that the platform advertises for a server
+	// AdvertisedAddress, if set, returns the address that the platform advertises for a server
 	// that listens at address, such as the address of a proxy.
-	Lead func(address string) (string, error)
+	AdvertisedAddress func(address string) (string, error)
 }
 
 // zone returns the zone of a domain or plain server by its number.
@@ -110,18 +110,18 @@
 		runs:              map[string]int{},
 		crashes:           map[string]int{},
 		settingsDir:       dir,
-		advertisedAddress: size.Lead,
+		advertisedAddress: size.AdvertisedAddress,
 		config:            withColdStarts(initialConfig()),
 	}
 	p.writeConfig()
 	for d := range size.Domains {
-		for range size.PerDomain {
+		for range size.ServersPerDomain {
 			if err = p.startServer(ServiceModel, fmt.Sprintf("rack-%d", d), size.zone(d)); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for i := range size.Plain {
+	for i := range size.PlainServers {
 		if err = p.startServer(ServicePlain, "", size.zone(i)); err != nil {
 			return nil, err
 		}
@@ -204,11 +204,11 @@
 		Tenants: []wire.Tenant{
 			{
 				Name:    "cuenca",
-				APIKeys: []string{KeyOne},
+				APIKeys: []string{KeyCuenca},
 			},
 			{
 				Name:    "loja",
-				APIKeys: []string{KeyTwo},
+				APIKeys: []string{KeyLoja},
 			},
 		},
 	}
@@ -315,13 +315,13 @@
 	return true
 }
 
-// Violate records a violation that a caller detected.
-func (p *Platform) Violate(violation string) {
+// RecordViolation records a violation that a caller detected.
+func (p *Platform) RecordViolation(violation string) {
 	p.recordViolation(violation)
 }
 
-// StartLike starts an empty server with the service, domain and zone of another.
-func (p *Platform) StartLike(template *Server) error {
+// StartReplacement starts an empty server with the service, domain and zone of another.
+func (p *Platform) StartReplacement(template *Server) error {
 	return p.startServer(template.service, template.domain, template.state.Zone)
 }
 
@@ -443,12 +443,12 @@
 // WriteSettings writes the settings file of a daemon and returns its path. A port of 0 makes
 // the daemon choose a free port.
 func (p *Platform) WriteSettings(name string, clientPort, readyPort, relayPort int) (string, error) {
-	return p.WriteSettingsFor(name, p.Store.address, clientPort, readyPort, relayPort)
+	return p.WriteSettingsWithStore(name, p.Store.address, clientPort, readyPort, relayPort)
 }
 
-// WriteSettingsFor writes the settings file of a daemon that reaches the store by the
+// WriteSettingsWithStore writes the settings file of a daemon that reaches the store by the
 // given address, such as that of a proxy.
-func (p *Platform) WriteSettingsFor(name, storeAddress string, clientPort, readyPort, relayPort int) (string, error) {
+func (p *Platform) WriteSettingsWithStore(name, storeAddress string, clientPort, readyPort, relayPort int) (string, error) {
 	path := filepath.Join(p.settingsDir, name+".yaml")
 	text := fmt.Sprintf(settingsTemplate, name, Zone(0), clientPort, readyPort, relayPort, relayPort, storeAddress)
 	const fileMode = 0o600
--- a/lab/standin/platform_test.go
+++ b/lab/standin/platform_test.go
@@ -22,9 +22,9 @@
 func TestListingServersDuringOrdersDoesNotDeadlock(t *testing.T) {
 	const orders = 2000
 	platform, err := standin.Start(t.TempDir(), standin.Size{
-		Domains:   1,
-		PerDomain: 4,
-		Plain:     1,
+		Domains:          1,
+		ServersPerDomain: 4,
+		PlainServers:     1,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	done := make(chan struct{})
--- a/lab/standin/restore.go
+++ b/lab/standin/restore.go
@@ -41,19 +41,19 @@
 	}
 }
 
-// Restoring sets how the store is restored.
-type Restoring struct {
-	// RewriteWithin is the time within which operators and servers repeat the writes that
+// RestoreOptions sets how the store is restored.
+type RestoreOptions struct {
+	// MaxRewriteDelay is the time within which operators and servers repeat the writes that
 	// the snapshot lacks, each at a random moment; 0 means at once.
-	RewriteWithin time.Duration
-	// IsClockKept tells that the store's clock continues; otherwise it returns to the time of
+	MaxRewriteDelay time.Duration
+	// KeepClock tells that the store's clock continues; otherwise it returns to the time of
 	// the snapshot.
-	IsClockKept bool
+	KeepClock bool
 }
 
 // Restore replaces the contents of the store by a snapshot and begins a new era. Later writes
 // of daemons are lost, and their version numbers are assigned again.
-func (s *Store) Restore(snapshot Snapshot, options Restoring) {
+func (s *Store) Restore(snapshot Snapshot, options RestoreOptions) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era++
@@ -61,17 +61,17 @@
 	s.history = slices.Clone(snapshot.history)
 	s.version = snapshot.version
 	s.minFeedVersion = snapshot.minFeedVersion
-	if !options.IsClockKept {
+	if !options.KeepClock {
 		s.clockStart = s.clockStart.Add(time.Since(snapshot.takenAt))
 	}
 	s.notifyWaiters()
 	for _, key := range s.lostRows(snapshot) {
 		sequence := s.platformWrites[key].sequence
-		if options.RewriteWithin == 0 {
+		if options.MaxRewriteDelay == 0 {
 			s.applyPlatformWrite(key.table, key.key, s.platformWrites[key].value)
 			continue
 		}
-		time.AfterFunc(rand.N(options.RewriteWithin), func() {
+		time.AfterFunc(rand.N(options.MaxRewriteDelay), func() {
 			s.repeatPlatformWrite(key, sequence)
 		})
 	}
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -30,7 +30,7 @@
 	state       wire.Server
 	members     []string
 	latestEpoch int64
-	behaviour   Mood
+	behaviour   Behaviour
 	pace        float64
 	// retryAfter is the pause that the server requests with each rejection; 0 means none.
 	retryAfter time.Duration
@@ -48,18 +48,18 @@
 	s.pace = pace
 }
 
-// Mood is how a server treats requests.
-type Mood int
+// Behaviour is how a server treats requests.
+type Behaviour int
 
-// Good answers normally; Failing answers 500; Shedding rejects requests as not executed;
-// Cutting closes the connection in the middle of an answer; Extra sends a second
+// Normal answers normally; Failing answers 500; Rejecting rejects requests as not executed;
+// Truncating closes the connection in the middle of an answer; ExtraAnswer sends a second
 // answer that belongs to no request after each answer.
 const (
-	Good Mood = iota
+	Normal Behaviour = iota
 	Failing
-	Shedding
-	Cutting
-	Extra
+	Rejecting
+	Truncating
+	ExtraAnswer
 )
 
 // startServer starts a server and writes its entry.
@@ -169,8 +169,8 @@
 	return s.address
 }
 
-// SetMood changes how the server treats requests from now on.
-func (s *Server) SetMood(behaviour Mood) {
+// SetBehaviour changes how the server treats requests from now on.
+func (s *Server) SetBehaviour(behaviour Behaviour) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.behaviour = behaviour
@@ -185,9 +185,9 @@
 	s.writeEntry()
 }
 
-// DrainByEntry makes the server announce that it is leaving in its entry, but not in its
+// DrainInEntryOnly makes the server announce that it is leaving in its entry, but not in its
 // answers.
-func (s *Server) DrainByEntry() {
+func (s *Server) DrainInEntryOnly() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.State = wire.StateDraining
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -27,16 +27,16 @@
 // it.
 type Fault int
 
-// Well answers normally. Refusing answers 503. Silent accepts calls and never
-// answers. Lossy commits writes but does not answer them. Late never
+// NoFault answers normally. Unavailable answers 503. Unresponsive accepts calls and never
+// answers. LosingAnswers commits writes but does not answer them. DelayingCommits never
 // answers either, and commits pending writes when the fault ends, if their conditions hold
 // then.
 const (
-	Well Fault = iota
-	Refusing
-	Silent
-	Lossy
-	Late
+	NoFault Fault = iota
+	Unavailable
+	Unresponsive
+	LosingAnswers
+	DelayingCommits
 )
 
 // Maximum sizes of answers and transactions, as the platform specifies them.
@@ -119,8 +119,8 @@
 	s.notifyWaiters()
 }
 
-// Forget drops the history, so that clients of the feed must read their tables again.
-func (s *Store) Forget() {
+// DropHistory drops the history, so that clients of the feed must read their tables again.
+func (s *Store) DropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.minFeedVersion = s.version + 1
@@ -158,8 +158,8 @@
 	s.notifyWaiters()
 }
 
-// SilenceTable makes the store leave reads and feeds of one table unanswered.
-func (s *Store) SilenceTable(table string) {
+// StopAnsweringTable makes the store leave reads and feeds of one table unanswered.
+func (s *Store) StopAnsweringTable(table string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unansweredTable = table
@@ -203,14 +203,14 @@
 	s.mutex.Lock()
 	fault := s.fault
 	if s.unansweredTable != "" && r.URL.Query().Get("Table") == s.unansweredTable {
-		fault = Silent
+		fault = Unresponsive
 	}
 	s.mutex.Unlock()
 	switch {
-	case fault == Refusing:
+	case fault == Unavailable:
 		s.writeStatus(w, http.StatusServiceUnavailable)
 		return false
-	case fault == Silent, fault == Late && r.Method == http.MethodGet:
+	case fault == Unresponsive, fault == DelayingCommits && r.Method == http.MethodGet:
 		<-r.Context().Done()
 		return false
 	default:
@@ -327,7 +327,7 @@
 	deadline := time.After(time.Duration(waitMs) * time.Millisecond)
 	for hasTimedOut := false; ; {
 		s.mutex.Lock()
-		isOutOfRange, isAnswering := since < s.minFeedVersion || since > s.version, s.fault == Well || s.fault == Lossy
+		isOutOfRange, isAnswering := since < s.minFeedVersion || since > s.version, s.fault == NoFault || s.fault == LosingAnswers
 		changes, changed := s.changesSince(query.Get("Table"), since), s.changed
 		result := s.newResult(changes)
 		s.mutex.Unlock()
@@ -383,10 +383,10 @@
 		s.writeStatus(w, http.StatusBadRequest)
 		return
 	}
-	isDelayed := s.awaitFaultEnd(Late)
+	isDelayed := s.awaitFaultEnd(DelayingCommits)
 	s.mutex.Lock()
 	status, result := s.commit(transaction)
-	isUnanswered := isDelayed || s.fault == Lossy
+	isUnanswered := isDelayed || s.fault == LosingAnswers
 	s.mutex.Unlock()
 	if isUnanswered {
 		<-r.Context().Done()
--- a/lab/tablestore/flaky.go
+++ b/lab/tablestore/flaky.go
@@ -7,14 +7,14 @@
 )
 
 // Flaky is a table that randomly rejects operations, loses answers and delays commits. A
-// delayed commit is applied only when Arrive is called, which Commit does at random.
+// delayed commit is applied only when DeliverDelayed is called, which Commit does at random.
 type Flaky struct {
 	*Memory
 	// Draw returns a number from 0 to below n, for the named purpose.
 	Draw func(name string, n int) int
-	// Between, if set, is called before a commit, to simulate concurrent writes.
-	Between func()
-	delayed []table.Transaction
+	// BeforeCommit, if set, is called before a commit, to simulate concurrent writes.
+	BeforeCommit func()
+	delayed      []table.Transaction
 }
 
 // faultOdds is the inverse probability of each kind of fault: one in faultOdds operations.
@@ -22,11 +22,11 @@
 
 // Commit commits a transaction, rejects it, loses its answer or delays it, as drawn.
 func (f *Flaky) Commit(ctx context.Context, transaction table.Transaction) (uint64, error) {
-	if f.Between != nil {
-		f.Between()
+	if f.BeforeCommit != nil {
+		f.BeforeCommit()
 	}
 	if f.Draw("arrives", 2) == 0 {
-		f.Arrive(ctx)
+		f.DeliverDelayed(ctx)
 	}
 	switch f.Draw("commit", faultOdds) {
 	case 0:
@@ -50,8 +50,8 @@
 	return f.Memory.Read(ctx, key)
 }
 
-// Arrive applies the oldest delayed transaction and reports whether there was one.
-func (f *Flaky) Arrive(ctx context.Context) bool {
+// DeliverDelayed applies the oldest delayed transaction and reports whether there was one.
+func (f *Flaky) DeliverDelayed(ctx context.Context) bool {
 	if len(f.delayed) == 0 {
 		return false
 	}
--- a/lab/tablestore/tablestore.go
+++ b/lab/tablestore/tablestore.go
@@ -142,7 +142,7 @@
 		Version: m.version,
 	}
 	if request.Limit > 0 && len(found) > request.Limit {
-		found, result.More = truncateAtVersion(found, request.Limit), true
+		found, result.HasMore = truncateAtVersion(found, request.Limit), true
 		result.Version = found[len(found)-1].Version
 	}
 	result.Rows = found
@@ -185,9 +185,9 @@
 	return m.counts
 }
 
-// Rows returns the number of rows including tombstones, and the number of rows under a prefix
+// CountRows returns the number of rows including tombstones, and the number of rows under a prefix
 // without them.
-func (m *Memory) Rows(prefix string) (all, under int) {
+func (m *Memory) CountRows(prefix string) (all, under int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for key, row := range m.rows {
--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ProcessorTime returns the processor time of the process in seconds, user and system.
-func ProcessorTime() float64 {
+// CPUSeconds returns the processor time of the process in seconds, user and system.
+func CPUSeconds() float64 {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) != nil {
 		return 0
@@ -16,8 +16,8 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano()).Seconds()
 }
 
-// Memory returns the bytes of heap and stacks in use after a garbage collection.
-func Memory() float64 {
+// MemoryBytes returns the bytes of heap and stacks in use after a garbage collection.
+func MemoryBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -51,18 +51,18 @@
 
 // daysForPurpose returns the days of all runs with a purpose, at c.Site if it is
 // set. Errors begin with the flag that gave the purpose.
-func (c *CompareCommand) daysForPurpose(runs []journal.Run, flag, purpose string) ([]comparison.Day, error) {
-	var days []comparison.Day
+func (c *CompareCommand) daysForPurpose(runs []journal.Run, flag, purpose string) ([]comparison.DayRun, error) {
+	var days []comparison.DayRun
 	for _, run := range runs {
 		if run.Purpose != purpose || (c.Site != "" && run.Site != c.Site) {
 			continue
 		}
 		for _, day := range run.Days {
-			days = append(days, comparison.Day{
+			days = append(days, comparison.DayRun{
 				Site:  run.Site,
 				Name:  day.Name,
 				Seed:  day.Seed,
-				Worth: day.Worth,
+				Score: day.NetValue,
 			})
 		}
 	}
--- a/labcommand/days.go
+++ b/labcommand/days.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	scoreRuns := slices.DeleteFunc(runs, func(run journal.Run) bool {
-		return run.Site != d.Site || !run.IsScore || len(run.Days) == 0
+		return run.Site != d.Site || !run.HasStandardDays || len(run.Days) == 0
 	})
 	if len(scoreRuns) == 0 {
 		return errors.Errorf("--site: the journal %s has no score of %q", d.Journal, d.Site)
@@ -64,7 +64,7 @@
 func scoreRow(runNumber int, scoreRun journal.Run, dayNames []string) ([]string, bool) {
 	worthByDay := map[string]float64{}
 	for _, day := range scoreRun.Days {
-		worthByDay[day.Name] = day.Worth
+		worthByDay[day.Name] = day.NetValue
 	}
 	sum := 0.0
 	var cells []string
--- a/labcommand/fleet.go
+++ b/labcommand/fleet.go
@@ -52,5 +52,5 @@
 // formatSpread returns the table cells of a spread: the number of daemons, and the
 // times of the first, the median and the last one in seconds.
 func formatSpread(spread fleetlog.Spread) string {
-	return fmt.Sprintf("%7d %8.3f %8.3f %8.3f", spread.Daemons, spread.First, spread.Middle, spread.Last)
+	return fmt.Sprintf("%7d %8.3f %8.3f %8.3f", spread.Daemons, spread.First, spread.Median, spread.Last)
 }
--- a/labcommand/load.go
+++ b/labcommand/load.go
@@ -39,24 +39,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	report := load.Run(ctx, load.Settings{
-		Rate:          l.Rate,
-		Duration:      l.Duration,
-		Seed:          l.Seed,
-		Model:         declared.Models[0].Name,
-		ServicePrefix: declared.Services[0].Prefix,
-		ChargePath:    declared.Services[0].NotRepeatable[0].Path,
-		Keys:          keys,
-		Tokens:        l.Tokens,
-		Deadline:      l.Deadline,
-		PlainShare:    l.Plain,
-		ChargeShare:   l.Charges,
+		Rate:               l.Rate,
+		Duration:           l.Duration,
+		Seed:               l.Seed,
+		Model:              declared.Models[0].Name,
+		ServicePrefix:      declared.Services[0].Prefix,
+		NonRepeatablePath:  declared.Services[0].NotRepeatable[0].Path,
+		APIKeys:            keys,
+		Tokens:             l.Tokens,
+		Deadline:           l.Deadline,
+		PlainReadShare:     l.Plain,
+		NonRepeatableShare: l.Charges,
 	}, load.NewBalancer(ctx, l.Daemons))
-	_, err = fmt.Fprintf(streams.Out, "requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d, foreign %d, cut %d\n", len(report.Outcomes), report.Count(load.Whole), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Broken), report.Count(load.Unreached), report.Count(load.Foreign), report.Count(load.Cut))
+	_, err = fmt.Fprintf(streams.Out, "requests %d: whole %d, not run %d, unknown %d, broken %d, unreached %d, foreign %d, cut %d\n", len(report.Outcomes), report.Count(load.Complete), report.Count(load.NotRun), report.Count(load.Unknown), report.Count(load.Disconnected), report.Count(load.Unreachable), report.Count(load.Mismatched), report.Count(load.Truncated))
 	if err != nil {
 		return err
 	}
 	for _, percentile := range []float64{50, 95, 99} {
-		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", percentile, toMilliseconds(report.First.ValueAtQuantile(percentile)), toMilliseconds(report.Total.ValueAtQuantile(percentile)), toMilliseconds(report.Gap.ValueAtQuantile(percentile)))
+		_, err = fmt.Fprintf(streams.Out, "%2.0f%%: first token %.1f ms, whole answer %.1f ms, between tokens %.1f ms\n", percentile, toMilliseconds(report.FirstEvent.ValueAtQuantile(percentile)), toMilliseconds(report.CompleteAnswer.ValueAtQuantile(percentile)), toMilliseconds(report.EventGap.ValueAtQuantile(percentile)))
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	if report.Count(load.Foreign)+report.Count(load.Cut) > 0 {
+	if report.Count(load.Mismatched)+report.Count(load.Truncated) > 0 {
 		return errors.New("answers were foreign or cut")
 	}
 	return nil
--- a/labcommand/measures.go
+++ b/labcommand/measures.go
@@ -24,15 +24,15 @@
 // fails if the oracle saw a violated guarantee. measures.Compare ends the process,
 // with exit code 1 on failure, so that Run does not return after it.
 func (m *MeasuresCommand) Run(streams *Streams) error {
-	var operators []measures.Weights
+	var operators []measures.OperatorWeights
 	for _, name := range examples.Names() {
 		deployment, err := examples.Load(name)
 		if err != nil {
 			return err
 		}
-		operators = append(operators, measures.Weights{
-			Name:    name,
-			Weights: deployment.Declaration.Weights,
+		operators = append(operators, measures.OperatorWeights{
+			Operator: name,
+			Weights:  deployment.Declaration.Weights,
 		})
 	}
 	measures.Compare(measures.Settings{
@@ -52,8 +52,8 @@
 	_, _ = fmt.Fprintln(table, "WEIGHTS\tPOLICY\tSEED\tGROUP DOWNTIME S\tSTRANDED ACCELERATOR H\tCOST")
 	var violations []string
 	for _, result := range results {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%.1f\t%.0f\n", result.Weights.Name, result.Policy.Name, result.Seed, result.Downtime, result.Stranded, result.Cost)
-		violations = append(violations, result.Broken...)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%.0f\t%.1f\t%.0f\n", result.Weights.Operator, result.Policy.Name, result.Seed, result.GroupDowntimeSeconds, result.StrandedAcceleratorHours, result.Cost)
+		violations = append(violations, result.Violations...)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/labcommand/platform.go
+++ b/labcommand/platform.go
@@ -45,17 +45,17 @@
 		vms[i].Address = p.addressAt(2 + i)
 	}
 	standIns, err := platform.Start(platform.Settings{
-		VMs:            vms,
-		TableAddress:   p.addressAt(0),
-		VMListAddress:  p.addressAt(1),
-		ListLag:        p.ListLag,
-		Slots:          p.Slots,
-		LoadTime:       p.LoadTime,
-		FirstToken:     p.FirstToken,
-		EachToken:      p.EachToken,
-		ServiceTime:    p.ServiceTime,
-		LoadsPerSecond: p.Loads,
-		LoadBurst:      2 * int(p.Loads),
+		VMs:             vms,
+		TableAddress:    p.addressAt(0),
+		VMListAddress:   p.addressAt(1),
+		VMListDelay:     p.ListLag,
+		Slots:           p.Slots,
+		LoadTime:        p.LoadTime,
+		FirstTokenDelay: p.FirstToken,
+		TokenInterval:   p.EachToken,
+		ServiceTime:     p.ServiceTime,
+		LoadsPerSecond:  p.Loads,
+		LoadBurst:       2 * int(p.Loads),
 	})
 	if err != nil {
 		return err
--- a/labcommand/relay.go
+++ b/labcommand/relay.go
@@ -30,17 +30,17 @@
 	_, _ = fmt.Fprintln(table, "TURN\tPATH\tEVENTS/S\tBROKEN\tCPU US/EVENT\tFIRST 50% MS\tFIRST 99% MS\tGAP 50% MS\tGAP 99% MS")
 	for turn := range r.Turns {
 		settings := relaybench.Settings{
-			Rate:      r.Rate,
-			Tokens:    r.Tokens,
-			EachToken: r.EachToken,
-			Duration:  r.Duration,
-			Seed:      uint64(turn + 1), //nolint:gosec // small and not negative
+			Rate:          r.Rate,
+			Tokens:        r.Tokens,
+			TokenInterval: r.EachToken,
+			Duration:      r.Duration,
+			Seed:          uint64(turn + 1), //nolint:gosec // small and not negative
 		}
-		direct := bench.Direct(settings)
-		throughDaemon := bench.Through(settings)
+		direct := bench.MeasureDirect(settings)
+		throughDaemon := bench.MeasureThroughDaemon(settings)
 		for _, path := range []struct {
 			name    string
-			figures relaybench.Figures
+			figures relaybench.Measurement
 		}{{
 			name:    "direct",
 			figures: direct,
@@ -49,16 +49,16 @@
 			figures: throughDaemon,
 		}} {
 			f := path.figures
-			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(f.Events)/f.Seconds, f.Broken, cpuMicrosecondsPerEvent(f), toMilliseconds(f.First.ValueAtQuantile(50)), toMilliseconds(f.First.ValueAtQuantile(99)), toMilliseconds(f.Gap.ValueAtQuantile(50)), toMilliseconds(f.Gap.ValueAtQuantile(99)))
+			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(f.Events)/f.ElapsedSeconds, f.IncompleteStreams, cpuMicrosecondsPerEvent(f), toMilliseconds(f.FirstEvent.ValueAtQuantile(50)), toMilliseconds(f.FirstEvent.ValueAtQuantile(99)), toMilliseconds(f.EventGap.ValueAtQuantile(50)), toMilliseconds(f.EventGap.ValueAtQuantile(99)))
 		}
 		addedCPU := cpuMicrosecondsPerEvent(throughDaemon) - cpuMicrosecondsPerEvent(direct)
-		_, _ = fmt.Fprintf(table, "%d\tthe daemon alone\t\t\t%.1f\t\t%.2f\t\t%.2f\n", turn+1, addedCPU, toMilliseconds(throughDaemon.First.ValueAtQuantile(99)-direct.First.ValueAtQuantile(99)), toMilliseconds(throughDaemon.Gap.ValueAtQuantile(99)-direct.Gap.ValueAtQuantile(99)))
+		_, _ = fmt.Fprintf(table, "%d\tthe daemon alone\t\t\t%.1f\t\t%.2f\t\t%.2f\n", turn+1, addedCPU, toMilliseconds(throughDaemon.FirstEvent.ValueAtQuantile(99)-direct.FirstEvent.ValueAtQuantile(99)), toMilliseconds(throughDaemon.EventGap.ValueAtQuantile(99)-direct.EventGap.ValueAtQuantile(99)))
 	}
 	return table.Flush()
 }
 
 // cpuMicrosecondsPerEvent returns the mean processor time per event in
 // microseconds.
-func cpuMicrosecondsPerEvent(figures relaybench.Figures) float64 {
-	return figures.CPU / float64(max(1, figures.Events)) * 1e6
+func cpuMicrosecondsPerEvent(figures relaybench.Measurement) float64 {
+	return figures.CPUSeconds / float64(max(1, figures.Events)) * 1e6
 }
--- a/labcommand/routes.go
+++ b/labcommand/routes.go
@@ -39,7 +39,7 @@
 				Deadline: r.Deadline,
 			}) {
 				onePercent := float64(result.Requests) / 100
-				_, _ = fmt.Fprintf(table, "%.0f\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\n", rate, seed, result.Policy, toMilliseconds(result.First.ValueAtQuantile(50)), toMilliseconds(result.First.ValueAtQuantile(95)), toMilliseconds(result.First.ValueAtQuantile(99)), float64(result.Good)/onePercent, float64(result.Hits)/onePercent, float64(result.Refused)/onePercent)
+				_, _ = fmt.Fprintf(table, "%.0f\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\n", rate, seed, result.Policy, toMilliseconds(result.FirstToken.ValueAtQuantile(50)), toMilliseconds(result.FirstToken.ValueAtQuantile(95)), toMilliseconds(result.FirstToken.ValueAtQuantile(99)), float64(result.WithinDeadline)/onePercent, float64(result.CacheHits)/onePercent, float64(result.Rejected)/onePercent)
 			}
 		}
 	}
--- a/labcommand/slopes.go
+++ b/labcommand/slopes.go
@@ -50,8 +50,8 @@
 			}
 			err = table.Write([]string{
 				strconv.Itoa(measured.Daemons), strconv.Itoa(measured.VMs), strconv.Itoa(measured.Groups), strconv.Itoa(runNumber),
-				fmt.Sprintf("%.3f", 100*measured.CPU), fmt.Sprintf("%.0f", measured.Memory/1024), fmt.Sprintf("%.0f", measured.Peer),
-				fmt.Sprintf("%.2f", measured.Reads), fmt.Sprintf("%.2f", measured.Commits), fmt.Sprintf("%.2f", measured.Spread),
+				fmt.Sprintf("%.3f", 100*measured.CPUCores), fmt.Sprintf("%.0f", measured.MemoryBytes/1024), fmt.Sprintf("%.0f", measured.PeerBytesPerSecond),
+				fmt.Sprintf("%.2f", measured.ReadsPerSecond), fmt.Sprintf("%.2f", measured.CommitsPerSecond), fmt.Sprintf("%.2f", measured.PropagationSeconds),
 			})
 			table.Flush()
 		}
