--- a/core/rowstore/backoff.go
+++ b/core/rowstore/backoff.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// baseBackoff is how long a failed relay is not called. It doubles with each further failure up
-	// to maxBackoff, since each call to a VM that is gone costs a timeout.
+	// baseBackoff is how long a failed relay is not called. It doubles with each further
+	// failure up to maxBackoff, since each call to an unresponsive VM costs a timeout.
 	baseBackoff = 2 * time.Second
 	maxBackoff  = 16 * time.Second
 	// noCopyBackoff is the back-off for a relay that answers but has no fresh copy. Its answer is
--- a/core/rowstore/batcher_test.go
+++ b/core/rowstore/batcher_test.go
@@ -19,11 +19,11 @@
 }
 
 // Commit records the rows.
-func (c *recordingStore) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
-	c.rows = append(c.rows, transaction.Writes)
+func (s *recordingStore) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
+	s.rows = append(s.rows, transaction.Writes)
 	return rowstore.Revision{
-		Version: int64(len(c.rows)),
-	}, c.err
+		Version: int64(len(s.rows)),
+	}, s.err
 }
 
 // writeAll writes perKey rows for each key at the same moment, and returns the errors.
--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -15,8 +15,8 @@
 	// counts as a failure of the store. A shorter call shows only that unresponsive relays used up
 	// its time.
 	minStoreWait = 300 * time.Millisecond
-	// maxRelayWait is the longest wait that is asked of a relay, so that a relay that crashed is
-	// detected soon.
+	// maxRelayWait limits the wait of a feed at a relay, so that a crashed relay is detected
+	// early.
 	maxRelayWait = time.Second
 	// relayReadTimeout is the first timeout for reading a table from relays. A daemon that has just
 	// started serves no requests until it has read its tables. Other daemons may start at the same
@@ -181,8 +181,8 @@
 	}
 }
 
-// errWaitForRelays reports that relays have no copy yet, and that other daemons are to read it from
-// the store.
+// errWaitForRelays reports that relays have no copy yet, and that other daemons are to read
+// the table from the store.
 var errWaitForRelays = errors.Wrap(ErrRefused, "relays have no copy yet, and other daemons read it from the store")
 
 // Read reads a table. It tries relays for relayReadTimeout, or for MinRelayTime if that is longer,
@@ -271,8 +271,8 @@
 	}
 }
 
-// Feed follows a table. A relay whose copy must be fresh is asked to wait for half of the maximum
-// age at most, so that a relay that is cut off is detected in time.
+// Feed follows a table. At a relay whose copy must be fresh, a feed waits for at most half of
+// the maximum age, so that a relay that is cut off is detected in time.
 func (c *ReaderChain) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	relayWait := min(wait, maxRelayWait)
 	if maxAge, ok := c.maxAges[table]; ok {
@@ -296,8 +296,8 @@
 	})
 }
 
-// remainingWait returns how long the store may be asked to wait for changes. Relays may have used
-// up a part of the call's time, and a late answer would count as a failure of the store.
+// remainingWait returns how long a feed at the store may wait for changes. Relays may have
+// used up a part of the call's time, and a late answer would count as a failure of the store.
 func remainingWait(ctx context.Context, wait time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -398,8 +398,8 @@
 }
 
 // isCutShort reports whether this daemon itself ended a call to the store, because its caller
-// stopped or relays had used up its time. Such a call says nothing about the store. A connection
-// that is closed at once is a failure of the store.
+// stopped or relays had used up its time. Such a call is no evidence of a failure of the
+// store. A connection that is closed at once is a failure of the store.
 func isCutShort(ctx context.Context, duration time.Duration) bool {
 	err := ctx.Err()
 	return errors.Is(err, context.Canceled) || (err != nil && duration < minStoreWait)
--- a/core/rowstore/chain_test.go
+++ b/core/rowstore/chain_test.go
@@ -29,8 +29,8 @@
 	return c.Reader.Feed(ctx, table, since, wait)
 }
 
-// Guards against regular calls to a relay whose VM is gone but which is still listed. It was called
-// every 2 s, and each time the view of the servers was a second late.
+// Guards against regular calls to a relay whose VM is unresponsive but which is still listed.
+// It was called every 2 s, and each time the view of the servers was a second late.
 func TestChainBacksOffFromUnresponsiveRelay(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
@@ -105,8 +105,8 @@
 			store.put("a", "2")
 			advance(1300 * time.Millisecond)
 			late := 0
-			for _, w := range downstream {
-				if w.rows["a"] != "2" {
+			for _, recorded := range downstream {
+				if recorded.rows["a"] != "2" {
 					late++
 				}
 			}
@@ -344,20 +344,20 @@
 }
 
 // Feed fails for the table while isUnanswered is set.
-func (f unansweredTable) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	if table == f.table && f.isUnanswered.Load() {
+func (u unansweredTable) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
+	if table == u.table && u.isUnanswered.Load() {
 		select {
 		case <-ctx.Done():
-		case <-time.After(f.failAfter):
+		case <-time.After(u.failAfter):
 		}
 		return rowstore.Result{}, rowstore.ErrUnknown
 	}
-	return f.Reader.Feed(ctx, table, since, wait)
+	return u.Reader.Feed(ctx, table, since, wait)
 }
 
-// Guards against one failed call that stops other followers. Relays were cut off or gone, and one
-// call for the list of daemons got no answer. A daemon then did not follow the servers for 2.1 s,
-// although the store answered calls for all other tables.
+// Guards against one failed call that stops other followers. Relays were cut off or
+// unresponsive, and one call for the list of daemons got no answer. A daemon then did not
+// follow the servers for 2.1 s, although the store answered calls for all other tables.
 func TestFailedCallDoesNotDelayOtherTablesWhileStoreAnswers(t *testing.T) {
 	for _, failAfter := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 		runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
--- a/core/rowstore/fleet_test.go
+++ b/core/rowstore/fleet_test.go
@@ -16,9 +16,9 @@
 // These tests run a fleet of daemons that follow the store through relays while the store fails for
 // some or all of them for eight seconds, as long as the longest of the users' outages.
 //
-// A store may serve some VMs and not others. If each daemon reacts for itself, the calls grow with
-// the number of daemons: with 89 daemons of which 31 were refused, among them the three relays, 57
-// daemons followed the store themselves and made 82 to 90 calls each.
+// A store may serve some VMs and not others. If each daemon reacts on its own, the calls grow
+// with the number of daemons: with 89 daemons of which 31 were refused, among them the three
+// relays, 57 daemons followed the store themselves and made 82 to 90 calls each.
 
 // Ways in which the store fails for a daemon.
 const (
@@ -86,7 +86,7 @@
 // force.
 const maxCopyAge = 1800 * time.Millisecond
 
-// newFleet starts a fleet in three zones. Six daemons have a higher strength than the others.
+// newFleet starts a fleet in three zones. Six daemons have a higher capacity than the others.
 func newFleet(ctx context.Context, daemons int, failureMode string) *fleet {
 	f := &fleet{
 		store:  newFakeStore(),
@@ -182,7 +182,7 @@
 	}
 }
 
-// countWithout returns the number of daemons whose last value is another one.
+// countWithout returns the number of daemons whose last value is not the given one.
 func (f *fleet) countWithout(value string) int {
 	count := 0
 	for _, daemon := range f.byName {
--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -43,8 +43,8 @@
 	// take to write what the restored store lacks; after that time the table is read once more.
 	OnRestoredSnapshot func(rows []Row, revision Revision, asOf time.Time)
 	RewriteWait        func() time.Duration
-	// MergeSnapshot, if set, returns the result that replaces a full read, since a restored store
-	// may lack rows that must not be lost.
+	// MergeSnapshot, if set, returns the result that replaces a snapshot, since a restored
+	// store may lack rows that must not be lost.
 	MergeSnapshot func(Result) Result
 	// TableCache, if set, receives every accepted result, so that other daemons can follow it.
 	TableCache *TableCache
@@ -62,7 +62,8 @@
 	// canFollow is set while feeds can continue from revision, hasRead once the table was read.
 	canFollow bool
 	hasRead   bool
-	// rereadAt is when the table is read once more after a restore; zero if it is not.
+	// rereadAt is when the table is read once more after a restore; zero if no such read is
+	// due.
 	rereadAt     time.Time
 	failingSince time.Time
 	// readTimeouts counts consecutive reads that timed out.
--- a/core/rowstore/restore_test.go
+++ b/core/rowstore/restore_test.go
@@ -55,36 +55,36 @@
 			store := newFakeStore()
 			store.put("a", "1")
 			before := store.snapshot()
-			w := startFollower(ctx, store, &rowstore.Freshness{})
+			recorded := startFollower(ctx, store, &rowstore.Freshness{})
 			for i := range 20 {
 				store.put("a", fmt.Sprint(i))
 				store.put(fmt.Sprintf("b%d", i), "lost")
 			}
 			advance(100 * time.Millisecond)
-			qt.Assert(t, w.rows, qt.HasLen, 21)
+			qt.Assert(t, recorded.rows, qt.HasLen, 21)
 
 			store.restore(before, clockAhead)
 			advance(100 * time.Millisecond)
-			qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
+			qt.Assert(t, recorded.rows, qt.DeepEquals, map[string]string{
 				"a": "1",
 			})
 			store.put("a", "written again")
 			advance(100 * time.Millisecond)
-			qt.Assert(t, w.rows["a"], qt.Equals, "written again")
-			qt.Assert(t, time.Since(w.asOf) <= time.Second, qt.IsTrue)
-			qt.Assert(t, w.asOf.After(time.Now()), qt.IsFalse)
+			qt.Assert(t, recorded.rows["a"], qt.Equals, "written again")
+			qt.Assert(t, time.Since(recorded.asOf) <= time.Second, qt.IsTrue)
+			qt.Assert(t, recorded.asOf.After(time.Now()), qt.IsFalse)
 		})
 	}
 }
 
 // Guards against missed changes if a restored store has reached the last known version before
-// anyone calls it.
+// the follower calls it.
 func TestFollowerDetectsRestoreAtKnownVersion(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
 		before := store.snapshot()
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		store.put("lost", "1")
 		advance(100 * time.Millisecond)
 		store.update(func(f *fakeStore) {
@@ -98,7 +98,7 @@
 			f.isDown = false
 		})
 		advance(time.Second)
-		qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
+		qt.Assert(t, recorded.rows, qt.DeepEquals, map[string]string{
 			"a": "1",
 			"b": "1",
 			"c": "1",
@@ -113,19 +113,19 @@
 		store := newFakeStore()
 		store.put("a", "1")
 		before := store.snapshot()
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		store.restore(before, 0)
 		store.put("a", "new")
 		advance(2 * time.Second)
-		asOf := w.asOf
+		asOf := recorded.asOf
 		store.update(func(f *fakeStore) {
 			f.era--
 			f.version += 100
 		})
 		store.put("a", "former")
 		advance(3 * time.Second)
-		qt.Assert(t, w.rows["a"], qt.Equals, "new")
-		qt.Assert(t, w.asOf.After(asOf.Add(time.Second)), qt.IsFalse)
+		qt.Assert(t, recorded.rows["a"], qt.Equals, "new")
+		qt.Assert(t, recorded.asOf.After(asOf.Add(time.Second)), qt.IsFalse)
 	})
 }
 
@@ -135,13 +135,13 @@
 		store := newFakeStore()
 		store.put("a", "1")
 		before := store.snapshot()
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		for _, lostKey := range []string{"b", "c"} {
 			store.put(lostKey, "1")
 			advance(100 * time.Millisecond)
 			store.restore(before, 0)
 			advance(time.Second)
-			qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
+			qt.Assert(t, recorded.rows, qt.DeepEquals, map[string]string{
 				"a": "1",
 			})
 		}
@@ -156,18 +156,18 @@
 		store := newFakeStore()
 		store.put("a", "1")
 		restored := 0
-		w := startFollower(ctx, store, &rowstore.Freshness{})
-		w.follower.OnRestoredSnapshot = func([]rowstore.Row, rowstore.Revision, time.Time) {
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded.follower.OnRestoredSnapshot = func([]rowstore.Row, rowstore.Revision, time.Time) {
 			restored++
 		}
-		w.follower.RewriteWait = func() time.Duration {
+		recorded.follower.RewriteWait = func() time.Duration {
 			return rewrite
 		}
 		advance(100 * time.Millisecond)
 		store.restore(store.snapshot(), 0)
 		advance(rewrite / 2)
 		qt.Assert(t, restored, qt.Equals, 1)
-		qt.Assert(t, w.snapshots, qt.Equals, 1)
+		qt.Assert(t, recorded.snapshots, qt.Equals, 1)
 		// The table may have to be read again before that for another reason.
 		store.update(func(f *fakeStore) {
 			f.historyStart = f.version + 1
@@ -175,12 +175,12 @@
 		store.put("b", "2")
 		advance(100 * time.Millisecond)
 		qt.Assert(t, restored, qt.Equals, 2)
-		qt.Assert(t, w.snapshots, qt.Equals, 1)
+		qt.Assert(t, recorded.snapshots, qt.Equals, 1)
 		advance(rewrite)
 		qt.Assert(t, restored, qt.Equals, 2)
-		qt.Assert(t, w.snapshots, qt.Equals, 2)
+		qt.Assert(t, recorded.snapshots, qt.Equals, 2)
 		advance(10 * rewrite)
-		qt.Assert(t, w.snapshots, qt.Equals, 2)
+		qt.Assert(t, recorded.snapshots, qt.Equals, 2)
 	})
 }
 
@@ -318,7 +318,7 @@
 }
 
 // Feed blocks.
-func (w blockingFeedReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
+func (b blockingFeedReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
 	return rowstore.Result{}, rowstore.ErrUnknown
 }
@@ -329,7 +329,7 @@
 		clock := &rowstore.Freshness{}
 		store := newFakeStore()
 		store.put("a", "1")
-		w := startFollowerWaiting(ctx, blockingFeedReader{
+		recorded := startFollowerWaiting(ctx, blockingFeedReader{
 			Reader: store,
 		}, clock, time.Minute)
 		advance(100 * time.Millisecond)
@@ -338,7 +338,7 @@
 		store.put("a", "2")
 		clock.ObserveClock(1, time.Now(), time.Since(store.started))
 		advance(10 * time.Millisecond)
-		qt.Assert(t, w.rows["a"], qt.Equals, "2")
-		qt.Assert(t, w.failures, qt.Equals, 0)
+		qt.Assert(t, recorded.rows["a"], qt.Equals, "2")
+		qt.Assert(t, recorded.failures, qt.Equals, 0)
 	})
 }
--- a/core/rowstore/roundrobin.go
+++ b/core/rowstore/roundrobin.go
@@ -34,9 +34,9 @@
 	})
 }
 
-// callInTurn calls each reader in turn, repeatedly, until ctx ends. If any of them answered that it
-// has no copy, that is the returned error, because the error of a call that ctx cut short says
-// less.
+// callInTurn calls each reader in turn, repeatedly, until ctx ends. If any of them answered
+// that it has no copy, that is the returned error, because the error of a call that ctx cut
+// short is less specific.
 func (r roundRobin) callInTurn(ctx context.Context, call func(from Reader) (Result, error)) (Result, error) {
 	lastErr := errors.Wrap(ErrRefused, "no reader to call")
 	began := time.Now()
--- a/core/rowstore/roundrobin_test.go
+++ b/core/rowstore/roundrobin_test.go
@@ -17,23 +17,23 @@
 }
 
 // Read refuses before startsAt.
-func (l startingReader) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	if time.Now().Before(l.startsAt) {
+func (s startingReader) Read(ctx context.Context, table string) (rowstore.Result, error) {
+	if time.Now().Before(s.startsAt) {
 		return rowstore.Result{}, rowstore.ErrRefused
 	}
-	return l.Reader.Read(ctx, table)
+	return s.Reader.Read(ctx, table)
 }
 
 // Feed refuses before startsAt.
-func (l startingReader) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
-	if time.Now().Before(l.startsAt) {
+func (s startingReader) Feed(ctx context.Context, table string, since rowstore.Revision, wait time.Duration) (rowstore.Result, error) {
+	if time.Now().Before(s.startsAt) {
 		return rowstore.Result{}, rowstore.ErrRefused
 	}
-	return l.Reader.Feed(ctx, table, since, wait)
+	return s.Reader.Feed(ctx, table, since, wait)
 }
 
-// Guards against a relay that starts some tenths of a second late and is skipped. A relay that is
-// gone costs a timeout and nothing else.
+// Guards against a relay that starts some tenths of a second late and is skipped. An
+// unresponsive relay costs only a timeout.
 func TestReadWaitsForRelayThatStartsLater(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
--- a/core/rowstore/rowstore.go
+++ b/core/rowstore/rowstore.go
@@ -109,8 +109,9 @@
 	// Read returns all rows of a table. The rows include every change up to the result's version;
 	// some may be newer.
 	Read(ctx context.Context, table string) (Result, error)
-	// Feed returns the rows that changed since a revision as soon as there is one, or none after
-	// wait. It fails with ErrCompacted if the history is gone or the store is in another era.
+	// Feed returns the rows that changed since a revision as soon as there is one, or none
+	// after wait. It fails with ErrCompacted if the history is no longer available or the
+	// store is in another era.
 	Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error)
 }
 
--- a/core/rowstore/rowstore_test.go
+++ b/core/rowstore/rowstore_test.go
@@ -35,43 +35,43 @@
 
 // startTableFollower is startFollowerWaiting for a table by name.
 func startTableFollower(ctx context.Context, source rowstore.Reader, clock *rowstore.Freshness, table string, wait time.Duration) *recordedFollower {
-	w := &recordedFollower{
+	recorded := &recordedFollower{
 		rows: map[string]string{},
 	}
 	apply := func(rows []rowstore.Row, asOf time.Time) {
 		for _, row := range rows {
 			if row.Deleted {
-				delete(w.rows, row.Key)
+				delete(recorded.rows, row.Key)
 			} else {
-				w.rows[row.Key] = string(row.Value)
+				recorded.rows[row.Key] = string(row.Value)
 			}
 		}
-		w.asOf = asOf
+		recorded.asOf = asOf
 	}
-	w.follower = &rowstore.Follower{
+	recorded.follower = &rowstore.Follower{
 		Store:    source,
 		Table:    table,
 		FeedWait: wait,
 		OnSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
-			w.snapshots++
-			w.rows = map[string]string{}
+			recorded.snapshots++
+			recorded.rows = map[string]string{}
 			apply(rows, asOf)
 		},
 		OnChanges: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
 			apply(rows, asOf)
 		},
 		OnFailure: func(error) {
-			w.failures++
+			recorded.failures++
 		},
 		OnRecovery: func(time.Duration) {
-			w.recoveries++
+			recorded.recoveries++
 		},
-		TableCache: &w.tableCache,
+		TableCache: &recorded.tableCache,
 		Clock:      clock,
 	}
-	w.tableCache.MaxContactAge = 900 * time.Millisecond
-	go w.follower.Run(ctx)
-	return w
+	recorded.tableCache.MaxContactAge = 900 * time.Millisecond
+	go recorded.follower.Run(ctx)
+	return recorded
 }
 
 // runWithFakeClock runs a test with a fake clock and a context that ends with the test.
@@ -88,16 +88,16 @@
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		advance(100 * time.Millisecond)
-		qt.Assert(t, w.rows, qt.DeepEquals, map[string]string{
+		qt.Assert(t, recorded.rows, qt.DeepEquals, map[string]string{
 			"a": "1",
 		})
 		store.put("a", "2")
 		store.put("b", "3")
 		advance(10 * time.Millisecond)
-		qt.Assert(t, w.rows["a"], qt.Equals, "2")
-		qt.Assert(t, w.rows["b"], qt.Equals, "3")
+		qt.Assert(t, recorded.rows["a"], qt.Equals, "2")
+		qt.Assert(t, recorded.rows["b"], qt.Equals, "3")
 	})
 }
 
@@ -105,7 +105,7 @@
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		advance(100 * time.Millisecond)
 		store.update(func(f *fakeStore) {
 			f.historyStart = 100
@@ -113,8 +113,8 @@
 		})
 		store.put("b", "2")
 		advance(3 * time.Second)
-		qt.Assert(t, w.snapshots, qt.Equals, 2)
-		qt.Assert(t, w.rows["b"], qt.Equals, "2")
+		qt.Assert(t, recorded.snapshots, qt.Equals, 2)
+		qt.Assert(t, recorded.rows["b"], qt.Equals, "2")
 	})
 }
 
@@ -123,9 +123,9 @@
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "new")
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		advance(100 * time.Millisecond)
-		before := w.asOf
+		before := recorded.asOf
 		store.update(func(f *fakeStore) {
 			f.versionLag = 1
 			f.rows["a"] = rowstore.Row{
@@ -136,27 +136,27 @@
 			f.historyStart = 100
 		})
 		advance(3 * time.Second)
-		qt.Assert(t, w.rows["a"], qt.Equals, "new")
-		qt.Assert(t, w.asOf, qt.Equals, before)
+		qt.Assert(t, recorded.rows["a"], qt.Equals, "new")
+		qt.Assert(t, recorded.asOf, qt.Equals, before)
 	})
 }
 
 func TestFollowerReportsOutageAndRecovery(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
-		w := startFollower(ctx, store, &rowstore.Freshness{})
+		recorded := startFollower(ctx, store, &rowstore.Freshness{})
 		advance(100 * time.Millisecond)
 		store.update(func(f *fakeStore) {
 			f.isDown = true
 		})
 		advance(4 * time.Second)
-		qt.Assert(t, w.failures > 2, qt.IsTrue)
-		qt.Assert(t, w.recoveries, qt.Equals, 0)
+		qt.Assert(t, recorded.failures > 2, qt.IsTrue)
+		qt.Assert(t, recorded.recoveries, qt.Equals, 0)
 		store.update(func(f *fakeStore) {
 			f.isDown = false
 		})
 		advance(2 * time.Second)
-		qt.Assert(t, w.recoveries, qt.Equals, 1)
+		qt.Assert(t, recorded.recoveries, qt.Equals, 1)
 	})
 }
 
@@ -179,8 +179,8 @@
 	})
 }
 
-// Guards against a view that does not age while its VM is suspended. After a suspension such a VM
-// accepted keys that had been withdrawn meanwhile.
+// Guards against a view that does not age while its VM is suspended. After a suspension such a
+// VM accepted keys that had been revoked meanwhile.
 func TestFreshnessCountsVMSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
@@ -332,8 +332,8 @@
 		})
 		store.put("a", "back")
 		advance(3 * time.Second)
-		for _, w := range followers {
-			qt.Assert(t, w.rows["a"], qt.Equals, "back")
+		for _, recorded := range followers {
+			qt.Assert(t, recorded.rows["a"], qt.Equals, "back")
 		}
 	})
 }
@@ -360,7 +360,7 @@
 	})
 }
 
-func TestHubReportsRemovedRowsAndCompactedHistory(t *testing.T) {
+func TestTableCacheReportsRemovedRowsAndCompactedHistory(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
@@ -393,27 +393,27 @@
 }
 
 // Read does not answer the first time.
-func (o *firstReadLost) Read(ctx context.Context, table string) (rowstore.Result, error) {
-	o.reads++
-	if o.reads == 1 {
+func (f *firstReadLost) Read(ctx context.Context, table string) (rowstore.Result, error) {
+	f.reads++
+	if f.reads == 1 {
 		<-ctx.Done()
 		return rowstore.Result{}, rowstore.ErrUnknown
 	}
-	return o.Reader.Read(ctx, table)
+	return f.Reader.Read(ctx, table)
 }
 
 // Guards against a read that times out only after the wait of a feed. The list of daemons is
-// followed with feeds of 10 s. After the answer to its first read was lost, 68 daemons knew no
+// followed with feeds of 10 s. After the answer to its first read was lost, 68 daemons had no
 // relays for that long, and called the store 4,600 times for the servers.
 func TestReadTimeoutIsIndependentOfFeedWait(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newFakeStore()
 		store.put("a", "1")
-		w := startFollowerWaiting(ctx, &firstReadLost{
+		recorded := startFollowerWaiting(ctx, &firstReadLost{
 			Reader: store,
 		}, &rowstore.Freshness{}, 10*time.Second)
 		advance(2 * time.Second)
-		qt.Assert(t, w.rows["a"], qt.Equals, "1")
+		qt.Assert(t, recorded.rows["a"], qt.Equals, "1")
 	})
 }
 
@@ -427,9 +427,9 @@
 			store.update(func(f *fakeStore) {
 				f.delay = delay
 			})
-			w := startFollower(ctx, store, &rowstore.Freshness{})
+			recorded := startFollower(ctx, store, &rowstore.Freshness{})
 			advance(20 * time.Second)
-			qt.Assert(t, w.rows["a"], qt.Equals, "1")
+			qt.Assert(t, recorded.rows["a"], qt.Equals, "1")
 		})
 	}
 }
--- a/core/rowstore/seeded.go
+++ b/core/rowstore/seeded.go
@@ -12,8 +12,8 @@
 type SeededReader struct {
 	// ReaderChain reads the table once other daemons are known.
 	ReaderChain *ReaderChain
-	// Sampler reads the first rows, at most SampleRows of them. A table of no more rows is complete
-	// with that.
+	// Sampler reads the first rows, at most SampleRows of them. These are the complete table
+	// if it has no more rows.
 	Sampler    Sampler
 	SampleRows int
 	// Seeds returns the daemons that have the table, given its first rows. It returns none if this
--- a/core/rowstore/seeded_test.go
+++ b/core/rowstore/seeded_test.go
@@ -157,7 +157,7 @@
 func (f *startingFleet) relay(name string) rowstore.Relay {
 	tableCache := f.tableCaches[name]
 	if f.unresponsive[name] {
-		// No copy is ever applied to this tableCache.
+		// No copy is ever applied to this table cache.
 		tableCache = &rowstore.TableCache{}
 	}
 	return rowstore.Relay{
--- a/core/rowstore/storelimiter.go
+++ b/core/rowstore/storelimiter.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// failureWindow is how long a failed call to the store limits the following ones. Every call is
-	// billed, also a refused one, and a daemon follows many tables.
+	// failureWindow is how long a failed call to the store limits the following ones. Every
+	// call is billed, even a refused one, and a daemon follows many tables.
 	failureWindow = 3 * time.Second
 	// ageBoundedInterval and otherInterval are the times between two calls during that window, for
 	// tables with a maximum age and for the others.
@@ -15,23 +15,24 @@
 	otherInterval      = 1500 * time.Millisecond
 	// relayedFactor multiplies the interval for daemons that have relays, none of which answers.
 	relayedFactor = 6
-	// sharedInterval is the time between two calls of all daemons together whose relays report that
-	// they have no copy. The relays call the store themselves, and what another daemon learns by
-	// its call serves only that daemon. Pauses that each daemon applies by itself add up with
-	// hundreds of daemons.
+	// sharedInterval is the time between two calls of all daemons together whose relays report
+	// that they have no copy. The relays call the store themselves, and the answer to a call
+	// of another daemon serves only that daemon. Pauses that each daemon applies by itself add
+	// up with hundreds of daemons.
 	sharedInterval = 200 * time.Millisecond
 	// noCopyWindow is how long a relay's answer that it has no copy is valid.
 	noCopyWindow = 2 * time.Second
-	// Up to maxImmediateContenders daemons call the store once at once when their relays report no
-	// copy, since only the relays may be cut off. More daemons spread their first call over
-	// firstTrySpread, so that they do not call at the same moment. The spread is short, because a
-	// copy may be as old as 0.6 of the time within which a configuration must be in force.
+	// Up to maxImmediateContenders daemons each call the store once, immediately, when their
+	// relays report no copy, since only the relays may be cut off. More daemons spread their
+	// first call over firstTrySpread, so that they do not call at the same moment. The spread
+	// is short, because a copy may be as old as 0.6 of the time within which a configuration
+	// must be in force.
 	maxImmediateContenders = 16
 	firstTrySpread         = 200 * time.Millisecond
-	// manyRelays is a number of relays and standbys that are never all cut off while the store
-	// serves other daemons. With that many the first call is as rare as later ones. If the store
-	// refuses each of eight with a probability of one third, it refuses all of them in one of 6,500
-	// outages.
+	// manyRelays is the number of relays and standbys from which on practically never all are
+	// cut off while the store serves other daemons. With at least that many, the first call is
+	// spread over the whole retryInterval. If the store refuses each of eight with a
+	// probability of one third, it refuses all of them in one of 6,500 outages.
 	manyRelays = 8
 )
 
--- a/core/rowstore/table_cache.go
+++ b/core/rowstore/table_cache.go
@@ -43,15 +43,15 @@
 // contactCheckInterval is how often a waiting feed checks that the copy may still be served.
 const contactCheckInterval = 200 * time.Millisecond
 
-// maxRemovedRows limits how many removed rows are remembered. A caller that asks for older changes
-// has to read the table.
+// maxRemovedRows limits how many removed rows are retained. A caller that requests older
+// changes must read the table again.
 const maxRemovedRows = 2000
 
 // Apply applies the result of a read (isSnapshot), or of a feed in the same era, to the copy.
-func (h *TableCache) Apply(table string, result Result, isSnapshot bool, asOf time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	cached := h.table(table)
+func (t *TableCache) Apply(table string, result Result, isSnapshot bool, asOf time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	cached := t.table(table)
 	if isSnapshot {
 		cached.rows = map[string]Row{}
 		cached.removed = nil
@@ -63,24 +63,24 @@
 	cached.era = result.Era
 	cached.version = result.Version
 	cached.storeTime = result.Now
-	if asOf.After(h.lastContact) {
-		h.lastContact = asOf
+	if asOf.After(t.lastContact) {
+		t.lastContact = asOf
 	}
 	close(cached.changed)
 	cached.changed = make(chan struct{})
 }
 
 // table returns the copy of a table and creates it if needed. The mutex must be held.
-func (h *TableCache) table(name string) *tableCopy {
-	if h.tables == nil {
-		h.tables = map[string]*tableCopy{}
+func (t *TableCache) table(name string) *tableCopy {
+	if t.tables == nil {
+		t.tables = map[string]*tableCopy{}
 	}
-	cached, ok := h.tables[name]
+	cached, ok := t.tables[name]
 	if !ok {
 		cached = &tableCopy{
 			changed: make(chan struct{}),
 		}
-		h.tables[name] = cached
+		t.tables[name] = cached
 	}
 	return cached
 }
@@ -102,24 +102,24 @@
 // isServable reports whether a copy may be served: it is of the newest known era, the store
 // answered within MaxContactAge, and the copy does not come from a fallback. The mutex must be
 // held.
-func (h *TableCache) isServable(cached *tableCopy) bool {
-	hasContact := h.MaxContactAge == 0 || h.sinceContact() <= h.MaxContactAge
-	isOwnCopy := h.IsFromFallback == nil || !h.IsFromFallback()
-	return h.isOfNewestEra(cached) && hasContact && isOwnCopy
+func (t *TableCache) isServable(cached *tableCopy) bool {
+	hasContact := t.MaxContactAge == 0 || t.sinceContact() <= t.MaxContactAge
+	isOwnCopy := t.IsFromFallback == nil || !t.IsFromFallback()
+	return t.isOfNewestEra(cached) && hasContact && isOwnCopy
 }
 
 // isOfNewestEra reports whether a copy exists and is of the newest known era. The mutex must be
 // held.
-func (h *TableCache) isOfNewestEra(cached *tableCopy) bool {
-	return cached.rows != nil && (h.Clock == nil || cached.era >= h.Clock.Era())
+func (t *TableCache) isOfNewestEra(cached *tableCopy) bool {
+	return cached.rows != nil && (t.Clock == nil || cached.era >= t.Clock.Era())
 }
 
 // sinceContact returns the time since lastContact. The mutex must be held.
-func (h *TableCache) sinceContact() time.Duration {
-	if h.Clock == nil {
-		return time.Since(h.lastContact)
+func (t *TableCache) sinceContact() time.Duration {
+	if t.Clock == nil {
+		return time.Since(t.lastContact)
 	}
-	return h.Clock.Since(h.lastContact)
+	return t.Clock.Since(t.lastContact)
 }
 
 // firstCopyTimeout is how long a read waits for the first copy of a table in an era. Daemons that
@@ -130,15 +130,15 @@
 
 // Read returns all rows of a table. It fails with ErrNoCopy if the first copy does not arrive
 // within firstCopyTimeout, or if the copy may not be served.
-func (h *TableCache) Read(ctx context.Context, table string) (Result, error) {
-	h.awaitCopy(ctx, table)
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	cached := h.table(table)
-	if !h.isServable(cached) {
+func (t *TableCache) Read(ctx context.Context, table string) (Result, error) {
+	t.awaitCopy(ctx, table)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	cached := t.table(table)
+	if !t.isServable(cached) {
 		return Result{}, ErrNoCopy
 	}
-	result := h.emptyResult(cached)
+	result := t.emptyResult(cached)
 	for _, key := range slices.Sorted(maps.Keys(cached.rows)) {
 		result.Rows = append(result.Rows, cached.rows[key])
 	}
@@ -146,12 +146,12 @@
 }
 
 // awaitCopy waits up to firstCopyTimeout for a copy of a table in the newest known era.
-func (h *TableCache) awaitCopy(ctx context.Context, table string) {
-	h.mutex.Lock()
-	cached := h.table(table)
-	hasCopy := h.isOfNewestEra(cached)
+func (t *TableCache) awaitCopy(ctx context.Context, table string) {
+	t.mutex.Lock()
+	cached := t.table(table)
+	hasCopy := t.isOfNewestEra(cached)
 	changed := cached.changed
-	h.mutex.Unlock()
+	t.mutex.Unlock()
 	if hasCopy {
 		return
 	}
@@ -165,13 +165,13 @@
 }
 
 // Feed returns the rows that changed since a revision as soon as there is one, or none after wait.
-func (h *TableCache) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
+func (t *TableCache) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	ticker := time.NewTicker(contactCheckInterval)
 	defer ticker.Stop()
 	for {
-		result, changed, err := h.changesSince(table, since)
+		result, changed, err := t.changesSince(table, since)
 		if err != nil || len(result.Rows) > 0 {
 			return result, err
 		}
@@ -181,7 +181,7 @@
 		case <-ctx.Done():
 			return Result{}, ErrUnknown
 		case <-deadline.C:
-			result, _, err = h.changesSince(table, since)
+			result, _, err = t.changesSince(table, since)
 			return result, err
 		}
 	}
@@ -189,24 +189,24 @@
 
 // changesSince returns the changes since a revision, and a channel that is closed at the next
 // change. It fails with ErrNoCopy if the caller's era is newer than the copy's.
-func (h *TableCache) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	cached := h.table(table)
+func (t *TableCache) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	cached := t.table(table)
 	if cached.rows == nil || since.Era > cached.era {
 		return Result{}, cached.changed, ErrNoCopy
 	}
-	if !h.isOfNewestEra(cached) || since.Era < cached.era {
+	if !t.isOfNewestEra(cached) || since.Era < cached.era {
 		// The caller's next Read waits for the first copy of the era.
 		return Result{}, cached.changed, ErrCompacted
 	}
-	if !h.isServable(cached) {
+	if !t.isServable(cached) {
 		return Result{}, cached.changed, ErrNoCopy
 	}
 	if since.Version < cached.historyStart {
 		return Result{}, cached.changed, ErrCompacted
 	}
-	result := h.emptyResult(cached)
+	result := t.emptyResult(cached)
 	for _, row := range cached.rows {
 		if row.Version > since.Version {
 			result.Rows = append(result.Rows, row)
@@ -224,17 +224,17 @@
 }
 
 // emptyResult returns a result with the state of a copy, without rows.
-func (h *TableCache) emptyResult(cached *tableCopy) Result {
+func (t *TableCache) emptyResult(cached *tableCopy) Result {
 	result := Result{
 		Era:       cached.era,
 		Version:   cached.version,
 		Now:       cached.storeTime,
 		IsRelayed: true,
 	}
-	if h.Clock == nil {
+	if t.Clock == nil {
 		return result
 	}
-	if latest, isProved := h.Clock.MaxStoreTime(cached.era); isProved {
+	if latest, isProved := t.Clock.MaxStoreTime(cached.era); isProved {
 		result.MaxStoreTime = latest
 	}
 	return result
