--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -8,10 +8,10 @@
 // traffic within one. A hash also decides which relay a daemon calls first, so that the relays
 // share the load.
 //
-// The next daemons of the list are the standbys. The store may fail for all relays, or the relays
-// may be gone, while the store serves other daemons. In that case the standbys detect it first, and
-// the first standby that the store serves follows it for all. Thus one or two daemons follow the
-// store instead of all that it serves.
+// The next daemons of the list are the standbys. The store may fail for all relays, or the
+// relays may be unresponsive, while the store serves other daemons. In that case the standbys
+// detect it first, and the first standby that the store serves follows it for all. Thus one or
+// two daemons follow the store instead of all that it serves.
 package neighbours
 
 import (
@@ -29,7 +29,7 @@
 
 const (
 	// Relays is the minimum number of daemons that follow the store for the others: one may be
-	// gone, another one cut off, and the third still serves.
+	// unresponsive, another one cut off, and the third still serves.
 	Relays = 3
 	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few daemons takes
 	// little of the processor of the relay's VM, but each relay adds calls to the store.
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// List is the set of known daemons, sorted by strength. The zero value is empty.
+// List is the set of known daemons, sorted by capacity. The zero value is empty.
 type List struct {
 	daemons []Daemon
 }
@@ -220,9 +220,9 @@
 	return relays
 }
 
-// relaysAndStandbys returns the relays and the standbys. The relays are the strongest daemons of
-// each zone, one for every daemonsPerRelay daemons, and further daemons if these are fewer than
-// Relays.
+// relaysAndStandbys returns the relays and the standbys. The relays are the daemons with the
+// highest capacity of each zone, one for every daemonsPerRelay daemons, and further daemons if
+// these are fewer than Relays.
 func (l List) relaysAndStandbys() (relays, standbys []Daemon) {
 	daemonsInZone := map[string]int{}
 	for _, daemon := range l.daemons {
@@ -244,8 +244,9 @@
 	return relays, others[:min(MaxStandbys, len(others))]
 }
 
-// maxEarlierRelays is how many of the relays before it a relay calls. If the first relay is gone
-// for good or cut off, the next relay follows the store in its place, rather than all relays.
+// maxEarlierRelays is how many of the relays before it a relay calls. If the first relay has
+// stopped for good or is cut off, the next relay follows the store in its place, rather than
+// all relays.
 const maxEarlierRelays = 3
 
 // RelaysFor returns the relays that a daemon of a zone calls, in call order, those of its zone
--- a/core/neighbours/neighbours_test.go
+++ b/core/neighbours/neighbours_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// Guards against all relays following the store if the first relay is gone for good and still
-// listed. Only the next relay takes its place.
+// Guards against all relays following the store if the first relay has stopped for good but is
+// still listed. Only the next relay takes its place.
 func TestRelaysCallEarlierRelays(t *testing.T) {
 	all := daemons(320)
 	list := neighbours.NewList(all)
@@ -144,7 +144,7 @@
 	qt.Assert(t, standbys, qt.Equals, neighbours.MaxStandbys)
 }
 
-func TestInZoneReturnsUniquePositions(t *testing.T) {
+func TestPositionInZoneReturnsUniquePositions(t *testing.T) {
 	all := daemons(9)
 	for i := range all {
 		all[i].Zone = []string{"a", "b", "c"}[i%3]
@@ -186,7 +186,7 @@
 
 // Each daemon has a unique position for a key, daemons of the key's zone come first, and different
 // keys put different daemons first.
-func TestOrderForPutsZoneFirstAndSpreadsKeys(t *testing.T) {
+func TestPositionForKeyPutsZoneFirstAndSpreadsKeys(t *testing.T) {
 	const daemonsPerZone = 5
 	all := daemons(3 * daemonsPerZone)
 	for i := range all {
