--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -25,8 +25,8 @@
 	ObservedAt    time.Time
 }
 
-// Contact holds the last read of the store and the newest report of each daemon. The zero value has
-// none.
+// Contact holds the last read of the store and the newest report of each daemon. The zero
+// value holds neither.
 type Contact struct {
 	lastStoreRead time.Time
 	reports       map[string]Report
@@ -56,10 +56,10 @@
 }
 
 // WithoutReportsBefore returns the contact without reports from before a time.
-func (c Contact) WithoutReportsBefore(than time.Time) Contact {
+func (c Contact) WithoutReportsBefore(cutoff time.Time) Contact {
 	next := make(map[string]Report, len(c.reports))
 	for daemon, report := range c.reports {
-		if !report.ObservedAt.Before(than) {
+		if !report.ObservedAt.Before(cutoff) {
 			next[daemon] = report
 		}
 	}
@@ -130,12 +130,12 @@
 
 // HolderCount returns the number of daemons in the roster that are known to hold a configuration of
 // at least version.
-func (c Contact) HolderCount(self string, own uint64, roster []string, version uint64) int {
+func (c Contact) HolderCount(self string, ownVersion uint64, roster []string, version uint64) int {
 	holders := 0
 	for _, daemon := range roster {
 		held := c.reports[daemon].ConfigVersion
 		if daemon == self {
-			held = own
+			held = ownVersion
 		}
 		if held >= version {
 			holders++
@@ -145,6 +145,6 @@
 }
 
 // IsAccepted reports whether a majority of the roster is known to hold version.
-func (c Contact) IsAccepted(self string, own uint64, roster []string, version uint64) bool {
-	return len(roster) > 0 && c.HolderCount(self, own, roster, version) > len(roster)/2
+func (c Contact) IsAccepted(self string, ownVersion uint64, roster []string, version uint64) bool {
+	return len(roster) > 0 && c.HolderCount(self, ownVersion, roster, version) > len(roster)/2
 }
