--- a/core/presence/presence.go
+++ b/core/presence/presence.go
@@ -37,15 +37,15 @@
 }
 
 // Newest returns the newest evidence of a group, and false if there is none.
-func (b EvidenceSet) Newest(group string) (Evidence, bool) {
-	evidence, ok := b.newest[group]
+func (s EvidenceSet) Newest(group string) (Evidence, bool) {
+	evidence, ok := s.newest[group]
 	return evidence, ok
 }
 
 // All returns the newest evidence of every group, in no particular order.
-func (b EvidenceSet) All() []Evidence {
-	all := make([]Evidence, 0, len(b.newest))
-	for _, evidence := range b.newest {
+func (s EvidenceSet) All() []Evidence {
+	all := make([]Evidence, 0, len(s.newest))
+	for _, evidence := range s.newest {
 		all = append(all, evidence)
 	}
 	return all
@@ -53,9 +53,9 @@
 
 // WithEvidence returns a copy with evidence added. For each group it keeps the evidence of the
 // highest generation, and within a generation the newest.
-func (b EvidenceSet) WithEvidence(added ...Evidence) EvidenceSet {
-	next := make(map[string]Evidence, len(b.newest)+len(added))
-	for group, evidence := range b.newest {
+func (s EvidenceSet) WithEvidence(added ...Evidence) EvidenceSet {
+	next := make(map[string]Evidence, len(s.newest)+len(added))
+	for group, evidence := range s.newest {
 		next[group] = evidence
 	}
 	for _, evidence := range added {
@@ -69,10 +69,10 @@
 }
 
 // WithoutEvidenceBefore returns a copy without evidence from before a time.
-func (b EvidenceSet) WithoutEvidenceBefore(than time.Time) EvidenceSet {
-	next := make(map[string]Evidence, len(b.newest))
-	for group, evidence := range b.newest {
-		if !evidence.ObservedAt.Before(than) {
+func (s EvidenceSet) WithoutEvidenceBefore(cutoff time.Time) EvidenceSet {
+	next := make(map[string]Evidence, len(s.newest))
+	for group, evidence := range s.newest {
+		if !evidence.ObservedAt.Before(cutoff) {
 			next[group] = evidence
 		}
 	}
