--- a/core/table/table.go
+++ b/core/table/table.go
@@ -256,7 +256,7 @@
 	return row.Version, nil
 }
 
-// IsOutcomeKnown reports whether err says for certain whether the writes were committed.
+// IsOutcomeKnown reports whether err shows with certainty if the writes were committed.
 func IsOutcomeKnown(err error) bool {
 	return err == nil || errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAbandoned)
 }
@@ -265,8 +265,8 @@
 // Deleting old rows
 
 const (
-	// MarkerRetention is how long a marker is kept that its writer did not delete. It is far longer
-	// than a transaction can take to arrive.
+	// MarkerRetention is how long a marker that its writer did not delete is kept. It is far
+	// longer than a transaction can take to arrive.
 	MarkerRetention = time.Hour
 	maxRowsPerSweep = 400
 )
