--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -1,11 +1,11 @@
 // Package evacuation holds the availability zones that operators have evacuated. The backend
 // servers of an evacuated zone get no new requests until the evacuation ends.
 //
-// Operators set a bound on the time until an evacuated zone gets no more requests. A daemon keeps
-// sending requests there for a share of the bound, while groups form in other zones. The daemons
-// stop one after the other, so that the load moves to the other zones gradually. The bound starts
-// when the store acknowledges the evacuation, which no daemon observes. A daemon therefore counts
-// from the last time at which it knew that the zone was not evacuated.
+// Operators set a bound on the time until an evacuated zone gets no more requests. A daemon
+// keeps sending requests there for a share of the bound, while groups form in other zones. The
+// daemons stop one after the other, so that the load moves to the other zones gradually. The
+// bound starts when the store acknowledges the evacuation, which no daemon observes. A daemon
+// therefore counts from the last time at which the zone was known not to be evacuated.
 package evacuation
 
 import (
@@ -42,12 +42,12 @@
 // LeaveAt returns the time from which a zone gets no requests. lastOpenAt is the latest time at
 // which the zone was known not to be evacuated; zero means unknown, and since the bound may have
 // passed then, the zone is left at once.
-func (b LeaveSchedule) LeaveAt(lastOpenAt time.Time) time.Time {
+func (s LeaveSchedule) LeaveAt(lastOpenAt time.Time) time.Time {
 	if lastOpenAt.IsZero() {
 		return time.Time{}
 	}
-	share := minBoundShare + (maxBoundShare-minBoundShare)*b.Position
-	return lastOpenAt.Add(time.Duration(share * float64(b.Within)))
+	share := minBoundShare + (maxBoundShare-minBoundShare)*s.Position
+	return lastOpenAt.Add(time.Duration(share * float64(s.Within)))
 }
 
 // Zones is an immutable set of evacuated zones. The zero value is empty.
@@ -55,8 +55,8 @@
 	byName map[string]Evacuation
 }
 
-// With returns the zones with one more. A zone that is already evacuated keeps its LeaveAt if that
-// is earlier, because the operator did not ask for the evacuation any later.
+// With returns the zones with one more. A zone that is already evacuated keeps its LeaveAt if
+// that is earlier, because the operator did not request the evacuation later than that.
 func (z Zones) With(name string, next Evacuation) Zones {
 	if previous, ok := z.byName[name]; ok {
 		next.LeaveAt = earlier(previous.LeaveAt, next.LeaveAt)
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -28,7 +28,8 @@
 	qt.Assert(t, leaveAt(1).Before(lastOpenAt.Add(within-slack)), qt.IsTrue)
 }
 
-// A starting daemon does not know since when a zone is evacuated, and a bound of 0 leaves no time.
+// For a starting daemon the start of an evacuation is unknown, and a bound of 0 leaves no
+// time.
 func TestZoneIsLeftAtOnceIfLastOpenTimeIsUnknown(t *testing.T) {
 	bound := evacuation.LeaveSchedule{
 		Within:   within,
@@ -47,7 +48,8 @@
 	qt.Assert(t, zones.HasLeft("c", now), qt.IsFalse)
 }
 
-// Guards against more time for a daemon that sees a removed and rewritten row as one write.
+// Guards against a longer time until the zone is left if a daemon reads a removed and
+// rewritten row as one write.
 func TestRewrittenEvacuationDoesNotExtendTime(t *testing.T) {
 	now := time.Now()
 	first := evacuation.Zones{}.With("a", evacuation.Evacuation{
