--- a/core/boottime/boottime.go
+++ b/core/boottime/boottime.go
@@ -1,10 +1,10 @@
 // Package boottime provides a clock that continues while the VM is suspended.
 //
-// The clock of the Go runtime stops during a suspension, so anything dated by it seems younger than
-// it is. A VM that was suspended for ten seconds resumes with a configuration that looks current,
-// and accepts keys that were withdrawn meanwhile. Whatever is allowed only for a limited time is
-// therefore dated and checked with a Clock, right before it is done. Times of a Clock must not be
-// compared with times of the runtime's clock.
+// The clock of the Go runtime stops during a suspension, so anything dated by it seems younger
+// than it is. A VM that was suspended for ten seconds resumes with a configuration that looks
+// current, and accepts keys that were revoked meanwhile. Whatever is allowed only for a
+// limited time is therefore dated and checked with a Clock, right before it is done. Times of
+// a Clock must not be compared with times of the runtime's clock.
 package boottime
 
 import "time"
