--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -1,20 +1,20 @@
 // Package balancer chooses the backend server, or the head of a group, that gets a request.
 //
-// Every daemon chooses on its own, by the requests that it has in flight itself. Load reports are
-// not used: each is billed, a load is known to all daemons 0.4 s or more after it was measured, and
-// at that age choosing by it is worse than not knowing it. The choice has two stages: first,
-// locality draws the request's zone in proportion to what the servers of each zone can take
-// (core/locality). Then the daemon prefers its own small subset of the servers in that zone
-// (core/subset), and spreads its requests evenly over it by cost. Subsets cover the servers evenly,
-// so the sum over all daemons is even, with nine daemons as with thousands. Random tie-breaking
-// prevents daemons from choosing in lockstep.
+// Every daemon chooses on its own, by the requests that it has in flight itself. Load reports
+// are not used: each is billed, a report reaches all daemons 0.4 s or more after the load was
+// measured, and at that age a choice by it is worse than one without it. The choice has two
+// stages: first, locality draws the request's zone in proportion to what the servers of each
+// zone can take (core/locality). Then the daemon prefers its own small subset of the servers
+// in that zone (core/subset), and spreads its requests evenly over it by cost. Subsets cover
+// the servers evenly, so the sum over all daemons is even, with nine daemons as with
+// thousands. Random tie-breaking prevents daemons from choosing in lockstep.
 //
 // Observed failures and silence decide whether a server is used at all. A group that lost a
 // member accepts requests and answers none; the first sign of it is that all its streams are
 // silent. The daemon then ejects the server for a while and lets a single request through from
 // time to time, to detect recovery. A server that other daemons report as degraded ranks after
-// healthy ones. These are all preferences. In contrast, a server that asked for no requests
-// itself (core/directive) is never a candidate.
+// healthy ones. These are all preferences. In contrast, a paused or draining server
+// (core/directive) is never a candidate.
 package balancer
 
 import (
@@ -215,7 +215,7 @@
 		// crossZonePenalty is the number of requests by which a server outside the drawn zone
 		// must be less loaded to be chosen. It applies to daemons that can compare zones.
 		crossZonePenalty = 2.0
-		// tierScore ranks each tier after the one before, whatever is in flight there: a
+		// tierScore ranks each tier after the previous one, whatever is in flight there: a
 		// request costs some hundreds, and a server has tens of them.
 		tierScore = 1e6
 	)
@@ -294,9 +294,9 @@
 	server.unitLatency += unitLatencyGain * (unitLatency - server.unitLatency)
 }
 
-// RecordFailure records a failure that may affect other requests too, and ejects the server. Common
-// failures, which healthy servers also have now and then, eject it from the second one in a
-// row.
+// RecordFailure records a failure that may affect other requests too, and ejects the server.
+// Common failures, which healthy servers also have now and then, eject it only from the second
+// consecutive one.
 func (t *Tracker) RecordFailure(id string, isCommon bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -365,15 +365,15 @@
 	thresholds := tracker.SilenceThresholds("engines/large", balancer.PhaseFirstEvent)
 	const silence = 500 * time.Millisecond
 
-	step, _ := thresholds.Action(silence-time.Millisecond, true)
-	qt.Assert(t, step, qt.Equals, balancer.Wait)
-	step, recheckAfter := thresholds.Action(silence, false)
-	qt.Assert(t, step, qt.Equals, balancer.Eject)
+	action, _ := thresholds.Action(silence-time.Millisecond, true)
+	qt.Assert(t, action, qt.Equals, balancer.Wait)
+	action, recheckAfter := thresholds.Action(silence, false)
+	qt.Assert(t, action, qt.Equals, balancer.Eject)
 	qt.Assert(t, recheckAfter <= 50*time.Millisecond, qt.IsTrue)
-	step, _ = thresholds.Action(silence, true)
-	qt.Assert(t, step, qt.Equals, balancer.Reroute)
-	step, _ = thresholds.Action(thresholds.Reroute, false)
-	qt.Assert(t, step, qt.Equals, balancer.Reroute)
+	action, _ = thresholds.Action(silence, true)
+	qt.Assert(t, action, qt.Equals, balancer.Reroute)
+	action, _ = thresholds.Action(thresholds.Reroute, false)
+	qt.Assert(t, action, qt.Equals, balancer.Reroute)
 }
 
 // A rate limited server is a candidate only now and then. The daemon uses its quota there, and
--- a/core/balancer/preference.go
+++ b/core/balancer/preference.go
@@ -11,8 +11,8 @@
 // Preference orders candidates by the daemon's zone and by the demand of each zone, before the
 // daemon's own requests count. It is immutable. The zero value prefers no server.
 type Preference struct {
-	// Zone is the daemon's availability zone. Position is the daemon's
-	// position among the daemons there.
+	// Zone is the daemon's availability zone. Position is its position among the daemons
+	// there.
 	Zone     string
 	Position subset.Position
 	// Demand is the demand for the kind of request in each zone, in any unit.
--- a/core/balancer/silence.go
+++ b/core/balancer/silence.go
@@ -57,7 +57,7 @@
 // Action is the reaction to a silence.
 type Action int
 
-// The steps are to wait, to eject the server, and to reroute the request as well.
+// The actions are to wait, to eject the server, and to reroute the request as well.
 const (
 	Wait Action = iota
 	Eject
@@ -68,19 +68,19 @@
 // as stalled.
 const recheckInterval = 50 * time.Millisecond
 
-// Action returns the reaction to a silence and the time until the next check. isStalled reports
-// that another daemon found a member of the server's group lost. The request is then rerouted
-// without further waiting, so that one which came after the loss can still meet its deadline
-// elsewhere. Without this, a daemon among hundreds has few samples of rare requests and would
-// wait for defaultRerouteAfter.
-func (l SilenceThresholds) Action(silence time.Duration, isStalled bool) (step Action, recheckAfter time.Duration) {
+// Action returns the reaction to a silence and the time until the next check. isStalled
+// reports that another daemon found a member of the server's group lost. The request is then
+// rerouted without further waiting, so that a request that arrived after the loss can still
+// meet its deadline elsewhere. Without this, a daemon among hundreds has few samples of rare
+// requests and would wait for defaultRerouteAfter.
+func (s SilenceThresholds) Action(silence time.Duration, isStalled bool) (action Action, recheckAfter time.Duration) {
 	switch {
-	case silence < l.Eject:
-		return Wait, l.Eject - silence
-	case silence < l.Reroute && !isStalled:
-		return Eject, min(l.Reroute-silence, recheckInterval)
+	case silence < s.Eject:
+		return Wait, s.Eject - silence
+	case silence < s.Reroute && !isStalled:
+		return Eject, min(s.Reroute-silence, recheckInterval)
 	default:
-		return Reroute, l.Reroute
+		return Reroute, s.Reroute
 	}
 }
 
