--- a/core/ratelimit/all_daemons_test.go
+++ b/core/ratelimit/all_daemons_test.go
@@ -63,7 +63,8 @@
 	return neighbours.NewList(daemons)
 }
 
-// newModel returns the given number of daemons, which all know each other.
+// newModel returns a model with the given number of daemons, which all have the list of all of
+// them.
 func newModel(count int) *model {
 	m := &model{
 		start: start,
@@ -81,10 +82,10 @@
 
 // position returns a daemon's position for the server.
 func (d *daemon) position(start string) ratelimit.Position {
-	rank, near := d.list.PositionForKey(start, zone, d.name)
+	rank, sameZone := d.list.PositionForKey(start, zone, d.name)
 	return ratelimit.Position{
 		Rank:     rank,
-		SameZone: near,
+		SameZone: sameZone,
 		Total:    d.list.Len(),
 	}
 }
--- a/core/ratelimit/bucket.go
+++ b/core/ratelimit/bucket.go
@@ -8,14 +8,14 @@
 	position Position
 	tokens   float64
 	// refilledAt is the time up to which tokens have been added. It starts when the limit was
-	// learnt.
+	// set.
 	refilledAt time.Time
 	// reserved is the number of requests that were chosen and not yet sent.
 	reserved int
 }
 
 // refill adds the tokens that accrued since refilledAt. A quota that grew because the position
-// changed starts empty: until all daemons know the new list, others may still use their quota
+// changed starts empty: until all daemons have the new list, others may still use their quota
 // of the old one. After a change of the limit alone the bucket keeps its tokens, up to the new
 // burst.
 func (b *bucket) refill(limit Limit, position Position, now time.Time) {
--- a/core/ratelimit/cold_test.go
+++ b/core/ratelimit/cold_test.go
@@ -39,7 +39,7 @@
 }
 
 // A zone comes back cold, and hundreds of daemons have a request for each of its servers at
-// once. Each server can bear only some requests a second from all daemons together.
+// once. Each server can serve only some requests a second from all daemons together.
 func TestAllDaemonsTogetherStayWithinAColdLimit(t *testing.T) {
 	for _, count := range []int{1, 9, 89, 360, 984, 1968, 2484} {
 		for _, perSecond := range []float64{0.5, 17, 18, 60} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// A cold server gets most of what it can bear, and is unlimited once it is warm.
+// A cold server gets most of what it can serve, and is unlimited once it is warm.
 func TestColdLimitIsUsedAndExpires(t *testing.T) {
 	for _, count := range []int{1, 9, 360, 984} {
 		synctest.Test(t, func(t *testing.T) {
@@ -115,7 +115,7 @@
 }
 
 // A server that announces a limit while it is cold gets only what both limits allow.
-func TestNamedAndColdLimitHoldTogether(t *testing.T) {
+func TestAnnouncedAndColdLimitHoldTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newModel(9)
 		m.setCold(18, time.Minute)
@@ -129,8 +129,7 @@
 	})
 }
 
-// A client of a daemon without a quota is told to return when the server is warm, at the
-// latest.
+// The delay for a daemon without a quota ends when the server is warm, at the latest.
 func TestWaitEndsWhenTheColdLimitExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var limiter ratelimit.Limiter
--- a/core/ratelimit/limit.go
+++ b/core/ratelimit/limit.go
@@ -1,6 +1,6 @@
 // Package ratelimit keeps the rate limits of backend servers. A server announces how many
 // requests a second it accepts from all daemons together; the limit holds for as long as its
-// answers say so.
+// answers contain it.
 package ratelimit
 
 import (
@@ -19,8 +19,8 @@
 	// valid only if IsSet.
 	PerSecond float64
 	IsSet     bool
-	// IsInvalid reports that the answer has an invalid limit. It sets no limit and does not end
-	// the one before.
+	// IsInvalid reports that the answer has an invalid limit. It sets no limit and does not
+	// end the previous one.
 	IsInvalid bool
 	// MaxExcess is how many requests beyond the limit all daemons together may send in a window; 0
 	// selects the excess that is tolerated for announced limits.
@@ -45,8 +45,8 @@
 // cold send more than their quota.
 const coldFraction = 0.9
 
-// NewColdLimit returns the limit of a cold server that can bear perSecond requests a second. In any
-// second it may get factor times as many plus extra, from all daemons together.
+// NewColdLimit returns the limit of a cold server that can serve perSecond requests a second.
+// In any second it may get factor times as many plus extra, from all daemons together.
 func NewColdLimit(perSecond, factor, extra float64) Limit {
 	limit := NewLimit(coldFraction * perSecond)
 	limit.MaxExcess = max(1, factor*perSecond+extra-limit.PerSecond)
--- a/core/ratelimit/limit_reports.go
+++ b/core/ratelimit/limit_reports.go
@@ -37,14 +37,14 @@
 }
 
 // Take stores a report that was read, and reports whether the limit changed.
-func (n *LimitReports) Take(start string, limit Limit) bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	isChange := n.reports[start].limit != limit
-	if n.reports == nil {
-		n.reports = map[string]storedReport{}
+func (r *LimitReports) Take(start string, limit Limit) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	isChange := r.reports[start].limit != limit
+	if r.reports == nil {
+		r.reports = map[string]storedReport{}
 	}
-	n.reports[start] = storedReport{
+	r.reports[start] = storedReport{
 		limit:  limit,
 		readAt: time.Now(),
 	}
@@ -53,27 +53,27 @@
 
 // Remove discards the report of a start that no longer exists, and reports whether there was
 // one.
-func (n *LimitReports) Remove(start string) bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	_, isKnown := n.reports[start]
-	delete(n.reports, start)
+func (r *LimitReports) Remove(start string) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	_, isKnown := r.reports[start]
+	delete(r.reports, start)
 	return isKnown
 }
 
 // Len returns the number of starts with a report.
-func (n *LimitReports) Len() int {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return len(n.reports)
+func (r *LimitReports) Len() int {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return len(r.reports)
 }
 
 // StartsNotIn returns the starts with a report that are not in the given set.
-func (n *LimitReports) StartsNotIn(starts map[string]bool) []string {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+func (r *LimitReports) StartsNotIn(starts map[string]bool) []string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var others []string
-	for start := range n.reports {
+	for start := range r.reports {
 		if !starts[start] {
 			others = append(others, start)
 		}
@@ -82,11 +82,11 @@
 }
 
 // StaleStarts returns the starts whose reports were last read more than retentionTime ago.
-func (n *LimitReports) StaleStarts() []string {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+func (r *LimitReports) StaleStarts() []string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var stale []string
-	for start, report := range n.reports {
+	for start, report := range r.reports {
 		if time.Since(report.readAt) > retentionTime {
 			stale = append(stale, start)
 		}
@@ -94,33 +94,33 @@
 	return stale
 }
 
-// ShouldReport reports whether this daemon is to report what it has observed of a start. It is if
-// the limit is unknown to the others, differs from the reported one, or was not reported for
-// refreshInterval, or if the reported limit is over.
-func (n *LimitReports) ShouldReport(start string, observed Limit) bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.isReportDue(start, observed) && time.Since(n.reportedAt[start]) >= minReportInterval
+// ShouldReport reports whether this daemon is to report what it has observed of a start. A
+// report is due if the limit was not reported yet, differs from the reported one, or was not
+// reported for refreshInterval, or if the reported limit is over.
+func (r *LimitReports) ShouldReport(start string, observed Limit) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.isReportDue(start, observed) && time.Since(r.reportedAt[start]) >= minReportInterval
 }
 
 // ClaimReport checks again whether a report is due, and if so records it as written now.
-func (n *LimitReports) ClaimReport(start string, observed Limit) bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	if !n.isReportDue(start, observed) || time.Since(n.reportedAt[start]) < minReportInterval {
+func (r *LimitReports) ClaimReport(start string, observed Limit) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if !r.isReportDue(start, observed) || time.Since(r.reportedAt[start]) < minReportInterval {
 		return false
 	}
-	if n.reportedAt == nil {
-		n.reportedAt = map[string]time.Time{}
+	if r.reportedAt == nil {
+		r.reportedAt = map[string]time.Time{}
 	}
-	n.reportedAt[start] = time.Now()
+	r.reportedAt[start] = time.Now()
 	return true
 }
 
 // isReportDue is ShouldReport without the interval between reports of this daemon. The mutex must
 // be held.
-func (n *LimitReports) isReportDue(start string, observed Limit) bool {
-	known, isKnown := n.reports[start]
+func (r *LimitReports) isReportDue(start string, observed Limit) bool {
+	known, isKnown := r.reports[start]
 	if observed.IsSet != isKnown || !isKnown {
 		return observed.IsSet != isKnown
 	}
@@ -131,12 +131,12 @@
 }
 
 // Sweep discards the times of reports that no longer delay a further one.
-func (n *LimitReports) Sweep() {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	for start, reportedAt := range n.reportedAt {
+func (r *LimitReports) Sweep() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for start, reportedAt := range r.reportedAt {
 		if time.Since(reportedAt) > minReportInterval {
-			delete(n.reportedAt, start)
+			delete(r.reportedAt, start)
 		}
 	}
 }
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -49,8 +49,8 @@
 }
 
 // set stores a limit that is current now. The mutex must be held.
-func (b *Limiter) set(start string, limit Limit, now time.Time) *entry {
-	e := b.limits[start]
+func (l *Limiter) set(start string, limit Limit, now time.Time) *entry {
+	e := l.limits[start]
 	if e == nil {
 		// The quota starts empty, since requests sent before were not counted.
 		e = &entry{
@@ -58,10 +58,10 @@
 				refilledAt: now,
 			},
 		}
-		if b.limits == nil {
-			b.limits = map[string]*entry{}
+		if l.limits == nil {
+			l.limits = map[string]*entry{}
 		}
-		b.limits[start] = e
+		l.limits[start] = e
 	}
 	e.limit = limit
 	e.updatedAt = now
@@ -74,10 +74,10 @@
 // changed. sent is the time of the request by Clock; zero if not known. Answers arrive out of
 // order: an answer to a request that was sent before the last update may be older, so it
 // neither raises nor ends a limit.
-func (b *Limiter) Observe(start string, observed Limit, sent time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	e := b.limits[start]
+func (l *Limiter) Observe(start string, observed Limit, sent time.Time) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	e := l.limits[start]
 	if observed.IsInvalid || (e == nil && !observed.IsSet) {
 		return false
 	}
@@ -86,116 +86,116 @@
 		return false
 	}
 	if !observed.IsSet {
-		delete(b.limits, start)
+		delete(l.limits, start)
 		return true
 	}
 	// A lower limit applies at once, however old the answer is.
 	isChange := e == nil || e.limit != observed
-	now := b.Clock.Now()
-	b.set(start, observed, now).observedAt = now
+	now := l.Clock.Now()
+	l.set(start, observed, now).observedAt = now
 	return isChange
 }
 
 // ApplyReport applies another daemon's report of a start; a report without a limit ends the limit.
 // A recent observation of this daemon takes precedence over a report that allows more.
-func (b *Limiter) ApplyReport(start string, reported Limit) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	e := b.limits[start]
-	now := b.Clock.Now()
+func (l *Limiter) ApplyReport(start string, reported Limit) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	e := l.limits[start]
+	now := l.Clock.Now()
 	allowsMore := !reported.IsSet || (e != nil && reported.PerSecond > e.limit.PerSecond)
 	if allowsMore && e != nil && now.Sub(e.observedAt) < observationPriorityTime {
 		e.deferred = &reported
 		return
 	}
-	b.apply(start, reported, now)
+	l.apply(start, reported, now)
 }
 
 // apply sets a limit, or removes it if none is given. The mutex must be held.
-func (b *Limiter) apply(start string, limit Limit, now time.Time) {
+func (l *Limiter) apply(start string, limit Limit, now time.Time) {
 	if limit.IsSet {
-		b.set(start, limit, now)
+		l.set(start, limit, now)
 	} else {
-		delete(b.limits, start)
+		delete(l.limits, start)
 	}
 }
 
 // applyDeferred applies a deferred report once the own observation is older than
 // observationPriorityTime. The mutex must be held.
-func (b *Limiter) applyDeferred(start string, now time.Time) {
-	e := b.limits[start]
+func (l *Limiter) applyDeferred(start string, now time.Time) {
+	e := l.limits[start]
 	if e != nil && e.deferred != nil && now.Sub(e.observedAt) >= observationPriorityTime {
-		b.apply(start, *e.deferred, now)
+		l.apply(start, *e.deferred, now)
 	}
 }
 
 // AnnouncedLimit returns the announced limit of a start and the time since its last update.
-func (b *Limiter) AnnouncedLimit(start string) (limit Limit, since time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	e := b.limits[start]
+func (l *Limiter) AnnouncedLimit(start string) (limit Limit, since time.Duration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	e := l.limits[start]
 	if e == nil {
 		return Limit{}, 0
 	}
-	return e.limit, b.Clock.Since(e.updatedAt)
+	return e.limit, l.Clock.Since(e.updatedAt)
 }
 
 // SetColdLimit sets the limit of a cold start for the given time.
-func (b *Limiter) SetColdLimit(start string, limit Limit, duration time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
-	e := b.coldLimits[start]
+func (l *Limiter) SetColdLimit(start string, limit Limit, duration time.Duration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.Clock.Now()
+	e := l.coldLimits[start]
 	if e == nil {
 		e = &entry{
 			bucket: bucket{
 				refilledAt: now,
 			},
 		}
-		if b.coldLimits == nil {
-			b.coldLimits = map[string]*entry{}
+		if l.coldLimits == nil {
+			l.coldLimits = map[string]*entry{}
 		}
-		b.coldLimits[start] = e
+		l.coldLimits[start] = e
 	}
 	e.limit = limit
 	e.coldUntil = now.Add(duration)
 }
 
 // IsLimited reports whether a start has a limit.
-func (b *Limiter) IsLimited(start string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.limits[start] != nil || b.activeColdLimit(start, b.Clock.Now()) != nil
+func (l *Limiter) IsLimited(start string) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.limits[start] != nil || l.activeColdLimit(start, l.Clock.Now()) != nil
 }
 
 // activeColdLimit returns the cold limit of a start, or nil after it expired. The mutex must be
 // held.
-func (b *Limiter) activeColdLimit(start string, now time.Time) *entry {
-	e := b.coldLimits[start]
+func (l *Limiter) activeColdLimit(start string, now time.Time) *entry {
+	e := l.coldLimits[start]
 	if e == nil || now.Before(e.coldUntil) {
 		return e
 	}
-	delete(b.coldLimits, start)
+	delete(l.coldLimits, start)
 	return nil
 }
 
 // IsEmpty reports whether no server has a limit. This is the usual case, and spares callers a
 // look-up of each server.
-func (b *Limiter) IsEmpty() bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return len(b.limits) == 0 && len(b.coldLimits) == 0
+func (l *Limiter) IsEmpty() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return len(l.limits) == 0 && len(l.coldLimits) == 0
 }
 
 // refilled returns the limits of a start after adding the tokens that are due. The mutex must
 // be held.
-func (b *Limiter) refilled(start string, position Position, now time.Time) []*entry {
-	b.applyDeferred(start, now)
+func (l *Limiter) refilled(start string, position Position, now time.Time) []*entry {
+	l.applyDeferred(start, now)
 	var limits []*entry
-	if e := b.limits[start]; e != nil {
+	if e := l.limits[start]; e != nil {
 		limits = append(limits, e)
 	}
-	if e := b.activeColdLimit(start, now); e != nil {
+	if e := l.activeColdLimit(start, now); e != nil {
 		limits = append(limits, e)
 	}
 	for _, e := range limits {
@@ -246,21 +246,21 @@
 }
 
 // HasCapacity reports whether this daemon may send a request to a start now.
-func (b *Limiter) HasCapacity(start string, position Position) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
-	return allHaveCapacity(b.refilled(start, position, now), now)
+func (l *Limiter) HasCapacity(start string, position Position) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.Clock.Now()
+	return allHaveCapacity(l.refilled(start, position, now), now)
 }
 
 // Delay returns the time until this daemon may send a request. hasQuota is false if it has no
 // quota.
-func (b *Limiter) Delay(start string, position Position) (delay time.Duration, hasQuota bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
+func (l *Limiter) Delay(start string, position Position) (delay time.Duration, hasQuota bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.Clock.Now()
 	hasQuota = true
-	for _, e := range b.refilled(start, position, now) {
+	for _, e := range l.refilled(start, position, now) {
 		entryDelay, entryHasQuota := e.delay(now)
 		delay = max(delay, entryDelay)
 		hasQuota = hasQuota && entryHasQuota
@@ -287,11 +287,11 @@
 
 // Reserve reserves capacity for a request that will be sent soon; ok is false if there is none.
 // The caller must call Release when the request ends.
-func (b *Limiter) Reserve(start string, position Position) (*Reservation, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
-	limits := b.refilled(start, position, now)
+func (l *Limiter) Reserve(start string, position Position) (*Reservation, bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.Clock.Now()
+	limits := l.refilled(start, position, now)
 	if !allHaveCapacity(limits, now) {
 		return nil, false
 	}
@@ -299,24 +299,24 @@
 		e.bucket.reserved++
 	}
 	return &Reservation{
-		limiter: b,
+		limiter: l,
 		start:   start,
 		limits:  limits,
 	}, true
 }
 
-// Sweep discards expired cold limits, and limits without an update for retentionTime whose
-// starts isKnown does not know.
-func (b *Limiter) Sweep(isKnown func(start string) bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	for start, e := range b.limits {
-		if b.Clock.Since(e.updatedAt) > retentionTime && !isKnown(start) {
-			delete(b.limits, start)
+// Sweep discards expired cold limits, and limits without an update for retentionTime for whose
+// starts isKnown returns false.
+func (l *Limiter) Sweep(isKnown func(start string) bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for start, e := range l.limits {
+		if l.Clock.Since(e.updatedAt) > retentionTime && !isKnown(start) {
+			delete(l.limits, start)
 		}
 	}
-	now := b.Clock.Now()
-	for start := range b.coldLimits {
-		b.activeColdLimit(start, now)
+	now := l.Clock.Now()
+	for start := range l.coldLimits {
+		l.activeColdLimit(start, now)
 	}
 }
--- a/core/ratelimit/quota.go
+++ b/core/ratelimit/quota.go
@@ -15,7 +15,7 @@
 
 const (
 	// burstFraction is the fraction of the tolerated excess that bursts may use. The rest
-	// covers daemons that know another list or another limit for a while, when old and new
+	// covers daemons that have another list or another limit for a while, when old and new
 	// quotas are both in use.
 	burstFraction = 0.5
 	// minPerSecond is the rate of all daemons together for a server with a lower limit or 0.
@@ -26,8 +26,8 @@
 	sameZoneWeight = 3
 )
 
-// Position is a daemon's position among those that may share a server's limit. The zero value is a
-// daemon that knows no others; it has no quota.
+// Position is a daemon's position among those that may share a server's limit. The zero value
+// is the position of a daemon without a list; it has no quota.
 type Position struct {
 	// Rank is the daemon's number, from 0, in an order that is the same at all daemons and
 	// begins with those in the server's availability zone.
--- a/core/ratelimit/quota_test.go
+++ b/core/ratelimit/quota_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	// A daemon that knows no list, or is not in it, has no quota.
+	// A daemon without a list, or missing from it, has no quota.
 	qt.Assert(t, ratelimit.NewLimit(5).Quota(ratelimit.Position{}), qt.Equals, ratelimit.Quota{})
 	qt.Assert(t, ratelimit.NewLimit(5).Quota(ratelimit.Position{
 		Rank:  9,
