--- a/core/quarantine/digest.go
+++ b/core/quarantine/digest.go
@@ -14,10 +14,10 @@
 
 // DigestOf returns the digest of a request. It costs less than passing on one event of an
 // answer (BenchmarkDigest).
-func DigestOf(target, organisation string, body []byte) Digest {
+func DigestOf(path, organisation string, body []byte) Digest {
 	hash := sha256.New()
 	// Writing to a hash never fails.
-	_, _ = hash.Write([]byte(target + "\x00" + organisation + "\x00"))
+	_, _ = hash.Write([]byte(path + "\x00" + organisation + "\x00"))
 	_, _ = hash.Write(body)
 	var digest Digest
 	copy(digest[:], hash.Sum(nil))
--- a/core/quarantine/eviction.go
+++ b/core/quarantine/eviction.go
@@ -21,8 +21,8 @@
 		}
 	}
 	delete(l.suspects, oldestDigest)
-	if cleared := oldest.storedRows(oldestDigest); cleared.HasRows() {
-		l.evicted = append(l.evicted, cleared)
+	if rows := oldest.storedRows(oldestDigest); rows.HasRows() {
+		l.evicted = append(l.evicted, rows)
 	}
 }
 
@@ -34,8 +34,8 @@
 	return s.lastChange.Before(other.lastChange)
 }
 
-// RemoveCrash applies the removal of a crash row from the store: another daemon saw the request
-// answered, or an operator released it.
+// RemoveCrash applies the removal of a crash row from the store: another daemon observed that
+// the request was answered, or an operator released it.
 func (l *Ledger) RemoveCrash(crash Crash) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Reconcile reconciles the ledger with a full read of the store: it discards stored crashes and
-// trials that are not in the given ones. CrashedStarts that have not been stored yet stay.
+// Reconcile applies a snapshot of the store's crashes and trials: it discards stored ones that
+// are not in the snapshot. Crashes that have not been stored yet stay.
 func (l *Ledger) Reconcile(crashes []Crash, trials []Digest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -123,8 +123,8 @@
 			continue
 		}
 		delete(l.suspects, digest)
-		if cleared := s.storedRows(digest); cleared.HasRows() {
-			removals = append(removals, cleared)
+		if rows := s.storedRows(digest); rows.HasRows() {
+			removals = append(removals, rows)
 		}
 	}
 	return removals
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -68,8 +68,8 @@
 }
 
 // HasRows reports whether there is a row to remove.
-func (c StoredRows) HasRows() bool {
-	return len(c.Starts) > 0 || c.HasTrial
+func (r StoredRows) HasRows() bool {
+	return len(r.Starts) > 0 || r.HasTrial
 }
 
 // Trial is one send of a suspected request. All daemons agree on it by a row in the store.
@@ -80,19 +80,19 @@
 	PreviousRevision rowstore.Revision
 }
 
-// Action says how a request may be sent.
+// Action is how a request may be sent.
 type Action int
 
-// The steps are to send the request, to send it as a trial if the other daemons agree, and to
-// hold it back.
+// The actions are to send the request, to send it as a trial if the other daemons agree, and
+// to hold it back.
 const (
 	Send Action = iota
 	SendAsTrial
 	Hold
 )
 
-// Decision says whether a request may be sent. Trial is set for a trial, and RetryAfter is the
-// remaining time of a held request.
+// Decision states whether a request may be sent. Trial is set for a trial, and RetryAfter is
+// the remaining time of a held request.
 type Decision struct {
 	Action     Action
 	Trial      Trial
@@ -224,9 +224,9 @@
 	}
 	s := l.findOrAdd(crash.Digest)
 	if !isStored && crash.Trial > 0 && s.crashedBeforeTrial(crash.Start) {
-		// The trial went to a server that had crashed already while its entry still stood. Its
-		// crash says nothing about the request and must not hold it, so it is not written to the
-		// store.
+		// The trial went to a server that had crashed already while its entry was still
+		// listed. Its crash is no evidence against the request and must not hold it, so it is
+		// not written to the store.
 		l.mutex.Unlock()
 		return alreadyKnown
 	}
@@ -302,16 +302,16 @@
 
 // storedRows returns the suspect's rows in the store, ordered by start.
 func (s *suspect) storedRows(digest Digest) StoredRows {
-	cleared := StoredRows{
+	rows := StoredRows{
 		Digest:   digest,
 		HasTrial: s.hasTrial(),
 	}
 	for _, start := range slices.Sorted(maps.Keys(s.crashes)) {
 		if s.crashes[start].isStored {
-			cleared.Starts = append(cleared.Starts, start)
+			rows.Starts = append(rows.Starts, start)
 		}
 	}
-	return cleared
+	return rows
 }
 
 // Decide returns whether a request may be sent. It must be called right before the send.
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestRequestNeedsATrialAfterTwoServerEnds(t *testing.T) {
+func TestRequestNeedsATrialAfterTwoServerCrashes(t *testing.T) {
 	var ledger quarantine.Ledger
 	qt.Assert(t, ledger.RecordCrash(crashUnder("bad", "a")), qt.IsTrue)
 	// Many requests with the same content may be in flight at one server, which counts as one
-	// end.
+	// crash.
 	qt.Assert(t, ledger.RecordCrash(crashUnder("bad", "a")), qt.IsFalse)
 	qt.Assert(t, decide(&ledger, "bad"), qt.Equals, quarantine.Send)
 	qt.Assert(t, ledger.ApplyCrash(crashUnder("bad", "b")), qt.IsTrue)
@@ -130,7 +130,7 @@
 
 // Guards against a request on trial that is not sent to another server after its server
 // stalled. Its client got no answer, though nothing indicated a crash.
-func TestTrialIsResentOnlyWithoutAServerEnd(t *testing.T) {
+func TestTrialIsResentOnlyWithoutAServerCrash(t *testing.T) {
 	ledger := ledgerWithSuspect("quiet")
 	trial := ledger.Decide(digestOf("quiet")).Trial
 	ledger.ApplyTrial(trial, revision(7))
@@ -182,7 +182,7 @@
 	qt.Assert(t, ledger.RecordAnswer(digestOf("dashboard")).HasRows(), qt.IsFalse)
 }
 
-func TestEndsAndAnswersExpire(t *testing.T) {
+func TestCrashesAndAnswersExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ledger := ledgerWithSuspect("accident")
 		time.Sleep(11 * time.Minute)
@@ -212,7 +212,7 @@
 
 	ledger.RecordCrash(crashUnder("bad", "d"))
 	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.SendAsTrial)
-	// A full read of the store does not have the crash of d yet.
+	// A snapshot of the store does not have the crash of d yet.
 	ledger.Reconcile(nil, nil)
 	qt.Assert(t, ledger.CrashedStarts(digestOf("bad")), qt.DeepEquals, []string{"d"})
 	qt.Assert(t, decide(ledger, "bad"), qt.Equals, quarantine.Send)
@@ -242,10 +242,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []func(*quarantine.Ledger)
 		for range rapid.IntRange(0, 12).Draw(t, "ends") {
-			end := crashUnder("x", rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "start"))
-			end.Trial = rapid.IntRange(0, 2).Draw(t, "trial")
+			crash := crashUnder("x", rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "start"))
+			crash.Trial = rapid.IntRange(0, 2).Draw(t, "trial")
 			updates = append(updates, func(ledger *quarantine.Ledger) {
-				ledger.ApplyCrash(end)
+				ledger.ApplyCrash(crash)
 			})
 		}
 		for number := range rapid.IntRange(0, 3).Draw(t, "trials") {
@@ -274,8 +274,8 @@
 
 // Guards against counting an earlier crash as the trial's result. Requests that had been in
 // flight beside two crashes were sent as trials to a server that had crashed already while its
-// entry still stood, and were held for minutes.
-func TestEndBeforeATrialDoesNotFailIt(t *testing.T) {
+// entry was still listed, and were held for minutes.
+func TestCrashBeforeATrialDoesNotFailIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ledger := ledgerWithSuspect("bad")
 		time.Sleep(time.Second)
--- a/core/quarantine/recent_digests.go
+++ b/core/quarantine/recent_digests.go
@@ -19,31 +19,31 @@
 }
 
 // add adds a digest.
-func (m *recentDigests) add(digest Digest, now time.Time) {
-	m.rotate(now)
-	m.current[digest] = struct{}{}
+func (r *recentDigests) add(digest Digest, now time.Time) {
+	r.rotate(now)
+	r.current[digest] = struct{}{}
 }
 
 // contains reports whether a digest was added lately.
-func (m *recentDigests) contains(digest Digest, now time.Time) bool {
-	m.rotate(now)
-	if _, ok := m.current[digest]; ok {
+func (r *recentDigests) contains(digest Digest, now time.Time) bool {
+	r.rotate(now)
+	if _, ok := r.current[digest]; ok {
 		return true
 	}
-	_, ok := m.previous[digest]
+	_, ok := r.previous[digest]
 	return ok
 }
 
 // rotate replaces the previous half by the current one if that is full or old.
-func (m *recentDigests) rotate(now time.Time) {
-	age := now.Sub(m.currentSince)
-	if m.current != nil && age < minAnswerRetention && len(m.current) < maxDigestsPerHalf {
+func (r *recentDigests) rotate(now time.Time) {
+	age := now.Sub(r.currentSince)
+	if r.current != nil && age < minAnswerRetention && len(r.current) < maxDigestsPerHalf {
 		return
 	}
-	m.previous = m.current
+	r.previous = r.current
 	if age >= 2*minAnswerRetention {
-		m.previous = nil
+		r.previous = nil
 	}
-	m.current = map[Digest]struct{}{}
-	m.currentSince = now
+	r.current = map[Digest]struct{}{}
+	r.currentSince = now
 }
