--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -60,10 +60,10 @@
 
 // Admit waits until the request may start, or until ctx ends. It returns the function that
 // releases the request's place, or the rejection.
-func (q *Queue) Admit(ctx context.Context, request Request) (release func(), refusal *outcome.Failure) {
-	w, refusal := q.enqueue(request)
-	if refusal != nil {
-		return nil, refusal
+func (q *Queue) Admit(ctx context.Context, request Request) (release func(), rejection *outcome.Failure) {
+	w, rejection := q.enqueue(request)
+	if rejection != nil {
+		return nil, rejection
 	}
 	select {
 	case <-w.granted:
@@ -150,7 +150,7 @@
 }
 
 // withdraw removes a request from its queue, unless it was granted in the meantime.
-func (q *Queue) withdraw(w *waiter) (release func(), refusal *outcome.Failure) {
+func (q *Queue) withdraw(w *waiter) (release func(), rejection *outcome.Failure) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	select {
@@ -187,8 +187,8 @@
 	})
 }
 
-// DispatchAll dispatches all queues again after an external change: a group is back, or a new
-// report shows capacity.
+// DispatchAll dispatches all queues again after an external change: a group serves again, or a
+// new report shows capacity.
 func (q *Queue) DispatchAll() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -47,13 +47,13 @@
 		order := make(chan string, 200)
 		enter := func(from declaration.Organisation, priority int) {
 			go func() {
-				_, refusal := queue.Admit(context.Background(), admission.Request{
+				_, rejection := queue.Admit(context.Background(), admission.Request{
 					Organisation: from,
 					Priority:     priority,
 					Daemons:      1,
 					TryPlace:     backend.try,
 				})
-				qt.Check(t, refusal == nil, qt.IsTrue)
+				qt.Check(t, rejection == nil, qt.IsTrue)
 				order <- from.Name
 			}()
 			synctest.Wait()
@@ -86,13 +86,13 @@
 		order := make(chan int, 3)
 		for _, priority := range []int{1, 9, 5} {
 			go func() {
-				_, refusal := queue.Admit(context.Background(), admission.Request{
+				_, rejection := queue.Admit(context.Background(), admission.Request{
 					Organisation: organisation("o", 1),
 					Priority:     priority,
 					Daemons:      1,
 					TryPlace:     backend.try,
 				})
-				qt.Check(t, refusal == nil, qt.IsTrue)
+				qt.Check(t, rejection == nil, qt.IsTrue)
 				order <- priority
 			}()
 			synctest.Wait()
@@ -109,17 +109,17 @@
 func admitReason(queue *admission.Queue, from declaration.Organisation, wait time.Duration) outcome.Reason {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	_, refusal := queue.Admit(ctx, admission.Request{
+	_, rejection := queue.Admit(ctx, admission.Request{
 		Organisation: from,
 		Daemons:      2,
 		TryPlace: func() bool {
 			return false
 		},
 	})
-	if refusal == nil {
+	if rejection == nil {
 		return outcome.ReasonNone
 	}
-	return refusal.Reason
+	return rejection.Reason
 }
 
 func TestRequestsBeyondLimitsAreRejected(t *testing.T) {
@@ -158,14 +158,14 @@
 			},
 		})
 	}
-	release, refusal := enter(time.Minute)
-	qt.Assert(t, refusal == nil, qt.IsTrue)
-	_, refusal = enter(time.Millisecond)
-	qt.Assert(t, refusal.Reason, qt.Equals, outcome.ReasonQueueDeadline)
+	release, rejection := enter(time.Minute)
+	qt.Assert(t, rejection == nil, qt.IsTrue)
+	_, rejection = enter(time.Millisecond)
+	qt.Assert(t, rejection.Reason, qt.Equals, outcome.ReasonQueueDeadline)
 	release()
 	release()
-	_, refusal = enter(time.Minute)
-	qt.Assert(t, refusal == nil, qt.IsTrue)
-	_, refusal = enter(time.Millisecond)
-	qt.Assert(t, refusal != nil, qt.IsTrue)
+	_, rejection = enter(time.Minute)
+	qt.Assert(t, rejection == nil, qt.IsTrue)
+	_, rejection = enter(time.Millisecond)
+	qt.Assert(t, rejection != nil, qt.IsTrue)
 }
