--- a/core/urgency/urgency.go
+++ b/core/urgency/urgency.go
@@ -5,9 +5,9 @@
 // longest-waiting first would make every answer late until the backlog is gone. A request that
 // is late already loses little by a longer wait.
 //
-// A client does not send when it first asked, only how long it will still wait. Clients of a
-// route start with the same timeout, so a client with a shorter remaining wait than others has
-// been waiting for the difference.
+// A request does not carry the time of its client's first attempt, only how long the client
+// will still wait. Clients of a route start with the same timeout, so a client with a shorter
+// remaining wait than others has been waiting for the difference.
 //
 // If not all requests can be in time although none has waited before, a random fraction of them
 // yields so that the others are in time. YieldController decides how large that fraction is.
@@ -36,15 +36,15 @@
 
 // TimeWaited records how long a client of a route will still wait, and returns how long it has been
 // waiting.
-func (p *WaitEstimator) TimeWaited(route string, wait time.Duration) time.Duration {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	_, isKnown := p.longestWaits[route]
-	if p.longestWaits == nil || (!isKnown && len(p.longestWaits) >= maxRoutes) {
-		p.longestWaits = map[string]time.Duration{}
+func (e *WaitEstimator) TimeWaited(route string, wait time.Duration) time.Duration {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	_, isKnown := e.longestWaits[route]
+	if e.longestWaits == nil || (!isKnown && len(e.longestWaits) >= maxRoutes) {
+		e.longestWaits = map[string]time.Duration{}
 	}
-	longestWait := max(wait, p.longestWaits[route])
-	p.longestWaits[route] = longestWait
+	longestWait := max(wait, e.longestWaits[route])
+	e.longestWaits[route] = longestWait
 	return longestWait - wait
 }
 
--- a/core/urgency/yield.go
+++ b/core/urgency/yield.go
@@ -26,23 +26,23 @@
 }
 
 // Record records whether a request that did not yield was in time.
-func (o *YieldController) Record(kind string, inTime bool) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	_, isKnown := o.yieldFractions[kind]
-	if o.yieldFractions == nil || (!isKnown && len(o.yieldFractions) >= maxKinds) {
-		o.yieldFractions = map[string]float64{}
+func (c *YieldController) Record(kind string, inTime bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	_, isKnown := c.yieldFractions[kind]
+	if c.yieldFractions == nil || (!isKnown && len(c.yieldFractions) >= maxKinds) {
+		c.yieldFractions = map[string]float64{}
 	}
 	if inTime {
-		o.yieldFractions[kind] = max(0, o.yieldFractions[kind]-inTimeDecrement)
+		c.yieldFractions[kind] = max(0, c.yieldFractions[kind]-inTimeDecrement)
 		return
 	}
-	o.yieldFractions[kind] = min(maxYieldFraction, o.yieldFractions[kind]+lateIncrement)
+	c.yieldFractions[kind] = min(maxYieldFraction, c.yieldFractions[kind]+lateIncrement)
 }
 
 // YieldFraction returns the fraction of the requests of a kind that should yield.
-func (o *YieldController) YieldFraction(kind string) float64 {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.yieldFractions[kind]
+func (c *YieldController) YieldFraction(kind string) float64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.yieldFractions[kind]
 }
