--- a/core/directive/directive.go
+++ b/core/directive/directive.go
@@ -1,5 +1,5 @@
-// Package directive keeps what backend servers asked of this daemon: to pause requests for some
-// time, or to send none any more because the server drains.
+// Package directive records the directives in the answers of backend servers: to pause
+// requests for some time, or to send none any more because the server is draining.
 //
 // A directive is binding until its time is over, whatever the daemon observes in the meantime.
 // What a daemon infers from failures and silence is only a preference, and is kept in package
@@ -21,17 +21,17 @@
 // in which servers end, and outages of the store, after which server entries come back.
 const DrainRetention = 10 * time.Minute
 
-// Directive is what one answer of a server asks about further requests. The zero value asks
-// nothing.
+// Directive is the directive about further requests in one answer of a server. The zero value
+// is none.
 type Directive struct {
-	// Pause is how long the server wants no request; 0 if it did not say.
+	// Pause is how long the server is to get no requests; 0 if the answer has no pause.
 	Pause time.Duration
 	// IsDraining reports that the server drains: it finishes its requests in flight and then
 	// ends.
 	IsDraining bool
 }
 
-// IsSet reports whether the directive asks anything.
+// IsSet reports whether the directive has a pause or a drain.
 func (d Directive) IsSet() bool {
 	return d.Pause > 0 || d.IsDraining
 }
@@ -58,14 +58,14 @@
 // Record records a directive that has just arrived and returns what is new in it: a pause of a
 // start that was not paused, and the first directive to drain. Of several pauses the one that
 // ends last applies, since each answer covers its own time. A drain never ends.
-func (b *Registry) Record(start string, directive Directive) Directive {
+func (r *Registry) Record(start string, directive Directive) Directive {
 	if !directive.IsSet() {
 		return Directive{}
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
-	e := b.entries[start]
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	now := r.Clock.Now()
+	e := r.entries[start]
 	changes := directive
 	if now.Before(e.pausedUntil) {
 		changes.Pause = 0
@@ -78,69 +78,69 @@
 		e.isDraining = true
 		e.lastKnown = now
 	}
-	if b.entries == nil {
-		b.entries = map[string]entry{}
+	if r.entries == nil {
+		r.entries = map[string]entry{}
 	}
-	b.entries[start] = e
+	r.entries[start] = e
 	return changes
 }
 
 // IsExcluded reports whether no request may be sent to the start now.
-func (b *Registry) IsExcluded(start string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	e := b.entries[start]
-	return e.isDraining || b.Clock.Until(e.pausedUntil) > 0
+func (r *Registry) IsExcluded(start string) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	e := r.entries[start]
+	return e.isDraining || r.Clock.Until(e.pausedUntil) > 0
 }
 
-// RemainingPause returns the remaining pause of a start. It is 0 if the start is not paused, or if
-// it drains and will never want a request again.
-func (b *Registry) RemainingPause(start string) time.Duration {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	e := b.entries[start]
+// RemainingPause returns the remaining pause of a start. It is 0 if the start is not paused,
+// or if it drains, since a drain has no end.
+func (r *Registry) RemainingPause(start string) time.Duration {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	e := r.entries[start]
 	if e.isDraining {
 		return 0
 	}
-	return max(0, b.Clock.Until(e.pausedUntil))
+	return max(0, r.Clock.Until(e.pausedUntil))
 }
 
 // IsEmpty reports whether there are no directives. This is the usual case, and spares callers a
 // look-up of each server.
-func (b *Registry) IsEmpty() bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return len(b.entries) == 0
+func (r *Registry) IsEmpty() bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return len(r.entries) == 0
 }
 
-// CarryPause carries a pause over to the next start of a server under the same ID. The server's
-// new entry arrives later than the start, so the next start may have asked for the pause
-// already. A drain is not carried over: it would exclude the next start for good.
-func (b *Registry) CarryPause(previous, next string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	until := b.entries[previous].pausedUntil
-	e := b.entries[next]
-	if !until.After(b.Clock.Now()) || !until.After(e.pausedUntil) {
+// CarryPause carries a pause over to the next start of a server under the same ID. The
+// server's new entry arrives later than the start, so the next start may have requested the
+// pause already. A drain is not carried over: it would exclude the next start for good.
+func (r *Registry) CarryPause(previous, next string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	until := r.entries[previous].pausedUntil
+	e := r.entries[next]
+	if !until.After(r.Clock.Now()) || !until.After(e.pausedUntil) {
 		return
 	}
 	e.pausedUntil = until
-	b.entries[next] = e
+	r.entries[next] = e
 }
 
-// Sweep discards expired pauses, and drains of starts that isKnown has not known for
-// DrainRetention.
-func (b *Registry) Sweep(isKnown func(start string) bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	now := b.Clock.Now()
-	for start, e := range b.entries {
+// Sweep discards expired pauses, and drains of starts for which isKnown has not returned true
+// for DrainRetention.
+func (r *Registry) Sweep(isKnown func(start string) bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	now := r.Clock.Now()
+	for start, e := range r.entries {
 		switch {
 		case !e.isDraining && !now.Before(e.pausedUntil), e.isDraining && now.Sub(e.lastKnown) >= DrainRetention && !isKnown(start):
-			delete(b.entries, start)
+			delete(r.entries, start)
 		case e.isDraining && isKnown(start):
 			e.lastKnown = now
-			b.entries[start] = e
+			r.entries[start] = e
 		}
 	}
 }
--- a/core/directive/directive_test.go
+++ b/core/directive/directive_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// knowsNone is a lookup that knows no start.
-func knowsNone(string) bool { return false }
+// neverKnown reports every start as unknown.
+func neverKnown(string) bool { return false }
 
 // A drain has no end. The entry of a draining server may disappear and come back, for instance
 // in an outage of the store, while the server still works.
@@ -93,11 +93,11 @@
 		// A pause expires, but does not end a drain.
 		registry.Record("i-1@7", pause(time.Second))
 		time.Sleep(2 * time.Second)
-		registry.Sweep(knowsNone)
+		registry.Sweep(neverKnown)
 		qt.Assert(t, registry.IsExcluded("i-1@7"), qt.IsTrue)
 		qt.Assert(t, registry.RemainingPause("i-1@7"), qt.Equals, time.Duration(0))
 		time.Sleep(directive.DrainRetention)
-		registry.Sweep(knowsNone)
+		registry.Sweep(neverKnown)
 		qt.Assert(t, registry.IsEmpty(), qt.IsTrue)
 	})
 }
@@ -108,14 +108,14 @@
 		registry.Record("i-1", pause(time.Second))
 		registry.Record("i-2", pause(3*time.Second))
 		time.Sleep(2 * time.Second)
-		registry.Sweep(knowsNone)
+		registry.Sweep(neverKnown)
 		qt.Assert(t, registry.RemainingPause("i-2"), qt.Equals, time.Second)
 		qt.Assert(t, registry.Record("i-2", pause(time.Second)).IsSet(), qt.IsFalse)
 		qt.Assert(t, registry.Record("i-1", pause(time.Second)).IsSet(), qt.IsTrue)
 	})
 }
 
-// A server restarted under its ID and asked for a pause before its new entry was read, so the
+// A server restarted under its ID and requested a pause before its new entry was read, so the
 // pause was recorded for the previous start. A drain of that start no longer applies.
 func TestPauseCarriesOverToTheNextStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
