--- a/core/locality/locality_test.go
+++ b/core/locality/locality_test.go
@@ -82,7 +82,7 @@
 			zones[i] = locality.Zone{
 				Name:     string(rune('a' + i)),
 				Capacity: float64(rapid.IntRange(1, 300).Draw(t, "room")),
-				Demand:   float64(rapid.IntRange(1, 300).Draw(t, "asked")),
+				Demand:   float64(rapid.IntRange(1, 300).Draw(t, "demand")),
 			}
 		}
 		load := map[string]float64{}
