--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -39,12 +39,12 @@
 // Size returns the size of the daemon's subset for the given number of servers and their total
 // capacity in requests in flight. It is the number of requests that the daemon itself has in
 // flight while all servers are full. A daemon among few uses all servers.
-func (d Position) Size(servers, capacity int) int {
-	if d.Total <= 0 {
+func (p Position) Size(servers, capacity int) int {
+	if p.Total <= 0 {
 		return servers
 	}
 	const half = 2
-	size := max(minSize, int(math.Ceil(float64(capacity)/float64(d.Total))))
+	size := max(minSize, int(math.Ceil(float64(capacity)/float64(p.Total))))
 	if half*size > servers {
 		return servers
 	}
@@ -52,12 +52,12 @@
 }
 
 // Choose returns the IDs of the daemon's subset.
-func (d Position) Choose(ids []string, capacity int) []string {
-	size := d.Size(len(ids), capacity)
+func (p Position) Choose(ids []string, capacity int) []string {
+	size := p.Size(len(ids), capacity)
 	if size >= len(ids) {
 		return ids
 	}
-	first := d.Rank * size
+	first := p.Rank * size
 	roundNumber, offset := first/len(ids), first%len(ids)
 	remaining := roundOrder(ids, roundNumber, size)[offset:]
 	if len(remaining) >= size {
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -67,7 +67,7 @@
 	qt.Assert(t, chosen, qt.HasLen, 5)
 }
 
-// All daemons compute the same rounds, in whichever order they know the servers.
+// All daemons compute the same rounds, in whichever order they list the servers.
 func TestSubsetDoesNotDependOnServerOrder(t *testing.T) {
 	servers := serverIDs(40)
 	reversed := slices.Clone(servers)
