--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,8 +1,8 @@
 // Package usage estimates the mean size of the requests of each model.
 //
 // The engine time of a request depends on its prompt and answer tokens. Both differ between
-// models and change with what callers ask. The operator's configuration has one mean for all
-// models; the requests that a daemon has observed give a better one.
+// models and change with the callers' requests. The operator's configuration has one mean for
+// all models; the requests that a daemon has observed give a better one.
 package usage
 
 import "sync"
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -51,8 +51,8 @@
 }
 
 // Guards against a first request that sets the mean. A daemon among 295 gets a request for the
-// larger model every two seconds. The first one to end, mostly a short one, stood for all of
-// them through the day, and the estimate halved the groups that the model needed.
+// larger model every two seconds. The first one to end, usually a short one, determined the
+// mean through the day, and the estimate halved the groups that the model needed.
 func TestFirstRequestDoesNotSetTheMean(t *testing.T) {
 	var sizes usage.SizeEstimator
 	fallback := usage.Size{
