--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -42,8 +42,8 @@
 	startedAt  time.Time
 }
 
-// Play runs the demo of a deployment and writes its report to out. It returns ErrGuaranteeViolated
-// if a guarantee was violated.
+// Play runs the demo of a deployment and writes its report to out. It returns
+// ErrGuaranteeViolated if a guarantee was violated.
 func Play(ctx context.Context, name string, settings Settings, out io.Writer) error {
 	deployment, err := examples.Load(name)
 	if err != nil {
@@ -72,27 +72,27 @@
 
 // Settings of the stand-ins.
 const (
-	listLag     = time.Second
-	slots       = 32
-	loadTime    = 1500 * time.Millisecond
-	firstToken  = 60 * time.Millisecond
-	eachToken   = 15 * time.Millisecond
-	serviceTime = 5 * time.Millisecond
-	loadRate    = 20
-	loadBurst   = 40
+	vmListDelay     = time.Second
+	slots           = 32
+	loadTime        = 1500 * time.Millisecond
+	firstTokenDelay = 60 * time.Millisecond
+	tokenInterval   = 15 * time.Millisecond
+	serviceTime     = 5 * time.Millisecond
+	loadsPerSecond  = 20
+	loadBurst       = 40
 )
 
 // start starts the stand-ins and the daemons.
 func (s *session) start() error {
 	started, err := platform.Start(platform.Settings{
 		VMs:             s.deployment.VMs(),
-		VMListDelay:     listLag,
+		VMListDelay:     vmListDelay,
 		Slots:           slots,
 		LoadTime:        loadTime,
-		FirstTokenDelay: firstToken,
-		TokenInterval:   eachToken,
+		FirstTokenDelay: firstTokenDelay,
+		TokenInterval:   tokenInterval,
 		ServiceTime:     serviceTime,
-		LoadsPerSecond:  loadRate,
+		LoadsPerSecond:  loadsPerSecond,
 		LoadBurst:       loadBurst,
 	})
 	if err != nil {
--- a/lab/demo/scenario.go
+++ b/lab/demo/scenario.go
@@ -65,7 +65,7 @@
 	s.killDaemon()
 	time.Sleep(faultInterval)
 	s.replaceDaemon()
-	s.takeStoreDown()
+	s.interruptStore()
 	return s.waitForServing(s.declaredGroupCount(), 60*time.Second)
 }
 
@@ -104,10 +104,10 @@
 // replaceDaemon stops one daemon gracefully and starts another.
 func (s *session) replaceDaemon() {
 	last := len(s.nodes) - 1
-	leaving := s.nodes[last]
+	stopping := s.nodes[last]
 	s.nodes = s.nodes[:last]
-	s.printf("stop: daemon %s, as planned", leaving.Daemon().ID())
-	if err := leaving.Stop(); err != nil {
+	s.printf("stop: daemon %s, as planned", stopping.Daemon().ID())
+	if err := stopping.Stop(); err != nil {
 		s.printf("    %s", err)
 	}
 	zone := s.deployment.Declaration.Zones[0].Name
@@ -121,11 +121,11 @@
 }
 
 // outageDuration is how long the table service is down. It is longer than a lease and longer
-// than the time after which a daemon without contact stops.
+// than the time after which a daemon without contact stops serving.
 const outageDuration = 14 * time.Second
 
-// takeStoreDown makes the table service unavailable for outageDuration.
-func (s *session) takeStoreDown() {
+// interruptStore makes the table service unavailable for outageDuration.
+func (s *session) interruptStore() {
 	s.printf("table service down for %s", outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{
 		DropRequests: true,
@@ -139,7 +139,7 @@
 // ----------------------------------------------------------------------------
 // Report
 
-// measures are group downtime and stranded accelerators, summed over the load.
+// measures holds group downtime and stranded accelerators, summed over the load.
 type measures struct {
 	groupDowntimeSeconds       float64
 	strandedAcceleratorSeconds float64
