--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -32,8 +32,8 @@
 	Slots        int
 	// LoadTime is the duration of a load after the weights are fetched.
 	LoadTime time.Duration
-	// FirstTokenDelay is the delay of the first token, and TokenInterval the interval between later
-	// tokens.
+	// FirstTokenDelay is the delay of the first token, and TokenInterval the interval between
+	// later tokens.
 	FirstTokenDelay time.Duration
 	TokenInterval   time.Duration
 	Weights         *weightstore.Store
--- a/lab/engine/run.go
+++ b/lab/engine/run.go
@@ -38,8 +38,8 @@
 // defaultTokens is the number of tokens of an answer if the request does not set max_tokens.
 const defaultTokens = 16
 
-// AnswerTokens returns the tokens of the answer to a request. They depend only on the messages and
-// the maximum number of tokens.
+// AnswerTokens returns the tokens of the answer to a request. They depend only on the messages
+// and the maximum number of tokens.
 func AnswerTokens(request Completion) []string {
 	hash := xxhash.New()
 	for _, message := range request.Messages {
@@ -191,6 +191,7 @@
 	time.Sleep(e.settings.FirstTokenDelay)
 	for active.generateToken() {
 		e.faults.WaitWhilePaused()
+		// A slow engine delays each token by a tenth of the delay of a request.
 		slowdown := time.Duration(e.faults.Get().SlowMS) * time.Millisecond
 		time.Sleep(e.settings.TokenInterval + slowdown/10)
 	}
