--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -4,7 +4,8 @@
 // example {"slow_ms":400} or {"lose_answers":true}, or by the process that embeds the
 // stand-in. "down" answers 503 before the request is processed. "dark" closes the connection
 // before the request is processed. "lose_answers" processes the request and then closes the
-// connection, so that the caller can't tell whether it was processed.
+// connection, so that the caller can't tell whether it was processed. "slow_ms" delays each
+// request by that many milliseconds, and "paused" holds requests back until it is cleared.
 package fault
 
 import (
