--- a/lab/fleet/daemon.go
+++ b/lab/fleet/daemon.go
@@ -144,8 +144,8 @@
 	daemon.Controller.ApplyReports(past.reports, past.evidence)
 }
 
-// StartRequest starts a caller's request at a group that a daemon would route to, if the group's
-// first member accepts it.
+// StartRequest starts a caller's request at a group that a daemon would route to, if the
+// group's first member accepts it.
 func (f *Fleet) StartRequest(daemon *SimulatedDaemon, index int, duration time.Duration) {
 	snapshot := daemon.Controller.Snapshot()
 	groups := snapshot.ServingGroups("m", time.Now())
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet simulates a fleet of daemons in one goroutine. It runs the real controllers of
 // package control against an in-memory table and fake backend servers; only I/O is simulated.
-// Stateful tests inject failures and check Violations, to which the oracle appends violations.
-// Package measures uses the simulation as well. It must run on the paused clock of
+// Stateful tests inject failures and check Violations, which the oracle fills. Package
+// measures uses the simulation as well. The simulation must run on the paused clock of
 // testing/synctest.
 package fleet
 
@@ -31,7 +31,7 @@
 	maxOrderDelay   = 2 * time.Second
 )
 
-// StoreFault is the fault that one daemon sees when it accesses the store.
+// StoreFault is the fault that one daemon encounters when it accesses the store.
 type StoreFault int
 
 const (
@@ -42,8 +42,8 @@
 	// StoreLosesAnswers means that the store executes a commit but the daemon receives no
 	// answer.
 	StoreLosesAnswers
-	// StoreDelaysCommits means that the store executes a commit late, and that the daemon receives
-	// no answer.
+	// StoreDelaysCommits means that the store executes a commit late, and that the daemon
+	// receives no answer.
 	StoreDelaysCommits
 )
 
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -16,11 +16,11 @@
 
 // Apply commits a declaration in the way the operator API does.
 func (f *Fleet) Apply(daemon *SimulatedDaemon, declared declaration.Declaration) error {
-	world := daemon.Controller.FleetState()
+	state := daemon.Controller.FleetState()
 	change := table.Transaction{}
-	change = change.WithCondition(plan.ConfigKey, world.Catalog.Row(plan.ConfigKey).Version)
+	change = change.WithCondition(plan.ConfigKey, state.Catalog.Row(plan.ConfigKey).Version)
 	change = change.WithWrite(table.Put(plan.ConfigKey, plan.Configuration{
-		Revision:    world.Configuration.Revision + 1,
+		Revision:    state.Configuration.Revision + 1,
 		Declaration: declared,
 	}))
 	_, err := f.store.Commit(context.Background(), change)
@@ -64,8 +64,8 @@
 	return found, row.Decode(&found)
 }
 
-// OverwritePlan overwrites a stored plan unconditionally, which no operator can do. The baselines
-// of package measures are built with it.
+// OverwritePlan overwrites a stored plan unconditionally, which no operator can do. The
+// baselines of package measures are built with it.
 func (f *Fleet) OverwritePlan(id string, rewrite func(plan.Plan) plan.Plan) error {
 	found, err := f.Plan(id)
 	if err != nil {
--- a/lab/fleet/oracle.go
+++ b/lab/fleet/oracle.go
@@ -45,13 +45,13 @@
 // match the members, that a daemon changes groups and plans only while it holds a lease, and
 // that no two active plans change one group, zone or VM.
 func (f *Fleet) checkCommit(transaction table.Transaction, rows map[string]table.Row) {
-	owner := map[string]string{}
+	groupOfVM := map[string]string{}
 	for _, record := range groupsIn(rows) {
 		for _, member := range record.Members {
-			if other, ok := owner[member.VM]; ok {
+			if other, ok := groupOfVM[member.VM]; ok {
 				f.recordViolation("VM %s is a member of both %s and %s", member.VM, other, record.Name)
 			}
-			owner[member.VM] = record.Name
+			groupOfVM[member.VM] = record.Name
 			var claim vm.Claim
 			row := rows[vm.Key(member.VM)]
 			if row.Version == 0 || row.Decode(&claim) != nil || claim.Group != record.Name {
@@ -160,8 +160,9 @@
 	f.recordViolation("order %s %s generation %d aborts %d requests of %s at %s", o.Action, o.Group, o.Generation, len(target.RequestEnds), target.State.Group, target.VM.ID)
 }
 
-// checkConfiguration checks that no daemon reverts to an older configuration. It also checks that
-// no daemon serves without a configuration that was accepted more than contact.MaxContactAge ago.
+// checkConfiguration checks that no daemon reverts to an older configuration. It also checks
+// that no daemon still serves with an older configuration more than contact.MaxContactAge
+// after a newer one was accepted.
 func (f *Fleet) checkConfiguration(now time.Time) {
 	for _, daemon := range f.Daemons {
 		if daemon.Paused {
@@ -204,16 +205,16 @@
 	return fewest
 }
 
-// CheckSettled returns an error if a plan, group, zone or claim has not settled, and names one of
-// them.
+// CheckSettled returns an error if a plan, group, zone or claim has not settled, and names one
+// of them.
 func (f *Fleet) CheckSettled() error {
-	world := f.Daemons[0].Controller.FleetState()
-	for _, current := range world.Plans {
+	state := f.Daemons[0].Controller.FleetState()
+	for _, current := range state.Plans {
 		if current.State != plan.Proposed && !current.State.IsFinal() {
-			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", current.ID, current.Intent, current.State, current.Stage, current.StageSteps(current.Stage), world.Groups, world.Claims)
+			return errors.Errorf("plan %s %s is %s at stage %d: %v; groups %+v; claims %v", current.ID, current.Intent, current.State, current.Stage, current.StageSteps(current.Stage), state.Groups, state.Claims)
 		}
 	}
-	for _, record := range world.Groups {
+	for _, record := range state.Groups {
 		if record.Phase != group.Serving && record.Phase != group.Waiting {
 			return errors.Errorf("group %s is %s (plan %q)", record.Name, record.Phase, record.Plan)
 		}
@@ -221,14 +222,14 @@
 			return errors.Errorf("group %s is still marked by plan %s", record.Name, record.Plan)
 		}
 	}
-	if len(world.ZonePlans) > 0 {
-		return errors.Errorf("zones are still marked by plans: %v", world.ZonePlans)
+	if len(state.ZonePlans) > 0 {
+		return errors.Errorf("zones are still marked by plans: %v", state.ZonePlans)
 	}
-	for id, claim := range world.Claims {
+	for id, claim := range state.Claims {
 		if claim.Plan != "" {
 			return errors.Errorf("VM %s is still reserved by plan %s", id, claim.Plan)
 		}
-		if record, ok := world.Group(claim.Group); claim.Group != "" && (!ok || !record.HasMember(id)) {
+		if record, ok := state.Group(claim.Group); claim.Group != "" && (!ok || !record.HasMember(id)) {
 			return errors.Errorf("VM %s is claimed by %s, which does not list it as a member", id, claim.Group)
 		}
 	}
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -24,7 +24,7 @@
 	lastLoadedAt map[string]time.Time
 	// RequestEnds holds the end times of the requests in flight.
 	RequestEnds []time.Time
-	// lastFaultAt is the last time the server was dead or paused.
+	// lastFaultAt is the last time the server was crashed or paused.
 	lastFaultAt time.Time
 	// members are the members of the group in the last applied load order.
 	members []string
