--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -31,16 +31,16 @@
 	Duration time.Duration
 	Seed     uint64
 	Model    string
-	// ServicePrefix is the path prefix of the plain service, and NonRepeatablePath the path of its
-	// endpoint that must not be repeated.
+	// ServicePrefix is the path prefix of the plain service, and NonRepeatablePath the path of
+	// its endpoint that must not be repeated.
 	ServicePrefix     string
 	NonRepeatablePath string
 	// APIKeys are the organisations' API keys. Deadline is sent with each request.
 	APIKeys  []string
 	Tokens   int
 	Deadline time.Duration
-	// PlainReadShare is the share of plain reads, and NonRepeatableShare the share of requests that
-	// must not be repeated. All other requests are streamed completions.
+	// PlainReadShare is the share of plain reads, and NonRepeatableShare the share of requests
+	// that must not be repeated. All other requests are streamed completions.
 	PlainReadShare     float64
 	NonRepeatableShare float64
 }
