--- a/lab/measures/measures.go
+++ b/lab/measures/measures.go
@@ -2,8 +2,8 @@
 // decision code, and sums up two measures: group downtime and stranded accelerators.
 //
 // The runs use a paused clock, so that simulated hours take seconds. Each run has its own
-// simulated fleet of package fleet. All policies with the same seed meet the same failures at
-// the same times.
+// simulated fleet of package fleet. Runs with the same seed have the same failures at the same
+// times, whatever their policy.
 package measures
 
 import (
