--- a/lab/plainservice/plainservice.go
+++ b/lab/plainservice/plainservice.go
@@ -1,5 +1,5 @@
 // Package plainservice is the stand-in for a plain application service on one VM. It answers
-// any path with JSON, and keeps a ledger of the requests that it ran, so that duplicate
+// any path with JSON and records each request that it ran in a ledger, so that duplicate
 // executions can be found.
 package plainservice
 
@@ -66,8 +66,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	copied := make(map[string]int, len(s.ledger))
-	for id, count := range s.ledger {
-		copied[id] = count
+	for key, count := range s.ledger {
+		copied[key] = count
 	}
 	return copied
 }
