--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -174,12 +174,12 @@
 	return runs
 }
 
-// ServiceRuns returns how often the plain services ran each request, by request ID.
+// ServiceRuns returns how often the plain services ran each request, by method, path and body.
 func (p *Platform) ServiceRuns() map[string]int {
 	runs := map[string]int{}
 	for _, running := range p.Services {
-		for id, count := range running.Ledger() {
-			runs[id] += count
+		for key, count := range running.Ledger() {
+			runs[key] += count
 		}
 	}
 	return runs
