--- a/lab/proxy/proxy.go
+++ b/lab/proxy/proxy.go
@@ -14,9 +14,9 @@
 // Fault is the fault that a proxy injects into its connections.
 type Fault int
 
-// Blackhole drops the bytes of both directions and keeps connections open. DropToTarget drops
-// the bytes to the server, DropFromTarget those from it. Reset resets all connections, also
-// new ones. Delay holds bytes back for addedDelay.
+// Faults of a proxy. Delay holds bytes back for addedDelay. Blackhole drops the bytes of both
+// directions and keeps connections open. DropToTarget drops the bytes to the server,
+// DropFromTarget those from it. Reset resets all connections, also new ones.
 const (
 	NoFault Fault = iota
 	Delay
