--- a/lab/relaybench/relaybench.go
+++ b/lab/relaybench/relaybench.go
@@ -51,8 +51,8 @@
 	// engine.
 	CPUSeconds     float64
 	ElapsedSeconds float64
-	// FirstEvent is the time to the first event and EventGap the time between two events, both in
-	// microseconds.
+	// FirstEvent is the time to the first event and EventGap the time between two events, both
+	// in microseconds.
 	FirstEvent *hdrhistogram.Histogram
 	EventGap   *hdrhistogram.Histogram
 }
@@ -198,26 +198,26 @@
 		address:  address,
 		headers:  headers,
 		client:   &http1.Client{},
-		figures: Measurement{
+		measurement: Measurement{
 			FirstEvent: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 			EventGap:   hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 		},
 	}
 	cpuBefore, startedAt := usage.CPUSeconds(), time.Now()
 	s.send()
-	s.figures.CPUSeconds = usage.CPUSeconds() - cpuBefore
-	s.figures.ElapsedSeconds = time.Since(startedAt).Seconds()
-	return s.figures
+	s.measurement.CPUSeconds = usage.CPUSeconds() - cpuBefore
+	s.measurement.ElapsedSeconds = time.Since(startedAt).Seconds()
+	return s.measurement
 }
 
 // sender sends the load of one path.
 type sender struct {
-	settings Settings
-	address  string
-	headers  [][2]string
-	client   *http1.Client
-	mutex    sync.Mutex
-	figures  Measurement
+	settings    Settings
+	address     string
+	headers     [][2]string
+	client      *http1.Client
+	mutex       sync.Mutex
+	measurement Measurement
 }
 
 // send begins streams at times drawn from the seed and waits until all of them end.
@@ -288,14 +288,14 @@
 func (s *sender) recordStream(isComplete bool, first time.Duration, gaps []time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.figures.Streams++
+	s.measurement.Streams++
 	if !isComplete {
-		s.figures.IncompleteStreams++
+		s.measurement.IncompleteStreams++
 		return
 	}
-	s.figures.Events += 1 + len(gaps)
-	_ = s.figures.FirstEvent.RecordValue(max(1, first.Microseconds()))
+	s.measurement.Events += 1 + len(gaps)
+	_ = s.measurement.FirstEvent.RecordValue(max(1, first.Microseconds()))
 	for _, gap := range gaps {
-		_ = s.figures.EventGap.RecordValue(max(1, gap.Microseconds()))
+		_ = s.measurement.EventGap.RecordValue(max(1, gap.Microseconds()))
 	}
 }
