--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -35,8 +35,8 @@
 	Measure time.Duration
 }
 
-// Measurement holds the measured values. They are for one daemon and one second, except where a
-// field says otherwise.
+// Measurement holds the measured values. They are for one daemon and one second, unless the
+// comment of a field states otherwise.
 type Measurement struct {
 	Daemons int
 	Groups  int
@@ -44,40 +44,40 @@
 	// CPUCores is the seconds of processor time, MemoryBytes the bytes of heap and stacks.
 	CPUCores    float64
 	MemoryBytes float64
-	// PeerBytesPerSecond is the number of bytes read and written between daemons. ReadsPerSecond
-	// and CommitsPerSecond are operations of the store by all daemons together.
+	// PeerBytesPerSecond is the number of bytes read and written between daemons.
+	// ReadsPerSecond and CommitsPerSecond are operations of the store by all daemons together.
 	PeerBytesPerSecond float64
 	ReadsPerSecond     float64
 	CommitsPerSecond   float64
-	// PropagationSeconds is the time in seconds from a change in the table until every daemon has
-	// applied it.
+	// PropagationSeconds is the time in seconds from a change in the table until every daemon
+	// has applied it.
 	PropagationSeconds float64
 }
 
 // Measure starts daemons and measures them while they are idle.
 func Measure(settings Settings) (Measurement, error) {
-	figures := Measurement{
+	measurement := Measurement{
 		Daemons: settings.Daemons,
 	}
 	before := usage.MemoryBytes()
 	daemons, err := startDaemons(settings)
 	defer stopDaemons(daemons)
 	if err != nil {
-		return figures, err
+		return measurement, err
 	}
 	if err = formGroups(settings, daemons); err != nil {
-		return figures, err
+		return measurement, err
 	}
 	time.Sleep(settings.Settle)
-	figures.MemoryBytes = (usage.MemoryBytes() - before) / float64(settings.Daemons)
-	if err = settings.measureIdle(daemons, &figures); err != nil {
-		return figures, err
+	measurement.MemoryBytes = (usage.MemoryBytes() - before) / float64(settings.Daemons)
+	if err = settings.measureIdle(daemons, &measurement); err != nil {
+		return measurement, err
 	}
-	figures.PropagationSeconds, err = measurePropagation(settings, daemons)
-	world := daemons[0].FleetState()
-	figures.Groups = len(world.Groups)
-	figures.VMs = len(world.VMs)
-	return figures, err
+	measurement.PropagationSeconds, err = measurePropagation(settings, daemons)
+	state := daemons[0].FleetState()
+	measurement.Groups = len(state.Groups)
+	measurement.VMs = len(state.VMs)
+	return measurement, err
 }
 
 // startDaemons starts daemons without listeners for callers and operators.
@@ -118,8 +118,8 @@
 // every daemon.
 const stateTimeout = 3 * time.Minute
 
-// formGroups declares the deployment and waits until the last daemon sees all its groups as
-// serving.
+// formGroups declares the deployment and waits until all its groups are serving in the state
+// of the last daemon.
 func formGroups(settings Settings, daemons []*daemon.Daemon) error {
 	ctx, cancel := storeContext()
 	defer cancel()
@@ -131,20 +131,20 @@
 	for _, count := range settings.Deployment.Declaration.Models[0].Replicas {
 		declaredGroups += count
 	}
-	world, err := waitForWorld(daemons[0], func(world plan.FleetState) bool {
-		return world.Configuration.Revision > 0 && len(world.VMs) > 0
+	state, err := waitForFleetState(daemons[0], func(state plan.FleetState) bool {
+		return state.Configuration.Revision > 0 && len(state.VMs) > 0
 	})
 	if err != nil {
 		return err
 	}
-	if len(world.Groups) < declaredGroups {
+	if len(state.Groups) < declaredGroups {
 		proposed, buildErr := plan.Build(fmt.Sprintf("slopes-%d", time.Now().UnixNano()), "slopes", plan.Intent{
 			Kind: plan.Reconcile,
-		}, world)
+		}, state)
 		if buildErr != nil {
 			return buildErr
 		}
-		confirm, confirmErr := plan.Confirm(proposed, world)
+		confirm, confirmErr := plan.Confirm(proposed, state)
 		if confirmErr != nil {
 			return confirmErr
 		}
@@ -152,9 +152,9 @@
 			return errors.Wrap(err, "confirm plan")
 		}
 	}
-	_, err = waitForWorld(daemons[len(daemons)-1], func(world plan.FleetState) bool {
+	_, err = waitForFleetState(daemons[len(daemons)-1], func(state plan.FleetState) bool {
 		serving := 0
-		for _, record := range world.Groups {
+		for _, record := range state.Groups {
 			if record.Phase == group.Serving {
 				serving++
 			}
@@ -188,12 +188,12 @@
 	return errors.Wrap(err, "declare")
 }
 
-// waitForWorld waits until a daemon's view of the fleet meets a condition.
-func waitForWorld(target *daemon.Daemon, isReached func(plan.FleetState) bool) (plan.FleetState, error) {
+// waitForFleetState waits until a daemon's view of the fleet meets a condition.
+func waitForFleetState(target *daemon.Daemon, isReached func(plan.FleetState) bool) (plan.FleetState, error) {
 	deadline := time.Now().Add(stateTimeout)
 	for time.Now().Before(deadline) {
-		if world := target.FleetState(); isReached(world) {
-			return world, nil
+		if state := target.FleetState(); isReached(state) {
+			return state, nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -201,7 +201,7 @@
 }
 
 // measureIdle measures the daemons while nothing changes.
-func (s Settings) measureIdle(daemons []*daemon.Daemon, figures *Measurement) error {
+func (s Settings) measureIdle(daemons []*daemon.Daemon, measurement *Measurement) error {
 	countsBefore, err := readCounts(s.Table)
 	if err != nil {
 		return err
@@ -209,11 +209,11 @@
 	cpuBefore, peerBefore, startedAt := usage.CPUSeconds(), peerBytes(daemons), time.Now()
 	time.Sleep(s.Measure)
 	elapsed := time.Since(startedAt).Seconds()
-	figures.CPUCores = (usage.CPUSeconds() - cpuBefore) / elapsed / float64(s.Daemons)
-	figures.PeerBytesPerSecond = (peerBytes(daemons) - peerBefore) / elapsed / float64(s.Daemons)
+	measurement.CPUCores = (usage.CPUSeconds() - cpuBefore) / elapsed / float64(s.Daemons)
+	measurement.PeerBytesPerSecond = (peerBytes(daemons) - peerBefore) / elapsed / float64(s.Daemons)
 	countsAfter, err := readCounts(s.Table)
-	figures.ReadsPerSecond = float64(countsAfter.Reads-countsBefore.Reads) / elapsed
-	figures.CommitsPerSecond = float64(countsAfter.Commits-countsBefore.Commits) / elapsed
+	measurement.ReadsPerSecond = float64(countsAfter.Reads-countsBefore.Reads) / elapsed
+	measurement.CommitsPerSecond = float64(countsAfter.Commits-countsBefore.Commits) / elapsed
 	return err
 }
 
