--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -14,29 +14,28 @@
 	"headcourse/platform/wire"
 )
 
-// revokeDeadline is the time from the acknowledged withdrawal of a key until no request may
+// revokeDeadline is the time from the acknowledged revocation of a key until no request may
 // run under it: RevokeMs of the stand-in's settings, plus 100 ms for the soak's delay in
 // reading its clock.
 const revokeDeadline = 5*time.Second + 100*time.Millisecond
 
-// keyring holds the keys that are in force and those that were withdrawn. Keys are replaced
-// while clients use them.
+// keyring holds the key in force and those that were revoked. Keys are replaced while clients
+// use them.
 type keyring struct {
 	mutex sync.Mutex
-	// issued numbers the new keys; withdrawnAt is when the withdrawal of a key was
-	// acknowledged.
-	issued      int
-	current     string
-	withdrawn   []string
-	withdrawnAt map[string]time.Time
+	// issued counts the new keys; revokedAt is when the revocation of a key was acknowledged.
+	issued    int
+	current   string
+	revoked   []string
+	revokedAt map[string]time.Time
 }
 
-// pick returns the key in force or, if wanted, the one that was withdrawn last.
-func (k *keyring) pick(wantWithdrawn bool) string {
+// pick returns the key in force or, if wantRevoked, the one that was revoked last.
+func (k *keyring) pick(wantRevoked bool) string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if wantWithdrawn && len(k.withdrawn) > 0 {
-		return k.withdrawn[len(k.withdrawn)-1]
+	if wantRevoked && len(k.revoked) > 0 {
+		return k.revoked[len(k.revoked)-1]
 	}
 	if k.current == "" {
 		return standin.KeyCuenca
@@ -58,17 +57,17 @@
 	return k.current, func() {
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
-		k.withdrawn = append(k.withdrawn, former)
-		k.withdrawnAt[former] = time.Now()
+		k.revoked = append(k.revoked, former)
+		k.revokedAt[former] = time.Now()
 	}
 }
 
-// isRevoked reports whether a request that is sent now must not run under the key.
-func (k *keyring) isRevoked(key string) bool {
+// mustReject reports whether a request that is sent now must not run under the key.
+func (k *keyring) mustReject(key string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	withdrawnAt, ok := k.withdrawnAt[key]
-	return ok && time.Since(withdrawnAt) > revokeDeadline
+	revokedAt, ok := k.revokedAt[key]
+	return ok && time.Since(revokedAt) > revokeDeadline
 }
 
 // outcomeCounter counts requests by outcome.
@@ -104,12 +103,12 @@
 		Daemon:   s.daemons[daemonIndex].name,
 	}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		const withdrawnKeyEvery = 7
-		client.Key = s.keys.pick(turn%withdrawnKeyEvery == 0)
-		wasRevoked := s.keys.isRevoked(client.Key)
+		const revokedKeyEvery = 7
+		client.Key = s.keys.pick(turn%revokedKeyEvery == 0)
+		mustReject := s.keys.mustReject(client.Key)
 		answer := s.sendRequest(ctx, client, turn)
-		if wasRevoked && s.platform.Runs(answer.ID) > 0 {
-			s.platform.RecordViolation("request " + answer.ID + " ran under a key that was withdrawn more than " + revokeDeadline.String() + " before")
+		if mustReject && s.platform.Runs(answer.ID) > 0 {
+			s.platform.RecordViolation("request " + answer.ID + " ran under a key that was revoked more than " + revokeDeadline.String() + " before")
 		}
 		outcome := fmt.Sprintf("%d", answer.Status)
 		if answer.Err != nil {
@@ -159,8 +158,8 @@
 				Platform: s.platform,
 				Address:  s.daemons[i].clientProxy.Address(),
 			}
-			// Turns from here on are not multiples of cancelEvery, so no request is cancelled
-			// early.
+			// uncancelledTurn plus any kind is no multiple of cancelEvery, so no request is
+			// cancelled early.
 			const uncancelledTurn = 100
 			answer, ok := standin.Await(servingTimeout, func() standin.Answer {
 				client.Key = s.keys.pick(false)
@@ -176,7 +175,7 @@
 	return failures
 }
 
-// rotateKeys withdraws the key in force and issues another.
+// rotateKeys revokes the key in force and issues another.
 func (s *soak) rotateKeys() {
 	newKey, acknowledge := s.keys.rotate()
 	s.platform.ChangeConfig(func(config *wire.Config) {
--- a/lab/soak/directives.go
+++ b/lab/soak/directives.go
@@ -17,8 +17,8 @@
 	stopExemption = 6 * time.Second
 )
 
-// requestPauses makes some servers of a service reject requests and request pauses, all the
-// same pause or one of its own each.
+// requestPauses makes some servers of a service reject requests and request pauses: either one
+// pause for all of them or a separate pause for each.
 func requestPauses(s *soak) func() {
 	chosen := s.randomServers()
 	isSamePause := s.random.IntN(2) == 0
@@ -36,9 +36,9 @@
 	}
 }
 
-// leaveInAnswersOnly makes a plain server leave without a change of its entry, and starts a
-// replacement.
-func leaveInAnswersOnly(s *soak) func() {
+// drainInAnswersOnly makes a plain server drain and end without a change of its entry, and
+// starts a replacement.
+func drainInAnswersOnly(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
 	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveInAnswersOnly)
 	return nil
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -101,7 +101,7 @@
 	},
 	{
 		name:  "plain server leaves and announces it in its answers only",
-		begin: leaveInAnswersOnly,
+		begin: drainInAnswersOnly,
 	},
 	{
 		name:  "keys change",
@@ -364,7 +364,7 @@
 	return func() { server.SetBehaviour(standin.Normal) }
 }
 
-// rotateKeys withdraws the key in force and issues another.
+// rotateKeys revokes the key in force and issues another.
 func rotateKeys(s *soak) func() {
 	s.rotateKeys()
 	return nil
--- a/lab/soak/limits.go
+++ b/lab/soak/limits.go
@@ -8,8 +8,8 @@
 )
 
 // Range of the limits that servers announce, in requests per second, and of the time for which
-// they announce them: requests count from three seconds after the first announcement, and are
-// checked over windows of four seconds.
+// they announce them. The check counts requests from three seconds after the first
+// announcement, over windows of four seconds.
 const (
 	minLimit, maxLimit         = 0.3, 20.0
 	minLimitTime, maxLimitTime = 6 * time.Second, 12 * time.Second
@@ -18,13 +18,13 @@
 // limitSteps is the number of limits that a server announces one after the other.
 const limitSteps = 6
 
-// setLimits makes some servers of a service announce limits: one, half or all of them, the
-// same limit or one of its own each, which stays, falls or rises.
+// setLimits makes one, half or all servers of a service announce limits: either one limit for
+// all of them or a separate limit for each. The limits stay constant, fall or rise.
 func setLimits(s *soak) func() {
 	chosen := s.randomServers()
 	isSame := s.random.IntN(2) == 0
 	limit := s.randomLimit()
-	// factor is the ratio of each limit to the one before.
+	// factor is the ratio of each limit to the previous one.
 	factor := []float64{1, 0.6, 1.6}[s.random.IntN(3)]
 	duration := s.randomDuration(minLimitTime, maxLimitTime)
 	for _, server := range chosen {
@@ -46,8 +46,8 @@
 	s.timers = append(s.timers, time.AfterFunc(delay, action))
 }
 
-// randomServingServers returns the plain servers or the heads of one model, one or all of
-// them. Members of groups that are not heads receive no requests.
+// randomServingServers returns one or all of the plain servers or of the heads of one model.
+// Members of groups that are not heads receive no requests.
 func (s *soak) randomServingServers() []*standin.Server {
 	serving := [][]*standin.Server{
 		s.platform.Servers(standin.ServicePlain),
--- a/lab/soak/restores.go
+++ b/lab/soak/restores.go
@@ -26,18 +26,18 @@
 }
 
 // add adds a snapshot and drops the oldest one beyond maxSnapshots.
-func (c *snapshots) add(snapshot standin.Snapshot) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.newestFirst = append([]standin.Snapshot{snapshot}, c.newestFirst[:min(len(c.newestFirst), maxSnapshots-1)]...)
+func (s *snapshots) add(snapshot standin.Snapshot) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.newestFirst = append([]standin.Snapshot{snapshot}, s.newestFirst[:min(len(s.newestFirst), maxSnapshots-1)]...)
 }
 
 // at returns the snapshot with the index, where 0 is the newest, or the oldest one if there
 // are fewer.
-func (c *snapshots) at(index int) standin.Snapshot {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.newestFirst[min(index, len(c.newestFirst)-1)]
+func (s *snapshots) at(index int) standin.Snapshot {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.newestFirst[min(index, len(s.newestFirst)-1)]
 }
 
 // takeSnapshots takes a snapshot of the store at each snapshotInterval until done is closed.
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -5,8 +5,8 @@
 // each that ends, and writes their process IDs to files. The soak runs the stand-in of the
 // platform, a proxy before the store and the clients of each daemon and before each backend
 // server, and clients that reuse their connections. The seed determines which faults it
-// injects, but not the ports of daemons nor the moments at which lost writes are repeated
-// after a restore.
+// injects. It determines neither the ports of daemons nor the moments at which lost writes are
+// repeated after a restore.
 package soak
 
 import (
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	s.keys.withdrawnAt = map[string]time.Time{}
+	s.keys.revokedAt = map[string]time.Time{}
 	for i := range s.options.Daemons {
 		if err = s.addDaemon(fmt.Sprintf("front-%d", i)); err != nil {
 			return err
