--- a/lab/standin/answers.go
+++ b/lab/standin/answers.go
@@ -11,8 +11,8 @@
 	"headcourse/platform/wire"
 )
 
-// handleRequest checks that the request may arrive and answers it as the server's behaviour
-// says.
+// handleRequest checks that the request may arrive and answers it according to the server's
+// behaviour.
 func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	if !s.isForThisServer(w, r) {
 		return
--- a/lab/standin/crash.go
+++ b/lab/standin/crash.go
@@ -35,7 +35,7 @@
 	keepsID := p.crashes[r.URL.Path]%2 == 0
 	p.mutex.Unlock()
 	// Add precedes the end of the server, so that AwaitRestarts waits for every crash that a
-	// client has seen.
+	// client has observed.
 	p.restarts.Add(1)
 	restart := s.Restart
 	if keepsID {
--- a/lab/standin/directives.go
+++ b/lab/standin/directives.go
@@ -23,9 +23,9 @@
 	// requests. Requests in flight may still arrive later: up to maxRequestsInPause per pause.
 	pauseGrace         = 500 * time.Millisecond
 	maxRequestsInPause = 2
-	// leavingGrace is how long after a server announces that it is leaving clients may still
+	// drainingGrace is how long after a server announces that it is draining clients may still
 	// send requests that reach it.
-	leavingGrace = 2 * time.Second
+	drainingGrace = 2 * time.Second
 )
 
 // directiveLedger records the directives that servers sent to daemons, and the requests that
@@ -68,8 +68,8 @@
 
 // sentDirectives holds the directives that one server sent to one daemon.
 type sentDirectives struct {
-	pauses       []*sentPause
-	leavingSince time.Time
+	pauses        []*sentPause
+	drainingSince time.Time
 }
 
 // sentPause is one requested pause and the number of requests that arrived during it.
@@ -145,13 +145,13 @@
 	}
 }
 
-// LeaveInAnswersOnly makes the server announce in all its answers that it is leaving, while
-// its entry still says that it is ready. The server ends after drainTime and leavingGrace.
+// LeaveInAnswersOnly makes the server announce in all its answers that it is draining, while
+// its entry still has the state ready. The server ends after drainTime and drainingGrace.
 func (s *Server) LeaveInAnswersOnly() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.isLeaving = true
-	time.AfterFunc(drainTime+leavingGrace, s.Kill)
+	s.isDraining = true
+	time.AfterFunc(drainTime+drainingGrace, s.Kill)
 }
 
 // addRetryAfter adds the requested pause to a rejection and records it, if the server requests
@@ -177,14 +177,14 @@
 	}
 }
 
-// addDirectives adds the server's directives to all its answers: that it is leaving, and its
+// addDirectives adds the server's directives to all its answers: that it is draining, and its
 // limit.
 func (s *Server) addDirectives(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
-		isLeaving := s.isLeaving
+		isDraining := s.isDraining
 		s.mutex.Unlock()
-		if isLeaving {
+		if isDraining {
 			w.Header().Set(wire.HeaderLeaving, "1")
 		}
 		isLimited := s.addLimit(w)
@@ -194,8 +194,8 @@
 			// answer.
 			return
 		}
-		if isLeaving {
-			s.platform.directives.recordLeaving(s.id, r.Header.Get(headerDaemon))
+		if isDraining {
+			s.platform.directives.recordDraining(s.id, r.Header.Get(headerDaemon))
 		}
 		if isLimited {
 			s.platform.directives.recordLimitSent(s.id, r.Header.Get(headerDaemon))
@@ -203,18 +203,18 @@
 	})
 }
 
-// recordLeaving records that a server told a daemon that it is leaving.
-func (l *directiveLedger) recordLeaving(server, daemon string) {
+// recordDraining records that a server announced to a daemon that it is draining.
+func (l *directiveLedger) recordDraining(server, daemon string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if sent := l.directivesSent(server, daemon); sent != nil && sent.leavingSince.IsZero() {
-		sent.leavingSince = time.Now()
+	if sent := l.directivesSent(server, daemon); sent != nil && sent.drainingSince.IsZero() {
+		sent.drainingSince = time.Now()
 		l.counts.LeavesAnnounced++
 	}
 }
 
 // checkDirectives records a violation if a request arrives in a pause that the server
-// requested from the daemon, or after the server told the daemon that it is leaving.
+// requested from the daemon, or after the server announced to the daemon that it is draining.
 func (p *Platform) checkDirectives(s *Server, r *http.Request) {
 	daemon := r.Header.Get(headerDaemon)
 	now := time.Now()
@@ -235,7 +235,7 @@
 		}
 	}
 	sentMs, err := strconv.ParseInt(r.Header.Get(headerSent), 10, 64)
-	if err == nil && !received.leavingSince.IsZero() && time.UnixMilli(sentMs).After(received.leavingSince.Add(leavingGrace)) {
-		p.recordViolation(fmt.Sprintf("%s told %s that it is leaving and received request %s, sent %s later", s.id, daemon, r.Header.Get(wire.HeaderID), time.UnixMilli(sentMs).Sub(received.leavingSince)))
+	if err == nil && !received.drainingSince.IsZero() && time.UnixMilli(sentMs).After(received.drainingSince.Add(drainingGrace)) {
+		p.recordViolation(fmt.Sprintf("%s announced to %s that it is draining and received request %s, sent %s later", s.id, daemon, r.Header.Get(wire.HeaderID), time.UnixMilli(sentMs).Sub(received.drainingSince)))
 	}
 }
--- a/lab/standin/limits.go
+++ b/lab/standin/limits.go
@@ -31,7 +31,7 @@
 	// sentAt is when each daemon first received a limit.
 	sentAt   map[string]time.Time
 	arrivals []limitArrival
-	// isViolated tells that the violation is already recorded; it is recorded once.
+	// isViolated is set when the violation is recorded, so that it is recorded only once.
 	isViolated bool
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	record.isViolated = true
-	p.recordViolation(fmt.Sprintf("%s announced a limit and received %d requests in %s from %d daemons that know the limit; allowed: %.1f", s.id, len(record.arrivals), limitWindow, len(record.sentAt), allowed))
+	p.recordViolation(fmt.Sprintf("%s announced a limit and received %d requests in %s from %d daemons that received the limit; allowed: %.1f", s.id, len(record.arrivals), limitWindow, len(record.sentAt), allowed))
 }
 
 // isChecked reports whether requests of the daemon count against the limit now.
--- a/lab/standin/platform.go
+++ b/lab/standin/platform.go
@@ -25,7 +25,7 @@
 	incompleteGroupTimeout = 1500 * time.Millisecond
 	entryTTL               = 700 * time.Millisecond
 	tokensPerEvent         = 5
-	// drainTime is how long a server that is leaving still answers requests.
+	// drainTime is how long a server that is draining still answers requests.
 	drainTime = 2500 * time.Millisecond
 )
 
@@ -306,9 +306,9 @@
 			continue
 		}
 		member.mutex.Lock()
-		memberGroup, isDead := member.state.Group, member.isKilled
+		memberGroup, isMemberKilled := member.state.Group, member.isKilled
 		member.mutex.Unlock()
-		if isDead || memberGroup == nil || memberGroup.Name != group.Name || memberGroup.Epoch != group.Epoch {
+		if isMemberKilled || memberGroup == nil || memberGroup.Name != group.Name || memberGroup.Epoch != group.Epoch {
 			return false
 		}
 	}
@@ -373,9 +373,9 @@
 		return
 	}
 	head.mutex.Lock()
-	headGroup, isDead := head.state.Group, head.isKilled
+	headGroup, isHeadKilled := head.state.Group, head.isKilled
 	head.mutex.Unlock()
-	if !isDead && headGroup != nil && headGroup.Name == group.Name && headGroup.Epoch == group.Epoch && headGroup.State == "open" {
+	if !isHeadKilled && headGroup != nil && headGroup.Name == group.Name && headGroup.Epoch == group.Epoch && headGroup.State == "open" {
 		p.recordViolation(fmt.Sprintf("%s joined another group while its former head %s still accepted requests", s.id, head.id))
 	}
 }
--- a/lab/standin/restore.go
+++ b/lab/standin/restore.go
@@ -46,8 +46,8 @@
 	// MaxRewriteDelay is the time within which operators and servers repeat the writes that
 	// the snapshot lacks, each at a random moment; 0 means at once.
 	MaxRewriteDelay time.Duration
-	// KeepClock tells that the store's clock continues; otherwise it returns to the time of
-	// the snapshot.
+	// KeepClock makes the store's clock continue; otherwise it returns to the time of the
+	// snapshot.
 	KeepClock bool
 }
 
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -34,8 +34,8 @@
 	pace        float64
 	// retryAfter is the pause that the server requests with each rejection; 0 means none.
 	retryAfter time.Duration
-	// isLeaving makes all answers announce that the server is leaving.
-	isLeaving bool
+	// isDraining makes all answers announce that the server is draining.
+	isDraining bool
 	// limit is the limit that all answers announce, in requests per second; nil means none.
 	limit *float64
 	cold  coldState
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// startServing begins a new run of the server: it writes the entry and serves requests. The
-// mutex is held.
+// startServing begins a new start of the server on a listener: it writes the entry and serves
+// requests. The mutex is held.
 func (s *Server) startServing(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathOrder, s.handleOrder)
@@ -128,7 +128,7 @@
 }
 
 // Restart makes the server crash and start again under its ID, before its entry expires. The
-// server loses its models, its group, its limit and its announcement that it is leaving; its
+// server loses its models, its group, its limit and its announcement that it is draining; its
 // host keeps the staged weights.
 func (s *Server) Restart() error {
 	s.mutex.Lock()
@@ -145,7 +145,7 @@
 	s.state.Group = nil
 	s.members = nil
 	s.latestEpoch = 0
-	s.isLeaving = false
+	s.isDraining = false
 	s.limit = nil
 	s.platform.directives.removeServer(s.id)
 	s.startServing(listener)
@@ -157,7 +157,8 @@
 	return s.id
 }
 
-// Start identifies the current run of the server among all runs under its ID.
+// Start returns the identifier of the server's current start: its ID and the time of its
+// birth. The identifier differs from those of all other starts under the same ID.
 func (s *Server) Start() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -176,16 +177,16 @@
 	s.behaviour = behaviour
 }
 
-// Drain makes the server announce in its entry and its answers that it is leaving.
+// Drain makes the server announce in its entry and its answers that it is draining.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.State = wire.StateDraining
-	s.isLeaving = true
+	s.isDraining = true
 	s.writeEntry()
 }
 
-// DrainInEntryOnly makes the server announce that it is leaving in its entry, but not in its
+// DrainInEntryOnly makes the server announce that it is draining in its entry, but not in its
 // answers.
 func (s *Server) DrainInEntryOnly() {
 	s.mutex.Lock()
@@ -194,7 +195,7 @@
 	s.writeEntry()
 }
 
-// Leave makes the server announce that it is leaving, and ends it after drainTime.
+// Leave makes the server announce that it is draining, and ends it after drainTime.
 func (s *Server) Leave() {
 	s.Drain()
 	time.AfterFunc(drainTime, s.Kill)
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -57,6 +57,7 @@
 	rows       map[rowKey]wire.Row
 	history    []wire.Row
 	// era counts the restores from older copies; version orders the changes within one era.
+	// minFeedVersion is the oldest version after which the history is complete.
 	era            int64
 	version        int64
 	minFeedVersion int64
