--- a/lab/tablestore/tablestore.go
+++ b/lab/tablestore/tablestore.go
@@ -169,7 +169,7 @@
 	return changed
 }
 
-// truncateAtVersion truncates rows to limit, or later if the limit is within one commit.
+// truncateAtVersion truncates rows to limit, or to the end of the commit that spans the limit.
 func truncateAtVersion(rows []table.Row, limit int) []table.Row {
 	end := limit
 	for end < len(rows) && rows[end].Version == rows[end-1].Version {
@@ -185,8 +185,8 @@
 	return m.counts
 }
 
-// CountRows returns the number of rows including tombstones, and the number of rows under a prefix
-// without them.
+// CountRows returns the number of rows including tombstones, and the number of rows under a
+// prefix without them.
 func (m *Memory) CountRows(prefix string) (all, under int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
