--- a/lab/vmlist/vmlist.go
+++ b/lab/vmlist/vmlist.go
@@ -1,5 +1,5 @@
 // Package vmlist is the stand-in for the platform's list of live and leaving VMs. Changes
-// become visible after a lag.
+// become visible after a delay.
 package vmlist
 
 import (
@@ -22,25 +22,25 @@
 
 // List is the VM list. Use New.
 type List struct {
-	lag     time.Duration
+	delay   time.Duration
 	mutex   sync.Mutex
 	visible map[string]vm.VM
 	pending []pendingChange
 }
 
-// New returns a list of VMs. Later changes become visible after lag.
-func New(lag time.Duration, vms []vm.VM) *List {
+// New returns a list of VMs. Later changes become visible after delay.
+func New(delay time.Duration, vms []vm.VM) *List {
 	visible := map[string]vm.VM{}
 	for _, entry := range vms {
 		visible[entry.ID] = entry
 	}
 	return &List{
-		lag:     lag,
+		delay:   delay,
 		visible: visible,
 	}
 }
 
-// SetState changes the state of a VM after the lag.
+// SetState changes the state of a VM after the delay.
 func (l *List) SetState(id string, state vm.State) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -51,11 +51,11 @@
 	entry.State = state
 	l.pending = append(l.pending, pendingChange{
 		entry:     entry,
-		visibleAt: time.Now().Add(l.lag),
+		visibleAt: time.Now().Add(l.delay),
 	})
 }
 
-// Remove removes a VM from the list after the lag.
+// Remove removes a VM from the list after the delay.
 func (l *List) Remove(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -64,7 +64,7 @@
 			ID: id,
 		},
 		isRemoval: true,
-		visibleAt: time.Now().Add(l.lag),
+		visibleAt: time.Now().Add(l.delay),
 	})
 }
 
@@ -83,7 +83,7 @@
 	return vms
 }
 
-// applyDue applies the changes whose lag has passed. The mutex is held.
+// applyDue applies the changes whose delay has passed. The mutex is held.
 func (l *List) applyDue(now time.Time) {
 	var waiting []pendingChange
 	for _, due := range l.pending {
