--- a/core/config/config.go
+++ b/core/config/config.go
@@ -13,7 +13,7 @@
 	"headcourse/core/usage"
 )
 
-// Kind says whether a request of a route may run more than once.
+// Kind determines whether a request of a route may run more than once.
 type Kind int
 
 // The kinds of routes. The zero value is the kind that may not be repeated, so
@@ -79,7 +79,8 @@
 	Name string
 	// HealthPath is the path of the health check of a backend server.
 	HealthPath string
-	// MaxConns is how many connections one backend server accepts from all entry VMs.
+	// MaxConns is the maximum number of connections that one backend server accepts from
+	// all entry VMs together.
 	MaxConns int
 	// ColdStart describes the backend servers after their start.
 	ColdStart ColdStart
@@ -107,7 +108,7 @@
 	FullSpeedLoads int
 	// FormationTime is the time between the order to serve and serving.
 	FormationTime time.Duration
-	// StagedModels is the number of models whose weights a host keeps.
+	// StagedModels is the number of models whose weights are kept on a host.
 	StagedModels int
 	// StepTime is the time to generate one token for a single running request; each
 	// further running request adds StepTimePerRequest. 0: unknown.
@@ -139,7 +140,7 @@
 	WarmLoadTime time.Duration
 }
 
-// Organisation is a holder of keys, under which it sends requests.
+// Organisation sends requests under its keys.
 type Organisation struct {
 	Name string
 	Keys []string
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -8,8 +8,8 @@
 	"headcourse/core/config"
 )
 
-// sample returns a configuration with nested prefixes.
-func sample() *config.Config {
+// sampleConfig returns a configuration with nested prefixes.
+func sampleConfig() *config.Config {
 	return config.New(config.Config{
 		Version: 3,
 		Routes: []config.Route{
@@ -40,7 +40,7 @@
 }
 
 func TestRouteReturnsLongestPrefixOfHost(t *testing.T) {
-	parsed := sample()
+	parsed := sampleConfig()
 	qt.Assert(t, parsed.Route("board.example", "/a/b/c/d").Name, qt.Equals, "long")
 	qt.Assert(t, parsed.Route("BOARD.example", "/a/x").Name, qt.Equals, "short")
 	qt.Assert(t, parsed.Route("board.example", "/b/"), qt.IsNil)
@@ -48,7 +48,7 @@
 }
 
 func TestPublicRouteNeedsNoKey(t *testing.T) {
-	parsed := sample()
+	parsed := sampleConfig()
 	qt.Assert(t, parsed.Organisation("k2").Name, qt.Equals, "water")
 	qt.Assert(t, parsed.Organisation("k3"), qt.IsNil)
 	qt.Assert(t, parsed.NeedsKey(parsed.Route("board.example", "/a/x")), qt.IsTrue)
--- a/core/config/sizing.go
+++ b/core/config/sizing.go
@@ -20,7 +20,8 @@
 const (
 	// firstEventGoalFraction is the part of the goal within which the first event is expected
 	// for the request that the mean prompt token belongs to. With prompts of up to four times
-	// the mean size, the rest of the goal is a margin for requests that arrive at a bad moment.
+	// the mean size, the rest of the goal is a margin for requests that arrive at an
+	// unfavourable moment.
 	firstEventGoalFraction = 0.53
 	// minIdleMultiple is the lower bound of the permitted time to the first event, as a multiple
 	// of that at an idle group. If reading the prompt alone takes most of the goal, no number
@@ -134,33 +135,33 @@
 	tokensPerPass := float64(max(1, e.TokensPerEvent))
 	stepSeconds := timeFactor * e.StepTime.Seconds()
 	stepSecondsPerRequest := timeFactor * e.StepTimePerRequest.Seconds()
-	readSeconds := 0.0
+	readSecondsPerToken := 0.0
 	if e.PrefillTokensPerSecond > 0 {
-		readSeconds = timeFactor / e.PrefillTokensPerSecond
+		readSecondsPerToken = timeFactor / e.PrefillTokensPerSecond
 	}
-	spareFraction := 1 - demand.Prompt*readSeconds - demand.Answer*stepSecondsPerRequest
+	spareFraction := 1 - demand.Prompt*readSecondsPerToken - demand.Answer*stepSecondsPerRequest
 	if spareFraction <= 0 {
 		return groupLoad{}
 	}
 	passSeconds := tokensPerPass * stepSeconds / spareFraction
-	generating := demand.Answer * passSeconds / tokensPerPass
-	stepsSeconds := tokensPerPass * (stepSeconds + stepSecondsPerRequest*generating)
+	generatingRequests := demand.Answer * passSeconds / tokensPerPass
+	generationSeconds := tokensPerPass * (stepSeconds + stepSecondsPerRequest*generatingRequests)
 	estimate := groupLoad{
 		isStable: true,
-		slots:    generating / float64(e.Capacity),
+		slots:    generatingRequests / float64(e.Capacity),
 	}
-	firstEventSeconds := passSeconds/half + stepsSeconds
+	firstEventSeconds := passSeconds/halfDivisor + generationSeconds
 	if e.PrefillChunkTokens > 0 && demand.Prompt > 0 {
-		secondsPerPromptToken := readSeconds + stepsSeconds/float64(e.PrefillChunkTokens)
+		secondsPerPromptToken := readSecondsPerToken + generationSeconds/float64(e.PrefillChunkTokens)
 		estimate.prefill = demand.Prompt * secondsPerPromptToken
 		firstEventSeconds += demand.TypicalPrompt() * secondsPerPromptToken
 		// The mean wait in a queue with varying service times (Pollaczek-Khinchine formula).
-		firstEventSeconds += demand.PromptSquares * secondsPerPromptToken * secondsPerPromptToken / (half * max(epsilon, 1-estimate.prefill))
+		firstEventSeconds += demand.PromptSquares * secondsPerPromptToken * secondsPerPromptToken / (halfDivisor * max(epsilon, 1-estimate.prefill))
 	}
 	estimate.firstEvent = time.Duration(firstEventSeconds * float64(time.Second))
 	return estimate
 }
 
-// half is the divisor for half a pass, the mean time until the next pass begins, and of
+// halfDivisor is the divisor for half a pass, the mean time until the next pass begins, and of
 // the Pollaczek-Khinchine formula.
-const half = 2
+const halfDivisor = 2
