--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet holds the backend servers as an entry VM knows them: their
+// Package fleet holds the backend servers as one entry VM sees them: their
 // addresses, what they serve and their groups.
 //
 // Each server writes its own entry into the platform's table. A View is an
@@ -60,8 +60,8 @@
 	Draining bool
 	// ColdFor is how long the server stays cold after it wrote its entry.
 	ColdFor time.Duration
-	// Models are the loaded models; Staged are those whose weights the host keeps,
-	// which load faster.
+	// Models are the loaded models; Staged are those whose weights are kept on the
+	// host, which load faster.
 	Models []string
 	Staged []string
 	// LastModel is the model of the last group that this daemon saw the server in since
@@ -84,7 +84,7 @@
 	return s.ID + "@" + strconv.FormatInt(s.StartedAtMs, 10)
 }
 
-// HasStaged reports whether the host keeps a model's weights.
+// HasStaged reports whether a model's weights are kept on the host.
 func (s Server) HasStaged(model string) bool {
 	return slices.Contains(s.Staged, model)
 }
@@ -118,7 +118,7 @@
 	// Version is the version of the table.
 	Version int64
 	servers map[string]Server
-	// removed holds the servers whose entry was removed lately, by ID.
+	// removed holds the servers whose entry was removed recently, by ID.
 	removed map[string]removedServer
 	// index caches what every request looks up; nil in the zero View.
 	index *index
@@ -166,8 +166,8 @@
 		next.apply(change, graceUntil)
 	}
 	now := time.Now()
-	maps.DeleteFunc(next.removed, func(_ string, one removedServer) bool {
-		return now.After(one.forgetAt)
+	maps.DeleteFunc(next.removed, func(_ string, removed removedServer) bool {
+		return now.After(removed.forgetAt)
 	})
 	return next
 }
@@ -321,7 +321,7 @@
 	return m.State == Open && m.Rank == 0 && !drainingGroups[m.Group] && (model == "" || s.HasLoaded(model))
 }
 
-// HasServerOrRemoved reports whether a server has an entry, or had one until lately.
+// HasServerOrRemoved reports whether a server has an entry, or had one until recently.
 func (v View) HasServerOrRemoved(id string) bool {
 	if _, ok := v.servers[id]; ok {
 		return true
@@ -330,7 +330,7 @@
 	return ok
 }
 
-// ServerOrRemoved returns a server that has an entry, or had one until lately.
+// ServerOrRemoved returns a server that has an entry, or had one until recently.
 func (v View) ServerOrRemoved(id string) (Server, bool) {
 	if server, ok := v.servers[id]; ok {
 		return server, true
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -69,9 +69,9 @@
 }
 
 func TestGroupWithDrainingMemberGetsNoNewRequests(t *testing.T) {
-	leaving := engineMember("second", 1, fleet.Ready)
-	leaving.Draining = true
-	view := fleet.View{}.WithChanges(1, changes(engineMember("head", 0, fleet.Open), leaving), time.Now())
+	draining := engineMember("second", 1, fleet.Ready)
+	draining.Draining = true
+	view := fleet.View{}.WithChanges(1, changes(engineMember("head", 0, fleet.Open), draining), time.Now())
 	qt.Assert(t, view.Serving("engines", "large"), qt.HasLen, 0)
 }
 
@@ -187,21 +187,21 @@
 // Guards against a draining server that gets requests again because a restored table has
 // its older entry.
 func TestReconciledKeepsNewerStateThanRestoredTable(t *testing.T) {
-	leaving, removed, regrouped, restarting := plainServer("a"), plainServer("b"), engineMember("c", 0, fleet.Open), plainServer("d")
+	notYetDraining, removed, regrouped, restarting := plainServer("a"), plainServer("b"), engineMember("c", 0, fleet.Open), plainServer("d")
 	restarting.StartedAtMs = 1
-	view := fleet.View{}.WithSnapshot(9, []fleet.Server{leaving, removed, regrouped, restarting}, time.Now())
+	view := fleet.View{}.WithSnapshot(9, []fleet.Server{notYetDraining, removed, regrouped, restarting}, time.Now())
 	newerEpoch := regrouped
 	newerEpoch.Membership.Epoch = 8
-	drained := leaving
-	drained.Draining = true
+	draining := notYetDraining
+	draining.Draining = true
 	restarted := restarting
 	restarted.StartedAtMs = 2
-	view = view.WithChanges(12, append(changes(drained, newerEpoch, restarted), fleet.Change{
+	view = view.WithChanges(12, append(changes(draining, newerEpoch, restarted), fleet.Change{
 		ID:        "b",
 		IsRemoved: true,
 	}), time.Now())
 
-	reconciled := view.ReconciledWithRestored([]fleet.Server{leaving, removed, regrouped, restarting, plainServer("e")})
+	reconciled := view.ReconciledWithRestored([]fleet.Server{notYetDraining, removed, regrouped, restarting, plainServer("e")})
 	qt.Assert(t, ids(reconciled), qt.DeepEquals, []string{"a", "c", "d", "e"})
 	qt.Assert(t, reconciled[0].Draining, qt.IsTrue)
 	qt.Assert(t, reconciled[1].Membership.Epoch, qt.Equals, int64(8))
@@ -211,10 +211,10 @@
 // Guards against newer entries of a restored table being ignored in favour of the view.
 func TestReconciledAcceptsNewerStateOfRestoredTable(t *testing.T) {
 	view := fleet.View{}.WithSnapshot(9, []fleet.Server{plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")}, time.Now())
-	leaving, ungrouped, restarted := plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")
-	leaving.Draining = true
+	draining, ungrouped, restarted := plainServer("a"), engineMember("c", 0, fleet.Open), plainServer("d")
+	draining.Draining = true
 	ungrouped.Membership = fleet.Membership{}
 	restarted.StartedAtMs = 3
-	read := []fleet.Server{leaving, ungrouped, restarted}
-	qt.Assert(t, view.ReconciledWithRestored(read), qt.DeepEquals, read)
+	restored := []fleet.Server{draining, ungrouped, restarted}
+	qt.Assert(t, view.ReconciledWithRestored(restored), qt.DeepEquals, restored)
 }
--- a/core/fleet/index.go
+++ b/core/fleet/index.go
@@ -61,13 +61,13 @@
 // serving returns the servers with an entry that may receive new requests of a
 // service and model.
 func (x *index) serving(service, model string) []Server {
-	wanted := target{
+	key := target{
 		service: service,
 		model:   model,
 	}
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if cached, ok := x.serversByTarget[wanted]; ok {
+	if cached, ok := x.serversByTarget[key]; ok {
 		return cached
 	}
 	var serving []Server
@@ -78,7 +78,7 @@
 	}
 	if len(serving) > 0 {
 		// Clients may send any model name. Caching only served models bounds the map.
-		x.serversByTarget[wanted] = serving
+		x.serversByTarget[key] = serving
 	}
 	return serving
 }
