--- a/core/idempotency/batcher.go
+++ b/core/idempotency/batcher.go
@@ -15,7 +15,7 @@
 	// maxBatchSize is the maximum number of transactions of one batch.
 	maxBatchSize = 64
 	// batchTimeout limits the commit of a batch, including the time that the store
-	// needs to settle a lost answer.
+	// needs to resolve a lost answer.
 	batchTimeout = 5 * time.Second
 )
 
@@ -38,8 +38,8 @@
 	err     error
 }
 
-// NewBatcher returns a batcher for a store that settles lost answers. Commit needs
-// Run to be running.
+// NewBatcher returns a batcher for a store that resolves lost answers
+// (table.ResolvingStore). Commit needs Run to be running.
 func NewBatcher(store table.Store) *Batcher {
 	return &Batcher{
 		store:   store,
--- a/core/idempotency/idempotency.go
+++ b/core/idempotency/idempotency.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// Claimer claims idempotency keys in a store. Store must settle lost answers.
+// Claimer claims idempotency keys in a store. Store must resolve lost answers
+// (table.ResolvingStore).
 type Claimer struct {
 	Store table.Store
 	// Commit commits one transaction, possibly in a batch.
@@ -118,11 +119,11 @@
 
 // Claim claims a key. It returns either the claim made, or the stored answer of an
 // earlier request, or a refusal.
-func (k *Claimer) Claim(ctx context.Context, name ClaimName, claim Claim) (*ActiveClaim, *Answer, *outcome.Failure) {
+func (c *Claimer) Claim(ctx context.Context, name ClaimName, claim Claim) (*ActiveClaim, *Answer, *outcome.Failure) {
 	key := name.RowKey()
 	version := uint64(0)
 	for {
-		row, err := k.Store.Read(ctx, key)
+		row, err := c.Store.Read(ctx, key)
 		if err != nil {
 			return nil, nil, storeUnavailable(err)
 		}
@@ -132,7 +133,7 @@
 				return nil, nil, storeUnavailable(err)
 			}
 			if time.Now().Before(existing.Expires) {
-				answer, refusal := existing.Resolve(claim.BodyHash, k.IsAlive)
+				answer, refusal := existing.Resolve(claim.BodyHash, c.IsAlive)
 				if refusal != nil {
 					return nil, nil, refusal
 				}
@@ -143,7 +144,7 @@
 		insert := table.Transaction{}
 		insert = insert.WithCondition(key, version)
 		insert = insert.WithWrite(table.Put(key, claim))
-		committed, err := k.Commit(ctx, insert)
+		committed, err := c.Commit(ctx, insert)
 		if err == nil {
 			return &ActiveClaim{
 				key:     key,
@@ -168,7 +169,7 @@
 
 // Complete stores the answer of a request that ran. An answer larger than MaxStoredBody is
 // not stored; the claim becomes OutcomeUnknown.
-func (k *Claimer) Complete(ctx context.Context, held *ActiveClaim, answer Answer) error {
+func (c *Claimer) Complete(ctx context.Context, held *ActiveClaim, answer Answer) error {
 	claim := held.claim
 	claim.State = Done
 	claim.Answer = answer
@@ -176,30 +177,30 @@
 		claim.State = OutcomeUnknown
 		claim.Answer = Answer{}
 	}
-	return k.write(ctx, held, table.Put(held.key, claim))
+	return c.write(ctx, held, table.Put(held.key, claim))
 }
 
 // MarkUnknown records that the outcome of a request is unknown.
-func (k *Claimer) MarkUnknown(ctx context.Context, held *ActiveClaim) error {
+func (c *Claimer) MarkUnknown(ctx context.Context, held *ActiveClaim) error {
 	claim := held.claim
 	claim.State = OutcomeUnknown
-	return k.write(ctx, held, table.Put(held.key, claim))
+	return c.write(ctx, held, table.Put(held.key, claim))
 }
 
 // Release releases the claim of a request that did not run.
-func (k *Claimer) Release(ctx context.Context, held *ActiveClaim) error {
-	return k.write(ctx, held, table.Write{
+func (c *Claimer) Release(ctx context.Context, held *ActiveClaim) error {
+	return c.write(ctx, held, table.Write{
 		Key:    held.key,
 		Delete: true,
 	})
 }
 
 // write changes the claim row if it is still as it was when it was claimed.
-func (k *Claimer) write(ctx context.Context, held *ActiveClaim, write table.Write) error {
+func (c *Claimer) write(ctx context.Context, held *ActiveClaim, write table.Write) error {
 	change := table.Transaction{}
 	change = change.WithCondition(held.key, held.version)
 	change = change.WithWrite(write)
-	_, err := k.Commit(ctx, change)
+	_, err := c.Commit(ctx, change)
 	return errors.Wrapf(err, "write claim %q at the table service", held.key)
 }
 
--- a/core/idempotency/idempotency_test.go
+++ b/core/idempotency/idempotency_test.go
@@ -27,7 +27,8 @@
 	alive   map[string]bool
 	daemons []string
 	started int
-	// runs is how often the backend server ran a key, answers its answers, by key.
+	// runs counts the runs of each key at the backend server; answers holds its answer
+	// to each key.
 	runs    map[string]int
 	answers map[string]string
 }
@@ -50,19 +51,19 @@
 // request sends one request with a key through one daemon, which may crash at any
 // point, and checks the result that the caller gets.
 func (s *simulation) request(index int, key, body string) {
-	settling := &table.ResolvingStore{
+	resolving := &table.ResolvingStore{
 		Store: s.store,
 	}
-	keeper := idempotency.Claimer{
-		Store:  settling,
-		Commit: settling.Commit,
+	claimer := idempotency.Claimer{
+		Store:  resolving,
+		Commit: resolving.Commit,
 		IsAlive: func(daemon string) bool {
 			return s.alive[daemon]
 		},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	held, stored, refusal := keeper.Claim(ctx, idempotency.ClaimName{
+	held, stored, refusal := claimer.Claim(ctx, idempotency.ClaimName{
 		Organisation: "org",
 		Route:        "POST /x",
 		Key:          key,
@@ -79,15 +80,15 @@
 		}
 	case stored != nil:
 		if string(stored.Body) != s.answers[key] {
-			s.rt.Fatalf("key %s: kept %q, first answer was %q", key, stored.Body, s.answers[key])
+			s.rt.Fatalf("key %s: stored %q, first answer was %q", key, stored.Body, s.answers[key])
 		}
 	default:
-		s.execute(index, key, body, &keeper, held)
+		s.execute(index, key, body, &claimer, held)
 	}
 }
 
 // execute runs a claimed request, and draws how it ends.
-func (s *simulation) execute(index int, key, body string, keeper *idempotency.Claimer, held *idempotency.ActiveClaim) {
+func (s *simulation) execute(index int, key, body string, claimer *idempotency.Claimer, held *idempotency.ActiveClaim) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	event := rapid.SampledFrom([]string{"run", "run", "run", "crash before", "crash after", "refused", "lost"}).Draw(s.rt, "what")
@@ -96,7 +97,7 @@
 		return
 	}
 	if event == "refused" {
-		_ = keeper.Release(ctx, held)
+		_ = claimer.Release(ctx, held)
 		return
 	}
 	s.runs[key]++
@@ -108,9 +109,9 @@
 	case "crash after":
 		s.crash(index)
 	case "lost":
-		_ = keeper.MarkUnknown(ctx, held)
+		_ = claimer.MarkUnknown(ctx, held)
 	default:
-		_ = keeper.Complete(ctx, held, idempotency.Answer{
+		_ = claimer.Complete(ctx, held, idempotency.Answer{
 			Status: 200,
 			Body:   []byte(s.answers[key]),
 		})
