--- a/core/request/request.go
+++ b/core/request/request.go
@@ -25,8 +25,8 @@
 	ReceivedAt    time.Time
 	ClientTimeout time.Duration
 	APIKey        string
-	// LastEventID is the ID of the event after which the client wants to resume a
-	// stream; 0: none.
+	// LastEventID is the ID of the event after which the client resumes a stream;
+	// 0: none.
 	LastEventID int64
 	// Model is the requested model; PromptTokens is the size of the prompt,
 	// MaxTokens the maximum size of the answer.
@@ -62,7 +62,7 @@
 	return baseCost + promptTokenCost*float64(r.PromptTokens) + float64(r.MaxTokens)
 }
 
-// Attempt is what a backend server is told about one attempt to run a request.
+// Attempt describes one attempt to run a request to the backend server.
 type Attempt struct {
 	// ServerID is the ID of the start that the request is meant for; any other start
 	// refuses it.
@@ -90,7 +90,7 @@
 	// set if the server closes it.
 	KeepAlive time.Duration
 	Close     bool
-	// Directive is what the server asks for concerning further requests.
+	// Directive is the server's instruction concerning further requests.
 	Directive directive.Directive
 	// Limit is the rate limit that the server states for all daemons together.
 	Limit ratelimit.Limit
@@ -102,7 +102,7 @@
 // counter.
 type Reason string
 
-// The reasons.
+// The reasons of refusals, retries and early ends.
 const (
 	ReasonNone               Reason = ""
 	ReasonNotConfigured      Reason = "not_configured"
