--- a/core/revocation/revocation_test.go
+++ b/core/revocation/revocation_test.go
@@ -9,21 +9,21 @@
 	"headcourse/core/revocation"
 )
 
-const within = 5 * time.Second
+const bound = 5 * time.Second
 
 func TestStrictPolicyRejectsKeysBeforeBound(t *testing.T) {
 	policy := revocation.Policy{
 		IsStrict: true,
-		Bound:    within,
+		Bound:    bound,
 	}
-	qt.Assert(t, policy.MayAccept(within-revocation.Margin-time.Millisecond), qt.IsTrue)
-	qt.Assert(t, policy.MayAccept(within-revocation.Margin), qt.IsFalse)
+	qt.Assert(t, policy.MayAccept(bound-revocation.Margin-time.Millisecond), qt.IsTrue)
+	qt.Assert(t, policy.MayAccept(bound-revocation.Margin), qt.IsFalse)
 	qt.Assert(t, policy.MayAccept(time.Hour), qt.IsFalse)
 }
 
 func TestLenientPolicyAcceptsKeysOfStaleConfiguration(t *testing.T) {
 	policy := revocation.Policy{
-		Bound: within,
+		Bound: bound,
 	}
 	qt.Assert(t, policy.MayAccept(time.Hour), qt.IsTrue)
 	// It is not current, so no key or route is rejected as unknown.
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings holds the settings of a daemon on an entry VM: its addresses
-// and the time and rate limits that it must keep.
+// and the time and rate limits that it must meet.
 package settings
 
 import (
