--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -297,7 +297,7 @@
 }
 
 // Cancel cancels a request at an engine. It is best effort: if the message is lost,
-// the engine completes an answer that nobody reads.
+// the engine completes an answer that is not read.
 func (c *Client) Cancel(address, requestID string) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/io/kernel/kernel_test.go
+++ b/io/kernel/kernel_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestSuspendedTimeNeverDecreases(t *testing.T) {
-	var sleep kernel.SuspendClock
-	previous := sleep.Suspended()
+	var clock kernel.SuspendClock
+	previous := clock.Suspended()
 	qt.Assert(t, previous >= 0, qt.IsTrue)
 	for range 1000 {
-		next := sleep.Suspended()
+		next := clock.Suspended()
 		qt.Assert(t, next >= previous, qt.IsTrue)
 		previous = next
 	}
 }
 
 func BenchmarkSuspended(b *testing.B) {
-	var sleep kernel.SuspendClock
+	var clock kernel.SuspendClock
 	for b.Loop() {
-		sleep.Suspended()
+		clock.Suspended()
 	}
 }
