--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -122,7 +122,7 @@
 	return reply, err
 }
 
-// Status returns the state of the fleet as the daemon knows it.
+// Status returns the state of the fleet as the daemon sees it.
 func (c *Client) Status() (status Status, err error) {
 	err = c.call(fasthttp.MethodGet, pathStatus, nil, &status)
 	return status, err
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -24,8 +24,8 @@
 }
 
 // Error returns the text of the cause.
-func (r invalidRequestError) Error() string {
-	return r.cause.Error()
+func (e invalidRequestError) Error() string {
+	return e.cause.Error()
 }
 
 // MarkInvalid marks an error as one that the operator can correct.
@@ -57,7 +57,7 @@
 
 // Server serves operators. Create it with Listen.
 type Server struct {
-	fleet         Fleet
+	service       Fleet
 	bootstrapHash string
 	log           *zap.Logger
 	app           *fiber.App
@@ -70,13 +70,13 @@
 
 // Listen starts a server at IP:port. Port 0 chooses a free port. bootstrapHash is the hash
 // of the key that is valid until a declaration names operators.
-func Listen(address, bootstrapHash string, fleet Fleet, log *zap.Logger) (*Server, error) {
+func Listen(address, bootstrapHash string, service Fleet, log *zap.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for operators on %s", address)
 	}
 	server := &Server{
-		fleet:         fleet,
+		service:       service,
 		bootstrapHash: bootstrapHash,
 		log:           log,
 		listener:      listener,
@@ -86,7 +86,7 @@
 			BodyLimit: 16 << 20,
 		}),
 	}
-	server.routes()
+	server.registerRoutes()
 	go func() {
 		_ = server.app.Listener(listener, fiber.ListenConfig{
 			DisableStartupMessage: true,
@@ -109,8 +109,8 @@
 // operation executes a request of an operator. Its result is the JSON body of the answer.
 type operation func(ctx context.Context, c fiber.Ctx, operator string) (any, error)
 
-// routes registers the handlers.
-func (s *Server) routes() {
+// registerRoutes registers the handlers.
+func (s *Server) registerRoutes() {
 	s.app.Post(pathApply, s.handler(s.apply))
 	s.app.Post(pathDiff, s.handler(s.diff))
 	s.app.Post(pathPlans, s.handler(s.propose))
@@ -118,13 +118,13 @@
 	s.app.Get(pathPlans+"/:id", s.handler(s.plan))
 	s.app.Post(pathPlans+"/:id/:change", s.handler(s.change))
 	s.app.Get(pathStatus, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
-		return s.fleet.Status(), nil
+		return s.service.Status(), nil
 	}))
 	s.app.Get(pathGroups, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
-		return s.fleet.Groups(), nil
+		return s.service.Groups(), nil
 	}))
 	s.app.Get(pathCounters, s.handler(func(context.Context, fiber.Ctx, string) (any, error) {
-		return s.fleet.Counters(), nil
+		return s.service.Counters(), nil
 	}))
 }
 
@@ -164,7 +164,7 @@
 	}
 	sum := sha256.Sum256([]byte(key))
 	hash := hex.EncodeToString(sum[:])
-	declared := s.fleet.Declaration()
+	declared := s.service.Declaration()
 	for _, operator := range declared.Operators {
 		for _, keyHash := range operator.KeyHashes {
 			if subtle.ConstantTimeCompare([]byte(keyHash), []byte(hash)) == 1 {
@@ -172,8 +172,8 @@
 			}
 		}
 	}
-	isFirst := len(declared.Operators) == 0 && s.bootstrapHash != ""
-	return "bootstrap", isFirst && subtle.ConstantTimeCompare([]byte(s.bootstrapHash), []byte(hash)) == 1
+	isBootstrap := len(declared.Operators) == 0 && s.bootstrapHash != ""
+	return "bootstrap", isBootstrap && subtle.ConstantTimeCompare([]byte(s.bootstrapHash), []byte(hash)) == 1
 }
 
 // apply parses and applies a declaration.
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, MarkInvalid(err)
 	}
-	return s.fleet.Apply(ctx, operator, declared, request.From)
+	return s.service.Apply(ctx, operator, declared, request.From)
 }
 
 // diff compares a declaration with the one in force, without applying it.
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, MarkInvalid(err)
 	}
-	return s.fleet.Diff(ctx, declared)
+	return s.service.Diff(ctx, declared)
 }
 
 // propose creates a plan for an intent.
@@ -208,7 +208,7 @@
 	if err := c.Bind().JSON(&intent); err != nil {
 		return nil, MarkInvalid(err)
 	}
-	return planReply(s.fleet.Propose(ctx, operator, intent))
+	return planReply(s.service.Propose(ctx, operator, intent))
 }
 
 // planReply returns the reply with a plan and its predicted costs, or the error.
@@ -226,12 +226,12 @@
 
 // plans returns all plans.
 func (s *Server) plans(ctx context.Context, _ fiber.Ctx, _ string) (any, error) {
-	return s.fleet.Plans(ctx)
+	return s.service.Plans(ctx)
 }
 
 // plan returns one plan.
 func (s *Server) plan(ctx context.Context, c fiber.Ctx, _ string) (any, error) {
-	all, err := s.fleet.Plans(ctx)
+	all, err := s.service.Plans(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -250,7 +250,7 @@
 func (s *Server) change(ctx context.Context, c fiber.Ctx, operator string) (any, error) {
 	id, change := c.Params("id"), c.Params("change")
 	if change == changeConfirm {
-		return planReply(s.fleet.Confirm(ctx, operator, id))
+		return planReply(s.service.Confirm(ctx, operator, id))
 	}
-	return planReply(s.fleet.Change(ctx, operator, id, plan.Change(change)))
+	return planReply(s.service.Change(ctx, operator, id, plan.Change(change)))
 }
--- a/io/operator/types.go
+++ b/io/operator/types.go
@@ -49,8 +49,8 @@
 	StrandedSeconds float64   `json:"stranded_seconds"`
 }
 
-// Status is the state of the fleet as one daemon knows it. StoreAgeSeconds is the time since the
-// last answer of the store, in seconds.
+// Status is the state of the fleet as one daemon sees it. StoreAgeSeconds is the time
+// since the last answer of the store, in seconds.
 type Status struct {
 	Daemon          string         `json:"daemon"`
 	Revision        uint64         `json:"revision"`
