--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -25,7 +25,7 @@
 
 // errMalformed means that encoded data is truncated, or contains the number of an
 // unknown name.
-var errMalformed = errors.New("packed reports or evidence are malformed")
+var errMalformed = errors.New("encoded reports or evidence are malformed")
 
 // encoder encodes the answers of one session. It omits observations that are not newer
 // than those sent before in the session. The zero value is for a new session.
@@ -67,9 +67,9 @@
 // assignNumber returns the number of a name, and whether an observation made at a time
 // must be sent: it is not too old, and newer than the last one sent. A name that is new
 // to the session gets a number and is added to names.
-func (e *encoder) assignNumber(name string, at, now time.Time, names map[int]string) (number int, shouldSend bool) {
+func (e *encoder) assignNumber(name string, observedAt, now time.Time, names map[int]string) (number int, shouldSend bool) {
 	number, ok := e.numbers[name]
-	if ok && !at.After(e.lastSent[number]) || now.Sub(at) > maxSentAge {
+	if ok && !observedAt.After(e.lastSent[number]) || now.Sub(observedAt) > maxSentAge {
 		return number, false
 	}
 	if !ok {
@@ -77,13 +77,13 @@
 		e.numbers[name] = number
 		names[number] = name
 	}
-	e.lastSent[number] = at
+	e.lastSent[number] = observedAt
 	return number, true
 }
 
 // encodeAge returns the age in units of ageResolution, rounded up.
-func encodeAge(at, now time.Time) uint64 {
-	return uint64(max(0, now.Sub(at))/ageResolution) + 1
+func encodeAge(observedAt, now time.Time) uint64 {
+	return uint64(max(0, now.Sub(observedAt))/ageResolution) + 1
 }
 
 // appendNumbers appends numbers to data as varints.
--- a/io/peer/codec_internal_test.go
+++ b/io/peer/codec_internal_test.go
@@ -19,13 +19,13 @@
 		observed, _ := decodeEvidence(evidence, names, requestedAt)
 		for _, item := range observed {
 			if item.ObservedAt.After(requestedAt) || item.Slots < 0 || item.InFlight < 0 {
-				t.Fatalf("unpacked %+v", item)
+				t.Fatalf("decoded %+v", item)
 			}
 		}
 		decoded, _ := decodeReports(reports, names, requestedAt)
 		for _, item := range decoded {
 			if item.ObservedAt.After(requestedAt) {
-				t.Fatalf("unpacked %+v", item)
+				t.Fatalf("decoded %+v", item)
 			}
 		}
 	})
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -43,8 +43,8 @@
 
 // PullRequest requests the rows after a position in the log of another daemon.
 // Incarnation identifies the log; a log with another incarnation is read from position
-// 0. IncludeRelayed requests everything that the other daemon knows, not only its own
-// observations.
+// 0. IncludeRelayed also requests the observations that the other daemon received from
+// others.
 type PullRequest struct {
 	Incarnation    string `json:"incarnation"`
 	Position       int    `json:"position"`
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -20,22 +20,22 @@
 }
 
 // HandlePull returns the answer.
-func (a *fixedHandler) HandlePull(context.Context, peer.PullRequest) (peer.PullAnswer, error) {
-	return a.answer, nil
+func (h *fixedHandler) HandlePull(context.Context, peer.PullRequest) (peer.PullAnswer, error) {
+	return h.answer, nil
 }
 
 const peerKey = "test-peer-key-0123456789"
 
 // connect starts a server, and a client with a key.
-func connect(t *testing.T, key string, source peer.PullHandler) (pull func() (peer.PullAnswer, error), traffic *peer.Traffic) {
+func connect(t *testing.T, key string, handler peer.PullHandler) (pull func() (peer.PullAnswer, error), traffic *peer.Traffic) {
 	t.Helper()
 	traffic = &peer.Traffic{}
-	server, err := peer.Listen("127.0.0.1:0", peerKey, source, &peer.Traffic{})
+	server, err := peer.Listen("127.0.0.1:0", peerKey, handler, &peer.Traffic{})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(server.Close)
 	client := peer.NewClient(peer.Hello{
 		Key:    key,
-		Daemon: "asker",
+		Daemon: "puller",
 	}, traffic)
 	t.Cleanup(client.Close)
 	return func() (peer.PullAnswer, error) {
@@ -43,11 +43,11 @@
 	}, traffic
 }
 
-// TestPullReturnsWholeAnswer checks that the decoded answer is the one sent, and that no
+// TestPullReturnsCompleteAnswer checks that the decoded answer is the one sent, and that no
 // observation appears more recent than it is.
-func TestPullReturnsWholeAnswer(t *testing.T) {
+func TestPullReturnsCompleteAnswer(t *testing.T) {
 	now := time.Now()
-	source := &fixedHandler{
+	handler := &fixedHandler{
 		answer: peer.PullAnswer{
 			Incarnation: "one",
 			Position:    7,
@@ -74,54 +74,54 @@
 			}},
 		},
 	}
-	pull, _ := connect(t, peerKey, source)
+	pull, _ := connect(t, peerKey, handler)
 	got, err := pull()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got.Incarnation, qt.Equals, "one")
 	qt.Assert(t, got.Position, qt.Equals, 7)
-	qt.Assert(t, got.Rows, qt.DeepEquals, source.answer.Rows)
+	qt.Assert(t, got.Rows, qt.DeepEquals, handler.answer.Rows)
 	qt.Assert(t, got.Reports, qt.HasLen, 1)
 	qt.Assert(t, got.Reports[0].Daemon, qt.Equals, "daemon-1")
 	qt.Assert(t, got.Reports[0].ConfigVersion, qt.Equals, uint64(99))
-	qt.Assert(t, got.Reports[0].ObservedAt.After(source.answer.Reports[0].ObservedAt), qt.IsFalse)
+	qt.Assert(t, got.Reports[0].ObservedAt.After(handler.answer.Reports[0].ObservedAt), qt.IsFalse)
 	qt.Assert(t, got.Evidence, qt.HasLen, 2)
 	first := got.Evidence[0]
-	qt.Assert(t, first.ObservedAt.After(source.answer.Evidence[0].ObservedAt), qt.IsFalse)
-	first.ObservedAt = source.answer.Evidence[0].ObservedAt
-	qt.Assert(t, first, qt.Equals, source.answer.Evidence[0])
+	qt.Assert(t, first.ObservedAt.After(handler.answer.Evidence[0].ObservedAt), qt.IsFalse)
+	first.ObservedAt = handler.answer.Evidence[0].ObservedAt
+	qt.Assert(t, first, qt.Equals, handler.answer.Evidence[0])
 	qt.Assert(t, got.Evidence[1].IsWhole, qt.IsFalse)
 }
 
 // TestObservationIsSentAgainOnlyIfNewer checks that a session sends the same observation once,
 // a newer one again, and one that is too old never.
 func TestObservationIsSentAgainOnlyIfNewer(t *testing.T) {
-	source := &fixedHandler{}
-	setObservedAt := func(at time.Time) {
-		source.answer.Evidence = []presence.Evidence{{
+	handler := &fixedHandler{}
+	setObservedAt := func(observedAt time.Time) {
+		handler.answer.Evidence = []presence.Evidence{{
 			Group:      "g",
 			IsWhole:    true,
-			ObservedAt: at,
+			ObservedAt: observedAt,
 		}}
 	}
-	pull, _ := connect(t, peerKey, source)
-	seen := time.Now()
+	pull, _ := connect(t, peerKey, handler)
+	observedAt := time.Now()
 	for _, step := range []struct {
-		at       time.Time
-		expected int
+		observedAt time.Time
+		expected   int
 	}{{
-		at:       seen,
-		expected: 1,
+		observedAt: observedAt,
+		expected:   1,
 	}, {
-		at:       seen,
-		expected: 0,
+		observedAt: observedAt,
+		expected:   0,
 	}, {
-		at:       seen.Add(time.Millisecond),
-		expected: 1,
+		observedAt: observedAt.Add(time.Millisecond),
+		expected:   1,
 	}, {
-		at:       seen.Add(-time.Minute),
-		expected: 0,
+		observedAt: observedAt.Add(-time.Minute),
+		expected:   0,
 	}} {
-		setObservedAt(step.at)
+		setObservedAt(step.observedAt)
 		got, err := pull()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got.Evidence, qt.HasLen, step.expected)
@@ -131,12 +131,12 @@
 // TestNamesAreSentOncePerConnection checks that the size of a later answer does not depend on
 // the length of the names.
 func TestNamesAreSentOncePerConnection(t *testing.T) {
-	source := &fixedHandler{}
-	pull, traffic := connect(t, peerKey, source)
-	cost := func() int64 {
-		source.answer.Evidence = nil
+	handler := &fixedHandler{}
+	pull, traffic := connect(t, peerKey, handler)
+	bytesOfPull := func() int64 {
+		handler.answer.Evidence = nil
 		for number := range 100 {
-			source.answer.Evidence = append(source.answer.Evidence, presence.Evidence{
+			handler.answer.Evidence = append(handler.answer.Evidence, presence.Evidence{
 				Group:      fmt.Sprintf("a-group-with-quite-a-long-name-%d", number),
 				IsWhole:    true,
 				ObservedAt: time.Now(),
@@ -147,8 +147,8 @@
 		qt.Assert(t, err, qt.IsNil)
 		return traffic.Read.Load() - before
 	}
-	cost()
-	qt.Assert(t, cost() < 100*12+200, qt.IsTrue)
+	bytesOfPull()
+	qt.Assert(t, bytesOfPull() < 100*12+200, qt.IsTrue)
 }
 
 func TestWrongPeerKeyIsRefused(t *testing.T) {
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -20,18 +20,18 @@
 // Server serves other daemons. Create it with Listen.
 type Server struct {
 	*rpc.Listener
-	key      string
-	answerer PullHandler
-	traffic  *Traffic
+	key     string
+	handler PullHandler
+	traffic *Traffic
 }
 
-// Listen starts a server at IP:port for daemons that know the key. Port 0 chooses a
+// Listen starts a server at IP:port for daemons that have the key. Port 0 chooses a
 // free port.
-func Listen(address, key string, answerer PullHandler, traffic *Traffic) (*Server, error) {
+func Listen(address, key string, handler PullHandler, traffic *Traffic) (*Server, error) {
 	server := &Server{
-		key:      key,
-		answerer: answerer,
-		traffic:  traffic,
+		key:     key,
+		handler: handler,
+		traffic: traffic,
 	}
 	listener, err := rpc.Listen(address, server.newSession)
 	if err != nil {
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(params, &pull); err != nil {
 		return nil, newError(jsonrpc2.CodeInvalidParams, err.Error())
 	}
-	answer, err := s.server.answerer.HandlePull(ctx, pull)
+	answer, err := s.server.handler.HandlePull(ctx, pull)
 	if err != nil {
 		return nil, newError(codeFailed, err.Error())
 	}
