--- a/io/caller/answer.go
+++ b/io/caller/answer.go
@@ -87,8 +87,8 @@
 	if !ok {
 		status = fiber.StatusBadGateway
 	}
-	if wait := admission.RetryAfter(failure.Reason); wait > 0 {
-		c.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
+	if retryAfter := admission.RetryAfter(failure.Reason); retryAfter > 0 {
+		c.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	}
 	c.Set(headerOutcome, failure.Outcome.String())
 	c.Set(headerRequestID, requestID)
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -27,14 +27,14 @@
 )
 
 // startEngine starts a simulated engine that has loaded group m-1.
-func startEngine(t *testing.T, eachToken time.Duration) *engine.Engine {
+func startEngine(t *testing.T, tokenInterval time.Duration) *engine.Engine {
 	t.Helper()
 	started, err := engine.Start(engine.Settings{
 		VM:            "m-1",
 		Address:       "127.0.0.1:0",
 		ChecksOrders:  true,
 		Slots:         100,
-		TokenInterval: eachToken,
+		TokenInterval: tokenInterval,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(started.Kill)
@@ -149,15 +149,15 @@
 	var resumed []string
 	address := startServer(t, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType("text/event-stream")
-		switch last := string(ctx.Request.Header.Peek("Last-Event-ID")); {
+		switch lastEventID := string(ctx.Request.Header.Peek("Last-Event-ID")); {
 		case ctx.IsPost():
 			ctx.SetBodyStream(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), brokenReader{}), -1)
-		case last == "1":
-			resumed = append(resumed, last)
+		case lastEventID == "1":
+			resumed = append(resumed, lastEventID)
 			// An engine may repeat events.
 			ctx.SetBodyStream(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), brokenReader{}), -1)
 		default:
-			resumed = append(resumed, last)
+			resumed = append(resumed, lastEventID)
 			ctx.SetBodyString("id: 3\ndata: c\n\ndata: [DONE]\n\n")
 		}
 	})
@@ -227,8 +227,8 @@
 	qt.Assert(t, got.outcome, qt.Equals, "unknown")
 	qt.Assert(t, got.reason(), qt.Equals, "connection_lost")
 	qt.Assert(t, posts.Load(), qt.Equals, int64(1))
-	read := daemon.call(t, "GET", "/plain/readings", "")
-	qt.Assert(t, string(read.body), qt.Equals, "got")
+	readAnswer := daemon.call(t, "GET", "/plain/readings", "")
+	qt.Assert(t, string(readAnswer.body), qt.Equals, "got")
 	qt.Assert(t, gets.Load(), qt.Equals, int64(2))
 }
 
@@ -253,9 +253,9 @@
 // TestRefusedRetryKeepsOutcomeUnknown guards against reporting not_run after a refused retry:
 // the first attempt may have run.
 func TestRefusedRetryKeepsOutcomeUnknown(t *testing.T) {
-	var tries atomic.Int64
+	var attempts atomic.Int64
 	address := startServer(t, func(ctx *fasthttp.RequestCtx) {
-		if tries.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			closeWithoutAnswer(ctx)
 			return
 		}
@@ -265,7 +265,7 @@
 	daemon := startTestServer(t, []string{address}, nil, nil)
 	body, _ := chatBody("x", 2, false)
 	got := daemon.call(t, "POST", "/v1/chat/completions", body)
-	qt.Assert(t, tries.Load() > 1, qt.IsTrue)
+	qt.Assert(t, attempts.Load() > 1, qt.IsTrue)
 	qt.Assert(t, got.outcome, qt.Equals, "unknown")
 }
 
@@ -299,11 +299,11 @@
 	qt.Assert(t, again.status, qt.Equals, 200)
 	qt.Assert(t, again.body, qt.DeepEquals, got.body)
 	qt.Assert(t, plain.Ledger()["POST /plain/charges x"], qt.Equals, 1)
-	other := second.call(t, "POST", "/plain/charges", "y", header)
-	qt.Assert(t, other.status, qt.Equals, 422)
-	qt.Assert(t, other.outcome, qt.Equals, "not_run")
-	elsewhere := second.call(t, "POST", "/plain/other", "x", header)
-	qt.Assert(t, elsewhere.status, qt.Equals, 200)
+	otherBody := second.call(t, "POST", "/plain/charges", "y", header)
+	qt.Assert(t, otherBody.status, qt.Equals, 422)
+	qt.Assert(t, otherBody.outcome, qt.Equals, "not_run")
+	otherRoute := second.call(t, "POST", "/plain/other", "x", header)
+	qt.Assert(t, otherRoute.status, qt.Equals, 200)
 }
 
 // TestKeyedRequestIsRefusedWhileStoreIsDown checks that no request is sent to a backend
@@ -403,26 +403,26 @@
 func TestBadInputErrorNamesField(t *testing.T) {
 	daemon := startTestServer(t, []string{"127.0.0.1:1"}, nil, nil)
 	cases := []struct {
-		body   string
-		header [2]string
-		says   string
+		body         string
+		header       [2]string
+		expectedText string
 	}{{
-		body: `{"messages":[{}]}`,
-		says: "model: must be set",
+		body:         `{"messages":[{}]}`,
+		expectedText: "model: must be set",
 	}, {
-		body: `{"model":"m"}`,
-		says: "messages: must hold",
+		body:         `{"model":"m"}`,
+		expectedText: "messages: must hold",
 	}, {
-		body: `{"model":"m","messages":[{}]`,
-		says: "body: unexpected end",
+		body:         `{"model":"m","messages":[{}]`,
+		expectedText: "body: unexpected end",
 	}, {
-		body:   `{"model":"m","messages":[{}]}`,
-		header: [2]string{"X-Priority", "high"},
-		says:   "X-Priority: must be 0 to 9",
+		body:         `{"model":"m","messages":[{}]}`,
+		header:       [2]string{"X-Priority", "high"},
+		expectedText: "X-Priority: must be 0 to 9",
 	}, {
-		body:   `{"model":"m","messages":[{}]}`,
-		header: [2]string{"X-Deadline-Ms", "2s"},
-		says:   "X-Deadline-Ms: must be a number",
+		body:         `{"model":"m","messages":[{}]}`,
+		header:       [2]string{"X-Deadline-Ms", "2s"},
+		expectedText: "X-Deadline-Ms: must be a number",
 	}}
 	for _, invalid := range cases {
 		header := [2]string{"Accept", "*/*"}
@@ -432,7 +432,7 @@
 		got := daemon.call(t, "POST", "/v1/chat/completions", invalid.body, header)
 		qt.Assert(t, got.status, qt.Equals, 400)
 		qt.Assert(t, got.outcome, qt.Equals, "not_run")
-		qt.Assert(t, string(got.body), qt.Contains, invalid.says)
+		qt.Assert(t, string(got.body), qt.Contains, invalid.expectedText)
 	}
 }
 
--- a/io/caller/job.go
+++ b/io/caller/job.go
@@ -55,8 +55,8 @@
 	attempts int
 	ctx      context.Context
 	cancel   context.CancelFunc
-	// isCallerGone is set when the caller has disconnected.
-	isCallerGone atomic.Bool
+	// isCallerDisconnected is set when the caller has disconnected.
+	isCallerDisconnected atomic.Bool
 	// assignedAddress is the address of the backend server that the request is
 	// assigned to; cancelWork needs it.
 	assignedAddress atomic.Pointer[string]
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -259,7 +259,7 @@
 func (r *relay) closeIncomplete() {
 	if r.failure == nil {
 		// Writing to the caller failed before the engine finished.
-		r.job.isCallerGone.Store(true)
+		r.job.isCallerDisconnected.Store(true)
 		r.job.cancel()
 		r.failure = r.server.endedAfterSend(r.job)
 		r.server.cancelWork(r.job)
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -60,7 +60,7 @@
 func (s *Server) runJob(c fiber.Ctx, j *job, refusal *outcome.Failure) error {
 	s.openCount.Add(1)
 	unwatch := s.disconnects.Watch(c.RequestCtx().Conn(), func() {
-		j.isCallerGone.Store(true)
+		j.isCallerDisconnected.Store(true)
 		if j.cancel != nil {
 			j.cancel()
 		}
@@ -228,7 +228,7 @@
 
 // endedBeforeSend returns the failure of a job that ended before it was sent.
 func (s *Server) endedBeforeSend(j *job) *outcome.Failure {
-	if j.isCallerGone.Load() {
+	if j.isCallerDisconnected.Load() {
 		return outcome.NotRunFailure(outcome.ReasonCallerGone, "send request")
 	}
 	return outcome.NotRunFailure(outcome.ReasonQueueDeadline, "send request")
@@ -237,7 +237,7 @@
 // endedAfterSend returns the failure of a job that ended after it was sent.
 func (s *Server) endedAfterSend(j *job) *outcome.Failure {
 	reason := outcome.ReasonDeadline
-	if j.isCallerGone.Load() {
+	if j.isCallerDisconnected.Load() {
 		reason = outcome.ReasonCallerGone
 	}
 	return &outcome.Failure{
@@ -265,8 +265,8 @@
 	if refusal := s.refuseUnservable(j); refusal != nil {
 		return refusal
 	}
-	wait := snapshot.Declaration().Limits.QueueWait.Or(declaration.DefaultQueueWait)
-	ctx, cancel := context.WithTimeout(j.ctx, wait)
+	queueWait := snapshot.Declaration().Limits.QueueWait.Or(declaration.DefaultQueueWait)
+	ctx, cancel := context.WithTimeout(j.ctx, queueWait)
 	defer cancel()
 	release, refusal := s.queue.Admit(ctx, admission.Request{
 		Organisation: j.organisation,
@@ -278,7 +278,7 @@
 		},
 	})
 	if refusal != nil {
-		if j.isCallerGone.Load() {
+		if j.isCallerDisconnected.Load() {
 			refusal.Reason = outcome.ReasonCallerGone
 		}
 		return refusal
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -1,5 +1,5 @@
 // Package caller is the HTTP server for callers. It serves the chat-completions API
-// that their client libraries know, with server-sent events for streams, and plain
+// that their client libraries support, with server-sent events for streams, and plain
 // services under their declared prefixes.
 //
 // Every answer states the outcome of the request: ran, not_run or unknown. It is in
@@ -36,7 +36,7 @@
 	Snapshot() *control.Snapshot
 	Engines() *engine.Client
 	Store() table.Store
-	OnSnapshot(changed func())
+	OnSnapshot(listener func())
 	IsMember(daemon string) bool
 }
 
--- a/io/caller/testserver_test.go
+++ b/io/caller/testserver_test.go
@@ -52,10 +52,10 @@
 func (s *testServer) IsMember(daemon string) bool { return daemon == s.id }
 
 // OnSnapshot registers a listener.
-func (s *testServer) OnSnapshot(changed func()) {
+func (s *testServer) OnSnapshot(listener func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.listeners = append(s.listeners, changed)
+	s.listeners = append(s.listeners, listener)
 }
 
 // startTestServer starts a server with one group per address in engines and one plain
