--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -105,12 +105,12 @@
 // restarted daemon needs a new id because it has lost its state, such as the
 // leases that it held.
 func newDaemonID(settings Settings, address string) string {
-	const suffix = 8
+	const suffixLength = 8
 	name := settings.ID
 	if name == "" {
 		name = address
 	}
-	return name + "." + uuid.NewString()[:suffix]
+	return name + "." + uuid.NewString()[:suffixLength]
 }
 
 // ID returns the daemon's id, which is unique to this start.
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -337,10 +337,10 @@
 // pullAll pulls from all sources once, concurrently.
 func (p *peerPuller) pullAll(ctx context.Context) {
 	results := pool.NewWithResults[pullResult]()
-	addresses, isFullPull := p.pullAddresses()
+	addresses, includesRelayed := p.pullAddresses()
 	for _, address := range addresses {
 		request := p.positions[address]
-		request.IncludeRelayed = isFullPull[address]
+		request.IncludeRelayed = includesRelayed[address]
 		results.Go(func() pullResult {
 			answer, err := p.daemon.peers.Pull(ctx, address, request)
 			return pullResult{
@@ -356,25 +356,25 @@
 }
 
 // pullAddresses returns the addresses to pull from: the sources, or the seeds
-// while no source is known. isFullPull holds those that are also asked for the
-// reports that they received from others. One address per round, in rotation, is
-// always among these: in a small roster each daemon pulls from all others, and
-// the full pulls carry reports around broken links.
-func (p *peerPuller) pullAddresses() (addresses []string, isFullPull map[string]bool) {
-	isFullPull = map[string]bool{}
+// while no source is known. includesRelayed holds those whose relayed reports,
+// received from other daemons, are pulled too. One address per round, in rotation, is
+// always among these: in a small roster each daemon pulls from all others, and the
+// relayed reports get around broken links.
+func (p *peerPuller) pullAddresses() (addresses []string, includesRelayed map[string]bool) {
+	includesRelayed = map[string]bool{}
 	sources := *p.daemon.pullSources.Load()
 	for _, source := range sources {
 		addresses = append(addresses, source.Daemon.PeerAddress)
-		isFullPull[source.Daemon.PeerAddress] = source.IncludesReceived
+		includesRelayed[source.Daemon.PeerAddress] = source.IncludesReceived
 	}
 	if len(addresses) == 0 {
 		addresses = p.daemon.settings.Seeds
 	}
 	if len(addresses) > 0 {
 		p.rounds++
-		isFullPull[addresses[p.rounds%len(addresses)]] = true
+		includesRelayed[addresses[p.rounds%len(addresses)]] = true
 	}
-	return addresses, isFullPull
+	return addresses, includesRelayed
 }
 
 // applyResult passes a reply to the controller. Reports are applied only with the
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -39,21 +39,21 @@
 }
 
 // Declaration returns the declaration in force.
-func (f *OperatorService) Declaration() declaration.Declaration {
-	return f.daemon.Snapshot().Declaration()
+func (s *OperatorService) Declaration() declaration.Declaration {
+	return s.daemon.Snapshot().Declaration()
 }
 
 // awaitStoreRead waits for a read of the store that begins after the call, so
 // that replies and plans are based on the latest rows.
-func (f *OperatorService) awaitStoreRead(ctx context.Context) error {
+func (s *OperatorService) awaitStoreRead(ctx context.Context) error {
 	requestedAt := time.Now()
 	for {
 		select {
-		case f.daemon.refreshRequests <- struct{}{}:
+		case s.daemon.refreshRequests <- struct{}{}:
 		default:
 		}
 		isRead := false
-		if !f.daemon.runInControl(func(c *control.Controller) {
+		if !s.daemon.runInControl(func(c *control.Controller) {
 			isRead = c.Contact().LastStoreRead().After(requestedAt)
 		}) {
 			return ErrStopped
@@ -70,16 +70,16 @@
 }
 
 // commit commits a transaction of an operator and waits until this daemon has
-// read it back. The error of a failed commit says whether anything was changed.
-func (f *OperatorService) commit(ctx context.Context, operation string, transaction table.Transaction) error {
-	_, err := f.daemon.store.Commit(ctx, transaction)
+// read it back. The error of a failed commit states whether anything was changed.
+func (s *OperatorService) commit(ctx context.Context, operation string, transaction table.Transaction) error {
+	_, err := s.daemon.store.Commit(ctx, transaction)
 	switch {
 	case err == nil:
-		return f.awaitStoreRead(ctx)
+		return s.awaitStoreRead(ctx)
 	case errors.Is(err, table.ErrConflict):
-		return operator.MarkInvalid(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", operation, err))
+		return operator.MarkInvalid(errors.Errorf("%s: another operator or daemon changed it in the meantime; check the state and try again: %s", operation, err))
 	case errors.Is(err, table.ErrUnknown):
-		return errors.Wrapf(err, "%s: the store did not answer; whether it was changed is not known; look again", operation)
+		return errors.Wrapf(err, "%s: the store did not answer; the outcome is unknown; check the state before another try", operation)
 	default:
 		return errors.Wrapf(err, "%s: nothing was changed", operation)
 	}
@@ -88,12 +88,12 @@
 // Apply stores a declaration as the next revision and waits until a majority of
 // the daemons hold it. It refuses if expectedRevision is neither 0 nor the
 // revision in force.
-func (f *OperatorService) Apply(ctx context.Context, operatorName string, declared declaration.Declaration, expectedRevision uint64) (operator.ApplyReply, error) {
+func (s *OperatorService) Apply(ctx context.Context, operatorName string, declared declaration.Declaration, expectedRevision uint64) (operator.ApplyReply, error) {
 	var reply operator.ApplyReply
-	if err := f.awaitStoreRead(ctx); err != nil {
+	if err := s.awaitStoreRead(ctx); err != nil {
 		return reply, err
 	}
-	fleetState := f.daemon.FleetState()
+	fleetState := s.daemon.FleetState()
 	current := fleetState.Configuration
 	if expectedRevision != 0 && expectedRevision != current.Revision {
 		return reply, operator.MarkInvalid(errors.Errorf("apply: revision %d is in force, not %d", current.Revision, expectedRevision))
@@ -106,23 +106,23 @@
 	transaction := table.Transaction{}
 	transaction = transaction.WithCondition(plan.ConfigKey, fleetState.Catalog.Row(plan.ConfigKey).Version)
 	transaction = transaction.WithWrite(table.Put(plan.ConfigKey, next))
-	if err := f.commit(ctx, "apply", transaction); err != nil {
+	if err := s.commit(ctx, "apply", transaction); err != nil {
 		return reply, err
 	}
-	f.daemon.log.Info("operators: declaration applied", zap.Uint64("revision", next.Revision), zap.String("operator", operatorName))
-	return f.awaitAccepted(ctx, next.Revision), nil
+	s.daemon.log.Info("operators: declaration applied", zap.Uint64("revision", next.Revision), zap.String("operator", operatorName))
+	return s.awaitAccepted(ctx, next.Revision), nil
 }
 
 // awaitAccepted waits until a majority of the daemons hold this daemon's
 // configuration, for acceptanceTimeout at most.
-func (f *OperatorService) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
+func (s *OperatorService) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
 	waitCtx, cancel := context.WithTimeout(ctx, acceptanceTimeout)
 	defer cancel()
 	reply := operator.ApplyReply{
 		Revision: revision,
 	}
 	for {
-		f.daemon.runInControl(func(c *control.Controller) {
+		s.daemon.runInControl(func(c *control.Controller) {
 			ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
 			reply.Daemons = len(daemonIDs)
 			reply.Holders = c.Contact().HolderCount(c.Self().ID, ownVersion, daemonIDs, ownVersion)
@@ -139,11 +139,11 @@
 }
 
 // Diff compares a declaration with the one in force.
-func (f *OperatorService) Diff(ctx context.Context, declared declaration.Declaration) (operator.DiffReply, error) {
-	if err := f.awaitStoreRead(ctx); err != nil {
+func (s *OperatorService) Diff(ctx context.Context, declared declaration.Declaration) (operator.DiffReply, error) {
+	if err := s.awaitStoreRead(ctx); err != nil {
 		return operator.DiffReply{}, err
 	}
-	current := f.daemon.FleetState().Configuration
+	current := s.daemon.FleetState().Configuration
 	return operator.DiffReply{
 		Revision:    current.Revision,
 		Differences: declaration.Diff(current.Declaration, declared),
@@ -154,35 +154,35 @@
 const planIDLength = 8
 
 // Propose builds a plan and stores it. Any daemon can confirm it later.
-func (f *OperatorService) Propose(ctx context.Context, operatorName string, intent plan.Intent) (plan.Plan, error) {
-	if err := f.awaitStoreRead(ctx); err != nil {
+func (s *OperatorService) Propose(ctx context.Context, operatorName string, intent plan.Intent) (plan.Plan, error) {
+	if err := s.awaitStoreRead(ctx); err != nil {
 		return plan.Plan{}, err
 	}
-	proposed, err := plan.Build(uuid.NewString()[:planIDLength], operatorName, intent, f.daemon.FleetState())
+	proposed, err := plan.Build(uuid.NewString()[:planIDLength], operatorName, intent, s.daemon.FleetState())
 	if err != nil {
 		return proposed, operator.MarkInvalid(err)
 	}
 	transaction := table.Transaction{}
 	transaction = transaction.WithCondition(plan.Key(proposed.ID), 0)
 	transaction = transaction.WithWrite(table.Put(plan.Key(proposed.ID), proposed))
-	return proposed, f.commit(ctx, "store plan", transaction)
+	return proposed, s.commit(ctx, "store plan", transaction)
 }
 
 // Plans returns all plans in the store.
-func (f *OperatorService) Plans(ctx context.Context) ([]plan.Plan, error) {
-	if err := f.awaitStoreRead(ctx); err != nil {
+func (s *OperatorService) Plans(ctx context.Context) ([]plan.Plan, error) {
+	if err := s.awaitStoreRead(ctx); err != nil {
 		return nil, err
 	}
-	return append([]plan.Plan{}, f.daemon.FleetState().Plans...), nil
+	return append([]plan.Plan{}, s.daemon.FleetState().Plans...), nil
 }
 
 // findPlan returns a plan and the fleet state that it was read from.
-func (f *OperatorService) findPlan(ctx context.Context, id string) (plan.Plan, plan.FleetState, error) {
+func (s *OperatorService) findPlan(ctx context.Context, id string) (plan.Plan, plan.FleetState, error) {
 	var storedPlan plan.Plan
-	if err := f.awaitStoreRead(ctx); err != nil {
+	if err := s.awaitStoreRead(ctx); err != nil {
 		return storedPlan, plan.FleetState{}, err
 	}
-	fleetState := f.daemon.FleetState()
+	fleetState := s.daemon.FleetState()
 	row := fleetState.Catalog.Row(plan.Key(id))
 	if row.Version == 0 {
 		return storedPlan, fleetState, operator.MarkInvalid(errors.Errorf("plan %q does not exist", id))
@@ -191,8 +191,8 @@
 }
 
 // Confirm confirms a proposed plan, so that the daemons start to carry it out.
-func (f *OperatorService) Confirm(ctx context.Context, operatorName, id string) (plan.Plan, error) {
-	storedPlan, fleetState, err := f.findPlan(ctx, id)
+func (s *OperatorService) Confirm(ctx context.Context, operatorName, id string) (plan.Plan, error) {
+	storedPlan, fleetState, err := s.findPlan(ctx, id)
 	if err != nil {
 		return storedPlan, err
 	}
@@ -200,16 +200,16 @@
 	if err != nil {
 		return storedPlan, operator.MarkInvalid(err)
 	}
-	if err = f.commit(ctx, "confirm plan "+id, transaction); err != nil {
+	if err = s.commit(ctx, "confirm plan "+id, transaction); err != nil {
 		return storedPlan, err
 	}
-	f.daemon.log.Info("operators: plan confirmed", zap.String("plan", id), zap.String("operator", operatorName))
+	s.daemon.log.Info("operators: plan confirmed", zap.String("plan", id), zap.String("operator", operatorName))
 	return storedPlan.WithState(plan.Confirmed, ""), nil
 }
 
 // Change pauses, resumes or abandons a plan.
-func (f *OperatorService) Change(ctx context.Context, operatorName, id string, change plan.Change) (plan.Plan, error) {
-	storedPlan, fleetState, err := f.findPlan(ctx, id)
+func (s *OperatorService) Change(ctx context.Context, operatorName, id string, change plan.Change) (plan.Plan, error) {
+	storedPlan, fleetState, err := s.findPlan(ctx, id)
 	if err != nil {
 		return storedPlan, err
 	}
@@ -220,10 +220,10 @@
 	transaction := table.Transaction{}
 	transaction = transaction.WithCondition(plan.Key(id), fleetState.Catalog.Row(plan.Key(id)).Version)
 	transaction = transaction.WithWrite(table.Put(plan.Key(id), changed))
-	if err = f.commit(ctx, string(change)+" plan "+id, transaction); err != nil {
+	if err = s.commit(ctx, string(change)+" plan "+id, transaction); err != nil {
 		return storedPlan, err
 	}
-	f.daemon.log.Info("operators: plan changed", zap.String("plan", id), zap.String("change", string(change)), zap.String("operator", operatorName))
+	s.daemon.log.Info("operators: plan changed", zap.String("plan", id), zap.String("change", string(change)), zap.String("operator", operatorName))
 	return changed, nil
 }
 
@@ -231,11 +231,11 @@
 // Status of the fleet
 
 // Status returns this daemon's view of the daemons, leases and zones.
-func (f *OperatorService) Status() operator.Status {
+func (s *OperatorService) Status() operator.Status {
 	var status operator.Status
-	snapshot := f.daemon.Snapshot()
+	snapshot := s.daemon.Snapshot()
 	now := time.Now()
-	f.daemon.runInControl(func(c *control.Controller) {
+	s.daemon.runInControl(func(c *control.Controller) {
 		ownVersion, daemonIDs := c.ConfigVersion(), c.Roster().IDs()
 		status.Daemon = c.Self().ID
 		status.StoreAgeSeconds = now.Sub(c.Contact().LastStoreRead()).Seconds()
@@ -324,8 +324,8 @@
 }
 
 // Groups returns the status of all groups.
-func (f *OperatorService) Groups() []operator.GroupStatus {
-	snapshot := f.daemon.Snapshot()
+func (s *OperatorService) Groups() []operator.GroupStatus {
+	snapshot := s.daemon.Snapshot()
 	now := time.Now()
 	groups := make([]operator.GroupStatus, 0, len(snapshot.Groups))
 	for _, record := range snapshot.Groups {
@@ -341,12 +341,12 @@
 }
 
 // Counters returns the registry's counters and the bytes exchanged with peers.
-func (f *OperatorService) Counters() operator.Counters {
+func (s *OperatorService) Counters() operator.Counters {
 	counters := operator.Counters{
-		"peer.bytes_read":    f.daemon.traffic.Read.Load(),
-		"peer.bytes_written": f.daemon.traffic.Written.Load(),
+		"peer.bytes_read":    s.daemon.traffic.Read.Load(),
+		"peer.bytes_written": s.daemon.traffic.Written.Load(),
 	}
-	f.registry.Each(func(name string, metric any) {
+	s.registry.Each(func(name string, metric any) {
 		if counter, ok := metric.(metrics.Counter); ok {
 			counters[name] = counter.Count()
 		}
