--- a/command/check.go
+++ b/command/check.go
@@ -13,7 +13,7 @@
 	Files []string `arg:"" help:"Declaration files; - is standard input."`
 }
 
-// Run returns an error that lists every mistake with its file, line and field, or
+// Run returns an error that lists every problem with its file, line and field, or
 // prints how many zones, organisations, models and services are declared.
 func (c *CheckCommand) Run(streams *Streams) error {
 	files, err := readFiles(c.Files, streams.In)
--- a/command/command.go
+++ b/command/command.go
@@ -10,7 +10,7 @@
 //	1  refused, or failed with nothing changed
 //	2  the command line or a setting is wrong
 //	3  stored, but not accepted by a majority of the daemons yet
-//	4  not known whether it was done; look again
+//	4  outcome unknown; check the state before another try
 package command
 
 import (
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -17,7 +17,7 @@
 )
 
 // update makes the tests overwrite the expected outputs and the reference page.
-var update = flag.Bool("update", false, "write expected outputs and docs/REFERENCE.md anew")
+var update = flag.Bool("update", false, "overwrite the expected outputs and docs/REFERENCE.md")
 
 // TestMain unsets the environment variables that change the output: the terminal
 // width and the settings of headcourse.
