--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -144,15 +144,15 @@
 			pair.Site,
 			pair.Name,
 			strconv.FormatInt(pair.Seed, 10),
-			formatWorth(pair.Before),
-			formatWorth(pair.After),
-			formatWorth(pair.Difference()),
+			formatNetValue(pair.Before),
+			formatNetValue(pair.After),
+			formatNetValue(pair.Difference()),
 		})
 	}
 	return errors.Wrap(csv.NewWriter(out).WriteAll(rows), "write comparison")
 }
 
-// plotPairs writes a plot of the worth after against the worth before, with a
+// plotPairs writes a plot of the net value after against the net value before, with a
 // point for each pair.
 func plotPairs(out io.Writer, pairs []comparison.Pair) error {
 	var points []point
--- a/labcommand/days.go
+++ b/labcommand/days.go
@@ -11,7 +11,7 @@
 	"headcourse/platform/journal"
 )
 
-// DaysCommand writes the worth of a site's standard days in each score run, as
+// DaysCommand writes the net value of a site's standard days in each score run, as
 // comma-separated values that the plot command reads.
 type DaysCommand struct {
 	Journal string `default:"journal" help:"Folder of the bench's journal."`
@@ -62,25 +62,25 @@
 // scoreRow returns the row of a score run, or false if the run lacks one of the
 // days.
 func scoreRow(runNumber int, scoreRun journal.Run, dayNames []string) ([]string, bool) {
-	worthByDay := map[string]float64{}
+	netValueByDay := map[string]float64{}
 	for _, day := range scoreRun.Days {
-		worthByDay[day.Name] = day.NetValue
+		netValueByDay[day.Name] = day.NetValue
 	}
 	sum := 0.0
 	var cells []string
 	for _, name := range dayNames {
-		dayWorth, ok := worthByDay[name]
+		netValue, ok := netValueByDay[name]
 		if !ok {
 			return nil, false
 		}
-		sum += dayWorth
-		cells = append(cells, formatWorth(dayWorth))
+		sum += netValue
+		cells = append(cells, formatNetValue(netValue))
 	}
-	mean := formatWorth(sum / float64(len(dayNames)))
+	mean := formatNetValue(sum / float64(len(dayNames)))
 	return slices.Concat([]string{strconv.Itoa(runNumber), scoreRun.ID, mean}, cells, []string{scoreRun.Purpose}), true
 }
 
-// formatWorth formats a worth with the three decimals of all tables.
-func formatWorth(value float64) string {
+// formatNetValue formats a net value with the three decimals of all tables.
+func formatNetValue(value float64) string {
 	return strconv.FormatFloat(value, 'f', 3, 64)
 }
--- a/labcommand/relay.go
+++ b/labcommand/relay.go
@@ -39,17 +39,17 @@
 		direct := bench.MeasureDirect(settings)
 		throughDaemon := bench.MeasureThroughDaemon(settings)
 		for _, path := range []struct {
-			name    string
-			figures relaybench.Measurement
+			name        string
+			measurement relaybench.Measurement
 		}{{
-			name:    "direct",
-			figures: direct,
+			name:        "direct",
+			measurement: direct,
 		}, {
-			name:    "through a daemon",
-			figures: throughDaemon,
+			name:        "through a daemon",
+			measurement: throughDaemon,
 		}} {
-			f := path.figures
-			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(f.Events)/f.ElapsedSeconds, f.IncompleteStreams, cpuMicrosecondsPerEvent(f), toMilliseconds(f.FirstEvent.ValueAtQuantile(50)), toMilliseconds(f.FirstEvent.ValueAtQuantile(99)), toMilliseconds(f.EventGap.ValueAtQuantile(50)), toMilliseconds(f.EventGap.ValueAtQuantile(99)))
+			m := path.measurement
+			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\n", turn+1, path.name, float64(m.Events)/m.ElapsedSeconds, m.IncompleteStreams, cpuMicrosecondsPerEvent(m), toMilliseconds(m.FirstEvent.ValueAtQuantile(50)), toMilliseconds(m.FirstEvent.ValueAtQuantile(99)), toMilliseconds(m.EventGap.ValueAtQuantile(50)), toMilliseconds(m.EventGap.ValueAtQuantile(99)))
 		}
 		addedCPU := cpuMicrosecondsPerEvent(throughDaemon) - cpuMicrosecondsPerEvent(direct)
 		_, _ = fmt.Fprintf(table, "%d\tthe daemon alone\t\t\t%.1f\t\t%.2f\t\t%.2f\n", turn+1, addedCPU, toMilliseconds(throughDaemon.FirstEvent.ValueAtQuantile(99)-direct.FirstEvent.ValueAtQuantile(99)), toMilliseconds(throughDaemon.EventGap.ValueAtQuantile(99)-direct.EventGap.ValueAtQuantile(99)))
@@ -59,6 +59,6 @@
 
 // cpuMicrosecondsPerEvent returns the mean processor time per event in
 // microseconds.
-func cpuMicrosecondsPerEvent(figures relaybench.Measurement) float64 {
-	return figures.CPUSeconds / float64(max(1, figures.Events)) * 1e6
+func cpuMicrosecondsPerEvent(measurement relaybench.Measurement) float64 {
+	return measurement.CPUSeconds / float64(max(1, measurement.Events)) * 1e6
 }
