--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -71,7 +71,7 @@
 	seen := map[string]int{}
 	for i, name := range names {
 		if first, ok := seen[name]; ok {
-			c.report(fmt.Sprintf("%s[%d].name", list, i), "%q is already used at %s[%d]", name, list, first)
+			c.report(fmt.Sprintf("%s[%d].name", list, i), "%q stands already at %s[%d]", name, list, first)
 			continue
 		}
 		seen[name] = i
@@ -95,7 +95,7 @@
 	}
 	parsed, err := time.ParseDuration(string(value))
 	if err != nil {
-		c.report(field, "%q is not a duration with a unit, such as 500ms, 10s or 2m", string(value))
+		c.report(field, "%q is no duration with a unit, such as 500ms, 10s or 2m", string(value))
 		return
 	}
 	if parsed <= 0 {
@@ -154,7 +154,7 @@
 		for i, hash := range hashes {
 			hashField := fmt.Sprintf("%s.key_hashes[%d]", field, i)
 			if first, ok := fieldOfHash[hash]; ok {
-				c.report(hashField, "the same key is already used at %s", first)
+				c.report(hashField, "the same key stands at %s", first)
 				continue
 			}
 			fieldOfHash[hash] = hashField
--- a/core/declaration/parse.go
+++ b/core/declaration/parse.go
@@ -65,7 +65,7 @@
 	}
 	for _, field := range slices.Sorted(maps.Keys(fields)) {
 		if first, ok := fileOfField[field]; ok {
-			return errors.Errorf("%s:%d: %s: is already set in %s", file.Name, lineOfField(field, file), field, first.Name)
+			return errors.Errorf("%s:%d: %s: stands already in %s", file.Name, lineOfField(field, file), field, first.Name)
 		}
 		fileOfField[field] = file
 	}
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -77,9 +77,9 @@
 	case err == nil:
 		return s.awaitStoreRead(ctx)
 	case errors.Is(err, table.ErrConflict):
-		return operator.MarkInvalid(errors.Errorf("%s: another operator or daemon changed it in the meantime; check the state and try again: %s", operation, err))
+		return operator.MarkInvalid(errors.Errorf("%s: somebody else changed it meanwhile; look and try again: %s", operation, err))
 	case errors.Is(err, table.ErrUnknown):
-		return errors.Wrapf(err, "%s: the store did not answer; the outcome is unknown; check the state before another try", operation)
+		return errors.Wrapf(err, "%s: the store did not answer; whether it was changed is not known; look again", operation)
 	default:
 		return errors.Wrapf(err, "%s: nothing was changed", operation)
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -86,7 +86,7 @@
 		return errors.Errorf("%q is not IP:port", address)
 	}
 	if net.ParseIP(host) == nil {
-		return errors.Errorf("%q: %q is not an IP address; host names are not looked up", address, host)
+		return errors.Errorf("%q: %q is not an IP number; host names are not looked up", address, host)
 	}
 	if portNumber, err := strconv.Atoi(port); err != nil || portNumber < 0 || portNumber > 65535 {
 		return errors.Errorf("%q: %q is not a port", address, port)
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -25,7 +25,7 @@
 
 // errMalformed means that encoded data is truncated, or contains the number of an
 // unknown name.
-var errMalformed = errors.New("encoded reports or evidence are malformed")
+var errMalformed = errors.New("packed reports or evidence are malformed")
 
 // encoder encodes the answers of one session. It omits observations that are not newer
 // than those sent before in the session. The zero value is for a new session.
--- a/labcommand/platform.go
+++ b/labcommand/platform.go
@@ -34,7 +34,7 @@
 // first port, the VM list on the next, and the VMs on those after it.
 func (p *PlatformCommand) Run(streams *Streams) error {
 	if net.ParseIP(p.Host) == nil {
-		return errors.Errorf("--host: %q is not an IP address", p.Host)
+		return errors.Errorf("--host: %q is not an IP number", p.Host)
 	}
 	deployment, err := examples.Load(p.Deployment)
 	if err != nil {
