--- a/core/order/order.go
+++ b/core/order/order.go
@@ -2,9 +2,9 @@
 // servers of its members.
 //
 // An order carries the generation of the group and a sequence within the generation. A
-// backend server that checks refuses every order that is older than the last one it obeyed,
-// so a delayed order of a former controller has no effect. VM.ChecksOrders tells which
-// servers check.
+// backend server that checks orders rejects every order that is older than the last one it
+// accepted, so a delayed order of a former controller has no effect. VM.ChecksOrders is set
+// for servers that check.
 package order
 
 // Action is what an order makes a member do.
@@ -32,7 +32,7 @@
 }
 
 // Fence is the generation and sequence of the newest order that a backend server has
-// obeyed.
+// accepted.
 type Fence struct {
 	Generation uint64 `json:"generation"`
 	Sequence   uint64 `json:"sequence"`
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -13,15 +13,15 @@
 		Generation: 3,
 		Sequence:   10,
 	}
-	admits := func(generation, sequence uint64) bool {
+	accepts := func(generation, sequence uint64) bool {
 		return fence.Accepts(order.Order{
 			Generation: generation,
 			Sequence:   sequence,
 		})
 	}
-	qt.Assert(t, admits(3, 10), qt.IsTrue)
-	qt.Assert(t, admits(3, 11), qt.IsTrue)
-	qt.Assert(t, admits(4, 1), qt.IsTrue)
-	qt.Assert(t, admits(3, 9), qt.IsFalse)
-	qt.Assert(t, admits(2, 99), qt.IsFalse)
+	qt.Assert(t, accepts(3, 10), qt.IsTrue)
+	qt.Assert(t, accepts(3, 11), qt.IsTrue)
+	qt.Assert(t, accepts(4, 1), qt.IsTrue)
+	qt.Assert(t, accepts(3, 9), qt.IsFalse)
+	qt.Assert(t, accepts(2, 99), qt.IsFalse)
 }
