--- a/core/vm/vm.go
+++ b/core/vm/vm.go
@@ -23,8 +23,8 @@
 	Accelerators int    `json:"accelerators,omitempty"`
 	Service      string `json:"service,omitempty"`
 	State        State  `json:"state"`
-	// ChecksOrders means that the backend server refuses orders whose generation and
-	// sequence are not newer than those of the last order that it obeyed.
+	// ChecksOrders means that the backend server rejects orders whose generation and
+	// sequence are older than those of the last order that it accepted.
 	ChecksOrders bool `json:"checks_orders,omitempty"`
 }
 
