--- a/core/group/decide.go
+++ b/core/group/decide.go
@@ -10,14 +10,15 @@
 	// LostTimeout is how long a member may be unresponsive before it counts as lost. A
 	// shorter pause stops requests to the group, but the group is not formed again.
 	LostTimeout = 6 * time.Second
-	// RefusedLostTimeout is the same for a member whose VM refuses connections. Its process has
-	// ended and lost its state, so waiting longer gains nothing.
+	// RefusedLostTimeout replaces LostTimeout if the member's VM refuses connections. Its
+	// process has ended and lost its state, so waiting longer gains nothing.
 	RefusedLostTimeout = 1500 * time.Millisecond
-	// MinDrainTime is how long a draining group is left alone so that every daemon learns
-	// that it is draining, if its backend servers check generations.
+	// MinDrainTime is the minimum time before the members of a draining group are unloaded,
+	// so that every daemon observes that it is draining, if its backend servers check
+	// generations.
 	MinDrainTime = 3 * time.Second
-	// MinDrainTimeUnchecked is the same for backend servers that do not check generations.
-	// After this time no daemon that may still serve takes the group for a serving one.
+	// MinDrainTimeUnchecked replaces MinDrainTime if the backend servers do not check
+	// generations. After this time no daemon that may still serve considers the group serving.
 	MinDrainTimeUnchecked = 10 * time.Second
 )
 
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -94,8 +94,8 @@
 	return false
 }
 
-// ChecksOrders reports whether every member refuses orders that are not newer than its last
-// one.
+// ChecksOrders reports whether every member rejects orders that are older than the last one
+// that it accepted.
 func (r Record) ChecksOrders() bool {
 	for _, member := range r.Members {
 		if !member.ChecksOrders {
