--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -7,7 +7,7 @@
 
 import "github.com/pkg/errors"
 
-// Outcome is the outcome of one request. The zero value is Unknown, so that a missing
+// Outcome reports whether a request ran. The zero value is Unknown, so that a missing
 // assignment never claims more than is known.
 type Outcome int
 
@@ -33,7 +33,7 @@
 // Reason is why a request was rejected or retried. Each reason has a counter.
 type Reason string
 
-// Reasons. Each is a row of the reference of counters.
+// Reasons. Each has a row in the reference of counters.
 const (
 	ReasonNone                        Reason = ""
 	ReasonBadRequest                  Reason = "bad_request"
