--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -23,8 +23,8 @@
 const (
 	// Term is how long the holder may act after it sent a renewal.
 	Term = 8 * time.Second
-	// TakeOverMargin is added to Term by a daemon that takes over, for clocks that run at different
-	// speeds.
+	// TakeOverMargin is added to Term by a daemon that takes over, for clocks that run at
+	// different speeds.
 	TakeOverMargin = 2 * time.Second
 	// RenewInterval is the time between two renewals.
 	RenewInterval = 2500 * time.Millisecond
