--- a/core/demand/aggregator.go
+++ b/core/demand/aggregator.go
@@ -13,8 +13,8 @@
 const (
 	// reportInterval is the minimum time between two reports to one daemon.
 	reportInterval = 500 * time.Millisecond
-	// reportLifetime is how long a report counts. A daemon that died receives no requests,
-	// and a daemon that changed to another relay is counted there.
+	// reportLifetime is how long a report counts. A stopped daemon receives no requests, and
+	// a daemon that changed to another relay is counted there.
 	reportLifetime = 2500 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 // limit the entries that pass through it would grow without end.
 const maxDepth = 5
 
-// Report is the report of a daemon: the demand at the daemon itself and at the daemons that
+// Report is what a daemon reports: the demand at the daemon itself and at the daemons that
 // report to it.
 type Report struct {
 	Demand []Demand
@@ -105,8 +105,8 @@
 	}
 }
 
-// ReceiveReport records the report of a daemon and returns the total demand as far as this daemon
-// knows it. An invalid report is rejected, and the previous one continues to count.
+// ReceiveReport records the report of a daemon and returns the total demand as far as it is
+// known here. An invalid report is rejected, and the previous one continues to count.
 func (a *Aggregator) ReceiveReport(sender string, report Report) ([]Demand, error) {
 	if err := CheckDemand(report.Demand); err != nil {
 		return nil, err
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -1,14 +1,15 @@
 // Package demand gives all daemons the total demand in each availability zone.
 //
-// A daemon sees only its own requests, and the load balancer's distribution of callers over
-// daemons says little about the demand in each zone. Each daemon therefore measures its own
-// requests (Meter) and reports them to the daemon through which it follows the store's
-// tables, as part of calls that it makes anyway. That daemon adds up the reports that it
-// receives and reports the sums in the same way; the answer contains the totals of all
-// daemons (Aggregator). The totals of hundreds of requests change slowly, so their age of about
-// a second does not matter. The store carries none of this data. The totals are used to
-// divide requests over zones (core/locality) and to derive how many groups a model needs
-// (core/assembly). Since all daemons have the totals, a new leader has them immediately.
+// A daemon receives only some of the requests, and the load balancer's distribution of
+// callers over daemons hardly reflects the demand in each zone. Each daemon therefore
+// measures its own requests (Meter) and reports them to the daemon through which it follows
+// the store's tables, as part of calls that it makes anyway. That daemon adds up the reports
+// that it receives and reports the sums in the same way; the answer contains the totals of
+// all daemons (Aggregator). The totals of hundreds of requests change slowly, so their age
+// of about a second does not matter. The store carries none of this data. The totals are
+// used to divide requests over zones (core/locality) and to derive how many groups a model
+// needs (core/assembly). Since all daemons have the totals, a new leader has them
+// immediately.
 package demand
 
 import (
--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -23,7 +23,8 @@
 // count over the whole decay time.
 const warmUpTime = time.Minute
 
-// newAggregator returns the aggregator of a daemon that receives some work per second in its zone.
+// newAggregator returns the aggregator of a daemon in a zone that receives this much work per
+// second.
 func newAggregator(zone string, workPerSecond float64) *demand.Aggregator {
 	const requestsPerSecond = 10
 	meter := &demand.Meter{}
@@ -53,7 +54,7 @@
 	return math.Abs(a-b) < 0.15*max(a, b)
 }
 
-// With two relays and one daemon at each, all daemons know the demand in each zone after
+// With two relays and one daemon at each, all daemons have the demand in each zone after
 // two rounds of reports.
 func TestTotalsReachAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -89,7 +90,7 @@
 	})
 }
 
-// While daemons have different lists, two relays may each take the other for the first
+// While daemons have different lists, two relays may each consider the other the first
 // daemon. Their sums must not include each other's.
 func TestMutualReportsAreNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -110,15 +111,15 @@
 func TestReportsInCycleDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"a", "b", "c"}
-		boards := map[string]*demand.Aggregator{}
+		aggregators := map[string]*demand.Aggregator{}
 		for _, name := range names {
-			boards[name] = newAggregator("quito-"+name, 100)
+			aggregators[name] = newAggregator("quito-"+name, 100)
 		}
 		time.Sleep(warmUpTime + time.Millisecond)
 		for round := range 60 {
 			from, to := names[round%3], names[(round+1)%3]
-			if report, isDue := boards[from].NextReport(to); isDue {
-				_, err := boards[to].ReceiveReport(from, report)
+			if report, isDue := aggregators[from].NextReport(to); isDue {
+				_, err := aggregators[to].ReceiveReport(from, report)
 				qt.Check(t, err == nil || report.Depth > 5, qt.IsTrue)
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -126,14 +127,15 @@
 		// Each daemon has a demand of 100, and no cycle is counted more often than the
 		// maximum depth.
 		sum := 0.0
-		for _, rate := range boards["a"].WorkRateByZone(largeModel) {
+		for _, rate := range aggregators["a"].WorkRateByZone(largeModel) {
 			sum += rate
 		}
 		qt.Assert(t, sum <= 700, qt.IsTrue, qt.Commentf("%v", sum))
 	})
 }
 
-// A new daemon has received few requests, which does not mean a low rate.
+// Guards against a rate that is too low at first: a new daemon has received few requests,
+// which does not mean that the rate is low.
 func TestNewMeterReturnsActualRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		meter := &demand.Meter{}
