--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -18,14 +18,14 @@
 			Members: spares[:loss.LostMembers:loss.LostMembers],
 		}
 	}
-	want := Request{
+	request := Request{
 		Name:  loss.Group,
 		Size:  loss.LostMembers + loss.RemainingMembers,
 		Zones: loss.Zones,
 	}
 	for _, domain := range ordered {
-		if zoneRank(loss.Zones, domain.Zone) >= 0 && len(domain.FreeVMs) >= want.Size {
-			return Move, chooseFirst(domain, want)
+		if zoneRank(loss.Zones, domain.Zone) >= 0 && len(domain.FreeVMs) >= request.Size {
+			return Move, chooseFirst(domain, request)
 		}
 	}
 	return Wait, Choice{}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -81,26 +81,26 @@
 // used; a spare is needed some of the time.
 const strandedShare = 0.001
 
-// Place places all wants. Small inputs are searched exactly. Larger ones are placed
-// greedily: the largest group first, each in the domain whose cost increases least. A want
+// Place places all requests. Small inputs are searched exactly. Larger ones are placed
+// greedily: the largest group first, each in the domain whose cost increases least. A request
 // that does not fit anywhere gets a choice without members.
-func Place(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
+func Place(domains []Domain, requests []Request, weights declaration.Weights) []Choice {
 	ordered := sortedDomains(domains)
-	if canSearchExactly(ordered, wants) {
-		return placeExactly(ordered, wants, weights)
+	if canSearchExactly(ordered, requests) {
+		return placeExactly(ordered, requests, weights)
 	}
-	return placeGreedily(ordered, wants, weights)
+	return placeGreedily(ordered, requests, weights)
 }
 
 // Input limits of the exact search.
 const (
-	maxExactWants   = 6
-	maxExactDomains = 6
+	maxExactRequests = 6
+	maxExactDomains  = 6
 )
 
 // canSearchExactly reports whether the input is small enough for the exact search.
-func canSearchExactly(domains []Domain, wants []Request) bool {
-	return len(wants) <= maxExactWants && len(domains) <= maxExactDomains
+func canSearchExactly(domains []Domain, requests []Request) bool {
+	return len(requests) <= maxExactRequests && len(domains) <= maxExactDomains
 }
 
 // sortedDomains returns a copy of the domains, ordered by name.
@@ -123,51 +123,51 @@
 }
 
 // chooseFirst returns the choice of the first free VMs of a domain.
-func chooseFirst(domain Domain, want Request) Choice {
+func chooseFirst(domain Domain, request Request) Choice {
 	return Choice{
-		Name:    want.Name,
+		Name:    request.Name,
 		Zone:    domain.Zone,
 		Domain:  domain.Name,
-		Members: domain.FreeVMs[:want.Size:want.Size],
+		Members: domain.FreeVMs[:request.Size:request.Size],
 	}
 }
 
 // ----------------------------------------------------------------------------
 // Greedy placement
 
-// placeGreedily places the largest wants first.
-func placeGreedily(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
-	bySize := make([]int, len(wants))
+// placeGreedily places the largest requests first.
+func placeGreedily(domains []Domain, requests []Request, weights declaration.Weights) []Choice {
+	bySize := make([]int, len(requests))
 	for i := range bySize {
 		bySize[i] = i
 	}
 	sort.SliceStable(bySize, func(i, j int) bool {
-		return wants[bySize[i]].Size > wants[bySize[j]].Size
+		return requests[bySize[i]].Size > requests[bySize[j]].Size
 	})
-	choices := make([]Choice, len(wants))
+	choices := make([]Choice, len(requests))
 	for _, index := range bySize {
-		want := wants[index]
-		choices[index].Name = want.Name
-		chosen := cheapestDomain(domains, want, weights)
+		request := requests[index]
+		choices[index].Name = request.Name
+		chosen := cheapestDomain(domains, request, weights)
 		if chosen < 0 {
 			continue
 		}
-		choices[index] = chooseFirst(domains[chosen], want)
-		domains[chosen] = domains[chosen].WithGroupPlaced(want.Size)
+		choices[index] = chooseFirst(domains[chosen], request)
+		domains[chosen] = domains[chosen].WithGroupPlaced(request.Size)
 	}
 	return choices
 }
 
-// cheapestDomain returns the index of the domain whose cost the want increases least, among
+// cheapestDomain returns the index of the domain whose cost the request increases least, among
 // the domains of the first of its zones with enough free VMs, or -1 if there is none.
-func cheapestDomain(domains []Domain, want Request, weights declaration.Weights) int {
+func cheapestDomain(domains []Domain, request Request, weights declaration.Weights) int {
 	best, bestRank, bestIncrease := -1, 0, 0.0
 	for i, domain := range domains {
-		rank := zoneRank(want.Zones, domain.Zone)
-		if rank < 0 || len(domain.FreeVMs) < want.Size {
+		rank := zoneRank(request.Zones, domain.Zone)
+		if rank < 0 || len(domain.FreeVMs) < request.Size {
 			continue
 		}
-		increase := domain.WithGroupPlaced(want.Size).Cost(want.Size, weights) - domain.Cost(want.Size, weights)
+		increase := domain.WithGroupPlaced(request.Size).Cost(request.Size, weights) - domain.Cost(request.Size, weights)
 		if best < 0 || rank < bestRank || (rank == bestRank && increase < bestIncrease) {
 			best, bestRank, bestIncrease = i, rank, increase
 		}
@@ -180,7 +180,7 @@
 
 // exactSearch is the state of the exact search over all assignments.
 type exactSearch struct {
-	wants      []Request
+	requests   []Request
 	weights    declaration.Weights
 	assigned   []int
 	best       []int
@@ -191,39 +191,39 @@
 
 // placeExactly tries every assignment. It prefers the most groups placed, then the most
 // preferred zones, then the lowest cost.
-func placeExactly(domains []Domain, wants []Request, weights declaration.Weights) []Choice {
+func placeExactly(domains []Domain, requests []Request, weights declaration.Weights) []Choice {
 	state := &exactSearch{
-		wants:      wants,
+		requests:   requests,
 		weights:    weights,
-		assigned:   make([]int, len(wants)),
+		assigned:   make([]int, len(requests)),
 		bestPlaced: -1,
 	}
 	state.assignFrom(domains, 0, 0, 0)
-	choices := make([]Choice, len(wants))
-	for i, want := range wants {
-		choices[i].Name = want.Name
+	choices := make([]Choice, len(requests))
+	for i, request := range requests {
+		choices[i].Name = request.Name
 		if chosen := state.best[i]; chosen >= 0 {
-			choices[i] = chooseFirst(domains[chosen], want)
-			domains[chosen] = domains[chosen].WithGroupPlaced(want.Size)
+			choices[i] = chooseFirst(domains[chosen], request)
+			domains[chosen] = domains[chosen].WithGroupPlaced(request.Size)
 		}
 	}
 	return choices
 }
 
-// assignFrom tries all assignments of the wants from index on.
+// assignFrom tries all assignments of the requests from index on.
 func (s *exactSearch) assignFrom(domains []Domain, index, placed, ranks int) {
-	if index == len(s.wants) {
+	if index == len(s.requests) {
 		s.keepIfBetter(domains, placed, ranks)
 		return
 	}
-	want := s.wants[index]
+	request := s.requests[index]
 	for i, domain := range domains {
-		rank := zoneRank(want.Zones, domain.Zone)
-		if rank < 0 || len(domain.FreeVMs) < want.Size {
+		rank := zoneRank(request.Zones, domain.Zone)
+		if rank < 0 || len(domain.FreeVMs) < request.Size {
 			continue
 		}
 		s.assigned[index] = i
-		domains[i] = domain.WithGroupPlaced(want.Size)
+		domains[i] = domain.WithGroupPlaced(request.Size)
 		s.assignFrom(domains, index+1, placed+1, ranks+rank)
 		domains[i] = domain
 	}
@@ -234,8 +234,8 @@
 // keepIfBetter stores the assignment if it is the best so far.
 func (s *exactSearch) keepIfBetter(domains []Domain, placed, ranks int) {
 	size := 1
-	for _, want := range s.wants {
-		size = max(size, want.Size)
+	for _, request := range s.requests {
+		size = max(size, request.Size)
 	}
 	cost := 0.0
 	for _, domain := range domains {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -52,38 +52,38 @@
 	return domains
 }
 
-// drawWants draws groups to be placed.
-func drawWants(rt *rapid.T, limit int) []placement.Request {
-	wants := make([]placement.Request, rapid.IntRange(1, limit).Draw(rt, "wants"))
-	for i := range wants {
-		wants[i] = placement.Request{
+// drawRequests draws groups to be placed.
+func drawRequests(rt *rapid.T, limit int) []placement.Request {
+	requests := make([]placement.Request, rapid.IntRange(1, limit).Draw(rt, "requests"))
+	for i := range requests {
+		requests[i] = placement.Request{
 			Name:  fmt.Sprintf("g%d", i),
 			Size:  rapid.IntRange(1, 5).Draw(rt, "size"),
 			Zones: rapid.Permutation([]string{"z0", "z1", "z2"}).Draw(rt, "zones")[:rapid.IntRange(1, 3).Draw(rt, "allowed")],
 		}
 	}
-	return wants
+	return requests
 }
 
 // Checks small and large inputs: groups are complete, in one domain and in an allowed zone,
 // no VM is used twice, and the same input gives the same result.
 func TestPlacementIsValidAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		domains, wants := drawDomains(rt, 12), drawWants(rt, 12)
-		choices := placement.Place(domains, wants, testWeights)
+		domains, requests := drawDomains(rt, 12), drawRequests(rt, 12)
+		choices := placement.Place(domains, requests, testWeights)
 		used := map[string]bool{}
 		for i, choice := range choices {
-			if choice.Name != wants[i].Name {
+			if choice.Name != requests[i].Name {
 				rt.Fatalf("choice %d has the name %q", i, choice.Name)
 			}
 			if len(choice.Members) == 0 {
 				continue
 			}
-			if len(choice.Members) != wants[i].Size {
-				rt.Fatalf("%s has %d of %d VMs", choice.Name, len(choice.Members), wants[i].Size)
+			if len(choice.Members) != requests[i].Size {
+				rt.Fatalf("%s has %d of %d VMs", choice.Name, len(choice.Members), requests[i].Size)
 			}
 			isAllowed := false
-			for _, zone := range wants[i].Zones {
+			for _, zone := range requests[i].Zones {
 				isAllowed = isAllowed || zone == choice.Zone
 			}
 			if !isAllowed {
@@ -96,7 +96,7 @@
 				used[member.ID] = true
 			}
 		}
-		again := placement.Place(domains, wants, testWeights)
+		again := placement.Place(domains, requests, testWeights)
 		if fmt.Sprint(again) != fmt.Sprint(choices) {
 			rt.Fatalf("different choices for the same input")
 		}
@@ -114,7 +114,7 @@
 	return count
 }
 
-// maxPlaceable returns the maximum number of wants of one size that can be placed if they
+// maxPlaceable returns the maximum number of requests of one size that can be placed if they
 // may be placed in any zone.
 func maxPlaceable(domains []placement.Domain, size int) int {
 	count := 0
@@ -130,16 +130,16 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		domains := drawDomains(rt, 12)
 		size := rapid.IntRange(1, 5).Draw(rt, "size")
-		wants := make([]placement.Request, rapid.IntRange(7, 20).Draw(rt, "wants"))
-		for i := range wants {
-			wants[i] = placement.Request{
+		requests := make([]placement.Request, rapid.IntRange(7, 20).Draw(rt, "requests"))
+		for i := range requests {
+			requests[i] = placement.Request{
 				Name:  fmt.Sprint(i),
 				Size:  size,
 				Zones: []string{"z0", "z1", "z2"},
 			}
 		}
-		got := countPlaced(placement.Place(domains, wants, testWeights))
-		if expected := min(len(wants), maxPlaceable(domains, size)); got != expected {
+		got := countPlaced(placement.Place(domains, requests, testWeights))
+		if expected := min(len(requests), maxPlaceable(domains, size)); got != expected {
 			rt.Fatalf("placed %d of %d groups that fit", got, expected)
 		}
 	})
@@ -194,15 +194,15 @@
 	for number := range 64 {
 		domains = append(domains, newDomain(fmt.Sprintf("d%02d", number), fmt.Sprintf("z%d", number%8), 27, 0))
 	}
-	var wants []placement.Request
+	var requests []placement.Request
 	for number := range 64 {
-		wants = append(wants, placement.Request{
+		requests = append(requests, placement.Request{
 			Name:  fmt.Sprint(number),
 			Size:  16,
 			Zones: []string{"z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7"},
 		})
 	}
 	for b.Loop() {
-		placement.Place(domains, wants, testWeights)
+		placement.Place(domains, requests, testWeights)
 	}
 }
--- a/core/placement/repair.go
+++ b/core/placement/repair.go
@@ -5,7 +5,7 @@
 	"headcourse/core/vm"
 )
 
-// Remedy is how a group that lost members becomes whole again.
+// Remedy is how a group that lost members is repaired.
 type Remedy string
 
 // Remedies for lost members.
@@ -16,12 +16,12 @@
 	Move Remedy = "move"
 	// Wait leaves the group unchanged for now.
 	Wait Remedy = "wait"
-	// GiveUp frees the group's VMs for other groups. The group waits until it fits
-	// somewhere.
+	// GiveUp frees the group's VMs for other groups. The group waits until there are
+	// enough free VMs for it.
 	GiveUp Remedy = "give_up"
 )
 
-// maxLostSeconds is how long lost members are awaited if no VMs can replace them.
+// maxLostSeconds is how long a group waits for lost members if no VMs can replace them.
 const maxLostSeconds = 60.0
 
 // Loss describes a group that lost members.
