--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -50,7 +50,7 @@
 	steps         []Step
 	notes         []string
 	preconditions map[string]uint64
-	reserves      map[string]bool
+	reservedVMs   map[string]bool
 }
 
 // newBuilder returns a builder at stage 0.
@@ -65,7 +65,7 @@
 		domains:       fleet.Domains(nil),
 		usedNames:     names,
 		preconditions: map[string]uint64{},
-		reserves:      map[string]bool{},
+		reservedVMs:   map[string]bool{},
 	}
 }
 
@@ -87,7 +87,7 @@
 	sort.Slice(result.Preconditions, func(i, j int) bool {
 		return result.Preconditions[i].Key < result.Preconditions[j].Key
 	})
-	for id := range b.reserves {
+	for id := range b.reservedVMs {
 		result.ReservedVMs = append(result.ReservedVMs, id)
 	}
 	sort.Strings(result.ReservedVMs)
@@ -182,15 +182,15 @@
 
 // replaceBatch plans one batch and returns the replacements to retry in the next one.
 func (b *builder) replaceBatch(batch []replacement) ([]replacement, error) {
-	wants := make([]placement.Request, len(batch))
+	requests := make([]placement.Request, len(batch))
 	for i, item := range batch {
-		wants[i] = placement.Request{
+		requests[i] = placement.Request{
 			Name:  item.old.Name,
 			Size:  item.model.VMsPerReplica,
 			Zones: item.zones,
 		}
 	}
-	choices := placement.Place(b.domains, wants, b.fleet.Configuration.Declaration.Weights)
+	choices := placement.Place(b.domains, requests, b.fleet.Configuration.Declaration.Weights)
 	var placed, retry []replacement
 	for i, choice := range choices {
 		if len(choice.Members) == 0 {
@@ -219,7 +219,7 @@
 		return nil
 	}
 	if b.intent.AllowFewer {
-		b.addNote("group %s goes without replacement: no room for %d VMs of one fabric domain", item.old.Name, item.model.VMsPerReplica)
+		b.addNote("group %s is drained without replacement: no room for %d VMs in one fabric domain", item.old.Name, item.model.VMsPerReplica)
 		b.drain(item.old, item.inPlace)
 		b.stage++
 		return nil
@@ -256,7 +256,7 @@
 	for _, member := range members {
 		if b.fleet.Claims[member.VM].IsFree() {
 			b.addPrecondition(vm.Key(member.VM))
-			b.reserves[member.VM] = true
+			b.reservedVMs[member.VM] = true
 		}
 	}
 	for i := range b.domains {
--- a/core/plan/confirm.go
+++ b/core/plan/confirm.go
@@ -16,8 +16,9 @@
 
 // Confirm returns the transaction that confirms a proposed plan on this fleet. The
 // transaction reserves the free VMs that the plan uses and marks the groups and zones that
-// it changes, all conditional on the plan's preconditions. Confirm returns ErrPreconditionsChanged
-// and names the change if it can already see that the transaction would fail.
+// it changes, all conditional on the plan's preconditions. Confirm returns
+// ErrPreconditionsChanged and names the change if the fleet already shows that the
+// transaction would fail.
 func Confirm(proposed Plan, fleet FleetState) (table.Transaction, error) {
 	if proposed.State != Proposed {
 		return table.Transaction{}, errors.Errorf("confirm plan %s: it is %s, not %s", proposed.ID, proposed.State, Proposed)
@@ -100,8 +101,8 @@
 	ChangeAbandon Change = "abandon"
 )
 
-// ApplyChange returns the plan after an operator's change, or an error if the plan's state does
-// not allow it.
+// ApplyChange returns the plan after an operator's change, or an error if the plan's state
+// does not allow it.
 func (p Plan) ApplyChange(change Change) (Plan, error) {
 	switch {
 	case change == ChangePause && p.State == Confirmed:
--- a/core/plan/kinds.go
+++ b/core/plan/kinds.go
@@ -166,7 +166,7 @@
 		return errors.Errorf("VM %q is reserved by plan %s", id, claim.Plan)
 	}
 	if claim.IsFree() {
-		b.reserves[id] = true
+		b.reservedVMs[id] = true
 	}
 	b.excludeVM(id)
 	if record, ok := b.fleet.Group(claim.Group); ok && record.HasMember(id) {
@@ -221,7 +221,7 @@
 	return b.replaceAll([]replacement{item})
 }
 
-// hasFreeVMsFor reports whether a replacement fits on free VMs.
+// hasFreeVMsFor reports whether there are enough free VMs in one domain for a replacement.
 func (b *builder) hasFreeVMsFor(item replacement) bool {
 	choices := placement.Place(b.domains, []placement.Request{{
 		Name:  item.old.Name,
@@ -365,16 +365,16 @@
 	if missing <= 0 {
 		return nil
 	}
-	wants := make([]placement.Request, missing)
-	for i := range wants {
-		wants[i] = placement.Request{
+	requests := make([]placement.Request, missing)
+	for i := range requests {
+		requests[i] = placement.Request{
 			Name:  model.Name,
 			Size:  model.VMsPerReplica,
 			Zones: []string{zone},
 		}
 	}
 	parallel := b.fleet.Configuration.Declaration.Limits.ParallelLoadsOrDefault()
-	choices := placement.Place(b.domains, wants, b.fleet.Configuration.Declaration.Weights)
+	choices := placement.Place(b.domains, requests, b.fleet.Configuration.Declaration.Weights)
 	for i, choice := range choices {
 		if len(choice.Members) == 0 {
 			if !b.intent.AllowFewer {
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -107,8 +107,8 @@
 	Form Action = "form"
 	// Drain drains a group and dissolves it.
 	Drain Action = "drain"
-	// Reform drains a group and forms it again on VMs some of which are its own. The group
-	// cannot serve meanwhile.
+	// Reform drains a group and forms it again, on its own VMs or on some of them and
+	// spares. The group cannot serve meanwhile.
 	Reform Action = "reform"
 )
 
@@ -126,8 +126,8 @@
 	// Needs describes the resources that the step needs.
 	Needs string `json:"needs,omitempty"`
 	// DowntimeSeconds is the predicted time for which the group cannot serve.
-	// StrandedSeconds is the predicted number of accelerators that do not serve times
-	// seconds.
+	// StrandedSeconds is the predicted time for which accelerators do not serve, in
+	// accelerator seconds.
 	DowntimeSeconds float64 `json:"downtime_seconds"`
 	StrandedSeconds float64 `json:"stranded_seconds"`
 }
