--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -32,7 +32,7 @@
 	"headcourse/core/rowstore"
 )
 
-// Location of the lease row.
+// The table and the key prefix of the lease row.
 const (
 	// Table is the table that holds the lease. The row's key is keyPrefix followed by the
 	// era.
@@ -47,7 +47,7 @@
 
 const (
 	// Term is how long a lease is valid after its last rewrite. It bounds how long groups
-	// go without repair when the leader dies.
+	// are not repaired after the leader crashes.
 	Term = 2500 * time.Millisecond
 	// renewInterval is the time between two rewrites of the lease row. It allows two lost
 	// rewrites within a term.
@@ -56,8 +56,8 @@
 	pollInterval = 50 * time.Millisecond
 	// rankStagger is how much later each daemon attempts to acquire the lease than the
 	// daemon ranked before it, so that attempts do not coincide. Daemons ranked after the
-	// first fullyStaggeredRanks are spaced by laterRankStagger, since an earlier daemon is
-	// usually alive.
+	// first fullyStaggeredRanks are spaced by laterRankStagger, since usually one of the
+	// first ranks is running.
 	rankStagger         = 60 * time.Millisecond
 	laterRankStagger    = 15 * time.Millisecond
 	fullyStaggeredRanks = 15
@@ -145,7 +145,7 @@
 }
 
 // beginEra applies the first snapshot of an era. The holder of the former era's lease may
-// not know yet that its era is over. The mutex is held.
+// not have observed yet that its era has ended. The mutex is held.
 func (e *Elector) beginEra(rows []rowstore.Row, era int64) {
 	if e.hasSnapshot && era == e.observed.Era {
 		return
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -62,7 +62,7 @@
 // Commit applies a transaction, unless the store is set to fail or delay it.
 func (f *fakeStore) Commit(_ context.Context, transaction rowstore.Transaction) (rowstore.Revision, error) {
 	f.mutex.Lock()
-	isDown, isLost, delay := f.isDown, f.losesNextAnswer, f.nextDelay
+	isDown, isAnswerLost, delay := f.isDown, f.losesNextAnswer, f.nextDelay
 	f.losesNextAnswer, f.nextDelay = false, 0
 	f.mutex.Unlock()
 	switch {
@@ -74,15 +74,15 @@
 			_, _ = f.apply(transaction)
 		}()
 		return rowstore.Revision{}, rowstore.ErrUnknown
-	case isLost:
+	case isAnswerLost:
 		_, _ = f.apply(transaction)
 		return rowstore.Revision{}, rowstore.ErrUnknown
 	default:
-		at, err := f.apply(transaction)
-		if err == nil && at.Era != transaction.Era {
+		revision, err := f.apply(transaction)
+		if err == nil && revision.Era != transaction.Era {
 			return rowstore.Revision{}, rowstore.ErrRestored
 		}
-		return at, err
+		return revision, err
 	}
 }
 
@@ -357,8 +357,8 @@
 	})
 }
 
-// A store may apply a write seconds later. Such a write must fail once its writer was told
-// that the outcome is unknown, since the version of the lease row has changed.
+// A store may apply a write seconds later. Such a write must fail once its writer has
+// received ErrUnknown, since the version of the lease row has changed.
 func TestDelayedCommitIsNotApplied(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
@@ -479,8 +479,8 @@
 		time.Sleep(outage + betweenPolls)
 		qt.Assert(t, attempts.Load(), qt.Equals, before)
 
-		// When the store returns, one daemon acquires the lease soon and the others make no
-		// attempt.
+		// When the store returns, one daemon acquires the lease within 300 ms and the others
+		// make no attempt.
 		c.store.configure(func(f *fakeStore) {
 			f.isDown = false
 		})
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -78,10 +78,10 @@
 	return l.era
 }
 
-// IsPastRestore reports whether the last restore of the store is longer ago than the given
-// time, or no restore is known.
-func (l *Lease) IsPastRestore(within time.Duration) bool {
-	return l.restoredAt.IsZero() || time.Since(l.restoredAt) > within
+// IsPastRestore reports whether the last restore of the store is longer ago than minAge, or
+// no restore is known.
+func (l *Lease) IsPastRestore(minAge time.Duration) bool {
+	return l.restoredAt.IsZero() || time.Since(l.restoredAt) > minAge
 }
 
 // revision returns the revision of the last rewrite.
--- a/core/leader/restore_test.go
+++ b/core/leader/restore_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// Guards against two leaders at once: the holder of the former era's lease does not know of
-// the restore, and its term has not ended.
+// Guards against two leaders at once: the holder of the former era's lease has not
+// observed the restore, and its term has not ended.
 func TestLeaderUnawareOfRestoreStopsBeforeSuccessorStarts(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a", "b")
