--- a/core/control/control_test.go
+++ b/core/control/control_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestDeadMemberIsReplaced(t *testing.T) {
+func TestCrashedMemberIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 5)
 		record := f.Daemons[0].Controller.FleetState().Groups[0]
@@ -124,8 +124,8 @@
 			f.Run(time.Minute)
 			qt.Assert(t, f.MinServingGroups(), qt.Equals, 6)
 		}
-		for _, host := range f.Daemons {
-			qt.Assert(t, time.Now().Before(host.Controller.Snapshot().ServeUntil), qt.IsTrue)
+		for _, daemon := range f.Daemons {
+			qt.Assert(t, time.Now().Before(daemon.Controller.Snapshot().ServeUntil), qt.IsTrue)
 		}
 		qt.Assert(t, f.Violations, qt.HasLen, 0)
 	})
@@ -174,7 +174,7 @@
 
 // faultActions returns the failures to inject and the actions of operators.
 func faultActions(f *fleet.Fleet, plans *int) map[string]func(*rapid.T) {
-	drawHost := func(rt *rapid.T) *fleet.SimulatedDaemon {
+	drawDaemon := func(rt *rapid.T) *fleet.SimulatedDaemon {
 		return f.Daemons[rapid.IntRange(0, len(f.Daemons)-1).Draw(rt, "daemon")]
 	}
 	drawServer := func(rt *rapid.T) *fleet.Server {
@@ -214,24 +214,24 @@
 			f.RecoverServers()
 		},
 		"pause daemon": func(rt *rapid.T) {
-			drawHost(rt).Paused = true
+			drawDaemon(rt).Paused = true
 		},
 		"daemon returns": func(rt *rapid.T) {
-			drawHost(rt).Paused = false
+			drawDaemon(rt).Paused = false
 		},
 		"replace daemon": func(rt *rapid.T) {
 			if len(f.Daemons) > 2 {
-				removed := rapid.IntRange(0, len(f.Daemons)-1).Draw(rt, "gone")
+				removed := rapid.IntRange(0, len(f.Daemons)-1).Draw(rt, "removed daemon")
 				f.Daemons = append(f.Daemons[:removed], f.Daemons[removed+1:]...)
 			}
 			f.AddDaemon()
 		},
 		"cut off from peers": func(rt *rapid.T) {
-			host := drawHost(rt)
-			host.Partitioned = !host.Partitioned
+			daemon := drawDaemon(rt)
+			daemon.Partitioned = !daemon.Partitioned
 		},
 		"store fault": func(rt *rapid.T) {
-			drawHost(rt).StoreFault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
+			drawDaemon(rt).StoreFault = fleet.StoreFault(rapid.IntRange(0, 3).Draw(rt, "fault"))
 		},
 		"store down": func(*rapid.T) {
 			f.StoreUnavailable = !f.StoreUnavailable
@@ -251,32 +251,32 @@
 			for zone := range fleet.Zones {
 				replicas[fmt.Sprintf("z%d", zone)] = rapid.IntRange(0, 2).Draw(rt, "replicas")
 			}
-			_ = f.Apply(drawHost(rt), fleet.NewDeclaration(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
+			_ = f.Apply(drawDaemon(rt), fleet.NewDeclaration(replicas, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version")))
 		},
 		"propose": func(rt *rapid.T) {
 			*plans++
-			_, _ = f.Propose(drawHost(rt), fmt.Sprintf("plan-%d", *plans), drawIntent(rt, f))
+			_, _ = f.Propose(drawDaemon(rt), fmt.Sprintf("plan-%d", *plans), drawIntent(rt, f))
 		},
 		"confirm": func(rt *rapid.T) {
-			_ = f.Confirm(drawHost(rt), fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")))
+			_ = f.Confirm(drawDaemon(rt), fmt.Sprintf("plan-%d", rapid.IntRange(1, max(1, *plans)).Draw(rt, "plan")))
 		},
 		"race": func(rt *rapid.T) {
 			*plans += 2
 			for number := *plans - 1; number <= *plans; number++ {
-				_, _ = f.Propose(drawHost(rt), fmt.Sprintf("plan-%d", number), drawIntent(rt, f))
+				_, _ = f.Propose(drawDaemon(rt), fmt.Sprintf("plan-%d", number), drawIntent(rt, f))
 			}
 			f.Run(4 * time.Second)
 			for number := *plans - 1; number <= *plans; number++ {
-				_ = f.Confirm(drawHost(rt), fmt.Sprintf("plan-%d", number))
+				_ = f.Confirm(drawDaemon(rt), fmt.Sprintf("plan-%d", number))
 			}
 		},
 		"hear again": func(rt *rapid.T) {
-			f.RedeliverExchange(drawHost(rt), rapid.IntRange(0, 400).Draw(rt, "said"))
+			f.RedeliverExchange(drawDaemon(rt), rapid.IntRange(0, 400).Draw(rt, "exchange"))
 		},
 		"requests": func(rt *rapid.T) {
 			for range 4 {
-				duration := time.Duration(rapid.IntRange(1, 30).Draw(rt, "takes")) * time.Second
-				f.StartRequest(drawHost(rt), rapid.IntRange(0, 5).Draw(rt, "group"), duration)
+				duration := time.Duration(rapid.IntRange(1, 30).Draw(rt, "duration in s")) * time.Second
+				f.StartRequest(drawDaemon(rt), rapid.IntRange(0, 5).Draw(rt, "group"), duration)
 			}
 		},
 		"change plan": func(rt *rapid.T) {
@@ -310,8 +310,8 @@
 func checkConvergence(rt *rapid.T, f *fleet.Fleet) {
 	f.RecoverServers()
 	f.StoreUnavailable = false
-	for _, host := range f.Daemons {
-		host.Paused, host.Partitioned, host.StoreFault = false, false, fleet.StoreHealthy
+	for _, daemon := range f.Daemons {
+		daemon.Paused, daemon.Partitioned, daemon.StoreFault = false, false, fleet.StoreHealthy
 	}
 	for id, listed := range f.VMList {
 		listed.State = vm.Live
@@ -328,8 +328,8 @@
 		rt.Fatalf("invariants violated: %v", f.Violations)
 	}
 	if notConverged != nil {
-		for _, host := range f.Daemons {
-			rt.Logf("%s holds %v reached %d", host.Controller.Self().ID, host.Controller.HeldLeases(), host.Controller.ScannedVersion())
+		for _, daemon := range f.Daemons {
+			rt.Logf("%s holds %v reached %d", daemon.Controller.Self().ID, daemon.Controller.HeldLeases(), daemon.Controller.ScannedVersion())
 		}
 		rt.Logf("leases: %s", f.LeaseRows())
 		rt.Fatalf("fleet has not converged %s after all faults were lifted: %s", convergenceTimeout, notConverged)
@@ -337,21 +337,21 @@
 }
 
 // convergenceTimeout is the time within which the fleet must converge after all faults are
-// lifted.
+// lifted, and convergencePollInterval the time between two checks.
 const (
 	convergenceTimeout      = 12 * time.Minute
 	convergencePollInterval = 20 * time.Second
 )
 
 // Guards against a plan on VMs that the VM list has as live although their backend servers
-// are dead.
+// have crashed.
 func TestPlanAvoidsUnresponsiveVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
-		dead := map[string]bool{}
+		crashed := map[string]bool{}
 		for _, domain := range f.Daemons[0].Controller.FleetState().Domains(nil) {
 			if len(domain.FreeVMs) > 0 {
-				dead[domain.FreeVMs[0].ID] = true
+				crashed[domain.FreeVMs[0].ID] = true
 				f.Servers[domain.FreeVMs[0].ID].Crash()
 			}
 		}
@@ -362,7 +362,7 @@
 		})
 		qt.Assert(t, err, qt.IsNil)
 		for _, id := range proposed.ReservedVMs {
-			qt.Assert(t, dead[id], qt.IsFalse, qt.Commentf(id))
+			qt.Assert(t, crashed[id], qt.IsFalse, qt.Commentf(id))
 		}
 	})
 }
--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -49,7 +49,8 @@
 type Actions struct {
 	Commits []Commit
 	Orders  []OutgoingOrder
-	// NeedsRefresh requests a read of the store now, because a known row was found to be stale.
+	// NeedsRefresh requests a read of the store now, because a known row was found to be
+	// stale.
 	NeedsRefresh bool
 }
 
@@ -103,7 +104,7 @@
 	changedProbes map[string]bool
 	// ownEvidence is the newest evidence from this daemon's own probes, by name.
 	ownEvidence map[string]presence.Evidence
-	// negativeEvidenceAt is when evidence last said that a VM or group is not whole, by
+	// negativeEvidenceAt is when evidence last showed that a VM or group is not whole, by
 	// name.
 	negativeEvidenceAt map[string]time.Time
 	evidence           presence.EvidenceSet
@@ -237,8 +238,8 @@
 	c.changedProbes[id] = true
 }
 
-// RecordUnansweredProbe records a probe of a VM that was not answered. isRefused means that the
-// connection was refused, which proves that no server runs there.
+// RecordUnansweredProbe records a probe of a VM that was not answered. isRefused means that
+// the connection was refused, which proves that no server runs there.
 func (c *Controller) RecordUnansweredProbe(id string, startedAt time.Time, isRefused bool) {
 	latest := c.probes[id]
 	if latest.firstProbedAt.IsZero() {
@@ -391,7 +392,7 @@
 	return c.self
 }
 
-// Leave makes the controller release its leases and leave the roster.
+// Leave makes the next steps release all leases and then leave the roster.
 func (c *Controller) Leave() {
 	c.isLeaving = true
 }
@@ -420,7 +421,8 @@
 	return c.evidence
 }
 
-// HeldLeases returns the leases that the daemon believes it holds, ordered by shard.
+// HeldLeases returns the leases whose rows name this daemon, ordered by shard. They may have
+// expired.
 func (c *Controller) HeldLeases() []lease.Lease {
 	held := make([]lease.Lease, 0, len(c.heldLeases))
 	for _, entry := range c.heldLeases {
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -82,8 +82,8 @@
 		if since.IsZero() {
 			since = latest.firstProbedAt
 		}
-		// A member is not blamed for time before the group's current record or before this
-		// daemon's lease.
+		// Time before the group's current record or before this daemon's lease does not
+		// count.
 		if formedAt := c.rowObservations[group.Key(record.Name)].firstObservedAt; formedAt.After(since) {
 			since = formedAt
 		}
@@ -230,16 +230,16 @@
 // describeLoss describes the loss and returns the set of lost VMs.
 func (c *Controller) describeLoss(record group.Record, model declaration.Model, lost []int, now time.Time) (placement.Loss, map[string]bool) {
 	isLost := map[string]bool{}
-	unseenSeconds, awaySeconds := 0.0, 0.0
+	unresponsiveSeconds, lostSeconds := 0.0, 0.0
 	views := c.memberViews(record, now)
 	for _, index := range lost {
 		isLost[record.Members[index].VM] = true
-		awaySeconds = max(awaySeconds, views[index].UnresponsiveFor.Seconds())
+		lostSeconds = max(lostSeconds, views[index].UnresponsiveFor.Seconds())
 		if !views[index].IsListed || views[index].IsRefused {
-			unseenSeconds = -1
+			unresponsiveSeconds = -1
 		}
-		if unseenSeconds >= 0 {
-			unseenSeconds = max(unseenSeconds, views[index].UnresponsiveFor.Seconds())
+		if unresponsiveSeconds >= 0 {
+			unresponsiveSeconds = max(unresponsiveSeconds, views[index].UnresponsiveFor.Seconds())
 		}
 	}
 	accelerators := 0
@@ -255,8 +255,8 @@
 		Zones:               c.fleet.ZonesFor(model, record.Zone),
 		Domain:              record.Domain,
 		LoadSeconds:         model.LoadTime.Or(declaration.DefaultLoadTime).Seconds(),
-		UnresponsiveSeconds: unseenSeconds,
-		LostSeconds:         awaySeconds,
+		UnresponsiveSeconds: unresponsiveSeconds,
+		LostSeconds:         lostSeconds,
 		Accelerators:        accelerators,
 	}, isLost
 }
--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -22,9 +22,9 @@
 
 // Times of the roster and of moving shards between daemons.
 const (
-	// DaemonRemovalTimeout is how long a daemon may be out of contact before it is removed from the
-	// roster. It is above contact.MaxContactAge, so that the remaining daemons have observed
-	// everything that was accepted before.
+	// DaemonRemovalTimeout is how long a daemon may be out of contact before it is removed
+	// from the roster. It is above contact.MaxContactAge, so that the remaining daemons have
+	// observed everything that was accepted before.
 	DaemonRemovalTimeout = 30 * time.Second
 	// takeOverDelayPerRank is how much longer each lower-ranked daemon waits before it
 	// takes over a free shard.
@@ -34,7 +34,8 @@
 	handOverInterval = 2 * time.Second
 )
 
-// stepRoster joins or leaves the roster and removes daemons that are long out of contact.
+// stepRoster joins or leaves the roster and removes daemons that have been out of contact for
+// DaemonRemovalTimeout.
 func (c *Controller) stepRoster(actions *Actions, now time.Time) {
 	key := roster.Key(c.self.ID)
 	row := c.rows.Row(key)
@@ -80,7 +81,8 @@
 	return removal
 }
 
-// removeUnresponsiveDaemon removes one daemon that is long out of contact from the roster.
+// removeUnresponsiveDaemon removes one daemon that has been out of contact for
+// DaemonRemovalTimeout from the roster.
 func (c *Controller) removeUnresponsiveDaemon(actions *Actions, held lease.Lease, now time.Time) {
 	for _, daemon := range c.roster {
 		if daemon.ID == c.self.ID || now.Sub(c.lastContactWith(daemon.ID)) < DaemonRemovalTimeout {
--- a/core/control/plans_test.go
+++ b/core/control/plans_test.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// Every 15 seconds one daemon dies and another one starts; the plan completes nevertheless.
+// Every 15 seconds one daemon crashes and another one starts; the plan completes
+// nevertheless.
 func TestPlanCompletesWhileDaemonsAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
@@ -114,7 +115,7 @@
 	})
 }
 
-// While a plan is paused nothing more is drained.
+// While a plan is paused, no further group is drained.
 func TestPausedPlanTakesNoStepsUntilResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newDeclaredFleet(t, 3, 6)
--- a/core/control/watch.go
+++ b/core/control/watch.go
@@ -15,8 +15,8 @@
 	"headcourse/core/vm"
 )
 
-// WatchersPerGroup is the number of daemons that probe the members of each group. One of them is
-// enough for the group to serve, and none needs a lease.
+// WatchersPerGroup is the number of daemons that probe the members of each group. One of
+// them is enough for the group to serve, and none needs a lease.
 const WatchersPerGroup = 2
 
 // Target is a VM to probe. IsFree means that no group has the VM, so that it may be probed
@@ -26,8 +26,8 @@
 	IsFree bool
 }
 
-// ProbeTargets returns the VMs that this daemon probes: members of the groups that it watches or
-// controls, and the servers of plain services and free VMs that it watches.
+// ProbeTargets returns the VMs that this daemon probes: members of the groups that it
+// watches or controls, and the servers of plain services and free VMs that it watches.
 func (c *Controller) ProbeTargets() []Target {
 	c.rebuild()
 	c.updateLiveDaemons(time.Now())
@@ -86,7 +86,7 @@
 	return time.Since(c.negativeEvidenceAt[evidence.Group]) < recoveryReportTime
 }
 
-// recordNegativeEvidence records when evidence said that a VM or group is not whole.
+// recordNegativeEvidence records when evidence showed that a VM or group is not whole.
 func (c *Controller) recordNegativeEvidence(evidence []presence.Evidence) {
 	for _, entry := range evidence {
 		if !entry.IsWhole {
@@ -123,7 +123,7 @@
 
 // maxReportAge is the maximum age of the last report of a daemon that counts as a watcher.
 // It is well above the time that a report takes through two relays, so that in a large
-// roster daemons are not taken for dead and replaced as watchers.
+// roster running daemons are not replaced as watchers.
 const maxReportAge = 5 * time.Second
 
 // watches reports whether this daemon is a watcher of a group: it ranks among the first of
