--- a/core/assembly/adopt.go
+++ b/core/assembly/adopt.go
@@ -7,7 +7,7 @@
 
 // adopt plans records for serving groups of former eras that have no record, because the
 // store was restored from a copy without them. Such a group must be complete and keeps the
-// epoch that its members know. Servers leave groups that were not open yet, and form new
+// epoch that its members report. Servers leave groups that were not open yet, and form new
 // ones.
 func (c *Controller) adopt(input Input, plan *Plan) {
 	for _, head := range input.Fleet.Servers() {
--- a/core/assembly/assembly.go
+++ b/core/assembly/assembly.go
@@ -9,12 +9,13 @@
 // lost, and an order may be carried out seconds later.
 //
 // A group ends at its head. Members are reused only when the head is known to have stopped
-// serving: it reports so, its process is gone, or it has not responded for longer than a
-// group may stall before it breaks. If none of the members has been observed for a long
+// serving: it reports so, its process has ended, or it has not responded for longer than
+// a group may stall before it breaks. If none of the members has been observed for a long
 // time, only the record is removed.
 //
 // A group is suspected when daemons report stalled or slow requests there: its members are
-// probed. It ends if a member is dead, or if a member is slow and a spare can replace it.
+// probed. It ends if a member is unresponsive, or if a member is slow and a spare can replace
+// it.
 //
 // Each step decides in this order: which groups keep serving, form or must end (check,
 // suspect, overdue); how ending groups end safely (finish); how much callers request
@@ -157,7 +158,8 @@
 type Input struct {
 	Config *config.Config
 	Fleet  fleet.View
-	// EvacuatedZones are the zones whose groups get no requests, or soon will get none.
+	// EvacuatedZones are the zones whose groups get no requests, or will get none once
+	// the daemons have left.
 	EvacuatedZones evacuation.Zones
 	// Era is the store's era in which this daemon leads.
 	Era int64
@@ -167,9 +169,9 @@
 	// IsStartupPhase is true while the whole system has just started and no client has sent a
 	// request: loads are quick then and delay no requests.
 	IsStartupPhase bool
-	// IsBeforeFirstRequest is true while, as far as known, no client of any daemon has sent a
-	// request since the whole system started. It lasts longer than IsStartupPhase, and limits on
-	// loads apply.
+	// IsBeforeFirstRequest is true while, as far as known, no client of any daemon has sent
+	// a request since the whole system started. It lasts longer than IsStartupPhase, and
+	// limits on loads apply.
 	IsBeforeFirstRequest bool
 	// StallTimeout is how long a group that lacks a member stalls before its head breaks.
 	StallTimeout time.Duration
--- a/core/assembly/assembly_test.go
+++ b/core/assembly/assembly_test.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// kill makes a server crash without deregistering.
+// kill makes a server crash; its entry remains until it expires.
 func (s *simFleet) kill(id string) {
-	s.servers[id].isDead = true
-	s.servers[id].diedAt = time.Now()
+	s.servers[id].hasCrashed = true
+	s.servers[id].crashedAt = time.Now()
 }
--- a/core/assembly/check.go
+++ b/core/assembly/check.go
@@ -166,7 +166,7 @@
 		return c.missingEntryReason(id, isHead, input, plan)
 	}
 	if member.Draining {
-		return "member " + id + " is leaving", true
+		return "member " + id + " is draining", true
 	}
 	if g.wasOpen && !member.Membership.Matches(g.record.Name, g.record.Epoch) {
 		return "member " + id + " is no longer in the group", false
@@ -194,7 +194,7 @@
 	if !c.hasAnsweredRecently(id) {
 		c.probe(server, plan)
 	}
-	if isDead, isKnown := c.isDead(id); isKnown && isDead {
+	if isUnresponsive, isKnown := c.isUnresponsive(id); isKnown && isUnresponsive {
 		return "member " + id + " is gone and does not answer", false
 	}
 	return "", false
--- a/core/assembly/check_test.go
+++ b/core/assembly/check_test.go
@@ -10,7 +10,7 @@
 	"headcourse/core/assembly"
 )
 
-func TestDeadMemberIsReplacedBySpare(t *testing.T) {
+func TestCrashedMemberIsReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
 		head := openHeadOf(s, "large")
@@ -53,17 +53,17 @@
 	})
 }
 
-func TestDeadServerIsNotUsedBeforeItsEntryExpires(t *testing.T) {
+func TestCrashedServerIsNotUsedBeforeItsEntryExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
 		head := openHeadOf(s, "large")
-		dead := head.members[1]
-		s.kill(dead)
+		crashed := head.members[1]
+		s.kill(crashed)
 		c.Suspect(head.group, head.epoch, "")
 		runFor(s, c, false, 2*time.Second)
 		for _, record := range s.storedRecords() {
 			for _, id := range record.Members {
-				qt.Assert(t, id, qt.Not(qt.Equals), dead)
+				qt.Assert(t, id, qt.Not(qt.Equals), crashed)
 			}
 		}
 	})
@@ -72,7 +72,7 @@
 // Guards against too many probes of members that answer but have no entry. On scale-1 of a
 // site of 925 servers, 111 lost only their connection to the store. The leader probed each
 // of them eight times a second, could not process the answers in time, considered working
-// members dead and ended 20 groups.
+// members unresponsive and ended 20 groups.
 func TestAnsweringMembersWithoutEntryAreProbedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -138,7 +138,7 @@
 		return
 	}
 	if order.Kind == Leave && result == Accepted && order.Server.ID == g.record.Members[0] {
-		g.hasHeadTakenLeave = true
+		g.hasHeadAcceptedLeave = true
 	}
 	if order.Kind == Join && (result == Fenced || result == WrongServer) && g.endReason == "" {
 		g.end("member refused to join: "+result.String(), false)
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -16,8 +16,7 @@
 	// other in turn.
 	minConversionGain = 0.1
 	// minServiceLevel is the service level that a model must keep after a conversion: a
-	// third of its callers are served, however many more of another model's callers would
-	// be.
+	// third of its callers are served, however much the other model would gain.
 	minServiceLevel = 0.34
 	// maxConversionLevel is the service level below which a model may get groups by
 	// conversions. A conversion removes a group of the other model for a second or two, and
@@ -121,7 +120,7 @@
 }
 
 // isDemandKnown reports whether the demand for all models is known, or the wait for it has
-// timed out. A new leader learns the demand from its first reports; until then it would use
+// timed out. A new leader receives the demand with its first reports; until then it would use
 // the operator's shares and end groups that are needed.
 func (c *Controller) isDemandKnown(state *serviceState) bool {
 	for _, model := range state.service.Engine.Models {
@@ -223,7 +222,7 @@
 }
 
 // countUpcomingGroups counts the groups of a model that can form from servers that are free
-// or soon will be: members of ending groups and of warm-up groups.
+// or about to become free: members of ending groups and of warm-up groups.
 func (c *Controller) countUpcomingGroups(state *serviceState, model config.Model, input Input) int {
 	servers := map[string]int{}
 	for _, domain := range state.domains {
--- a/core/assembly/convert_test.go
+++ b/core/assembly/convert_test.go
@@ -26,10 +26,10 @@
 // runBusyFor runs a fleet for a duration. The demand keeps the groups of each model that
 // served at first at two thirds of their capacity; it does not change when groups are lost.
 func runBusyFor(s *simFleet, c *assembly.Controller, duration time.Duration) {
-	const held = 17
+	const inFlightPerGroup = 17
 	for _, model := range []string{"large", "small"} {
-		if _, isAsked := s.demand[model]; !isAsked {
-			s.setDemandPerGroup(model, held)
+		if _, isDemandSet := s.demand[model]; !isDemandSet {
+			s.setDemandPerGroup(model, inFlightPerGroup)
 		}
 	}
 	runFor(s, c, false, duration)
@@ -81,7 +81,7 @@
 	})
 }
 
-// Models do not take groups from each other in turn.
+// Guards against models that take groups from each other in turn.
 func TestConversionsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -119,8 +119,8 @@
 	})
 }
 
-// Guards against making a dead server a member. During an outage of the store of eight
-// seconds a server died; its entry had not expired, and its membership cost 3.3 s.
+// Guards against making a crashed server a member. During an outage of the store of eight
+// seconds a server crashed; its entry had not expired, and its membership cost 3.3 s.
 func TestUnresponsiveServerIsNotMadeMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
@@ -142,7 +142,7 @@
 					continue
 				}
 				for _, id := range record.Members {
-					qt.Assert(t, s.servers[id].isDead, qt.IsFalse)
+					qt.Assert(t, s.servers[id].hasCrashed, qt.IsFalse)
 				}
 			}
 		}
--- a/core/assembly/demand.go
+++ b/core/assembly/demand.go
@@ -11,7 +11,7 @@
 const (
 	// riseTimeConstant and fallTimeConstant are the time constants with which an estimate
 	// follows a rising and a falling demand. Late growth delays callers, and groups given
-	// up soon after a burst would be missing in the next one.
+	// up right after a burst would be missing in the next one.
 	riseTimeConstant = 1500 * time.Millisecond
 	fallTimeConstant = 10 * time.Second
 	// minMeasurableFraction is the fraction of the servers that must be needed for the
@@ -38,7 +38,7 @@
 
 // updateDemands updates the estimates for the models of a service. Just after an outage of
 // the store or at the start the demand is not measured: all callers return at once then,
-// which says nothing about the later demand.
+// which does not predict the later demand.
 func (c *Controller) updateDemands(service *config.Service, input Input) {
 	if !input.IsStoreStable || input.IsStartupPhase || input.DemandOf == nil {
 		return
@@ -87,21 +87,22 @@
 			service: state.service.Name,
 			model:   model.Name,
 		}
-		want := state.targetGroups(model)
-		if c.reportedTargets[key] == want {
+		target := state.targetGroups(model)
+		if c.reportedTargets[key] == target {
 			continue
 		}
-		c.reportedTargets[key] = want
+		c.reportedTargets[key] = target
 		plan.Events = append(plan.Events, Event{
 			Model:   model.Name,
 			Message: "number of groups changed",
-			Reason:  fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", want, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
+			Reason:  fmt.Sprintf("%d wanted, %d live, %d planned, %.1f needed, %.1f at least", target, state.liveGroups[model.Name], state.plannedGroups(model), state.neededGroups(model), state.minGroups(model)),
 		})
 	}
 }
 
-// smoothed returns the estimate after an observation. The first observation is taken as it
-// is, because the demand is already a mean over seconds and a new leader starts from it.
+// smoothed returns the estimate after an observation. The first observation is used
+// unchanged, because the demand is already a mean over seconds and a new leader starts from
+// it.
 func (d demand) smoothed(observed demand) demand {
 	now := time.Now()
 	if d.updatedAt.IsZero() {
--- a/core/assembly/demand_test.go
+++ b/core/assembly/demand_test.go
@@ -40,7 +40,7 @@
 }
 
 // Guards against dividing servers by the configured shares when the demand differs. With
-// shares of 0.3 and 0.7 but work of 0.6 and 0.4, groups of the smaller model that nobody
+// shares of 0.3 and 0.7 but work of 0.6 and 0.4, groups of the smaller model that were not
 // needed kept forming from spares that the larger model lacked later. Scale-1 of an
 // internal deployment scored 0.67, and 0.73 and 0.77 in later runs.
 func TestAllocationFollowsMeasuredDemand(t *testing.T) {
--- a/core/assembly/evacuated_test.go
+++ b/core/assembly/evacuated_test.go
@@ -53,9 +53,9 @@
 func TestGroupsFormInOtherZonesDuringEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newZonedFleet(12)
-		const held = 20
-		s.setDemandPerGroup("large", held)
-		s.setDemandPerGroup("small", held)
+		const inFlightPerGroup = 20
+		s.setDemandPerGroup("large", inFlightPerGroup)
+		s.setDemandPerGroup("small", inFlightPerGroup)
 		runFor(s, c, false, 5*time.Second)
 		total := s.countServing("large") + s.countServing("small")
 		s.evacuate("a")
--- a/core/assembly/finish.go
+++ b/core/assembly/finish.go
@@ -14,8 +14,8 @@
 	// its group, according to the platform's documentation.
 	leaveTimeout = 10 * time.Second
 	// abandonTimeout is how long to wait for a group without any known member before its
-	// record is removed. It is more than three stall times, after which any live head has
-	// broken.
+	// record is removed. It is more than three stall times, after which any running head
+	// has broken.
 	abandonTimeout = 20 * time.Second
 	// stallMargin is added to the stall time after which an unresponsive head is considered
 	// broken.
@@ -42,14 +42,14 @@
 	id := g.record.Members[0]
 	head, ok := input.Fleet.Server(id)
 	hasLeft := ok && !head.Membership.Matches(g.record.Name, g.record.Epoch)
-	if hasLeft || g.hasHeadTakenLeave {
+	if hasLeft || g.hasHeadAcceptedLeave {
 		// A restarted head may rejoin through an order to its former start, so the
 		// members have to leave before they join other groups.
 		g.isHeadOut = !g.hasHeadRestarted
 		return true
 	}
-	isDead, _ := c.isDead(id)
-	if !ok || isDead {
+	isUnresponsive, _ := c.isUnresponsive(id)
+	if !ok || isUnresponsive {
 		return c.withdrawLostHead(g, id, input, plan)
 	}
 	c.probe(head, plan)
@@ -66,17 +66,17 @@
 	return false
 }
 
-// withdrawLostHead does the same for a head that does not answer or has no entry. Such a
+// withdrawLostHead is withdrawHead for a head that does not answer or has no entry. Such a
 // head may be cut off from this daemon and still serve for others. It may also be draining:
 // it has stopped listening and finishes its work for up to 10 s, which looks like a crash
 // if its entry could not show it. Therefore both the head and the members are ordered to
 // leave: without members the head stalls, and has broken after the stall time whether it is
-// alive or not.
+// running or not.
 func (c *Controller) withdrawLostHead(g *group, id string, input Input, plan *Plan) bool {
 	if server, ok := input.Fleet.ServerOrRemoved(id); ok {
 		c.probe(server, plan)
-		isDead, _ := c.isDead(id)
-		mayBeServing := !isDead || c.isRefusedRecently(id)
+		isUnresponsive, _ := c.isUnresponsive(id)
+		mayBeServing := !isUnresponsive || c.isRefusedRecently(id)
 		mayDrain := g.isGraceful && mayBeServing && time.Since(g.endingSince) < drainTimeout
 		if mayDrain {
 			g.planOrder(server, Close, false, g.endReason, plan)
@@ -116,7 +116,7 @@
 		switch {
 		case ok && member.Membership.Matches(g.record.Name, g.record.Epoch):
 			g.planOrder(member, Leave, false, g.endReason, plan)
-			if c.isUnresponsive(member, plan) {
+			if c.probeLeavingMember(member, plan) {
 				continue
 			}
 			presentCount++
@@ -130,16 +130,16 @@
 	return leftCount > 0 && presentCount == 0
 }
 
-// isUnresponsive reports whether a member that was ordered to leave does not answer: its
-// entry may exist for three more heartbeats. If it comes back, it leaves before it is
-// reused. Without this check ten members waited 1.6 s to 2.7 s when their head and another
-// member had died together.
-func (c *Controller) isUnresponsive(member fleet.Server, plan *Plan) bool {
-	isDead, _ := c.isDead(member.ID)
+// probeLeavingMember probes a member that was ordered to leave, and reports whether it is
+// unresponsive: its entry may exist for three more heartbeats. If it comes back, it leaves
+// before it is reused. Without this check ten members waited 1.6 s to 2.7 s when their head
+// and another member had crashed together.
+func (c *Controller) probeLeavingMember(member fleet.Server, plan *Plan) bool {
+	isUnresponsive, _ := c.isUnresponsive(member.ID)
 	if !c.hasAnsweredRecently(member.ID) {
 		c.probe(member, plan)
 	}
-	return isDead
+	return isUnresponsive
 }
 
 // orderOrphansToLeave orders servers to leave groups without a record: remaining members of a
--- a/core/assembly/finish_test.go
+++ b/core/assembly/finish_test.go
@@ -12,7 +12,7 @@
 
 // Guards against waiting for a crashed head until its entry expires and then for the stall
 // time; its members leave immediately.
-func TestDeadHeadIsReplacedBeforeStallTimeout(t *testing.T) {
+func TestCrashedHeadIsReplacedBeforeStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
 		head := openHeadOf(s, "large")
@@ -56,7 +56,7 @@
 	})
 }
 
-// Guards against taking a draining head for dead (violation TWO, scale-1 of an
+// Guards against considering a draining head crashed (violation TWO, scale-1 of an
 // internal deployment, seed 363847341756). The head had stopped listening but still
 // finished its work; its members joined another group without leaving.
 func TestMembersLeaveGroupWhoseHeadStoppedListening(t *testing.T) {
@@ -73,11 +73,11 @@
 	})
 }
 
-// Guards against the same with a stale entry (violation TWO, trouble-3 of
-// lainela-headcourse, seed 7). Servers reported that they were leaving while the store was
-// unavailable for eight seconds. Afterwards the entry of a head that had stopped listening
-// still did not show it; the head was considered dead, and its members joined another group
-// while it served.
+// Guards against considering a draining head with a stale entry crashed (violation TWO,
+// trouble-3 of lainela-headcourse, seed 7). Servers reported that they were leaving while
+// the store was unavailable for eight seconds. Afterwards the entry of a head that had
+// stopped listening still did not show it; the head was considered crashed, and its members
+// joined another group while it served.
 func TestMembersLeaveGroupWhoseHeadStoppedListeningWithStaleEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(6)
@@ -108,7 +108,7 @@
 		qt.Assert(t, s.violations, qt.HasLen, 0)
 		_, hasRecord := s.records[head.group]
 		qt.Assert(t, hasRecord, qt.IsFalse)
-		// It is not removed while its servers may come back soon.
+		// It is not removed within 15 s, while its servers may come back.
 		s, c = newStartedFleet(6)
 		head = openHeadOf(s, "large")
 		for _, server := range s.servers {
--- a/core/assembly/form.go
+++ b/core/assembly/form.go
@@ -19,7 +19,7 @@
 	// loadWindowMargin is added to the window because the delay of orders varies.
 	loadWindowMargin = 250 * time.Millisecond
 	// takeoverFraction is the fraction of a window's loads that a new leader may start in
-	// its first window, because it does not know which loads its predecessor has just
+	// its first window, because it has no record of the loads that its predecessor has just
 	// started. Each leader reserves as many for two successors.
 	takeoverFraction = 1.0 / 6
 	// settleTime is how long no new server must have appeared for the fleet to be
--- a/core/assembly/fuzz_test.go
+++ b/core/assembly/fuzz_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestFuzzOfLargeGroups does the same with groups of twelve and six in domains of 27, and a
-// demand for both models from nothing to more than all groups can serve.
+// TestFuzzOfLargeGroups applies random faults to groups of twelve and six in domains of 27,
+// with a demand for both models from nothing to more than all groups can serve.
 func TestFuzzOfLargeGroups(t *testing.T) {
 	fuzz.Check(t, func(rt *rapid.T) {
 		s, c := newLargeGroupFleet(2)
@@ -56,8 +56,8 @@
 	})
 }
 
-// runRandomFaultsWith is runRandomFaults with an extra action at each step, which returns
-// the current leader.
+// runRandomFaultsWith runs random faults with an extra action at each step, which returns the
+// current leader.
 func runRandomFaultsWith(rt *rapid.T, s *simFleet, c *assembly.Controller, maxSteps int, atEachStep func(*assembly.Controller) *assembly.Controller) {
 	formerLeader := &assembly.Controller{}
 	formerLeader.LoadRecords(s.storedRecords())
@@ -127,12 +127,12 @@
 func (s *simFleet) applyFault(server *simServer, kind int) {
 	switch kind {
 	case 0:
-		if !server.isDead {
+		if !server.hasCrashed {
 			s.kill(server.id)
 			s.addServer(server.domain, server.staged)
 		}
 	case 1:
-		if !server.isDead && !server.isCutOff {
+		if !server.hasCrashed && !server.isCutOff {
 			server.isCutOff = true
 			server.cutOffAt = time.Now()
 		}
@@ -146,7 +146,7 @@
 		}
 	case 6:
 		// The server is draining, has stopped listening, and finishes its work.
-		if !server.isDead && !server.hasStoppedListening {
+		if !server.hasCrashed && !server.hasStoppedListening {
 			server.hasStoppedListening = true
 			server.exitsAt = time.Now().Add(simShutdownTime)
 			s.addServer(server.domain, server.staged)
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -24,7 +24,7 @@
 	// suspectedAt.
 	isSuspected bool
 	suspectedAt time.Time
-	// slowMember is a member that was found to be slow; empty: none.
+	// slowMember is a member that was found to be slow, or empty.
 	slowMember       string
 	wasOpen          bool
 	isRemovalPending bool
@@ -32,10 +32,10 @@
 	isHeadOut bool
 	// hasHeadRestarted is true if the head has restarted under its ID.
 	hasHeadRestarted bool
-	// hasHeadTakenLeave is true if the head itself accepted the order to leave;
+	// hasHeadAcceptedLeave is true if the head itself accepted the order to leave;
 	// incompleteSince is since when the group is certain to lack a member.
-	hasHeadTakenLeave bool
-	incompleteSince   time.Time
+	hasHeadAcceptedLeave bool
+	incompleteSince      time.Time
 }
 
 // sentOrder is the last order given to a member.
--- a/core/assembly/large_groups_test.go
+++ b/core/assembly/large_groups_test.go
@@ -116,8 +116,8 @@
 	})
 }
 
-// Guards against a new leader that ends serving groups before it knows the demand. When the
-// leader died during the loss of a domain, the next one ended five of six groups within
+// Guards against a new leader that ends serving groups before the demand is known. When the
+// leader crashed during the loss of a domain, the next one ended five of six groups within
 // 1.5 s to match the operator's shares. The first demand reports arrive half a second later.
 func TestNewLeaderEndsNoGroupBeforeDemandIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -143,7 +143,7 @@
 // killDomain makes all servers of a domain crash.
 func (s *simFleet) killDomain(domain string) {
 	for _, server := range s.servers {
-		if server.domain == domain && !server.isDead {
+		if server.domain == domain && !server.hasCrashed {
 			s.kill(server.id)
 		}
 	}
@@ -186,10 +186,10 @@
 	})
 }
 
-// Guards against waiting for a dead member. The head of a large group and another member
-// die together; the ten others used to wait 1.6 s to 2.7 s until the entry of the dead
+// Guards against waiting for a crashed member. The head of a large group and another member
+// crash together; the ten others used to wait 1.6 s to 2.7 s until the entry of the crashed
 // member expired.
-func TestMembersOfDeadHeadDoNotWaitForDeadMember(t *testing.T) {
+func TestMembersOfCrashedHeadDoNotWaitForCrashedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newLargeGroupFleet(6)
 		// All six large groups are needed, and no more small ones than exist.
--- a/core/assembly/need.go
+++ b/core/assembly/need.go
@@ -14,7 +14,7 @@
 	// of its members. If two of 160 servers are lost every three seconds, a group is back
 	// 2 s after the loss of a member; in addition, losses come together.
 	memberUnavailability = 0.012
-	// maxGroupUnavailability limits the fraction for groups of very many members.
+	// maxGroupUnavailability limits the unavailability of groups of very many members.
 	maxGroupUnavailability = 0.4
 )
 
@@ -22,8 +22,8 @@
 	// defaultMinFraction is the fraction of the needed groups that keeps up with a model's
 	// requests, if the demand is not known.
 	defaultMinFraction = 0.7
-	// maxMinFraction limits that fraction, so that one more group gains something for every
-	// model.
+	// maxMinFraction limits the fraction of the needed groups that keeps up, so that one
+	// more group gains something for every model.
 	maxMinFraction = 0.95
 )
 
@@ -128,9 +128,9 @@
 // all.
 func (s *serviceState) serviceLevel(model config.Model, count int) float64 {
 	groups := float64(count)
-	least := s.minGroups(model)
-	if groups < least {
-		return groups / least
+	minGroups := s.minGroups(model)
+	if groups < minGroups {
+		return groups / minGroups
 	}
-	return 1 + (groups-least)/(s.neededGroups(model)-least)
+	return 1 + (groups-minGroups)/(s.neededGroups(model)-minGroups)
 }
--- a/core/assembly/plan.go
+++ b/core/assembly/plan.go
@@ -11,8 +11,8 @@
 	// RecentModels is which models the servers of domains loaded last; it is written together
 	// with the records.
 	RecentModels []RecentModels
-	// ClearedSuspicions are groups whose suspicion was cleared, so that daemons may report them
-	// again.
+	// ClearedSuspicions are groups whose suspicion was cleared, so that daemons may report
+	// them again.
 	ClearedSuspicions []string
 	// Events are the state changes of groups and models, for the log.
 	Events []Event
--- a/core/assembly/probe.go
+++ b/core/assembly/probe.go
@@ -9,15 +9,16 @@
 const (
 	// probeInterval is the minimum time between two probes of one server.
 	probeInterval = 120 * time.Millisecond
-	// unhealthyProbeInterval is the same for a free server that did not answer or is slow.
+	// unhealthyProbeInterval is the minimum time between two probes of a free server that
+	// did not answer or is slow.
 	unhealthyProbeInterval = time.Second
 	// probeResultTTL is how long a probe result is valid.
 	probeResultTTL = time.Second
 	// formProbeTTL is how long an answer is valid when a group forms.
 	formProbeTTL = 3 * time.Second
-	// deadAfterUnanswered is how many probes in a row must stay unanswered for a server to
-	// be considered dead.
-	deadAfterUnanswered = 2
+	// unresponsiveAfterProbes is how many probes in a row must stay unanswered for a server to
+	// be considered unresponsive.
+	unresponsiveAfterProbes = 2
 )
 
 // ProbeStatus is the status that a probe found.
@@ -43,8 +44,8 @@
 	Slowdown float64
 }
 
-// minSlowdown is the minimum pace of a slow server: the first event of a stream then takes
-// longer than its goal, and the gaps between events nearly so.
+// minSlowdown is the slowdown from which a server counts as slow: the first event of a stream
+// then takes longer than its goal, and the gaps between events nearly so.
 const minSlowdown = 2
 
 // IsSlow reports whether the server answered and works much slower than usual.
@@ -95,9 +96,9 @@
 	plan.Probes = append(plan.Probes, server)
 }
 
-// isDead reports whether recent probes found a server dead; isKnown is false without
-// conclusive recent results.
-func (c *Controller) isDead(id string) (isDead, isKnown bool) {
+// isUnresponsive reports whether a server refused its last probe or did not answer its last
+// probes; isKnown is false without conclusive recent results.
+func (c *Controller) isUnresponsive(id string) (isUnresponsive, isKnown bool) {
 	state := c.probeStates[id]
 	if state.resultAt.IsZero() || time.Since(state.resultAt) > probeResultTTL {
 		return false, false
@@ -108,7 +109,7 @@
 	case Refused:
 		return true, true
 	default:
-		return state.unanswered >= deadAfterUnanswered, state.unanswered >= deadAfterUnanswered
+		return state.unanswered >= unresponsiveAfterProbes, state.unanswered >= unresponsiveAfterProbes
 	}
 }
 
@@ -123,8 +124,8 @@
 
 // haveAllAnswered reports whether all servers answered a probe recently, and probes the
 // others, whose answers arrive some milliseconds later. An entry may belong to a server
-// that died while the store was unavailable, and a group with such a member would be
-// detected only seconds later.
+// that crashed while the store was unavailable, and the missing member of the new group
+// would be detected only seconds later.
 func (c *Controller) haveAllAnswered(servers []fleet.Server, plan *Plan) bool {
 	haveAnswered := true
 	for _, server := range servers {
@@ -147,6 +148,6 @@
 // isHealthy reports whether a server has not missed its last probes and is not slow.
 func (c *Controller) isHealthy(server fleet.Server) bool {
 	state := c.probeStates[server.ID]
-	isSilent := state.lastStatus != Answered && state.unanswered >= deadAfterUnanswered
-	return !isSilent && !state.isSlow
+	isUnresponsive := state.lastStatus != Answered && state.unanswered >= unresponsiveAfterProbes
+	return !isUnresponsive && !state.isSlow
 }
--- a/core/assembly/recent_models.go
+++ b/core/assembly/recent_models.go
@@ -15,8 +15,8 @@
 // RecentModels is which models the servers of a domain loaded last.
 type RecentModels struct {
 	Domain string `json:"domain"`
-	// Models are model names by start of the server: a server that restarted under
-	// its ID has loaded no model.
+	// Models maps the start of a server (fleet.Server.StartID) to the model that it loaded
+	// last: a server that restarted under its ID has loaded no model.
 	Models map[string]string `json:"models"`
 }
 
--- a/core/assembly/restart.go
+++ b/core/assembly/restart.go
@@ -2,25 +2,25 @@
 
 import "headcourse/core/fleet"
 
-// detectRestarts finds servers that restarted under the same ID, possibly before their
-// entry expired. A new start has no memberships and no loaded model, so the
-// controller discards what it knew about the former one.
+// detectRestarts finds servers that restarted under the same ID, possibly before their entry
+// expired. A new start has no memberships and no loaded model, so the controller discards
+// what it observed of the former one.
 func (c *Controller) detectRestarts(input Input, plan *Plan) {
 	if c.serverStarts == nil {
 		c.serverStarts = map[string]int64{}
 	}
 	for _, server := range input.Fleet.Servers() {
-		previous, wasThere := c.serverStarts[server.ID]
+		previous, isKnown := c.serverStarts[server.ID]
 		c.serverStarts[server.ID] = server.StartedAtMs
-		if wasThere && previous != server.StartedAtMs {
+		if isKnown && previous != server.StartedAtMs {
 			c.handleRestart(server, plan)
 		}
 	}
 	c.pruneServerStarts(input.Fleet)
 }
 
-// pruneServerStarts removes the starts of unknown servers once they are more than
-// half of all: most restarts have a new ID.
+// pruneServerStarts removes the starts of unknown servers once they are more than half of
+// all: most restarts have a new ID.
 func (c *Controller) pruneServerStarts(view fleet.View) {
 	const slack = 2
 	if len(c.serverStarts) <= slack*len(view.Servers()) {
@@ -33,10 +33,10 @@
 	}
 }
 
-// handleRestart discards what was known about a server's former start, and ends the
-// groups that it was ordered to join. The new start knows no newer epoch and may
-// carry out an order to the former one. So a group never continues with it under the same
-// epoch, and a group whose head restarted keeps its members until they have left.
+// handleRestart discards what was observed of a server's former start, and ends the groups
+// that it was ordered to join. The new start has not observed newer epochs and may carry out
+// an order to the former one. So a group never continues with it under the same epoch, and a
+// group whose head restarted keeps its members until they have left.
 func (c *Controller) handleRestart(server fleet.Server, plan *Plan) {
 	delete(c.probeStates, server.ID)
 	delete(c.stageOrders, server.ID)
@@ -47,12 +47,12 @@
 		if !g.hasMember(server.ID) {
 			continue
 		}
-		_, wasAsked := g.lastOrders[server.ID]
+		_, wasOrdered := g.lastOrders[server.ID]
 		delete(g.lastOrders, server.ID)
 		if server.ID == g.record.Members[0] {
 			g.hasHeadRestarted = true
 		}
-		if g.endReason == "" && (g.wasOpen || wasAsked) {
+		if g.endReason == "" && (g.wasOpen || wasOrdered) {
 			g.end("member "+server.ID+" has started again", false)
 			g.addEvent("group ends", g.endReason, plan)
 		}
--- a/core/assembly/restart_test.go
+++ b/core/assembly/restart_test.go
@@ -31,9 +31,9 @@
 	})
 }
 
-// Guards against two groups at once after a restart of a head. The new start may
-// carry out an order to the former one and open the group again, when its members had
-// already joined others directly.
+// Guards against two groups at once after a restart of a head. The new start may carry out
+// an order to the former one and open the group again, when its members had already joined
+// others directly.
 func TestMembersOfRestartedHeadLeaveBeforeJoiningOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(1)
@@ -62,7 +62,7 @@
 
 // Guards against a new leader that assumes a model is loaded because the server's former
 // start had loaded it.
-func TestNewLeaderIgnoresModelsOfFormerIncarnation(t *testing.T) {
+func TestNewLeaderIgnoresModelsOfFormerStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newStartedFleet(1)
 		head := openHeadOf(s, "large")
--- a/core/assembly/second_model_test.go
+++ b/core/assembly/second_model_test.go
@@ -63,9 +63,9 @@
 	})
 }
 
-// Guards against a new daemon that does not know the last loaded models, which an entry
-// shows only while the server is in a group. Such a daemon assumed a load of 16 s; the
-// store holds the models now.
+// Guards against a new daemon without the last loaded models, which an entry shows only
+// while the server is in a group. Such a daemon assumed a load of 16 s; the store holds the
+// models now.
 func TestNewDaemonReadsRecentModelsFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newWarmFleet(6)
--- a/core/assembly/service_state.go
+++ b/core/assembly/service_state.go
@@ -31,8 +31,8 @@
 	// its members are free some milliseconds later, and usually the best choice for the
 	// next group.
 	isFreeingDomain map[string]bool
-	// upcomingGroups counts the groups of each model that can form soon without ending
-	// others.
+	// upcomingGroups counts the groups of each model that can form without ending others,
+	// once servers that are about to become free are free.
 	upcomingGroups map[string]int
 	// isPostponed is true for models of which no group can form now.
 	isPostponed  map[string]bool
--- a/core/assembly/sim_server_test.go
+++ b/core/assembly/sim_server_test.go
@@ -10,13 +10,13 @@
 
 // simServer is one start of a simulated model engine.
 type simServer struct {
-	id       string
-	born     int64
-	domain   string
-	isDead   bool
-	slowdown float64
-	diedAt   time.Time
-	isCutOff bool
+	id          string
+	startedAtMs int64
+	domain      string
+	hasCrashed  bool
+	slowdown    float64
+	crashedAt   time.Time
+	isCutOff    bool
 	// hasStoppedListening is true for a draining server that has no entry and accepts no
 	// connections, but finishes its work.
 	hasStoppedListening bool
@@ -47,19 +47,19 @@
 // member that was ready and is then lost, because the order to open may follow from an
 // earlier entry.
 func (s *simFleet) restartServer(server *simServer) {
-	if server.isDead || server.hasStoppedListening {
+	if server.hasCrashed || server.hasStoppedListening {
 		return
 	}
 	s.serverNumber++
 	s.servers[server.id] = &simServer{
-		id:       server.id,
-		born:     server.born + int64(s.serverNumber),
-		domain:   server.domain,
-		staged:   server.staged,
-		isCutOff: server.isCutOff,
-		cutOffAt: server.cutOffAt,
-		slowdown: server.slowdown,
-		wasReady: server.wasReady,
+		id:          server.id,
+		startedAtMs: server.startedAtMs + int64(s.serverNumber),
+		domain:      server.domain,
+		staged:      server.staged,
+		isCutOff:    server.isCutOff,
+		cutOffAt:    server.cutOffAt,
+		slowdown:    server.slowdown,
+		wasReady:    server.wasReady,
 	}
 }
 
@@ -69,7 +69,7 @@
 		return nil
 	}
 	head := s.servers[server.members[0]]
-	if head == nil || head.isDead || head.group != server.group || head.epoch != server.epoch {
+	if head == nil || head.hasCrashed || head.group != server.group || head.epoch != server.epoch {
 		return nil
 	}
 	return head
@@ -78,7 +78,7 @@
 // apply carries out an order and returns its result.
 func (s *simFleet) apply(order assembly.Order) assembly.OrderResult {
 	server := s.servers[order.Server.ID]
-	if server == nil || server.isDead || server.hasStoppedListening {
+	if server == nil || server.hasCrashed || server.hasStoppedListening {
 		return assembly.NoAnswer
 	}
 	isSame := server.group == order.Group && server.epoch == order.Epoch && server.state != fleet.NoGroup
@@ -159,7 +159,7 @@
 	isComplete := true
 	for _, id := range server.members {
 		member := s.servers[id]
-		isComplete = isComplete && member != nil && !member.isDead && member.group == server.group && member.epoch == server.epoch
+		isComplete = isComplete && member != nil && !member.hasCrashed && member.group == server.group && member.epoch == server.epoch
 	}
 	switch {
 	case isComplete:
--- a/core/assembly/sim_test.go
+++ b/core/assembly/sim_test.go
@@ -154,7 +154,7 @@
 			server.stageDoneAt = time.Time{}
 		}
 		if server.hasStoppedListening && now.After(server.exitsAt) && !server.exitsAt.IsZero() {
-			server.isDead = true
+			server.hasCrashed = true
 		}
 		s.breakStalled(server)
 	}
@@ -175,13 +175,13 @@
 	var entries []fleet.Server
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		server := s.servers[id]
-		if server.isDead && now.Sub(server.diedAt) > simEntryExpiry {
+		if server.hasCrashed && now.Sub(server.crashedAt) > simEntryExpiry {
 			continue
 		}
 		if (server.hasStoppedListening && !server.hasStaleEntry) || (server.isCutOff && now.Sub(server.cutOffAt) > simEntryExpiry) {
 			continue
 		}
-		if server.isDead || server.isCutOff || server.hasStaleEntry {
+		if server.hasCrashed || server.isCutOff || server.hasStaleEntry {
 			// The entry does not change.
 			if previous, ok := s.view.Server(id); ok {
 				entries = append(entries, previous)
@@ -199,7 +199,7 @@
 func (s *simFleet) entryOf(server *simServer) fleet.Server {
 	entry := fleet.Server{
 		ID:          server.id,
-		StartedAtMs: server.born,
+		StartedAtMs: server.startedAtMs,
 		Service:     "engines",
 		Address:     "10.0.0.1:1",
 		Zone:        s.zoneOfDomain[server.domain],
@@ -227,12 +227,12 @@
 // probe returns the result of a probe of a server.
 func (s *simFleet) probe(server fleet.Server) assembly.ProbeResult {
 	simulated := s.servers[server.ID]
-	if simulated == nil || simulated.isDead {
+	if simulated == nil || simulated.hasCrashed {
 		return assembly.ProbeResult{
 			Status: assembly.Unanswered,
 		}
 	}
-	if simulated.hasStoppedListening || simulated.born != server.StartedAtMs {
+	if simulated.hasStoppedListening || simulated.startedAtMs != server.StartedAtMs {
 		return assembly.ProbeResult{
 			Status: assembly.Refused,
 		}
@@ -316,7 +316,7 @@
 	c.RecordsRemoved(plan.RemovedGroups)
 }
 
-// restartDaemons discards what daemons know about the fleet except for the store, and
+// restartDaemons discards what daemons observed of the fleet, except for the store, and
 // returns the new leader.
 func (s *simFleet) restartDaemons() *assembly.Controller {
 	s.view = fleet.View{}
@@ -329,15 +329,15 @@
 
 // setDemandPerGroup sets the demand for a model so that each group that serves now has
 // heldPerGroup requests in flight.
-func (s *simFleet) setDemandPerGroup(model string, heldPerGroup int) {
-	s.setDemand(model, float64(heldPerGroup*s.countServing(model)))
+func (s *simFleet) setDemandPerGroup(model string, inFlightPerGroup int) {
+	s.setDemand(model, float64(inFlightPerGroup*s.countServing(model)))
 }
 
 // setDemand sets the demand for a model so that its groups together have this many requests
 // in flight.
-func (s *simFleet) setDemand(model string, held float64) {
+func (s *simFleet) setDemand(model string, inFlight float64) {
 	const tokens = 100
-	rate := held / simTokenTime.Seconds()
+	rate := inFlight / simTokenTime.Seconds()
 	s.demand[model] = usage.Rate{
 		Requests: rate / tokens,
 		Answer:   rate,
@@ -385,5 +385,5 @@
 
 // isServing reports whether a server is the head of a complete group that serves.
 func (s *simFleet) isServing(server *simServer) bool {
-	return server.state == fleet.Open && !server.isDead && server.stalledAt.IsZero()
+	return server.state == fleet.Open && !server.hasCrashed && server.stalledAt.IsZero()
 }
--- a/core/assembly/stage.go
+++ b/core/assembly/stage.go
@@ -53,7 +53,7 @@
 }
 
 // pruneStageOrders removes stage orders that are done or have timed out, and those of
-// servers that are gone.
+// servers that have no entry any more.
 func (c *Controller) pruneStageOrders(view fleet.View) {
 	maps.DeleteFunc(c.stageOrders, func(id string, order stageOrder) bool {
 		server, ok := view.Server(id)
--- a/core/assembly/stage_test.go
+++ b/core/assembly/stage_test.go
@@ -40,16 +40,16 @@
 	})
 }
 
-// Guards against exceeding the limit on loads when the leader changes. A leader does not
-// know which loads its predecessor ordered: two leaders within one window each used the
-// whole limit and started 26 loads or more where 25 are allowed.
+// Guards against exceeding the limit on loads when the leader changes. A leader has no
+// record of the loads that its predecessor ordered: two leaders within one window each used
+// the whole limit and started 26 loads or more where 25 are allowed.
 func TestLoadRateStaysWithinLimit(t *testing.T) {
 	for _, example := range []struct {
 		name string
 		// term is how long one leader leads.
 		term time.Duration
-		// maxLoads is the maximum total of loads: a leader repeats orders whose result it
-		// does not see.
+		// maxLoads is the maximum total of loads: a leader repeats orders without visible
+		// result.
 		maxLoads int
 	}{
 		{
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		busy, idle := staged(false), staged(true)
 		qt.Assert(t, idle >= busy*3/2, qt.IsTrue, qt.Commentf("%d loads while idle, %d otherwise", idle, busy))
-		// 20 a second, with the excess, in any 5 s.
+		// 20 a second and 10% more, in any 5 s.
 		qt.Assert(t, idle <= 110, qt.IsTrue, qt.Commentf("%d", idle))
 	})
 }
--- a/core/assembly/step_bench_test.go
+++ b/core/assembly/step_bench_test.go
@@ -60,16 +60,16 @@
 			Domain:    strconv.Itoa(i / benchDomainSize),
 			IsEngine:  true,
 		}
-		place := i % benchDomainSize
-		if place < 2*benchGroupSize {
-			name := fmt.Sprintf("g%d-%d", i/benchDomainSize, place/benchGroupSize)
+		indexInDomain := i % benchDomainSize
+		if indexInDomain < 2*benchGroupSize {
+			name := fmt.Sprintf("g%d-%d", i/benchDomainSize, indexInDomain/benchGroupSize)
 			server.Membership = fleet.Membership{
 				Group: name,
 				Epoch: 7,
-				Rank:  place % benchGroupSize,
+				Rank:  indexInDomain % benchGroupSize,
 				State: fleet.Ready,
 			}
-			if place%benchGroupSize == 0 {
+			if indexInDomain%benchGroupSize == 0 {
 				server.Membership.State = fleet.Open
 				records = append(records, assembly.Record{
 					Name:    name,
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Suspect records that a daemon reported stalled or slow requests at a group, and the
-// member that did not answer that daemon (empty: none). The missing answer counts as one
+// member that did not answer that daemon, or empty. The missing answer counts as one
 // unanswered probe: the controller's own probe decides.
 func (c *Controller) Suspect(name string, epoch int64, unresponsive string) {
 	g, ok := c.groups[name]
@@ -30,8 +30,8 @@
 	}
 	findings := c.examineMembers(g, input, plan)
 	switch {
-	case findings.deadMember != "":
-		return "requests stand still and member " + findings.deadMember + " does not answer", false
+	case findings.unresponsiveMember != "":
+		return "requests stand still and member " + findings.unresponsiveMember + " does not answer", false
 	case !findings.isComplete:
 		return "", false
 	case findings.slowMember != "":
@@ -46,15 +46,15 @@
 
 // memberFindings is what is known about the members of a suspected group.
 type memberFindings struct {
-	// deadMember and slowMember each name such a member; empty: none.
-	deadMember string
-	slowMember string
+	// unresponsiveMember and slowMember each name such a member, or are empty.
+	unresponsiveMember string
+	slowMember         string
 	// isComplete is true if there are recent probe results of all members.
 	isComplete bool
 }
 
-// examineMembers examines the members of a group up to the first dead one, and probes those
-// without recent results.
+// examineMembers examines the members of a group up to the first unresponsive one, and
+// probes those without recent results.
 func (c *Controller) examineMembers(g *group, input Input, plan *Plan) memberFindings {
 	findings := memberFindings{
 		isComplete: true,
@@ -64,12 +64,12 @@
 		if !ok {
 			continue
 		}
-		isDead, isKnown := c.isDead(id)
-		if isDead {
-			findings.deadMember = id
+		isUnresponsive, isKnown := c.isUnresponsive(id)
+		if isUnresponsive {
+			findings.unresponsiveMember = id
 			return findings
 		}
-		// A result from before the suspicion is not evidence: heads are probed regularly.
+		// Heads are probed regularly: a result from before the suspicion does not count.
 		if !isKnown || c.probeStates[id].resultAt.Before(g.suspectedAt) {
 			findings.isComplete = false
 			c.probe(server, plan)
