--- a/core/control/plans.go
+++ b/core/control/plans.go
@@ -81,7 +81,7 @@
 	case plan.Reform:
 		return c.reformGroup(current, step)
 	default:
-		return change, false, fmt.Sprintf("unknown action %q of a step", step.Action)
+		return change, false, fmt.Sprintf("step %q is not known", step.Action)
 	}
 }
 
@@ -92,7 +92,7 @@
 		return change, true, ""
 	}
 	if c.fleet.ZonePlans[step.Zone] != current.ID {
-		return change, false, fmt.Sprintf("zone %q is not marked as changed by this plan", step.Zone)
+		return change, false, fmt.Sprintf("zone %q is not the plan's to change", step.Zone)
 	}
 	key := plan.ZoneKey(step.Zone)
 	change = change.WithCondition(key, c.rows.Row(key).Version)
@@ -145,7 +145,7 @@
 		return change, true, ""
 	}
 	if record.Plan != current.ID {
-		return change, false, fmt.Sprintf("group %q is not marked as changed by this plan", step.Group)
+		return change, false, fmt.Sprintf("group %q is not the plan's to change", step.Group)
 	}
 	if record.Phase == group.Draining && record.Next == nil {
 		return change, false, ""
@@ -157,7 +157,7 @@
 func (c *Controller) reformGroup(current plan.Plan, step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	record, ok := c.fleet.Group(step.Group)
 	if !ok || record.Plan != current.ID {
-		return change, false, fmt.Sprintf("group %q is not marked as changed by this plan", step.Group)
+		return change, false, fmt.Sprintf("group %q is not the plan's to change", step.Group)
 	}
 	isReformed := record.Generation > step.Record.Generation
 	isAsPlanned := record.Version == step.Record.Version && record.Adapter == step.Record.Adapter && record.Role == step.Record.Role && haveSameVMs(record.Members, step.Record.Members)
@@ -167,7 +167,7 @@
 	case isReformed && isAsPlanned, record.Phase == group.Draining:
 		return change, false, ""
 	case isReformed:
-		return change, false, fmt.Sprintf("group %q was formed again while the plan ran", step.Group)
+		return change, false, fmt.Sprintf("group %q was formed anew while the plan ran", step.Group)
 	}
 	return c.groupUpdate(record, record.WithDraining(step.Record)), false, ""
 }
--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -219,7 +219,7 @@
 		return nil
 	}
 	if b.intent.AllowFewer {
-		b.addNote("group %s is drained without replacement: no room for %d VMs in one fabric domain", item.old.Name, item.model.VMsPerReplica)
+		b.addNote("group %s goes without replacement: no room for %d VMs of one fabric domain", item.old.Name, item.model.VMsPerReplica)
 		b.drain(item.old, item.inPlace)
 		b.stage++
 		return nil
