--- a/entry/coldstarts.go
+++ b/entry/coldstarts.go
@@ -22,7 +22,7 @@
 	return ratelimit.NewColdLimit(found.ColdStart.RequestsPerSecond, d.settings.ColdExcess, d.settings.ColdExtraRequests), true
 }
 
-// applyColdLimit limits a server whose entry says that it is cold.
+// applyColdLimit limits a server whose entry marks it as cold.
 func (d *Daemon) applyColdLimit(current *config.Config, server fleet.Server) {
 	if server.ColdFor <= 0 {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// applyColdLimits limits all servers whose entries say that they are cold. Entries may be read
+// applyColdLimits limits all servers whose entries mark them as cold. Entries may be read
 // before the configuration that defines the limit.
 func (d *Daemon) applyColdLimits(current *config.Config) {
 	for _, server := range d.view.Load().Fleet.Servers() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// ObserveColdServer applies the cold limit to a server whose answer says that it is cold.
+// ObserveColdServer applies the cold limit to a server whose answer marks it as cold.
 func (d *Daemon) ObserveColdServer(server fleet.Server) {
 	d.applyColdLimit(d.view.Load().Config, server)
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -162,8 +162,8 @@
 		return
 	}
 	plan := t.controller.Step(input)
-	for _, note := range plan.Events {
-		t.daemon.log.Info("groups: "+note.Message, zap.String("group", note.Group), zap.Int64("epoch", note.Epoch), zap.String("model", note.Model), zap.String("reason", note.Reason))
+	for _, event := range plan.Events {
+		t.daemon.log.Info("groups: "+event.Message, zap.String("group", event.Group), zap.Int64("epoch", event.Epoch), zap.String("model", event.Model), zap.String("reason", event.Reason))
 	}
 	for _, server := range plan.Probes {
 		go t.probe(ctx, server)
@@ -213,7 +213,7 @@
 	}
 }
 
-// sendOrder sends one order as soon as a slot is free.
+// sendOrder sends one order once a slot is free.
 func (t *term) sendOrder(ctx context.Context, order assembly.Order) {
 	select {
 	case t.orderSlots <- struct{}{}:
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -17,8 +17,8 @@
 // for each digest of a request and start of a server. These rows are written without conditions
 // and are idempotent, so concurrent writers and lost answers lose nothing. A trial of a
 // suspected request is a row for its digest. It is written only if the row of the previous
-// trial has the version that this daemon knows, so only one daemon starts a trial. The table is
-// watched in any case: as long as no server crashes, this costs no further calls.
+// trial still has the version that this daemon has read, so only one daemon starts a trial. The
+// table is watched in any case: as long as no server crashes, this costs no further calls.
 
 // trialTimeout bounds the claim of a trial, during which a client waits.
 const trialTimeout = 300 * time.Millisecond
--- a/entry/crashes_test.go
+++ b/entry/crashes_test.go
@@ -56,8 +56,8 @@
 		t.Run(kind, func(t *testing.T) {
 			s := newSite(t, 3)
 			path, send := crashingRequest(kind)
-			for turn := 0; s.standin.Crashes(path) < maxCrashes; turn++ {
-				send(s.client(turn%len(s.daemons), standin.KeyCuenca))
+			for attempt := 0; s.standin.Crashes(path) < maxCrashes; attempt++ {
+				send(s.client(attempt%len(s.daemons), standin.KeyCuenca))
 			}
 			isNotSent := func(answer standin.Answer) bool {
 				return answer.Status == http.StatusServiceUnavailable && answer.Reason == "crashes_servers" && s.standin.Runs(answer.ID) == 0
@@ -67,7 +67,7 @@
 					return send(s.client(i, standin.KeyCuenca))
 				}, isNotSent)
 			}
-			// All daemons know, including one that starts now.
+			// All daemons refuse the request, including one that starts now.
 			s.daemons = append(s.daemons, s.startDaemon("front-d"))
 			ended := s.standin.Crashes(path)
 			for i := range s.daemons {
@@ -80,8 +80,8 @@
 				}
 			}
 			qt.Assert(t, s.standin.Crashes(path), qt.Equals, ended)
-			// Other requests are served as soon as servers are back, and none is quarantined.
-			isNotHeld := func(answer standin.Answer) bool {
+			// Other requests are served once servers are back, and none is quarantined.
+			isNotQuarantined := func(answer standin.Answer) bool {
 				qt.Assert(t, answer.Reason, qt.Not(qt.Equals), "crashes_servers")
 				return isSuccess(answer)
 			}
@@ -89,7 +89,7 @@
 				for _, other := range []func(*standin.Client) standin.Answer{get, post, streamSmall} {
 					s.await(func() standin.Answer {
 						return other(s.client(i, standin.KeyCuenca))
-					}, isNotHeld)
+					}, isNotQuarantined)
 				}
 			}
 		})
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// initialDaemonCount is assumed until the daemon list is read. It keeps the retry budget of
-	// a daemon that knows no others small.
+	// initialDaemonCount is assumed until the daemon list is read. It keeps the retry budget
+	// small until then.
 	initialDaemonCount = 16
 	// listFeedWait is how long one call waits for changes of the list.
 	listFeedWait = 5 * time.Second
@@ -26,7 +26,7 @@
 	// for each row.
 	listCoalesceDelay = 250 * time.Millisecond
 	// maxListWait is how long a starting daemon waits for the list before it reads the other
-	// tables. Without the list it knows no relay. A store that does not return the list returns
+	// tables. Without the list it has no relays. A store that does not return the list returns
 	// nothing else, so each daemon would try to read and watch all tables itself.
 	maxListWait = 6 * time.Second
 	// retryShareFactor scales down the allowed ratio of retries to requests, since daemons and
@@ -51,7 +51,7 @@
 	}
 }
 
-// daemonDirectory is the list of all daemons as this daemon knows it.
+// daemonDirectory is the list of all daemons as this daemon last read it.
 type daemonDirectory struct {
 	mutex        sync.Mutex
 	byName       map[string]neighbours.Daemon
@@ -90,7 +90,7 @@
 			d.applyList(rows, true)
 		},
 		// Daemons that a restored list lacks register again. Until then they still count, so
-		// that the shares of all daemons do not add up to more than the limit.
+		// that the quotas of all daemons do not add up to more than the limit.
 		OnRestoredSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, _ time.Time) {
 			d.applyList(rows, false)
 			d.updateSelfMissing(rows)
@@ -126,8 +126,8 @@
 	return 2 * registerCheckInterval
 }
 
-// recordListError records a failed call for the list. No other table is read before the list
-// is.
+// recordListError records a failed call for the list. Before its first read no other table is
+// read either, so such a failure counts as an outage of the store.
 func (d *Daemon) recordListError(err error) {
 	if d.isInitialListRead(neighbours.Table) {
 		d.recordOutageStart(neighbours.Table)(err)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -94,8 +94,8 @@
 	tableReader *rowstore.ReaderChain
 	tableCache  rowstore.TableCache
 	relayServer *relay.Server
-	// errorLogLimiter limits the rate of log lines about failed calls.
-	errorLogLimiter logline.Throttle
+	// errorLogThrottle limits the rate of log lines about failed calls.
+	errorLogThrottle logline.Throttle
 	// directory is the list of all daemons, from which relays are selected. position is this
 	// daemon's position in it.
 	directory daemonDirectory
@@ -137,11 +137,11 @@
 	// recentReports are reports that the store has committed recently.
 	recentReports recentReports
 	// serverLimits are the request rates that servers accept from all daemons together.
-	// limitNotices tracks the reports that daemons exchange about them.
+	// limitReports tracks the reports that daemons exchange about them.
 	serverLimits ratelimit.Limiter
-	limitNotices ratelimit.LimitReports
-	// limitLogLimiter limits the rate of log lines about limits.
-	limitLogLimiter logline.Throttle
+	limitReports ratelimit.LimitReports
+	// limitLogThrottle limits the rate of log lines about limits.
+	limitLogThrottle logline.Throttle
 	// viewChanged signals a changed view to the leader.
 	viewChanged chan struct{}
 	// viewLoaded is set after the first read of the configuration and the servers.
@@ -201,8 +201,8 @@
 	d.storeClock.Clock = d.bootClock
 	d.serverLimits.Clock = d.bootClock
 	d.configFreshness.Clock = d.bootClock
-	d.errorLogLimiter.Interval = errorLogInterval
-	d.limitLogLimiter.Interval = limitLogInterval
+	d.errorLogThrottle.Interval = errorLogInterval
+	d.limitLogThrottle.Interval = limitLogInterval
 	store := platform.NewStore(nodeSettings.StoreAddress)
 	store.OnCall = func(operation string, took time.Duration) {
 		metrics.GetOrRegisterCounter("store_calls."+operation, d.registry).Inc(1)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -233,7 +233,7 @@
 	qt.Assert(t, isSuccess(get(s.client(0, standin.KeyCuenca))), qt.IsTrue)
 }
 
-func TestStreamContinuesAfterMemberDies(t *testing.T) {
+func TestStreamContinuesAfterMemberCrashes(t *testing.T) {
 	s := newSite(t, 2)
 	heads := s.standin.Heads(standin.ModelLarge)
 	qt.Assert(t, len(heads) >= 2, qt.IsTrue)
@@ -279,16 +279,16 @@
 	draining := s.standin.Servers(standin.ServicePlain)[0]
 	draining.Drain()
 	client := s.client(0, standin.KeyCuenca)
-	isElsewhere := func(answer standin.Answer) bool {
+	isFromOtherServer := func(answer standin.Answer) bool {
 		return isSuccess(answer) && !strings.Contains(answer.Seal, draining.ID())
 	}
 	for range 20 {
 		s.await(func() standin.Answer {
 			return get(client)
-		}, isElsewhere)
+		}, isFromOtherServer)
 	}
 	for range 20 {
-		qt.Assert(t, isElsewhere(get(client)), qt.IsTrue)
+		qt.Assert(t, isFromOtherServer(get(client)), qt.IsTrue)
 	}
 }
 
@@ -354,7 +354,7 @@
 
 // Guards against an outage of the store that stops service although revocation is not strict:
 // on one day of the users' bench all requests were rejected for three seconds of an outage.
-// Keys must still be revoked as soon as the store answers.
+// Keys must still be revoked once the store answers.
 func TestLenientRevocationServesLastConfigurationDuringStoreOutage(t *testing.T) {
 	s := newSite(t, 1)
 	s.daemons = append(s.daemons, s.startDaemonWith("front-b", func(nodeSettings *settings.Settings) {
@@ -474,16 +474,16 @@
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
 		server.SetBehaviour(standin.Truncating)
 	}
-	cut := post(s.client(0, standin.KeyCuenca))
+	truncated := post(s.client(0, standin.KeyCuenca))
 	refused := get(s.client(0, "no-such-key"))
 	for _, head := range s.standin.Servers(standin.ServiceModel) {
 		head.SetBehaviour(standin.Rejecting)
 	}
-	busy := s.client(0, standin.KeyCuenca).Stream(context.Background(), standin.ModelLarge, 3)
+	rejected := s.client(0, standin.KeyCuenca).Stream(context.Background(), standin.ModelLarge, 3)
 	for id, cause := range map[string]string{
-		cut.ID:     ":connection_broken",
-		refused.ID: `"reason":"unknown_key"`,
-		busy.ID:    ":server_refused",
+		truncated.ID: ":connection_broken",
+		refused.ID:   `"reason":"unknown_key"`,
+		rejected.ID:  ":server_refused",
 	} {
 		lines := s.lines(`"request_id":"` + id + `"`)
 		qt.Assert(t, lines, qt.HasLen, 1)
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -24,7 +24,7 @@
 	}, func(*settings.Settings) {})
 }
 
-// awaitEvacuated waits until all daemons know that a zone is evacuated, or that it is not.
+// awaitEvacuated waits until the evacuation of a zone, or its end, is in force at all daemons.
 func (s *site) awaitEvacuated(zone string, isEvacuated bool) {
 	s.t.Helper()
 	s.awaitTrue(func() bool {
--- a/entry/idle.go
+++ b/entry/idle.go
@@ -2,11 +2,11 @@
 
 import "headcourse/core/config"
 
-// Before the first client of a newly started system sends a request, nobody waits for a result.
-// Model loads are not limited then, and changes are collected for longer.
+// Before the first client of a newly started system sends a request, no client waits for an
+// answer. Model loads are not limited then, and changes are collected for longer.
 
-// isIdle returns whether, as far as this daemon knows, no client has sent a request to any
-// daemon since the first start of the whole system.
+// isIdle returns whether no client has sent a request since the first start of the whole system,
+// neither to this daemon nor, by the reported demand, to another one.
 func (d *Daemon) isIdle() bool {
 	current := d.view.Load().Config
 	if !d.settings.IsFirstStart || d.hasTraffic.Load() || current == nil {
--- a/entry/invalidrows_test.go
+++ b/entry/invalidrows_test.go
@@ -27,13 +27,13 @@
 	`{"Name":"","Members":null,"name":7,"members":[[]],"holder":[],"epoch":"x","models":[],"address":9}`,
 }
 
-// Guards against harm from rows that others write into the daemons' tables. Such rows hid the
+// Guards against invalid rows that other writers leave in the daemons' tables. Such rows hid the
 // rest of a page, filled the logs, were used as servers, or prevented the lease from being
 // acquired.
 func TestInvalidRowsOfOtherWritersAreIgnored(t *testing.T) {
 	s := newSite(t, 3)
-	const many = 40
-	for i := range many {
+	const rowsPerValue = 40
+	for i := range rowsPerValue {
 		for n, value := range invalidValues {
 			for _, table := range []string{wire.TableServers, wire.TableConfig, neighbours.Table, "told", assembly.Table, assembly.RecentModelsTable} {
 				s.standin.Store.Write(table, fmt.Sprintf("strange-%d-%d", n, i), []byte(value))
@@ -59,7 +59,7 @@
 			qt.Assert(t, isSuccess(answer), qt.IsTrue, qt.Commentf("%+v", answer))
 		}
 	}
-	qt.Assert(t, len(s.lines("store: row not taken")) < many, qt.IsTrue)
+	qt.Assert(t, len(s.lines("store: row not taken")) < rowsPerValue, qt.IsTrue)
 
 	// The leader still works: a group that loses a member forms again.
 	heads := s.standin.Heads(standin.ModelSmall)
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -15,9 +15,9 @@
 
 // A server names its limit to the daemons that send it requests. They report it to all other
 // daemons by a row of reportTable for the server's start, written without a condition, and
-// remove the row when the limit ends. Other daemons need not send a request to learn of the
-// limit. A daemon without a share of the limit learns only from the removal of the row that it
-// may use the server again. As long as no server names a limit, this costs no calls.
+// remove the row when the limit ends. Other daemons thus need not send a request to observe
+// the limit. For a daemon without a quota, only the removal of the row shows that it may use the
+// server again. As long as no server names a limit, this costs no calls.
 
 // limitLogInterval limits the rate of log lines about reported limits, since all servers of a
 // service may name limits at once.
@@ -36,20 +36,21 @@
 	return strings.TrimPrefix(row.Key, limitPrefix)
 }
 
-// ObserveLimit reports a limit to the other daemons unless they know it. It does not block.
+// ObserveLimit reports a limit to the other daemons unless it has been reported already. It does
+// not block.
 func (d *Daemon) ObserveLimit(server fleet.Server, limit ratelimit.Limit) {
 	start := server.StartID()
 	if !limit.IsSet {
 		time.AfterFunc(rand.N(reportJitter), func() { d.reportLimitEnd(start, limitEndAttempts) })
 		return
 	}
-	if !d.limitNotices.ShouldReport(start, limit) {
+	if !d.limitReports.ShouldReport(start, limit) {
 		return
 	}
 	// Daemons observe a limit at the same time. The jitter lets the first report reach the
 	// others before they write theirs.
 	time.AfterFunc(rand.N(reportJitter), func() {
-		if d.limitNotices.ClaimReport(start, limit) {
+		if d.limitReports.ClaimReport(start, limit) {
 			d.reportLimit(start, limit)
 		}
 	})
@@ -62,13 +63,13 @@
 	limitEndRetryInterval = 2 * time.Second
 )
 
-// reportLimitEnd reports that a limit has ended as long as the store has a row for it and this
-// daemon knows no new limit.
+// reportLimitEnd reports that a limit has ended as long as the store has a row for it and the
+// server has announced no new limit.
 func (d *Daemon) reportLimitEnd(start string, attempts int) {
 	if known, _ := d.serverLimits.AnnouncedLimit(start); attempts == 0 || known.IsSet {
 		return
 	}
-	if d.limitNotices.ClaimReport(start, ratelimit.Limit{}) {
+	if d.limitReports.ClaimReport(start, ratelimit.Limit{}) {
 		d.reportLimit(start, ratelimit.Limit{})
 	}
 	time.AfterFunc(limitEndRetryInterval, func() { d.reportLimitEnd(start, attempts-1) })
@@ -102,7 +103,7 @@
 		d.recordRejectedRow(reportTable, row, err)
 		return
 	}
-	if d.limitNotices.Take(start, limit) {
+	if d.limitReports.Take(start, limit) {
 		d.logReportedLimit(start, limit, row.Version)
 	}
 	d.serverLimits.ApplyReport(start, limit)
@@ -110,7 +111,7 @@
 
 // logReportedLimit logs a limit that another daemon reported.
 func (d *Daemon) logReportedLimit(start string, limit ratelimit.Limit, version int64) {
-	mayLog, suppressed := d.limitLogLimiter.Allow(reportTable)
+	mayLog, suppressed := d.limitLogThrottle.Allow(reportTable)
 	if !mayLog {
 		return
 	}
@@ -124,7 +125,7 @@
 
 // removeLimit records that a limit row was removed.
 func (d *Daemon) removeLimit(start string, version int64) {
-	if d.limitNotices.Remove(start) {
+	if d.limitReports.Remove(start) {
 		d.logReportedLimit(start, ratelimit.Limit{}, version)
 	}
 	d.serverLimits.ApplyReport(start, ratelimit.Limit{})
@@ -138,7 +139,7 @@
 			starts[serverStartOf(row)] = true
 		}
 	}
-	for _, start := range d.limitNotices.StartsNotIn(starts) {
+	for _, start := range d.limitReports.StartsNotIn(starts) {
 		d.removeLimit(start, version)
 	}
 }
@@ -146,7 +147,7 @@
 // removeStaleLimits removes the limit rows of servers that no longer exist. Only the leader
 // does this.
 func (d *Daemon) removeStaleLimits() {
-	d.limitNotices.Sweep()
+	d.limitReports.Sweep()
 	if !d.isLeader.Load() {
 		return
 	}
@@ -154,7 +155,7 @@
 	for _, server := range d.view.Load().Fleet.Servers() {
 		present[server.StartID()] = true
 	}
-	for _, start := range d.limitNotices.StaleStarts() {
+	for _, start := range d.limitReports.StaleStarts() {
 		if !present[start] {
 			d.reportLimit(start, ratelimit.Limit{})
 		}
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -16,7 +16,7 @@
 // up to 21 requests in four seconds from nine daemons where 15 were allowed, starting three
 // seconds after they first named the limit, since daemons did not read it. A limit or an equal
 // share for each daemon is not enough: each daemon sends at least one whole request, so
-// hundreds of daemons exceed the limit. Only a few daemons have a share of a limit, and daemons
+// hundreds of daemons exceed the limit. Only a few daemons have a quota of a limit, and daemons
 // report to each other which servers have one. The sum for thousands of daemons is tested in
 // core/ratelimit.
 //
@@ -84,7 +84,7 @@
 }
 
 // Guards against servers that stay unused after their limit ends. All daemons must use them
-// again, including daemons without a share of the limit.
+// again, including daemons without a quota.
 func TestEndedLimitIsRemovedEverywhere(t *testing.T) {
 	s := newSite(t, 5)
 	plain := s.standin.Servers(standin.ServicePlain)
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -67,7 +67,7 @@
 	suspected, held := d.crashLedger.Counts()
 	set("quarantine_suspected", int64(suspected))
 	set("quarantine_held", int64(held))
-	set("servers_limited", int64(d.limitNotices.Len()))
+	set("servers_limited", int64(d.limitReports.Len()))
 	opened, reused := d.gateway.ConnectionCounts()
 	set("backend_connections.opened", opened)
 	set("backend_connections.reused", reused)
--- a/entry/outages.go
+++ b/entry/outages.go
@@ -20,7 +20,7 @@
 func (d *Daemon) recordStoreError(table string) func(error) {
 	return func(err error) {
 		metrics.GetOrRegisterCounter("store_failed."+table, d.registry).Inc(1)
-		mayLog, suppressed := d.errorLogLimiter.Allow(table)
+		mayLog, suppressed := d.errorLogThrottle.Allow(table)
 		if !mayLog {
 			return
 		}
@@ -31,7 +31,7 @@
 // recordStoreRecovery records that the store answers again.
 func (d *Daemon) recordStoreRecovery(table string) func(time.Duration) {
 	return func(downtime time.Duration) {
-		suppressed := d.errorLogLimiter.Reset(table)
+		suppressed := d.errorLogThrottle.Reset(table)
 		d.log.Info("store: answers again", zap.String("table", table), zap.Int64("away_ms", downtime.Milliseconds()), zap.Int("lines_left_out", suppressed))
 	}
 }
@@ -41,7 +41,7 @@
 func (d *Daemon) recordDroppedAnswer(table string) func(rowstore.Result, rowstore.Revision) {
 	return func(answer rowstore.Result, known rowstore.Revision) {
 		metrics.GetOrRegisterCounter("store_answers_dropped."+table, d.registry).Inc(1)
-		mayLog, suppressed := d.errorLogLimiter.Allow("dropped answers of " + table)
+		mayLog, suppressed := d.errorLogThrottle.Allow("dropped answers of " + table)
 		if !mayLog {
 			return
 		}
@@ -60,14 +60,15 @@
 // recordRejectedEra records an answer whose era is invalid or older than the known one.
 func (d *Daemon) recordRejectedEra(err error) {
 	metrics.GetOrRegisterCounter("store_eras_refused", d.registry).Inc(1)
-	mayLog, suppressed := d.errorLogLimiter.Allow("eras")
+	mayLog, suppressed := d.errorLogThrottle.Allow("eras")
 	if !mayLog {
 		return
 	}
 	d.log.Warn("store: answer not taken for its era", logline.ErrorField(err), zap.Int("lines_left_out", suppressed))
 }
 
-// recordOutageStart records that the configuration or the servers cannot be watched.
+// recordOutageStart records that the configuration or the servers cannot be watched, or that the
+// daemon list cannot be read for the first time.
 func (d *Daemon) recordOutageStart(table string) func(error) {
 	return func(err error) {
 		d.readFailed.set()
@@ -80,8 +81,8 @@
 	}
 }
 
-// recordOutageEnd records that such a table can be watched again. It is called before the new
-// rows are applied.
+// recordOutageEnd records that the configuration or the servers can be watched again. It is
+// called before the new rows are applied.
 func (d *Daemon) recordOutageEnd(table string) func(time.Duration) {
 	return func(downtime time.Duration) {
 		now := time.Now()
@@ -97,7 +98,7 @@
 // at any rate, so the log lines are rate limited; the counter includes every row.
 func (d *Daemon) recordRejectedRow(table string, row rowstore.Row, err error) {
 	metrics.GetOrRegisterCounter("rows_not_taken."+table, d.registry).Inc(1)
-	mayLog, suppressed := d.errorLogLimiter.Allow("rows of " + table)
+	mayLog, suppressed := d.errorLogThrottle.Allow("rows of " + table)
 	if !mayLog {
 		return
 	}
--- a/entry/preference.go
+++ b/entry/preference.go
@@ -69,11 +69,11 @@
 	current.limitPositions.mutex.Lock()
 	defer current.limitPositions.mutex.Unlock()
 	start := server.StartID()
-	if place, ok := current.limitPositions.byStart[start]; ok {
-		return place
+	if position, ok := current.limitPositions.byStart[start]; ok {
+		return position
 	}
 	rank, nearCount := current.list.PositionForKey(start, server.Zone, d.settings.Name)
-	place := ratelimit.Position{
+	position := ratelimit.Position{
 		Rank:     rank,
 		SameZone: nearCount,
 		Total:    current.list.Len(),
@@ -81,8 +81,8 @@
 	if current.limitPositions.byStart == nil {
 		current.limitPositions.byStart = map[string]ratelimit.Position{}
 	}
-	current.limitPositions.byStart[start] = place
-	return place
+	current.limitPositions.byStart[start] = position
+	return position
 }
 
 // logRejectedDemand logs that another daemon reported invalid demand.
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// writeReports writes reports in transactions of at most platform.MaxTransactionEntries rows, and
-// removes those that the store has committed from pending.
+// writeReports writes reports in transactions of at most platform.MaxTransactionEntries rows,
+// and removes those that the store has committed from pending.
 func (d *Daemon) writeReports(ctx context.Context, pending map[string]report) {
 	for len(pending) > 0 {
 		var transaction rowstore.Transaction
--- a/entry/restores.go
+++ b/entry/restores.go
@@ -11,7 +11,7 @@
 	"headcourse/platform"
 )
 
-// The store may be restored from an older copy. What this daemon knew before the restore is
+// The store may be restored from an older copy. What this daemon read before the restore is
 // newer. It stays in force until operators, servers and daemons have had time to write again
 // what the copy lacks. Only then do the tables apply as they are.
 
@@ -40,7 +40,7 @@
 }
 
 // mergeNewestConfig replaces an older configuration in a table by the one in force: after a
-// restore the operator has not written the newer one again yet, and starting daemons know no
+// restore the operator has not written the newer one again yet, and starting daemons have no
 // other.
 func (d *Daemon) mergeNewestConfig(table rowstore.Result) rowstore.Result {
 	current := d.configRow.Load()
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -106,8 +106,8 @@
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.contains(server.Membership)
 }
 
-// HasUnresponsiveMember returns whether any daemon has reported that requests stall at a server's
-// group because a member does not answer.
+// HasUnresponsiveMember returns whether any daemon has reported that requests stall at a
+// server's group because a member does not answer.
 func (d *Daemon) HasUnresponsiveMember(server fleet.Server) bool {
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.isUnresponsive(server.Membership)
 }
@@ -140,8 +140,8 @@
 	d.recordStoreError(reportTable)(err)
 }
 
-// applyReportSnapshot applies the whole table. Reports that it does not contain no longer
-// apply.
+// applyReportSnapshot applies a snapshot of the table. Reports that it does not contain have
+// ended.
 func (d *Daemon) applyReportSnapshot(rows []rowstore.Row, at rowstore.Revision, asOf time.Time) {
 	d.reportedStalls.retain(rows)
 	d.retainCrashes(rows)
--- a/entry/stalls_test.go
+++ b/entry/stalls_test.go
@@ -15,7 +15,7 @@
 	"headcourse/platform"
 )
 
-// Guards against stalls that stay known after they ended during an outage. A daemon that read
+// Guards against stalls that stay recorded after they ended during an outage. A daemon that read
 // the table again, because the store had compacted its history, kept the ended stalls and used
 // their groups only as a last resort from then on.
 func TestStallsRemovedDuringStoreOutageAreForgotten(t *testing.T) {
--- a/entry/view.go
+++ b/entry/view.go
@@ -27,8 +27,8 @@
 	return isKnown && d.revocation().MayAccept(age)
 }
 
-// IsViewCurrent returns whether the view contains everything that has been in force for longer than
-// the bound, so that unknown keys and routes may be rejected.
+// IsViewCurrent returns whether the view contains everything that has been in force for longer
+// than the bound, so that unknown keys and routes may be rejected.
 func (d *Daemon) IsViewCurrent() bool {
 	age, isKnown := d.configFreshness.ViewAge()
 	return isKnown && d.revocation().IsCurrent(age)
@@ -75,8 +75,8 @@
 	return d.initialised.done
 }
 
-// ViewUnreadable is closed when the configuration, the servers, or a table needed before them could
-// not be read.
+// ViewUnreadable is closed when the configuration, the servers, or a table needed before them
+// could not be read.
 func (d *Daemon) ViewUnreadable() <-chan struct{} {
 	return d.readFailed.done
 }
@@ -87,7 +87,8 @@
 }
 
 // updateInitialised sets initialised once the daemon is ready. If the configuration is read
-// last, its keys are current soon after, since the follower confirms what it has just read.
+// last, its keys are current shortly afterwards, since the follower confirms what it has just
+// read.
 func (d *Daemon) updateInitialised() {
 	if d.hasView() && !d.viewLoaded.isSet() {
 		d.viewLoaded.set()
