--- a/io/gateway/attempt.go
+++ b/io/gateway/attempt.go
@@ -36,10 +36,10 @@
 }
 
 // mayHaveArrived reports whether any part of the request may have reached the server.
-func (t attemptResult) mayHaveArrived() bool {
-	switch t.reason {
+func (r attemptResult) mayHaveArrived() bool {
+	switch r.reason {
 	case request.ReasonConnectFailed, request.ReasonServersPaused, request.ReasonServersLimited, request.ReasonZoneEvacuated:
-		return t.mayHaveRun
+		return r.mayHaveRun
 	default:
 		return true
 	}
@@ -76,7 +76,7 @@
 	j.attempts++
 	j.lastSentAt = time.Now()
 	j.excluded[server.ID] = true
-	head := j.server.dialect.WriteHead(j.request, request.Attempt{
+	head := j.server.codec.WriteHead(j.request, request.Attempt{
 		ServerID:     server.ID,
 		Organisation: j.organisation,
 		Remaining:    timeLeft,
@@ -216,7 +216,7 @@
 		if err = exchange.ReadHead(&head); err != nil {
 			return answer, hadStaleAnswer, err
 		}
-		answer = j.server.dialect.ReadAnswer(&head)
+		answer = j.server.codec.ReadAnswer(&head)
 		j.server.recordDirective(server, answer.Directive)
 		j.recordLimit(server, answer)
 		j.server.recordCold(server, answer.ColdFor)
@@ -231,7 +231,7 @@
 	return answer, hadStaleAnswer, errors.New("read answer: all answers on the connection belong to other requests")
 }
 
-// handleRefusal returns the result of an attempt that the server says it did not run.
+// handleRefusal returns the result of an attempt that the server reports as not run.
 func (j *job) handleRefusal(exchange *backend.Exchange, answer request.Answer, isReusable bool) attemptResult {
 	if _, err := exchange.ReadAll(maxAnswerBytes); err != nil {
 		exchange.Abort()
--- a/io/gateway/budget_test.go
+++ b/io/gateway/budget_test.go
@@ -28,13 +28,13 @@
 // did not show that the retry budget was the cause: of 734 such refusals on one day only the
 // counter gave evidence.
 func TestLogLineReportsSpentRetryBudget(t *testing.T) {
-	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 		w.Header().Set(wire.HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	t.Cleanup(full.Close)
-	address := full.Listener.Addr().String()
+	t.Cleanup(busy.Close)
+	address := busy.Listener.Addr().String()
 	core, logs := observer.New(zap.InfoLevel)
 	opts := newOptions(newSource(serversView(config.Safe, address, address)))
 	opts.Budgets = emptyRetryBudgets()
@@ -48,8 +48,8 @@
 	qt.Assert(t, lines[0].ContextMap()["retry_budget_spent"], qt.Equals, true)
 }
 
-// Guards against aborting a stream that cannot be retried: a slow server was silent for longer
-// than usual, its stream was aborted to fail over, and the retry budget was empty.
+// Guards against aborting a stream that cannot be retried: a slow server sent nothing for
+// longer than usual, its stream was aborted to fail over, and the retry budget was empty.
 func TestSilentServerIsKeptWhenRetryBudgetIsEmpty(t *testing.T) {
 	// Longer than any silence after which a request fails over.
 	const silence = 1600 * time.Millisecond
--- a/io/gateway/directives.go
+++ b/io/gateway/directives.go
@@ -12,7 +12,7 @@
 	"headcourse/core/request"
 )
 
-// Counters of server directives: countPauseRequests counts answers that ask for a pause,
+// Counters of server directives: countPauseRequests counts answers that request a pause,
 // countDrainNotices counts server starts that announce that they drain.
 const (
 	countPauseRequests = "server_pauses_asked"
@@ -20,7 +20,7 @@
 )
 
 // throttledLogInterval is the minimum interval between log lines about the directives or limits
-// of one service's servers. Tens of servers may ask for pauses of some tenths of a second at
+// of one service's servers. Tens of servers may request pauses of some tenths of a second at
 // the same time.
 const throttledLogInterval = 200 * time.Millisecond
 
@@ -90,7 +90,7 @@
 	return !view.Evacuated.IsEmpty() && view.Evacuated.HasLeft(server.Zone, s.clock.Now())
 }
 
-// isPausedOrLimited reports whether the server is paused, draining, or at this daemon's share of
+// isPausedOrLimited reports whether the server is paused, draining, or at this daemon's quota of
 // its rate limit.
 func (s *Server) isPausedOrLimited(server fleet.Server) bool {
 	return s.directives.IsExcluded(server.StartID()) || !s.isWithinLimit(server)
@@ -117,7 +117,7 @@
 	view := s.source.View()
 	for _, server := range view.Fleet.Serving(service, model) {
 		current := s.unavailabilityOf(view, server)
-		if isLeaving := current.reason == request.ReasonServersPaused && current.remaining == 0; isLeaving {
+		if isDraining := current.reason == request.ReasonServersPaused && current.remaining == 0; isDraining {
 			continue
 		}
 		if first.reason == request.ReasonNone || first.remaining == 0 || (current.remaining > 0 && current.remaining < first.remaining) {
--- a/io/gateway/directives_test.go
+++ b/io/gateway/directives_test.go
@@ -20,13 +20,13 @@
 	"headcourse/platform/wire"
 )
 
-// requestedPause is the pause that the tests' servers ask for: longer than any test takes.
+// requestedPause is the pause that the tests' servers request: longer than any test takes.
 const requestedPause = 20 * time.Minute
 
 // ejectionTime is longer than a daemon ejects a server by itself after its first refusal.
 const ejectionTime = 500 * time.Millisecond
 
-// refuseWithPause answers that the server did not run the request and asks for a pause.
+// refuseWithPause answers that the server did not run the request, and requests a pause.
 func refuseWithPause(w http.ResponseWriter, r *http.Request, pause time.Duration) {
 	w.Header().Set(wire.HeaderID, r.Header.Get(wire.HeaderID))
 	w.Header().Set(wire.HeaderNotExecuted, "1")
@@ -55,7 +55,7 @@
 	return statuses
 }
 
-// Servers that refused requests, and asked for a pause of three seconds in each answer,
+// Servers that refused requests, and requested a pause of three seconds in each answer,
 // received up to six requests from one daemon within the pause. Daemons ignored the requested
 // pause: they ejected a refusing server for 0.4 s or more of their own choice, a success of an
 // earlier request ended the ejection at once, and an ejected server was tried again if no other
@@ -87,11 +87,11 @@
 		qt.Assert(t, received.Load(), qt.Equals, int64(1))
 	})
 	t.Run("after an earlier request succeeds", func(t *testing.T) {
-		var began, turned atomic.Int64
+		var began, refused atomic.Int64
 		endStream := make(chan struct{})
 		paused := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
 			if began.Add(1) > 1 {
-				turned.Add(1)
+				refused.Add(1)
 				refuseWithPause(w, r, requestedPause)
 				return
 			}
@@ -105,19 +105,19 @@
 		})
 		_, address := startWithViewWait(t, newSource(serversView(config.Stream, paused[0], healthy[0])), time.Minute)
 		var clients conc.WaitGroup
-		for turned.Load() == 0 {
+		for refused.Load() == 0 {
 			clients.Go(func() { sendRequests(t, address, 1) })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(endStream)
 		clients.Wait()
 		// Several requests may have been in flight at the same time.
-		before := turned.Load()
+		before := refused.Load()
 		for range 20 {
 			clients.Go(func() { sendRequests(t, address, 1) })
 		}
 		clients.Wait()
-		qt.Assert(t, turned.Load(), qt.Equals, before)
+		qt.Assert(t, refused.Load(), qt.Equals, before)
 	})
 	t.Run("when no other server is available", func(t *testing.T) {
 		var received atomic.Int64
@@ -133,8 +133,8 @@
 	})
 }
 
-// Clients that were told to retry before the pauses ended found no server again and lost their
-// last retry. If all retried at the same moment, they would be refused together.
+// Clients whose Retry-After ended before the pauses found no server again and lost their last
+// retry. If all retried at the same moment, they would be refused together.
 func TestRetryAfterCoversShortestPauseOfAllServers(t *testing.T) {
 	var received atomic.Int64
 	longer := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
@@ -164,9 +164,9 @@
 	w.Header().Set(wire.HeaderLeaving, "1")
 }
 
-// A draining server says so in its answers some time before its entry does, and some entries
+// A draining server's answers announce it some time before its entry does, and some entries
 // never do: daemons that used the entry alone sent it requests until it stopped.
-func TestLeavingServerReceivesNoRequests(t *testing.T) {
+func TestDrainingServerReceivesNoRequests(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"whole answer": func(w http.ResponseWriter, r *http.Request) {
 			markDraining(w)
@@ -222,7 +222,7 @@
 }
 
 // The notice concerns the daemon's connections to the server, not those of clients.
-func TestLeavingHeaderIsNotForwarded(t *testing.T) {
+func TestDrainingHeaderIsNotForwarded(t *testing.T) {
 	addresses := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
 		markDraining(w)
 		answerOK(w, r)
@@ -248,17 +248,17 @@
 func (s *changingSource) View() gateway.View { return *s.current.Load() }
 
 // A server that restarts under its ID is not draining any more. A pause stays in force, since
-// the daemon cannot tell whether the former or the new process asked for it before the new
+// the daemon cannot determine whether the former or the new process asked for it before the new
 // entry was read.
-func TestRestartUnderSameIDKeepsPauseAndClearsLeaving(t *testing.T) {
+func TestRestartUnderSameIDKeepsPauseAndEndsDraining(t *testing.T) {
 	for _, example := range []struct {
-		name string
-		say  http.HandlerFunc
-		want int
+		name   string
+		answer http.HandlerFunc
+		want   int
 	}{
 		{
-			name: "leaving",
-			say: func(w http.ResponseWriter, r *http.Request) {
+			name: "draining",
+			answer: func(w http.ResponseWriter, r *http.Request) {
 				markDraining(w)
 				answerOK(w, r)
 			},
@@ -266,7 +266,7 @@
 		},
 		{
 			name: "paused",
-			say: func(w http.ResponseWriter, r *http.Request) {
+			answer: func(w http.ResponseWriter, r *http.Request) {
 				refuseWithPause(w, r, requestedPause)
 			},
 			want: http.StatusServiceUnavailable,
@@ -276,7 +276,7 @@
 			var received atomic.Int64
 			addresses := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
 				if received.Add(1) == 1 {
-					example.say(w, r)
+					example.answer(w, r)
 					return
 				}
 				answerOK(w, r)
--- a/io/gateway/gateway.go
+++ b/io/gateway/gateway.go
@@ -3,7 +3,8 @@
 //
 // The status of a failed request depends on whether a server may have run it. The gateway
 // answers 503 ("not run") only if no byte of the request can have been run by any server, or if
-// every server that received it said that it did not run it. All other failures are 502 or 504.
+// every server that received it reported that it did not run it. All other failures are 502 or
+// 504.
 // A request is retried only if it was not run or its route allows it to run more than once, and
 // only within the retry budget that all daemons share.
 //
@@ -41,8 +42,8 @@
 	"headcourse/io/tcp"
 )
 
-// Codec converts between HTTP messages and requests and answers. SetRequestID writes the request ID
-// into an answer that the gateway itself generates.
+// Codec converts between HTTP messages and requests and answers. SetRequestID writes the request
+// ID into an answer that the gateway itself generates.
 type Codec interface {
 	ReadRequest(ctx *fasthttp.RequestCtx) (*request.Request, error)
 	WriteHead(r *request.Request, attempt request.Attempt) []byte
@@ -62,15 +63,16 @@
 // Source provides the view and receives observations about servers and requests.
 type Source interface {
 	View() View
-	// ViewReady is closed when the configuration and the servers have been read for the first time.
+	// ViewReady is closed when the configuration and the servers have been read for the first
+	// time.
 	ViewReady() <-chan struct{}
 	// ViewUnreadable is closed when that first read has failed.
 	ViewUnreadable() <-chan struct{}
 	// SinceViewReady is the time since the first read; 0 before it.
 	SinceViewReady() time.Duration
 	// MaxViewAge is the maximum age of the configuration and keys in the view. MayAcceptKeys
-	// reports whether the view is recent enough to accept keys. IsViewCurrent reports whether it is
-	// recent enough to reject keys and routes that it does not contain.
+	// reports whether the view is recent enough to accept keys. IsViewCurrent reports whether it
+	// is recent enough to reject keys and routes that it does not contain.
 	MaxViewAge() time.Duration
 	MayAcceptKeys() bool
 	IsViewCurrent() bool
@@ -89,12 +91,12 @@
 	// ObserveLimit receives the limit in a server's answer, if the answer names one or shows
 	// that an earlier one has ended.
 	ObserveLimit(server fleet.Server, limit ratelimit.Limit)
-	// ObserveColdServer receives a server whose answer says that it is cold.
+	// ObserveColdServer receives a server whose answer marks it as cold.
 	ObserveColdServer(server fleet.Server)
 	// ReportStall receives a server that makes no progress on requests in flight.
 	ReportStall(server fleet.Server)
-	// ReportCrash receives the crash of a server with a request in flight, which is reported to all
-	// daemons. RemoveCrashReports receives a suspect request that was answered successfully.
+	// ReportCrash receives the crash of a server with a request in flight, which is reported to
+	// all daemons. RemoveCrashReports receives a suspect request that was answered successfully.
 	ReportCrash(crash quarantine.Crash)
 	RemoveCrashReports(cleared quarantine.StoredRows)
 	// ClaimTrial reports whether the other daemons agree to a trial. It blocks on the store.
@@ -103,20 +105,20 @@
 
 // Server serves client requests. Create it with Listen.
 type Server struct {
-	source      Source
-	dialect     Codec
-	meter       *demand.Meter
-	maxViewWait time.Duration
-	clock       boottime.Clock
-	log         *zap.Logger
-	registry    metrics.Registry
-	backends    *backend.Client
-	tracker     balancer.Tracker
-	patience    urgency.WaitEstimator
-	overload    urgency.YieldController
-	lateStreams urgency.LateLimiter
-	sizes       usage.SizeEstimator
-	budgets     *retry.Budgets
+	source          Source
+	codec           Codec
+	meter           *demand.Meter
+	maxViewWait     time.Duration
+	clock           boottime.Clock
+	log             *zap.Logger
+	registry        metrics.Registry
+	backends        *backend.Client
+	tracker         balancer.Tracker
+	waitEstimator   urgency.WaitEstimator
+	yieldController urgency.YieldController
+	lateStreams     urgency.LateLimiter
+	sizes           usage.SizeEstimator
+	budgets         *retry.Budgets
 	// directives holds the directives that servers sent: pauses, and notices that they drain.
 	directives directive.Registry
 	// directiveThrottle limits the log lines about directives.
@@ -193,7 +195,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	server := &Server{
 		source:      options.Source,
-		dialect:     options.Dialect,
+		codec:       options.Dialect,
 		meter:       options.Meter,
 		maxViewWait: cmp.Or(options.MaxViewWait, maxViewWait),
 		clock:       options.Clock,
@@ -249,21 +251,21 @@
 	return s.inFlight.Load()
 }
 
-// ConnectionCounts returns how many connections to backend servers were opened, and how often one
-// was reused.
+// ConnectionCounts returns how many connections to backend servers were opened, and how often
+// one was reused.
 func (s *Server) ConnectionCounts() (opened, reused int64) {
 	return s.backends.ConnectionCounts()
 }
 
-// RecordRestart records that a backend server has restarted under its ID. It is called before the
-// view contains the new start.
+// RecordRestart records that a backend server has restarted under its ID. It is called before
+// the view contains the new start.
 func (s *Server) RecordRestart(former, next fleet.Server) {
 	s.tracker.Reset(former.ID)
 	s.directives.CarryPause(former.StartID(), next.StartID())
 }
 
-// DisableKeepAlive adds "Connection: close" to every further answer, so that clients move to other
-// connections.
+// DisableKeepAlive adds "Connection: close" to every further answer, so that clients move to
+// other connections.
 func (s *Server) DisableKeepAlive() {
 	s.isDraining.Store(true)
 }
--- a/io/gateway/gateway_test.go
+++ b/io/gateway/gateway_test.go
@@ -38,8 +38,8 @@
 
 // testSource is a Source whose view the test sets.
 type testSource struct {
-	view  gateway.View
-	known chan struct{}
+	view      gateway.View
+	viewReady chan struct{}
 	// unreadable is closed if the view cannot be read; nil means never.
 	unreadable chan struct{}
 	// rejectsKeys and isStale are set if the view is too old to accept keys, or to reject
@@ -51,10 +51,10 @@
 // newSource returns a source whose view has been read.
 func newSource(view gateway.View) *testSource {
 	s := &testSource{
-		view:  view,
-		known: make(chan struct{}),
+		view:      view,
+		viewReady: make(chan struct{}),
 	}
-	close(s.known)
+	close(s.viewReady)
 	return s
 }
 
@@ -62,7 +62,7 @@
 func (s *testSource) View() gateway.View { return s.view }
 
 // ViewReady is closed when the view has been read.
-func (s *testSource) ViewReady() <-chan struct{} { return s.known }
+func (s *testSource) ViewReady() <-chan struct{} { return s.viewReady }
 
 // ViewUnreadable is closed if the test closes it.
 func (s *testSource) ViewUnreadable() <-chan struct{} { return s.unreadable }
@@ -218,14 +218,14 @@
 		view: gateway.View{
 			Config: config.New(config.Config{}),
 		},
-		known: make(chan struct{}),
+		viewReady: make(chan struct{}),
 	}
 	server, address := startWithViewWait(t, source, time.Minute)
 	go func() {
 		for server.InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		close(source.known)
+		close(source.viewReady)
 	}()
 	status, _ := sendRequest(t, address, "r1", time.Hour)
 	// The configuration has no routes; before it has been read, the answer is 503.
@@ -236,7 +236,7 @@
 // held for 0.7 s and then refused, and so were all that followed.
 func TestRequestIsRefusedAtOnceWhenStoreIsUnreadable(t *testing.T) {
 	source := &testSource{
-		known:      make(chan struct{}),
+		viewReady:  make(chan struct{}),
 		unreadable: make(chan struct{}),
 	}
 	close(source.unreadable)
@@ -276,7 +276,7 @@
 
 func TestRequestIsRefusedWhenViewWaitTimesOut(t *testing.T) {
 	_, address := startWithViewWait(t, &testSource{
-		known: make(chan struct{}),
+		viewReady: make(chan struct{}),
 	}, time.Millisecond)
 	status, header := sendRequest(t, address, "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
@@ -462,7 +462,7 @@
 	})
 	var suspended atomic.Int64
 	source := newSource(serversView(config.Safe, addresses...))
-	source.known = make(chan struct{})
+	source.viewReady = make(chan struct{})
 	opts := newOptions(source)
 	opts.MaxViewWait = time.Hour
 	opts.Clock.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
@@ -472,7 +472,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		suspended.Add(int64(2 * time.Hour))
-		close(source.known)
+		close(source.viewReady)
 	}()
 	status, _ := sendRequest(t, server.Address(), "r1", time.Hour)
 	qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
--- a/io/gateway/handle.go
+++ b/io/gateway/handle.go
@@ -27,7 +27,7 @@
 // handle serves one request.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	acceptedAt := s.clock.Now()
-	parsed, err := s.dialect.ReadRequest(ctx)
+	parsed, err := s.codec.ReadRequest(ctx)
 	s.inFlight.Add(1)
 	s.hadRequests.Store(true)
 	j := &job{
@@ -132,7 +132,7 @@
 	if j.route.Timeout > 0 {
 		wait = min(wait, j.route.Timeout)
 	}
-	alreadyWaited := j.server.patience.TimeWaited(j.route.Name, wait)
+	alreadyWaited := j.server.waitEstimator.TimeWaited(j.route.Name, wait)
 	j.firstAttemptAt = j.request.ReceivedAt.Add(-alreadyWaited)
 	j.deadline = j.acceptedAt.Add(wait)
 }
@@ -170,7 +170,7 @@
 func (j *job) answerWithStatus(ctx *fasthttp.RequestCtx, status int, reason request.Reason) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("text/plain")
-	j.server.dialect.SetRequestID(ctx, j.request.ID)
+	j.server.codec.SetRequestID(ctx, j.request.ID)
 	if status == fasthttp.StatusServiceUnavailable {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(j.retryAfter(reason).Seconds(), 'f', -1, 64))
 	}
--- a/io/gateway/job.go
+++ b/io/gateway/job.go
@@ -87,11 +87,11 @@
 	quarantineLeft time.Duration
 	isFinished     atomic.Bool
 
-	// lastSentAt is the time of the last attempt; the other fields measure a stream's events as
-	// the client receives them.
+	// lastSentAt is the time of the last attempt.
 	lastSentAt time.Time
 	// limitSentAt is the time of the last attempt by the server's clock, which rate limits use.
-	limitSentAt      time.Time
+	limitSentAt time.Time
+	// The other fields measure a stream's events as the client receives them.
 	lastEventAt      time.Time
 	timeToFirstEvent time.Duration
 	longestEventGap  time.Duration
--- a/io/gateway/limits.go
+++ b/io/gateway/limits.go
@@ -23,8 +23,8 @@
 	s := j.server
 	limit := answer.Limit
 	if !limit.IsSet && (s.limits.IsEmpty() || answer.Status == fasthttp.StatusMisdirectedRequest) {
-		// An answer with this status comes from another process, which knows nothing of the
-		// server's limit.
+		// An answer with this status comes from another process in place of the server, so it
+		// does not show that the server's limit has ended.
 		return
 	}
 	var sentAt time.Time
@@ -45,19 +45,19 @@
 	if !mayWrite {
 		return
 	}
-	place := s.source.LimitPosition(server)
+	position := s.source.LimitPosition(server)
 	s.log.Info("servers: limit changed",
 		zap.String("server", server.ID),
 		zap.String("group", server.Membership.Group),
 		zap.Bool("is_named", limit.IsSet),
 		zap.Float64("per_second", limit.PerSecond),
-		zap.Float64("part_per_second", limit.Quota(place).PerSecond),
-		zap.Int("rank", place.Rank),
-		zap.Int("daemons", place.Total),
+		zap.Float64("part_per_second", limit.Quota(position).PerSecond),
+		zap.Int("rank", position.Rank),
+		zap.Int("daemons", position.Total),
 		zap.Int("lines_left_out", suppressed))
 }
 
-// recordCold reports a server whose answer says that it is cold.
+// recordCold reports a server whose answer marks it as cold.
 func (s *Server) recordCold(server fleet.Server, coldFor time.Duration) {
 	if coldFor > 0 {
 		server.ColdFor = coldFor
@@ -72,8 +72,8 @@
 }
 
 // limitPosition returns this daemon's position for a server's rate limit. For servers without a
-// limit, which are nearly all, the position is not computed: if such a server names a limit in the
-// meantime, the zero position allows no request.
+// limit, which are nearly all, the position is not computed: if such a server names a limit in
+// the meantime, the zero position allows no request.
 func (s *Server) limitPosition(server fleet.Server) ratelimit.Position {
 	if !s.limits.IsLimited(server.StartID()) {
 		return ratelimit.Position{}
--- a/io/gateway/limits_test.go
+++ b/io/gateway/limits_test.go
@@ -49,7 +49,7 @@
 }
 
 // If all servers are at their limit, a request is refused at once, as not run: it reached no
-// server. This daemon's next request is allowed in minutes, but other daemons have shares too.
+// server. This daemon's next request is allowed in minutes, but other daemons have quotas too.
 func TestRequestIsRefusedAtOnceWhenAllServersAreAtTheirLimit(t *testing.T) {
 	limited, received := startLimitedBackends(t, 2, tinyLimit)
 	opts := newOptions(newSource(serversView(config.Safe, limited...)))
@@ -71,7 +71,8 @@
 	qt.Assert(t, refused >= int64(20), qt.IsTrue)
 }
 
-// If the limit allows this daemon a request soon, Retry-After is the time until then.
+// If the limit allows this daemon its next request within the client's timeout, Retry-After is
+// the time until then.
 func TestRetryAfterMatchesTimeUntilLimitAllowsRequest(t *testing.T) {
 	limited, received := startLimitedBackends(t, 1, "1")
 	_, address := startWithViewWait(t, newSource(serversView(config.Safe, limited...)), time.Minute)
@@ -154,30 +155,30 @@
 	}
 }
 
-// noShareSource is a testSource whose daemon may have no share of limits.
-type noShareSource struct {
+// noQuotaSource is a testSource whose daemon may have no quota of limits.
+type noQuotaSource struct {
 	*testSource
-	// hasNoShare is set if this daemon has no share.
-	hasNoShare atomic.Bool
+	// hasNoQuota is set if this daemon has no quota.
+	hasNoQuota atomic.Bool
 }
 
-// LimitPosition returns the position after all daemons with a share if the test says so.
-func (s *noShareSource) LimitPosition(server fleet.Server) ratelimit.Position {
-	place := s.testSource.LimitPosition(server)
-	if s.hasNoShare.Load() {
-		place.Rank = place.Total
+// LimitPosition returns the position after all daemons with a quota if hasNoQuota is set.
+func (s *noQuotaSource) LimitPosition(server fleet.Server) ratelimit.Position {
+	position := s.testSource.LimitPosition(server)
+	if s.hasNoQuota.Load() {
+		position.Rank = position.Total
 	}
-	return place
+	return position
 }
 
-// A daemon without a share of any server's limit cannot tell when a client can be served, but
-// other daemons may have a share.
-func TestRetryAfterIsShortWhenDaemonHasNoShareOfLimit(t *testing.T) {
+// A daemon without a quota of any server's limit cannot determine when a client can be served,
+// but other daemons may have a quota.
+func TestRetryAfterIsShortWhenDaemonHasNoQuota(t *testing.T) {
 	addresses, received := startLimitedBackends(t, 1, "20")
-	source := &noShareSource{
+	source := &noQuotaSource{
 		testSource: newSource(serversView(config.Safe, addresses...)),
 	}
-	source.hasNoShare.Store(true)
+	source.hasNoQuota.Store(true)
 	_, address := startWithViewWait(t, gateway.Source(source), time.Minute)
 	sendRequests(t, address, 1)
 	qt.Assert(t, received.Load(), qt.Equals, int64(1))
@@ -188,7 +189,7 @@
 	qt.Assert(t, received.Load(), qt.Equals, int64(1))
 }
 
-// A server may ask for a pause and also name the limit that applies after it.
+// A server may request a pause and also name the limit that applies after it.
 func TestLimitAppliesAfterPause(t *testing.T) {
 	const pause = time.Second
 	var received atomic.Int64
--- a/io/gateway/priority.go
+++ b/io/gateway/priority.go
@@ -12,7 +12,7 @@
 // decideYielding decides at random whether the request yields to others of its class, at the
 // rate that the overload calls for.
 func (j *job) decideYielding() {
-	j.yields = rand.Float64() < j.server.overload.YieldFraction(j.requestClass())
+	j.yields = rand.Float64() < j.server.yieldController.YieldFraction(j.requestClass())
 	if j.yields {
 		j.server.count(countYielding, request.ReasonOverload)
 	}
@@ -50,5 +50,5 @@
 	if j.yields || wasLate || j.route.Kind != config.Stream {
 		return
 	}
-	j.server.overload.Record(j.requestClass(), j.isInTime(time.Now()))
+	j.server.yieldController.Record(j.requestClass(), j.isInTime(time.Now()))
 }
--- a/io/gateway/quarantine.go
+++ b/io/gateway/quarantine.go
@@ -50,23 +50,23 @@
 	case quarantine.Send:
 		return true
 	case quarantine.SendAsTrial:
-		mayTry := j.server.source.ClaimTrial(decision.Trial)
+		isAgreed := j.server.source.ClaimTrial(decision.Trial)
 		j.server.log.Info("clients: trial of a suspected request",
 			zap.String("request_id", j.request.ID),
 			zap.Stringer("content", j.digest()),
 			zap.Int("trial", j.trial),
 			zap.Strings("ended", j.server.ledger.CrashedStarts(j.digest())),
-			zap.Bool("is_agreed", mayTry))
+			zap.Bool("is_agreed", isAgreed))
 		j.excludeCrashed()
-		return mayTry
+		return isAgreed
 	default:
 		return false
 	}
 }
 
-// excludeCrashed excludes servers that crashed under the request and may still be listed, since
-// a trial there shows nothing. If no other server is available, it excludes none, since they
-// may have restarted.
+// excludeCrashed excludes servers that crashed under the request and may still be listed: a
+// trial there does not show whether the request crashes servers. If no other server is
+// available, it excludes none, since they may have restarted.
 func (j *job) excludeCrashed() {
 	crashedStarts := j.server.ledger.CrashedStarts(j.digest())
 	var crashed []string
--- a/io/gateway/quarantine_test.go
+++ b/io/gateway/quarantine_test.go
@@ -137,8 +137,8 @@
 		}
 		var ledger quarantine.Ledger
 		server := startWithLedger(t, source, &ledger)
-		for turn := 0; ledger.Decide(requestDigest()).Action != quarantine.Hold; turn++ {
-			status, _ := sendRequest(t, server.Address(), "r"+strconv.Itoa(turn), time.Minute)
+		for attempt := 0; ledger.Decide(requestDigest()).Action != quarantine.Hold; attempt++ {
+			status, _ := sendRequest(t, server.Address(), "r"+strconv.Itoa(attempt), time.Minute)
 			// The attempts reached servers that may have run the request, or only crashed ones.
 			qt.Assert(t, status == http.StatusBadGateway || status == http.StatusServiceUnavailable, qt.IsTrue)
 		}
@@ -149,7 +149,7 @@
 		before := arrived.Load()
 		status, header := sendRequest(t, server.Address(), "again", time.Minute)
 		qt.Assert(t, status, qt.Equals, http.StatusServiceUnavailable)
-		// The next trial is minutes away, and Retry-After says so.
+		// The next trial is minutes away, and Retry-After covers that time.
 		qt.Assert(t, retryAfterOf(t, header) > 9*time.Minute, qt.IsTrue)
 		qt.Assert(t, arrived.Load(), qt.Equals, before)
 	}
@@ -337,7 +337,8 @@
 	qt.Assert(t, crashed, qt.HasLen, 0)
 }
 
-// A trial at a server that has crashed but is still listed shows nothing about the request.
+// A trial at a server that has crashed but is still listed does not show whether the request
+// crashes servers.
 func TestTrialAvoidsServersThatCrashedUnderRequest(t *testing.T) {
 	var receivedByCrashed atomic.Int64
 	crashed := startBackends(t, 4, func(w http.ResponseWriter, r *http.Request) {
--- a/io/gateway/retryafter.go
+++ b/io/gateway/retryafter.go
@@ -11,8 +11,7 @@
 // so the delay must be long enough for that retry to succeed, but a client does not wait longer
 // than a fraction of its timeout.
 const (
-	// slotRetryDelay applies when all groups are busy: a group frees a slot every 30 ms to 80
-	// ms.
+	// slotRetryDelay applies when all groups are busy: a group frees a slot every 30 to 80 ms.
 	slotRetryDelay = 250 * time.Millisecond
 	// groupRetryDelay applies when no server is available: a group forms again within 0.6 s to
 	// 2 s, also outside an evacuated zone, and the entries of servers are back within 2 s of
@@ -24,7 +23,7 @@
 	// servers. The trial takes up to the full length of an answer.
 	trialRetryDelay = 2 * time.Second
 	// pauseJitterFraction and minPauseJitter spread the retries of clients after the end of a
-	// pause that all servers asked for. The jitter is minPauseJitter plus this fraction of the
+	// pause that all servers requested. The jitter is minPauseJitter plus this fraction of the
 	// pause. Without it the servers would refuse the clients again, since all would return at
 	// once.
 	pauseJitterFraction = 0.25
@@ -70,7 +69,7 @@
 
 // retryAfterPause returns the Retry-After delay when all servers are paused for the remaining
 // time. It is never shorter than that, since each earlier request would break the pause that
-// the servers asked for.
+// the servers requested.
 func retryAfterPause(remaining time.Duration) time.Duration {
 	jitter := minPauseJitter + time.Duration(pauseJitterFraction*float64(remaining))
 	return (remaining + time.Duration(rand.Float64()*float64(jitter))).Round(time.Millisecond)
--- a/io/gateway/watchdog.go
+++ b/io/gateway/watchdog.go
@@ -52,7 +52,7 @@
 }
 
 // startWatchdog starts a watchdog. For routes that are not repeatable the watchdog has no
-// timer: such a request cannot fail over, and its duration says little about the server.
+// timer: such a request cannot fail over, and its duration shows little about the server.
 func (j *job) startWatchdog(server fleet.Server, exchange *backend.Exchange, phase balancer.Phase, possibleRuns int) *watchdog {
 	w := &watchdog{
 		job:            j,
@@ -66,9 +66,9 @@
 	if !j.route.Repeatable() {
 		return w
 	}
-	limits := j.server.tracker.SilenceThresholds(w.class, phase)
+	thresholds := j.server.tracker.SilenceThresholds(w.class, phase)
 	w.mutex.Lock()
-	w.timer = time.AfterFunc(limits.Eject, w.check)
+	w.timer = time.AfterFunc(thresholds.Eject, w.check)
 	w.mutex.Unlock()
 	return w
 }
@@ -86,7 +86,7 @@
 	w.isEjected = false
 }
 
-// check runs when a silence limit may have passed.
+// check runs when a silence threshold may have been exceeded.
 func (w *watchdog) check() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -94,15 +94,15 @@
 		return
 	}
 	tracker := &w.job.server.tracker
-	limits := tracker.SilenceThresholds(w.class, w.phase)
+	thresholds := tracker.SilenceThresholds(w.class, w.phase)
 	silence := min(time.Since(w.lastProgressAt), tracker.SilenceDuration(w.server.ID))
-	step, next := limits.Action(silence, w.job.server.source.HasUnresponsiveMember(w.server))
-	if step != balancer.Wait && !w.isEjected {
+	action, next := thresholds.Action(silence, w.job.server.source.HasUnresponsiveMember(w.server))
+	if action != balancer.Wait && !w.isEjected {
 		w.isEjected = true
 		tracker.Eject(w.server.ID)
 		w.job.server.source.ReportStall(w.server)
 	}
-	if step == balancer.Reroute {
+	if action == balancer.Reroute {
 		w.job.server.source.ReportStall(w.server)
 		if w.mayFailOver && w.hasAlternative() && w.job.prepayRetry() {
 			w.aborted.Store(true)
