--- a/io/backend/backend_test.go
+++ b/io/backend/backend_test.go
@@ -133,8 +133,8 @@
 
 // openedConns returns how many connections a client has opened.
 func openedConns(client *backend.Client) int64 {
-	made, _ := client.ConnectionCounts()
-	return made
+	opened, _ := client.ConnectionCounts()
+	return opened
 }
 
 func TestConnectionIsReusedAfterCompleteAnswer(t *testing.T) {
@@ -146,8 +146,8 @@
 	qt.Check(t, s.roundTrip(client), qt.Equals, "in chunks")
 	qt.Check(t, s.roundTrip(client), qt.Equals, "")
 	qt.Check(t, s.roundTrip(client), qt.Equals, "whole")
-	made, reused := client.ConnectionCounts()
-	qt.Assert(t, made, qt.Equals, int64(1))
+	opened, reused := client.ConnectionCounts()
+	qt.Assert(t, opened, qt.Equals, int64(1))
 	qt.Assert(t, reused, qt.Equals, int64(3))
 }
 
@@ -182,19 +182,19 @@
 func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// late is called while the connection is idle.
-		late func(conn *net.TCPConn) error
+		// whileIdle is called while the connection is idle.
+		whileIdle func(conn *net.TCPConn) error
 	}{
 		{
 			name: "unexpected bytes",
-			late: func(conn *net.TCPConn) error {
+			whileIdle: func(conn *net.TCPConn) error {
 				_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nforeign")
 				return err
 			},
 		},
 		{
 			name: "closed by the peer",
-			late: func(conn *net.TCPConn) error {
+			whileIdle: func(conn *net.TCPConn) error {
 				return conn.CloseWrite()
 			},
 		},
@@ -205,7 +205,7 @@
 				defer close(done)
 				respond(completeAnswer)(t, conn)
 				<-isIdle
-				qt.Check(t, c.late(conn), qt.IsNil)
+				qt.Check(t, c.whileIdle(conn), qt.IsNil)
 				waitUntilAcked(t, conn)
 				return true
 			}, respond(completeAnswer))
@@ -254,7 +254,7 @@
 	}
 }
 
-// closeDelimitedAnswer is an answer whose body ends where its connection closes.
+// closeDelimitedAnswer is an answer whose body ends when its connection closes.
 const closeDelimitedAnswer = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil the end"
 
 func TestBodyWithoutLengthEndsWithConnection(t *testing.T) {
@@ -305,8 +305,8 @@
 	qt.Assert(t, openedConns(client), qt.Equals, int64(2))
 }
 
-// Guards against reuse of a dead connection: packets from a VM that has been cut off are
-// dropped, so an idle connection may stop responding without being closed.
+// Guards against reuse of an unresponsive connection: packets from a VM that has been cut off
+// are dropped, so an idle connection may stop responding without being closed.
 func TestUnresponsiveConnectionIsNotReused(t *testing.T) {
 	ignore := func(*testing.T, *net.TCPConn) bool {
 		return true
@@ -326,8 +326,8 @@
 	exchange.Abort()
 
 	qt.Assert(t, s.roundTrip(client), qt.Equals, "whole")
-	made, reused := client.ConnectionCounts()
-	qt.Assert(t, made, qt.Equals, int64(2))
+	opened, reused := client.ConnectionCounts()
+	qt.Assert(t, opened, qt.Equals, int64(2))
 	qt.Assert(t, reused, qt.Equals, int64(1))
 }
 
--- a/io/backend/exchange.go
+++ b/io/backend/exchange.go
@@ -29,7 +29,7 @@
 	conn    *conn
 	body    io.Reader
 	// isComplete is set when the whole answer has been read. endsAtClose is set if the answer
-	// ends where its connection closes.
+	// ends when its connection closes.
 	isComplete  bool
 	endsAtClose bool
 	// bodyWritten is closed when a long body has been written; nil for short bodies.
@@ -214,13 +214,13 @@
 }
 
 // Read reads up to the length. It returns io.ErrUnexpectedEOF if the connection ends earlier.
-func (s *fixedLengthBody) Read(target []byte) (int, error) {
-	if s.remaining == 0 {
+func (b *fixedLengthBody) Read(target []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.reader.Read(target[:min(len(target), s.remaining)])
-	s.remaining -= n
-	if errors.Is(err, io.EOF) && s.remaining > 0 {
+	n, err := b.reader.Read(target[:min(len(target), b.remaining)])
+	b.remaining -= n
+	if errors.Is(err, io.EOF) && b.remaining > 0 {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, deferError(n, err)
