--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -21,9 +21,9 @@
 // Client calls one other daemon. It implements rowstore.Reader over a single connection that is
 // opened on demand. Use NewClient.
 type Client struct {
-	// Self is the name of the calling daemon, Peer that of the called one. Aggregator provides the
-	// demand that is reported with calls; nil means none. OnInvalidDemand, if set, is called if the
-	// total demand in an answer is invalid. Set them before use.
+	// Self is the name of the calling daemon, Peer that of the called one. Aggregator provides
+	// the demand that is reported with calls; nil means none. OnInvalidDemand, if set, is called
+	// if the total demand in an answer is invalid. Set them before use.
 	Self            string
 	Peer            string
 	Aggregator      *demand.Aggregator
@@ -58,8 +58,8 @@
 	}))
 }
 
-// Register asks the daemon to list the calling one, by its entry, in the store together with
-// others.
+// Register has the called daemon write the calling daemon's entry into the list in the store,
+// batched with other entries.
 func (c *Client) Register(ctx context.Context, entry []byte) error {
 	_, err := c.call(ctx, callEnlist, callParams{
 		From:  c.Self,
--- a/io/relay/compress.go
+++ b/io/relay/compress.go
@@ -95,7 +95,7 @@
 	bySince  map[int64][]byte
 }
 
-// wholeTable stands for a full read, in place of the version since which a table changed.
+// wholeTable stands for a snapshot, in place of the version since which a table changed.
 const wholeTable = -1
 
 // compress returns the result with its rows compressed together if there are many.
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -21,25 +21,25 @@
 // maxWait is long enough for any operation on one VM; no test depends on its passing.
 const maxWait = 20 * time.Second
 
-// startServer starts a server for a hub with some rows, and returns the hub, the server and a
-// client of it.
+// startServer starts a server for a table cache with some rows, and returns the cache, the
+// server and a client of it.
 func startServer(t *testing.T, rows ...rowstore.Row) (*rowstore.TableCache, *relay.Server, *relay.Client) {
 	t.Helper()
-	hub := &rowstore.TableCache{}
-	hub.Apply("t", rowstore.Result{
+	cache := &rowstore.TableCache{}
+	cache.Apply("t", rowstore.Result{
 		Rows:    rows,
 		Version: 10,
 		Now:     90 * time.Second,
 	}, true, time.Now())
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
-		Reader:  hub,
+		Reader:  cache,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(server.Close)
 	client := relay.NewClient(server.Address())
 	t.Cleanup(client.Close)
-	return hub, server, client
+	return cache, server, client
 }
 
 // row returns a row of the table "t".
@@ -72,13 +72,13 @@
 }
 
 func TestFeedReturnsChangesThroughRelay(t *testing.T) {
-	hub, _, client := startServer(t, row("a", "1", 4))
+	cache, _, client := startServer(t, row("a", "1", 4))
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		deleted := row("a", "", 11)
 		deleted.Value = nil
 		deleted.Deleted = true
-		hub.Apply("t", rowstore.Result{
+		cache.Apply("t", rowstore.Result{
 			Rows:    []rowstore.Row{deleted},
 			Version: 11,
 		}, false, time.Now())
@@ -209,7 +209,7 @@
 	for i := range servers {
 		rows = append(rows, row(fmt.Sprintf("i-%03d", i), "{}", 9))
 	}
-	hub, server, first := startServer(t, rows...)
+	cache, server, first := startServer(t, rows...)
 	second := relay.NewClient(server.Address())
 	t.Cleanup(second.Close)
 	for _, client := range []*relay.Client{first, second} {
@@ -218,7 +218,7 @@
 		qt.Assert(t, result.Rows, qt.DeepEquals, rows)
 	}
 	changed := row("i-007", `{"State":"draining"}`, 12)
-	hub.Apply("t", rowstore.Result{
+	cache.Apply("t", rowstore.Result{
 		Rows:    []rowstore.Row{changed},
 		Version: 12,
 	}, false, time.Now())
@@ -234,20 +234,20 @@
 	qt.Assert(t, changes.Rows, qt.HasLen, 0)
 }
 
-// startWithAggregator starts a server of an empty table with a aggregator, and returns a client
+// startWithAggregator starts a server of an empty table with an aggregator, and returns a client
 // that reports the demand of its own aggregator. The channel rejected receives what either side
 // rejects.
 func startWithAggregator(t *testing.T, self string, meter *demand.Meter) (client *relay.Client, aggregator *demand.Aggregator, rejected chan string) {
 	t.Helper()
-	hub := &rowstore.TableCache{}
-	hub.Apply("t", rowstore.Result{
+	cache := &rowstore.TableCache{}
+	cache.Apply("t", rowstore.Result{
 		Version: 10,
 	}, true, time.Now())
 	aggregator = &demand.Aggregator{}
 	rejected = make(chan string, 8)
 	server, err := relay.Listen(relay.Options{
 		Address:    "127.0.0.1:0",
-		Reader:     hub,
+		Reader:     cache,
 		Aggregator: aggregator,
 		OnInvalidDemand: func(from string, err error) {
 			rejected <- from + ": " + err.Error()
@@ -322,13 +322,13 @@
 // again.
 func TestCompressedValuesAreNotReusedAcrossEras(t *testing.T) {
 	former, next := strings.Repeat("former ", 1000), strings.Repeat("next ", 2000)
-	hub, _, client := startServer(t, row("config", former, 9))
+	cache, _, client := startServer(t, row("config", former, 9))
 	many := make([]rowstore.Row, 0, 40)
 	for i := range cap(many) {
 		many = append(many, row(fmt.Sprintf("i-%02d", i), "former", 9))
 	}
 	for era, rows := range [][]rowstore.Row{many, {row("config", former, 9)}, {row("config", next, 9)}, withValue(many, "next")} {
-		hub.Apply("t", rowstore.Result{
+		cache.Apply("t", rowstore.Result{
 			Rows:    rows,
 			Era:     int64(era),
 			Version: 10,
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -1,9 +1,9 @@
 // Package relay lets daemons read and follow the store's tables through other daemons, by
 // JSON-RPC over TCP: a few daemons (relays) follow the store, and the others follow the relays.
 //
-// There are three calls. "read" returns a whole table. "feed" returns its changes since a
-// version as soon as there are any, or nothing after a timeout. Both answer from the daemon's
-// copy and return its age by the store's clock. A feed also reports the demand of the calling
+// There are three calls. "read" returns a snapshot of a table. "feed" returns its changes since
+// a version as soon as there are any, or nothing after a timeout. Both answer from the daemon's
+// table cache and return its age by the store's clock. A feed also reports the demand of the calling
 // daemon and returns the total demand of all daemons (core/demand). "enlist" lists a daemon in
 // the store together with others.
 package relay
@@ -162,7 +162,7 @@
 	}
 }
 
-// handleRead returns a whole table.
+// handleRead returns a snapshot of a table.
 func (s *Server) handleRead(ctx context.Context, params callParams) (any, error) {
 	result, err := s.reader.Read(ctx, params.Table)
 	if err != nil {
@@ -219,7 +219,7 @@
 }
 
 // encode converts a result to the form in which it is sent to callers that request the changes
-// since a version, or the whole table.
+// since a version, or a snapshot of the table.
 func (s *Server) encode(table string, since int64, result rowstore.Result) (callResult, error) {
 	encoded := callResult{
 		Era:      result.Era,
