--- a/io/http1/http1.go
+++ b/io/http1/http1.go
@@ -2,10 +2,10 @@
 // failed exchange got.
 //
 // fasthttp's client retries by default. Here it never does: a request is written at most once,
-// and every failure says whether any part of it may have reached the peer. A pooled connection
+// and every error reports whether any part of it may have reached the peer. A pooled connection
 // may be closed by the peer just as a request is written to it, and then it is unknown whether
 // the peer read the request. Requests that must not be repeated therefore use a new connection,
-// where that cannot happen.
+// on which that cannot happen.
 package http1
 
 import (
@@ -169,19 +169,19 @@
 }
 
 // Read reads with the timeout.
-func (t *timeoutConn) Read(target []byte) (int, error) {
-	if err := t.SetReadDeadline(time.Now().Add(t.timeout)); err != nil {
+func (c *timeoutConn) Read(target []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
-	return t.Conn.Read(target)
+	return c.Conn.Read(target)
 }
 
 // Write writes with the timeout.
-func (t *timeoutConn) Write(source []byte) (int, error) {
-	if err := t.SetWriteDeadline(time.Now().Add(t.timeout)); err != nil {
+func (c *timeoutConn) Write(source []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
-	return t.Conn.Write(source)
+	return c.Conn.Write(source)
 }
 
 // Answer is a copy of a complete answer.
@@ -192,16 +192,16 @@
 }
 
 // Header returns all values of a header, in their order.
-func (r *Answer) Header(name string) []string {
+func (a *Answer) Header(name string) []string {
 	var values []string
-	for _, value := range r.header.PeekAll(name) {
+	for _, value := range a.header.PeekAll(name) {
 		values = append(values, string(value))
 	}
 	return values
 }
 
-// CallJSON posts body as JSON, or sends a GET if body is nil, and returns the status and a copy of
-// the body.
+// CallJSON posts body as JSON, or sends a GET if body is nil, and returns the status and a copy
+// of the body.
 func (c *Client) CallJSON(address, path string, body []byte) (status int, answer []byte, err error) {
 	reply, err := c.Call(address, path, body)
 	if err != nil {
--- a/io/http1/http1_test.go
+++ b/io/http1/http1_test.go
@@ -97,7 +97,7 @@
 // The request is written to a pooled connection that the peer is closing, so it is unknown
 // whether the peer read it.
 func TestPooledConnectionThatClosesReportsPossiblySent(t *testing.T) {
-	dying := startPeer(t, func(number int64, conn net.Conn) bool {
+	closing := startPeer(t, func(number int64, conn net.Conn) bool {
 		if number == 1 {
 			writeEmptyAnswer(conn)
 			return true
@@ -105,13 +105,13 @@
 		return false
 	})
 	client := &http1.Client{}
-	address := dying.listener.Addr().String()
+	address := closing.listener.Addr().String()
 	qt.Assert(t, send(client, address, "GET", false), qt.IsNil)
 	err := send(client, address, "GET", false)
 	var failed *http1.Error
 	qt.Assert(t, errors.As(err, &failed), qt.IsTrue)
 	qt.Assert(t, failed.MayHaveBeenSent, qt.IsTrue)
-	qt.Assert(t, dying.requests.Load(), qt.Equals, int64(2))
+	qt.Assert(t, closing.requests.Load(), qt.Equals, int64(2))
 }
 
 // A request that must not be repeated needs a connection that the peer cannot have closed
