--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -56,7 +56,7 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as soon as the output accepts them.
+// Sync does nothing: lines are written when the output accepts them.
 func (w *Writer) Sync() error {
 	return nil
 }
@@ -127,8 +127,8 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), out, minLevel)), nil
 }
 
-// ErrorField returns a field with the message of an error. zap's own error field would add a stack
-// trace to each.
+// ErrorField returns a field with the message of an error. zap's own error field would add a
+// stack trace to each.
 func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/io/logline/throttle.go
+++ b/io/logline/throttle.go
@@ -24,19 +24,19 @@
 
 // Allow reports whether a line of a subject may be written, and how many were suppressed since
 // the last one.
-func (r *Throttle) Allow(subject string) (mayWrite bool, suppressed int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state, ok := r.states[subject]
-	if ok && time.Since(state.lastAllowedAt) < r.Interval {
+func (t *Throttle) Allow(subject string) (mayWrite bool, suppressed int) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	state, ok := t.states[subject]
+	if ok && time.Since(state.lastAllowedAt) < t.Interval {
 		state.suppressed++
-		r.states[subject] = state
+		t.states[subject] = state
 		return false, 0
 	}
-	if r.states == nil {
-		r.states = map[string]throttleState{}
+	if t.states == nil {
+		t.states = map[string]throttleState{}
 	}
-	r.states[subject] = throttleState{
+	t.states[subject] = throttleState{
 		lastAllowedAt: time.Now(),
 	}
 	return true, state.suppressed
@@ -44,10 +44,10 @@
 
 // Reset resets a subject, so that its next line is allowed at once, and returns how many lines
 // were suppressed since the last one.
-func (r *Throttle) Reset(subject string) int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	suppressed := r.states[subject].suppressed
-	delete(r.states, subject)
+func (t *Throttle) Reset(subject string) int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	suppressed := t.states[subject].suppressed
+	delete(t.states, subject)
 	return suppressed
 }
