--- a/io/tcp/watcher.go
+++ b/io/tcp/watcher.go
@@ -11,8 +11,8 @@
 // disconnected should end within half a second.
 const pollInterval = 200 * time.Millisecond
 
-// CloseWatcher detects clients that disconnect while their requests are in flight. The zero value
-// is ready to use once Run is running.
+// CloseWatcher detects clients that disconnect while their requests are in flight. The zero
+// value is ready to use once Run is running.
 type CloseWatcher struct {
 	mutex   sync.Mutex
 	nextID  int
