--- a/core/assembly/assembly.go
+++ b/core/assembly/assembly.go
@@ -145,7 +145,7 @@
 	NoAnswer
 	InvalidState
 	Fenced
-	UnknownResult
+	Rejected
 	WrongServer
 )
 
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -126,7 +126,7 @@
 // OrderCompleted handles the result of an order.
 func (c *Controller) OrderCompleted(order Order, result OrderResult) {
 	if order.Kind == Stage {
-		if result == InvalidState || result == UnknownResult || result == WrongServer {
+		if result == InvalidState || result == Rejected || result == WrongServer {
 			c.stageOrders[order.Server.ID] = stageOrder{
 				expiresAt: time.Now().Add(stageRetryInterval),
 			}
--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -32,8 +32,8 @@
 
 // LeaveSchedule determines when this daemon stops sending requests to an evacuated zone.
 type LeaveSchedule struct {
-	// Within counts from the acknowledgement by the store; 0 means at once.
-	Within time.Duration
+	// Bound counts from the acknowledgement by the store; 0 means at once.
+	Bound time.Duration
 	// Position is this daemon's position in the order in which daemons leave, from 0 for the first
 	// to 1 for the last.
 	Position float64
@@ -47,7 +47,7 @@
 		return time.Time{}
 	}
 	share := minBoundShare + (maxBoundShare-minBoundShare)*s.Position
-	return lastOpenAt.Add(time.Duration(share * float64(s.Within)))
+	return lastOpenAt.Add(time.Duration(share * float64(s.Bound)))
 }
 
 // Zones is an immutable set of evacuated zones. The zero value is empty.
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -17,7 +17,7 @@
 	lastOpenAt := time.Now()
 	leaveAt := func(draw float64) time.Time {
 		bound := evacuation.LeaveSchedule{
-			Within:   within,
+			Bound:    within,
 			Position: draw,
 		}
 		return bound.LeaveAt(lastOpenAt)
@@ -32,7 +32,7 @@
 // time.
 func TestZoneIsLeftAtOnceIfLastOpenTimeIsUnknown(t *testing.T) {
 	bound := evacuation.LeaveSchedule{
-		Within:   within,
+		Bound:    within,
 		Position: 1,
 	}
 	var zones evacuation.Zones
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -73,10 +73,10 @@
 			time.Sleep(delay)
 			_, _ = f.apply(transaction)
 		}()
-		return rowstore.Revision{}, rowstore.ErrUnknown
+		return rowstore.Revision{}, rowstore.ErrOutcomeUnknown
 	case isAnswerLost:
 		_, _ = f.apply(transaction)
-		return rowstore.Revision{}, rowstore.ErrUnknown
+		return rowstore.Revision{}, rowstore.ErrOutcomeUnknown
 	default:
 		revision, err := f.apply(transaction)
 		if err == nil && revision.Era != transaction.Era {
@@ -351,7 +351,7 @@
 			f.losesNextAnswer = true
 		})
 		_, err := lease.Commit(ctx, groupRow("1"), nil)
-		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
+		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrOutcomeUnknown)
 		qt.Assert(t, c.store.groupRowValue(), qt.Equals, "1")
 		qt.Assert(t, lease.IsValid(), qt.IsTrue)
 	})
@@ -367,7 +367,7 @@
 			f.nextDelay = 3 * time.Second
 		})
 		_, err := lease.Commit(ctx, groupRow("late"), nil)
-		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
+		qt.Assert(t, err, qt.ErrorIs, rowstore.ErrOutcomeUnknown)
 		_, err = lease.Commit(ctx, groupRow("next"), nil)
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(5 * time.Second)
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -104,7 +104,7 @@
 // Commit applies a change under the lease and renews the lease in the same transaction. It
 // returns the revision of the changed rows. ErrLost means that the lease is lost and that
 // the change was not applied and will not be, unless the store was restored meanwhile.
-// rowstore.ErrUnknown means that the change may have been applied but can no longer be
+// rowstore.ErrOutcomeUnknown means that the change may have been applied but can no longer be
 // applied later.
 func (l *Lease) Commit(ctx context.Context, writes, removes []rowstore.Row) (rowstore.Revision, error) {
 	l.commitMutex.Lock()
@@ -121,7 +121,7 @@
 	case errors.As(err, &conflict), errors.Is(err, rowstore.ErrRestored):
 		l.markLost()
 		return rowstore.Revision{}, errors.Wrapf(ErrLost, "commit under lease: %s", err)
-	case errors.Is(err, rowstore.ErrUnknown):
+	case errors.Is(err, rowstore.ErrOutcomeUnknown):
 		return rowstore.Revision{}, l.fencePending(ctx)
 	default:
 		return rowstore.Revision{}, errors.Wrap(err, "commit under lease")
@@ -173,7 +173,7 @@
 func (l *Lease) fencePending(ctx context.Context) error {
 	revision, stored, err := readLease(ctx, l.store)
 	if err != nil {
-		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
+		return errors.Wrap(rowstore.ErrOutcomeUnknown, "fence pending change")
 	}
 	isHeldByOther := revision.Version != 0 && (stored.Holder != l.holder || stored.StartID != l.startID) && revision.Version != l.rowVersion
 	if isHeldByOther || revision.Era != l.era {
@@ -189,12 +189,12 @@
 	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
 		// The pending change was applied in between; the next call observes it.
-		return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
+		return errors.Wrap(rowstore.ErrOutcomeUnknown, "fence pending change")
 	}
 	if err == nil {
 		l.recordRenewal(committed.Version, sentAt)
 	}
-	return errors.Wrap(rowstore.ErrUnknown, "fence pending change")
+	return errors.Wrap(rowstore.ErrOutcomeUnknown, "fence pending change")
 }
 
 // release frees the lease, so that another daemon acquires it at its next check.
--- a/core/leader/restore_test.go
+++ b/core/leader/restore_test.go
@@ -109,7 +109,7 @@
 			f.nextDelay = 3 * leader.Term
 		})
 		_, err = former.Commit(ctx, groupRow("late"), nil)
-		qt.Assert(t, errors.Is(err, rowstore.ErrUnknown) || errors.Is(err, leader.ErrLost), qt.IsTrue)
+		qt.Assert(t, errors.Is(err, rowstore.ErrOutcomeUnknown) || errors.Is(err, leader.ErrLost), qt.IsTrue)
 		stop()
 		c.restore(before)
 		c.run(ctx, 1)
--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -28,9 +28,9 @@
 const Table = "daemons"
 
 const (
-	// Relays is the minimum number of daemons that follow the store for the others: one may be
+	// MinRelays is the minimum number of daemons that follow the store for the others: one may be
 	// unresponsive, another one cut off, and the third still serves.
-	Relays = 3
+	MinRelays = 3
 	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few daemons takes
 	// little of the processor of the relay's VM, but each relay adds calls to the store.
 	daemonsPerRelay = 32
@@ -222,7 +222,7 @@
 
 // relaysAndStandbys returns the relays and the standbys. The relays are the daemons with the
 // highest capacity of each zone, one for every daemonsPerRelay daemons, and further daemons if
-// these are fewer than Relays.
+// these are fewer than MinRelays.
 func (l List) relaysAndStandbys() (relays, standbys []Daemon) {
 	daemonsInZone := map[string]int{}
 	for _, daemon := range l.daemons {
@@ -238,7 +238,7 @@
 			others = append(others, daemon)
 		}
 	}
-	missing := min(max(0, Relays-len(relays)), len(others))
+	missing := min(max(0, MinRelays-len(relays)), len(others))
 	relays = append(relays, others[:missing]...)
 	others = others[missing:]
 	return relays, others[:min(MaxStandbys, len(others))]
--- a/core/neighbours/neighbours_test.go
+++ b/core/neighbours/neighbours_test.go
@@ -49,11 +49,11 @@
 			}
 			callers++
 		} else {
-			qt.Assert(t, first.RelaysFor(daemon.Name, daemon.Zone), qt.HasLen, neighbours.Relays)
+			qt.Assert(t, first.RelaysFor(daemon.Name, daemon.Zone), qt.HasLen, neighbours.MinRelays)
 		}
 	}
-	qt.Assert(t, relays, qt.Equals, neighbours.Relays)
-	qt.Assert(t, callers, qt.Equals, neighbours.Relays-1)
+	qt.Assert(t, relays, qt.Equals, neighbours.MinRelays)
+	qt.Assert(t, callers, qt.Equals, neighbours.MinRelays-1)
 	qt.Assert(t, followers, qt.Equals, 1)
 }
 
@@ -66,7 +66,7 @@
 			first[order[0].Name]++
 		}
 	}
-	qt.Assert(t, first, qt.HasLen, neighbours.Relays)
+	qt.Assert(t, first, qt.HasLen, neighbours.MinRelays)
 	for name, count := range first {
 		qt.Assert(t, count > 6, qt.IsTrue, qt.Commentf("%s: %d", name, count))
 	}
--- a/core/ratelimit/limit_reports.go
+++ b/core/ratelimit/limit_reports.go
@@ -36,8 +36,8 @@
 	readAt time.Time
 }
 
-// Take stores a report that was read, and reports whether the limit changed.
-func (r *LimitReports) Take(start string, limit Limit) bool {
+// Apply stores a report that was read, and reports whether the limit changed.
+func (r *LimitReports) Apply(start string, limit Limit) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	isChange := r.reports[start].limit != limit
--- a/core/ratelimit/limit_reports_test.go
+++ b/core/ratelimit/limit_reports_test.go
@@ -24,7 +24,7 @@
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, reports.ShouldReport(start, ratelimit.NewLimit(2)), qt.IsTrue)
 
-		reports.Take(start, ratelimit.NewLimit(2))
+		reports.Apply(start, ratelimit.NewLimit(2))
 		qt.Assert(t, reports.ShouldReport(start, ratelimit.NewLimit(2)), qt.IsFalse)
 		// If the limit changes with each answer, one report of all daemons in each interval is
 		// enough.
@@ -49,9 +49,9 @@
 func TestMissingAndStaleReportsAreFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reports ratelimit.LimitReports
-		reports.Take("i-1", ratelimit.NewLimit(2))
+		reports.Apply("i-1", ratelimit.NewLimit(2))
 		time.Sleep(9 * time.Minute)
-		reports.Take("i-2", ratelimit.NewLimit(2))
+		reports.Apply("i-2", ratelimit.NewLimit(2))
 		qt.Assert(t, reports.StartsNotIn(map[string]bool{"i-2": true}), qt.DeepEquals, []string{"i-1"})
 		qt.Assert(t, reports.StaleStarts(), qt.HasLen, 0)
 		time.Sleep(2 * time.Minute)
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -108,11 +108,11 @@
 	RelaysPerZone = 2
 )
 
-// Source is a daemon to pull from. If IncludesReceived is set, the pull requests all reports that
+// Source is a daemon to pull from. If IncludesRelayed is set, the pull requests all reports that
 // the source has received, otherwise only the source's own observations.
 type Source struct {
-	Daemon           Daemon
-	IncludesReceived bool
+	Daemon          Daemon
+	IncludesRelayed bool
 }
 
 // Sources returns the daemons that one daemon pulls from. In a small roster these are all others,
@@ -129,8 +129,8 @@
 		isSameZone := daemon.Zone == self.Zone
 		if isSmall || (isRelay && (isSameZone || isSourceRelay)) || (isSameZone && isSourceRelay) {
 			sources = append(sources, Source{
-				Daemon:           daemon,
-				IncludesReceived: !isSmall && isSourceRelay,
+				Daemon:          daemon,
+				IncludesRelayed: !isSmall && isSourceRelay,
 			})
 		}
 	}
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -62,7 +62,7 @@
 				next[daemon.ID] = informed[daemon.ID]
 				for _, source := range all.Sources(daemon) {
 					isOwn := source.Daemon.ID == reporter
-					if informed[source.Daemon.ID] && (source.IncludesReceived || isOwn) {
+					if informed[source.Daemon.ID] && (source.IncludesRelayed || isOwn) {
 						next[daemon.ID] = true
 					}
 				}
--- a/core/rowstore/batcher.go
+++ b/core/rowstore/batcher.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Write writes a row together with others after batchDelay. It fails with ErrRefused or ErrUnknown;
-// if ctx ends first, the error is ErrUnknown.
+// Write writes a row together with others after batchDelay. It fails with ErrRefused or
+// ErrOutcomeUnknown; if ctx ends first, the error is ErrOutcomeUnknown.
 func (b *Batcher) Write(ctx context.Context, row Row) error {
 	result := make(chan error, 1)
 	b.mutex.Lock()
@@ -59,7 +59,7 @@
 	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return errors.Wrap(ErrUnknown, "write row in a batch")
+		return errors.Wrap(ErrOutcomeUnknown, "write row in a batch")
 	}
 }
 
--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -375,7 +375,7 @@
 			return result, nil
 		}
 		if ctx.Err() != nil {
-			return Result{}, ErrUnknown
+			return Result{}, ErrOutcomeUnknown
 		}
 	}
 	return Result{}, errNoPeerAnswered
--- a/core/rowstore/chain_test.go
+++ b/core/rowstore/chain_test.go
@@ -350,7 +350,7 @@
 		case <-ctx.Done():
 		case <-time.After(u.failAfter):
 		}
-		return rowstore.Result{}, rowstore.ErrUnknown
+		return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 	}
 	return u.Reader.Feed(ctx, table, since, wait)
 }
--- a/core/rowstore/fake_test.go
+++ b/core/rowstore/fake_test.go
@@ -82,12 +82,12 @@
 	f.mutex.Unlock()
 	select {
 	case <-ctx.Done():
-		return rowstore.ErrUnknown
+		return rowstore.ErrOutcomeUnknown
 	case <-time.After(delay):
 	}
 	switch {
 	case isCut:
-		return rowstore.ErrUnknown
+		return rowstore.ErrOutcomeUnknown
 	case isDown:
 		return rowstore.ErrRefused
 	}
@@ -149,7 +149,7 @@
 			defer f.mutex.Unlock()
 			return f.result(nil), nil
 		case <-ctx.Done():
-			return rowstore.Result{}, rowstore.ErrUnknown
+			return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 		}
 	}
 }
--- a/core/rowstore/fleet_test.go
+++ b/core/rowstore/fleet_test.go
@@ -47,7 +47,7 @@
 	case a.failureMode == unanswered:
 		<-ctx.Done()
 	}
-	return rowstore.ErrUnknown
+	return rowstore.ErrOutcomeUnknown
 }
 
 // Read reads a table.
@@ -147,7 +147,7 @@
 		"u": 1500 * time.Millisecond,
 	} {
 		tableFollower := &rowstore.Follower{
-			Store:      chain,
+			Reader:     chain,
 			Table:      table,
 			FeedWait:   wait,
 			OnSnapshot: func([]rowstore.Row, rowstore.Revision, time.Time) {},
--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -27,8 +27,8 @@
 // those of a lagging store replica, are rejected. In a new era the table is read again even if its
 // version is lower.
 type Follower struct {
-	Store Reader
-	Table string
+	Reader Reader
+	Table  string
 	// FeedWait is how long one feed call waits for changes. PauseAfterChanges, if set, returns the
 	// pause after changes, which lets the next call return several changes at once.
 	FeedWait          time.Duration
@@ -184,7 +184,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	result, err := f.Store.Feed(ctx, f.Table, f.revision, wait)
+	result, err := f.Reader.Feed(ctx, f.Table, f.revision, wait)
 	select {
 	case <-eraEnded:
 		return Result{}, ErrCompacted
@@ -198,7 +198,7 @@
 	const maxDoublings = 3
 	limited, cancel := context.WithTimeout(ctx, min(maxReadTimeout, baseReadTimeout<<min(f.readTimeouts, maxDoublings)))
 	defer cancel()
-	result, err := f.Store.Read(limited, f.Table)
+	result, err := f.Reader.Read(limited, f.Table)
 	if err != nil && limited.Err() != nil {
 		f.readTimeouts++
 	} else {
--- a/core/rowstore/restart_test.go
+++ b/core/rowstore/restart_test.go
@@ -53,7 +53,7 @@
 	select {
 	case <-time.After(delay):
 	case <-ctx.Done():
-		return rowstore.Result{}, rowstore.ErrUnknown
+		return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 	}
 	return rowstore.Result{
 		Rows: []rowstore.Row{
@@ -72,7 +72,7 @@
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
-		return rowstore.Result{}, rowstore.ErrUnknown
+		return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 	}
 	return rowstore.Result{
 		Version: 1,
@@ -97,7 +97,7 @@
 	}
 	time.Sleep(time.Duration(l.rowCount) * rowTime)
 	if ctx.Err() != nil {
-		return rowstore.Result{}, rowstore.ErrUnknown
+		return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 	}
 	return result, nil
 }
@@ -146,7 +146,7 @@
 	})
 	chain.ContenderCount = func() int { return f.list.ContenderCount(daemon.Name) }
 	follower := rowstore.Follower{
-		Store:      chain,
+		Reader:     chain,
 		Table:      "servers",
 		FeedWait:   time.Second,
 		TableCache: f.tableCaches[daemon.Name],
--- a/core/rowstore/restore_test.go
+++ b/core/rowstore/restore_test.go
@@ -320,7 +320,7 @@
 // Feed blocks.
 func (b blockingFeedReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
-	return rowstore.Result{}, rowstore.ErrUnknown
+	return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 }
 
 // Guards against a feed that keeps waiting for changes after another table has shown a new era.
--- a/core/rowstore/rowstore.go
+++ b/core/rowstore/rowstore.go
@@ -5,9 +5,9 @@
 // orders them by Revision, never by version alone, and reads its tables again in a new era. The
 // conditions of a write are valid only in the era in which their versions were read.
 //
-// A write has three outcomes. ErrRefused and *Conflict mean that nothing was written. ErrUnknown
-// means that the write may have been applied, or may still be applied if its conditions hold; the
-// caller must read the rows again before it acts on them.
+// A write has three outcomes. ErrRefused and *Conflict mean that nothing was written.
+// ErrOutcomeUnknown means that the write may have been applied, or may still be applied if its
+// conditions hold; the caller must read the rows again before it acts on them.
 //
 // A daemon reads and follows tables with a Follower, through a ReaderChain. The ReaderChain calls
 // the daemon's relays first, then the standbys, then the fallbacks if the store failed recently,
@@ -28,8 +28,8 @@
 var (
 	// ErrRefused reports that the store did nothing: it is down or overloaded.
 	ErrRefused = errors.New("store refused the call")
-	// ErrUnknown reports that no answer arrived, so a write may have been applied.
-	ErrUnknown = errors.New("store did not answer")
+	// ErrOutcomeUnknown reports that no answer arrived, so a write may have been applied.
+	ErrOutcomeUnknown = errors.New("store did not answer")
 	// ErrNoCopy reports that a relay answers but has no copy, or a stale one: the relay may be cut
 	// off from the store.
 	ErrNoCopy = errors.New("relay has no fresh copy")
@@ -126,6 +126,6 @@
 type Store interface {
 	Reader
 	// Commit applies a transaction and returns the revision of its rows. It fails with *Conflict,
-	// ErrRefused, ErrUnknown or ErrRestored.
+	// ErrRefused, ErrOutcomeUnknown or ErrRestored.
 	Commit(ctx context.Context, transaction Transaction) (Revision, error)
 }
--- a/core/rowstore/rowstore_test.go
+++ b/core/rowstore/rowstore_test.go
@@ -49,7 +49,7 @@
 		recorded.asOf = asOf
 	}
 	recorded.follower = &rowstore.Follower{
-		Store:    source,
+		Reader:   source,
 		Table:    table,
 		FeedWait: wait,
 		OnSnapshot: func(rows []rowstore.Row, _ rowstore.Revision, asOf time.Time) {
@@ -287,13 +287,13 @@
 // Read blocks until ctx ends.
 func (unresponsiveReader) Read(ctx context.Context, _ string) (rowstore.Result, error) {
 	<-ctx.Done()
-	return rowstore.Result{}, rowstore.ErrUnknown
+	return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 }
 
 // Feed blocks until ctx ends.
 func (unresponsiveReader) Feed(ctx context.Context, _ string, _ rowstore.Revision, _ time.Duration) (rowstore.Result, error) {
 	<-ctx.Done()
-	return rowstore.Result{}, rowstore.ErrUnknown
+	return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 }
 
 func TestChainLeavesUnresponsiveRelay(t *testing.T) {
@@ -397,7 +397,7 @@
 	f.reads++
 	if f.reads == 1 {
 		<-ctx.Done()
-		return rowstore.Result{}, rowstore.ErrUnknown
+		return rowstore.Result{}, rowstore.ErrOutcomeUnknown
 	}
 	return f.Reader.Read(ctx, table)
 }
--- a/core/rowstore/table_cache.go
+++ b/core/rowstore/table_cache.go
@@ -179,7 +179,7 @@
 		case <-changed:
 		case <-ticker.C:
 		case <-ctx.Done():
-			return Result{}, ErrUnknown
+			return Result{}, ErrOutcomeUnknown
 		case <-deadline.C:
 			result, _, err = t.changesSince(table, since)
 			return result, err
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -365,7 +365,7 @@
 	sources := *p.daemon.pullSources.Load()
 	for _, source := range sources {
 		addresses = append(addresses, source.Daemon.PeerAddress)
-		includesRelayed[source.Daemon.PeerAddress] = source.IncludesReceived
+		includesRelayed[source.Daemon.PeerAddress] = source.IncludesRelayed
 	}
 	if len(addresses) == 0 {
 		addresses = p.daemon.settings.Seeds
@@ -390,7 +390,7 @@
 	}
 	p.daemon.postToControl(ctx, func(c *control.Controller) {
 		c.ApplyRows(result.answer.Rows)
-		if !result.answer.More {
+		if !result.answer.HasMore {
 			c.ApplyReports(result.answer.Reports, result.answer.Evidence)
 		}
 	})
@@ -406,7 +406,7 @@
 		request.Position = 0
 	}
 	isAnswered := d.runInControl(func(c *control.Controller) {
-		answer.Rows, answer.Position, answer.More = c.ChangedRows(request.Position, pullRowLimit)
+		answer.Rows, answer.Position, answer.HasMore = c.ChangedRows(request.Position, pullRowLimit)
 		answer.Reports = []contact.Report{c.OwnReport()}
 		answer.Evidence = c.OwnEvidence()
 		if request.IncludeRelayed {
--- a/entry/control.go
+++ b/entry/control.go
@@ -63,7 +63,7 @@
 		}
 	}
 	return &rowstore.Follower{
-		Store:       d.tableReader,
+		Reader:      d.tableReader,
 		Table:       leader.Table,
 		FeedWait:    leaseFeedWait,
 		OnSnapshot:  observe(true),
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -80,7 +80,7 @@
 // count is never too low and the daemons' retry budgets together never exceed the limit.
 func (d *Daemon) listFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:    d.listReader(),
+		Reader:   d.listReader(),
 		Table:    neighbours.Table,
 		FeedWait: listFeedWait,
 		PauseAfterChanges: func() time.Duration {
--- a/entry/directives_test.go
+++ b/entry/directives_test.go
@@ -57,8 +57,8 @@
 // header of their answers that they are draining.
 func TestServerDrainingByAnswerHeaderGetsNoNewRequests(t *testing.T) {
 	s := newSite(t, 2)
-	s.standin.Servers(standin.ServicePlain)[0].LeaveInAnswersOnly()
-	s.standin.Heads(standin.ModelSmall)[0].LeaveInAnswersOnly()
+	s.standin.Servers(standin.ServicePlain)[0].DrainInAnswersOnly()
+	s.standin.Heads(standin.ModelSmall)[0].DrainInAnswersOnly()
 	// Both servers live for longer than this, and daemons must stop sending them requests
 	// earlier.
 	const length = 4 * time.Second
@@ -70,5 +70,5 @@
 			qt.Assert(t, isSuccess(streamSmall(client)), qt.IsTrue)
 		}
 	}
-	qt.Assert(t, s.standin.DirectiveCounts().LeavesAnnounced >= len(s.daemons), qt.IsTrue)
+	qt.Assert(t, s.standin.DirectiveCounts().DrainsAnnounced >= len(s.daemons), qt.IsTrue)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -241,7 +241,7 @@
 	d.gateway, err = gateway.Listen(gateway.Options{
 		Address:  d.settings.ClientAddress,
 		Source:   d,
-		Dialect:  platform.Codec{},
+		Codec:    platform.Codec{},
 		Meter:    &d.demandMeter,
 		Budgets:  &d.retryBudgets,
 		Ledger:   &d.crashLedger,
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -60,7 +60,7 @@
 // counts from the last time the configuration's table was known to be current.
 func (d *Daemon) evacuationDeadline() time.Time {
 	bound := evacuation.LeaveSchedule{
-		Within:   d.settings.EvacuationBound,
+		Bound:    d.settings.EvacuationBound,
 		Position: rand.Float64(),
 	}
 	age, isKnown := d.configFreshness.ViewAge()
--- a/entry/followers.go
+++ b/entry/followers.go
@@ -32,7 +32,7 @@
 		}
 	}
 	return &rowstore.Follower{
-		Store:      d.tableReader,
+		Reader:     d.tableReader,
 		TableCache: &d.tableCache,
 		Table:      platform.ConfigTable,
 		FeedWait:   fraction(d.settings.ApplyBound, configFeedWaitFraction),
@@ -103,7 +103,7 @@
 // serverFollower watches the servers' entries.
 func (d *Daemon) serverFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:              d.tableReader,
+		Reader:             d.tableReader,
 		TableCache:         &d.tableCache,
 		Table:              platform.ServerTable,
 		FeedWait:           serverFeedWait,
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -103,7 +103,7 @@
 		d.recordRejectedRow(reportTable, row, err)
 		return
 	}
-	if d.limitReports.Take(start, limit) {
+	if d.limitReports.Apply(start, limit) {
 		d.logReportedLimit(start, limit, row.Version)
 	}
 	d.serverLimits.ApplyReport(start, limit)
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -115,7 +115,7 @@
 // reportFollower watches the reports of all daemons about servers.
 func (d *Daemon) reportFollower() *rowstore.Follower {
 	return &rowstore.Follower{
-		Store:              d.tableReader,
+		Reader:             d.tableReader,
 		Table:              reportTable,
 		FeedWait:           reportFeedWait,
 		OnSnapshot:         d.applyReportSnapshot,
--- a/io/gateway/gateway.go
+++ b/io/gateway/gateway.go
@@ -169,7 +169,7 @@
 type Options struct {
 	Address string
 	Source  Source
-	Dialect Codec
+	Codec   Codec
 	// Meter measures the demand.
 	Meter   *demand.Meter
 	Budgets *retry.Budgets
@@ -195,7 +195,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	server := &Server{
 		source:      options.Source,
-		codec:       options.Dialect,
+		codec:       options.Codec,
 		meter:       options.Meter,
 		maxViewWait: cmp.Or(options.MaxViewWait, maxViewWait),
 		clock:       options.Clock,
--- a/io/gateway/gateway_test.go
+++ b/io/gateway/gateway_test.go
@@ -121,7 +121,7 @@
 	return gateway.Options{
 		Address:  "127.0.0.1:0",
 		Source:   source,
-		Dialect:  platform.Codec{},
+		Codec:    platform.Codec{},
 		Meter:    &demand.Meter{},
 		Budgets:  &retry.Budgets{},
 		Ledger:   &quarantine.Ledger{},
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -41,8 +41,8 @@
 	return errors.As(err, &invalid)
 }
 
-// Fleet executes the requests of operators.
-type Fleet interface {
+// Service executes the requests of operators.
+type Service interface {
 	Apply(ctx context.Context, operator string, declared declaration.Declaration, from uint64) (ApplyReply, error)
 	Diff(ctx context.Context, declared declaration.Declaration) (DiffReply, error)
 	Propose(ctx context.Context, operator string, intent plan.Intent) (plan.Plan, error)
@@ -57,7 +57,7 @@
 
 // Server serves operators. Create it with Listen.
 type Server struct {
-	service       Fleet
+	service       Service
 	bootstrapHash string
 	log           *zap.Logger
 	app           *fiber.App
@@ -70,7 +70,7 @@
 
 // Listen starts a server at IP:port. Port 0 chooses a free port. bootstrapHash is the hash
 // of the key that is valid until a declaration names operators.
-func Listen(address, bootstrapHash string, service Fleet, log *zap.Logger) (*Server, error) {
+func Listen(address, bootstrapHash string, service Service, log *zap.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for operators on %s", address)
--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -44,7 +44,7 @@
 		Incarnation: answer.Incarnation,
 		Position:    answer.Position,
 		Rows:        answer.Rows,
-		More:        answer.More,
+		More:        answer.HasMore,
 		Names:       map[int]string{},
 	}
 	for _, report := range answer.Reports {
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -51,13 +51,13 @@
 	IncludeRelayed bool   `json:"full,omitempty"`
 }
 
-// PullAnswer is the answer to a pull. More is set if further rows were omitted; the reports
+// PullAnswer is the answer to a pull. HasMore is set if further rows were omitted; the reports
 // must not be used then.
 type PullAnswer struct {
 	Incarnation string
 	Position    int
 	Rows        []table.Row
-	More        bool
+	HasMore     bool
 	Reports     []contact.Report
 	Evidence    []presence.Evidence
 }
@@ -165,7 +165,7 @@
 		Incarnation: reply.Incarnation,
 		Position:    reply.Position,
 		Rows:        reply.Rows,
-		More:        reply.More,
+		HasMore:     reply.More,
 		Reports:     reports,
 		Evidence:    evidence,
 	}, err
--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -115,7 +115,7 @@
 		return rowstore.Result{}, errors.Wrapf(rowstore.ErrRefused, "daemon %s: %s", c.address, rpcErr.Message)
 	}
 	c.discard(conn)
-	return rowstore.Result{}, errors.Wrapf(rowstore.ErrUnknown, "call %s of daemon %s: %s", method, c.address, err)
+	return rowstore.Result{}, errors.Wrapf(rowstore.ErrOutcomeUnknown, "call %s of daemon %s: %s", method, c.address, err)
 }
 
 // connect returns the open connection, or opens a new one.
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -175,7 +175,7 @@
 	bounded, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	_, err = client.Read(bounded, "t")
-	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrUnknown)
+	qt.Assert(t, err, qt.ErrorIs, rowstore.ErrOutcomeUnknown)
 
 	result, err := client.Read(context.Background(), "t")
 	qt.Assert(t, err, qt.IsNil)
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -1,11 +1,11 @@
 // Package relay lets daemons read and follow the store's tables through other daemons, by
 // JSON-RPC over TCP: a few daemons (relays) follow the store, and the others follow the relays.
 //
-// There are three calls. "read" returns a snapshot of a table. "feed" returns its changes since
-// a version as soon as there are any, or nothing after a timeout. Both answer from the daemon's
-// table cache and return its age by the store's clock. A feed also reports the demand of the calling
-// daemon and returns the total demand of all daemons (core/demand). "enlist" lists a daemon in
-// the store together with others.
+// There are three calls. "read" returns a snapshot of a table. "feed" returns its changes since a
+// version as soon as there are any, or nothing after a timeout. Both answer from the daemon's table
+// cache and return its age by the store's clock. A feed also reports the demand of the calling
+// daemon and returns the total demand of all daemons (core/demand). "enlist" lists a daemon in the
+// store together with others.
 package relay
 
 import (
--- a/lab/comparison/comparison.go
+++ b/lab/comparison/comparison.go
@@ -15,10 +15,10 @@
 
 // DayRun holds the score of one run of one day.
 type DayRun struct {
-	Site  string
-	Name  string
-	Seed  int64
-	Score float64
+	Site     string
+	Name     string
+	Seed     int64
+	NetValue float64
 }
 
 // pairKey identifies the runs that are paired.
@@ -84,7 +84,7 @@
 	sums := map[pairKey]float64{}
 	counts := map[pairKey]float64{}
 	for _, day := range days {
-		sums[day.pairKey()] += day.Score
+		sums[day.pairKey()] += day.NetValue
 		counts[day.pairKey()]++
 	}
 	for key := range sums {
--- a/lab/comparison/comparison_test.go
+++ b/lab/comparison/comparison_test.go
@@ -12,10 +12,10 @@
 // day returns a run of one day at a fixed site.
 func day(name string, seed int64, score float64) comparison.DayRun {
 	return comparison.DayRun{
-		Site:  "river",
-		Name:  name,
-		Seed:  seed,
-		Score: score,
+		Site:     "river",
+		Name:     name,
+		Seed:     seed,
+		NetValue: score,
 	}
 }
 
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -42,9 +42,9 @@
 	startedAt  time.Time
 }
 
-// Play runs the demo of a deployment and writes its report to out. It returns
+// RunDemo runs the demo of a deployment and writes its report to out. It returns
 // ErrGuaranteeViolated if a guarantee was violated.
-func Play(ctx context.Context, name string, settings Settings, out io.Writer) error {
+func RunDemo(ctx context.Context, name string, settings Settings, out io.Writer) error {
 	deployment, err := examples.Load(name)
 	if err != nil {
 		return err
--- a/lab/soak/directives.go
+++ b/lab/soak/directives.go
@@ -40,7 +40,7 @@
 // starts a replacement.
 func drainInAnswersOnly(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
-	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).LeaveInAnswersOnly)
+	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).DrainInAnswersOnly)
 	return nil
 }
 
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -81,8 +81,8 @@
 	snapshots       snapshots
 }
 
-// Play runs a soak and returns the violations and failures that it found.
-func Play(options Options) ([]string, error) {
+// RunSeed runs a soak and returns the violations and failures that it found.
+func RunSeed(options Options) ([]string, error) {
 	s := &soak{
 		options:       options,
 		random:        rand.New(rand.NewPCG(options.Seed, options.Seed)),
@@ -131,7 +131,7 @@
 	clients.Wait()
 	s.logf("%s", s.outcomes.String())
 	counts := s.platform.DirectiveCounts()
-	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.PausesRequested, counts.RequestsInPause, counts.LeavesAnnounced)
+	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.PausesRequested, counts.RequestsInPause, counts.DrainsAnnounced)
 	s.logf("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.LimitsReceived, counts.LimitedRequests)
 	return append(failures, s.platform.Violations()...), nil
 }
--- a/lab/standin/directives.go
+++ b/lab/standin/directives.go
@@ -45,7 +45,7 @@
 // that they sent afterwards.
 type DirectiveCounts struct {
 	PausesRequested int
-	LeavesAnnounced int
+	DrainsAnnounced int
 	RequestsInPause int
 	// LimitsReceived counts the pairs of a server and a daemon that received its limit.
 	// LimitedRequests counts the requests from such a daemon to such a server.
@@ -145,9 +145,9 @@
 	}
 }
 
-// LeaveInAnswersOnly makes the server announce in all its answers that it is draining, while
+// DrainInAnswersOnly makes the server announce in all its answers that it is draining, while
 // its entry still has the state ready. The server ends after drainTime and drainingGrace.
-func (s *Server) LeaveInAnswersOnly() {
+func (s *Server) DrainInAnswersOnly() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.isDraining = true
@@ -209,7 +209,7 @@
 	defer l.mutex.Unlock()
 	if sent := l.directivesSent(server, daemon); sent != nil && sent.drainingSince.IsZero() {
 		sent.drainingSince = time.Now()
-		l.counts.LeavesAnnounced++
+		l.counts.DrainsAnnounced++
 	}
 }
 
--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -59,10 +59,10 @@
 		}
 		for _, day := range run.Days {
 			days = append(days, comparison.DayRun{
-				Site:  run.Site,
-				Name:  day.Name,
-				Seed:  day.Seed,
-				Score: day.NetValue,
+				Site:     run.Site,
+				Name:     day.Name,
+				Seed:     day.Seed,
+				NetValue: day.NetValue,
 			})
 		}
 	}
--- a/labcommand/demo.go
+++ b/labcommand/demo.go
@@ -29,7 +29,7 @@
 		names = examples.Names()
 	}
 	for _, name := range names {
-		err = demo.Play(context.Background(), name, demo.Settings{
+		err = demo.RunDemo(context.Background(), name, demo.Settings{
 			Rate:     d.Rate,
 			Duration: d.Duration,
 			Seed:     d.Seed,
--- a/labcommand/soak.go
+++ b/labcommand/soak.go
@@ -21,7 +21,7 @@
 // Run runs the soak test and prints the violated guarantees. It fails if there are
 // any.
 func (c *SoakCommand) Run(streams *Streams) error {
-	violations, err := soak.Play(soak.Options{
+	violations, err := soak.RunSeed(soak.Options{
 		Seed:    c.Seed,
 		Length:  c.Length,
 		Daemons: c.Daemons,
