--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -20,7 +20,7 @@
 
 // burstFraction is the fraction of the total burst that is divided among daemons. If all
 // daemons restart within a window, each one starts with its whole burst again, so the fraction
-// must be below one half.
+// is below one half.
 const burstFraction = 0.45
 
 // BurstPerDaemon returns one daemon's burst out of a total burst for all daemons. Budgets rounds a
