--- a/command/apply.go
+++ b/command/apply.go
@@ -12,7 +12,7 @@
 // configuration.
 type ApplyCommand struct {
 	Connection `embed:""`
-	From       uint64   `name:"from" help:"Revision that the change was reviewed against; another one in force refuses it."`
+	From       uint64   `name:"from" help:"Revision that the change was reviewed against; the change is refused if another one is in force."`
 	Files      []string `arg:"" help:"Declaration files; - is standard input."`
 }
 
--- a/command/command.go
+++ b/command/command.go
@@ -40,12 +40,12 @@
 	Entry    EntryCommand    `cmd:"" help:"Run a daemon on an entry VM of the platform."`
 	Check    CheckCommand    `cmd:"" help:"Check declaration files without a daemon."`
 	Apply    ApplyCommand    `cmd:"" help:"Make declaration files the next revision of the configuration."`
-	Diff     DiffCommand     `cmd:"" help:"Show in what declaration files differ from the revision in force."`
-	Plan     PlanCommand     `cmd:"" help:"State an intent; show, pause, resume or abandon plans."`
-	Confirm  ConfirmCommand  `cmd:"" help:"Confirm a plan that was reviewed."`
+	Diff     DiffCommand     `cmd:"" help:"Show the differences between declaration files and the revision in force."`
+	Plan     PlanCommand     `cmd:"" help:"Propose a plan for an intent; show, pause, resume or abandon plans."`
+	Confirm  ConfirmCommand  `cmd:"" help:"Confirm a proposed plan."`
 	Status   StatusCommand   `cmd:"" help:"Show daemons, leases and zones."`
 	Groups   GroupsCommand   `cmd:"" help:"Show the serving groups."`
-	Counters CountersCommand `cmd:"" help:"Show a daemon's counters, or with --list every counter there is."`
+	Counters CountersCommand `cmd:"" help:"Show a daemon's counters, or with --list all reasons that are counted."`
 	HashKey  HashKeyCommand  `cmd:"" help:"Read a key from standard input and print the hash that declarations hold."`
 }
 
--- a/command/connection.go
+++ b/command/connection.go
@@ -18,7 +18,7 @@
 type Connection struct {
 	Daemon string `name:"daemon" env:"HEADCOURSE_DAEMON" default:"127.0.0.1:8081" help:"IP:port for operators of any daemon."`
 	Key    string `name:"key" env:"HEADCOURSE_KEY" required:"" help:"The operator's key; prefer the variable."`
-	Output string `name:"output" env:"HEADCOURSE_OUTPUT" default:"table" enum:"table,json" help:"Form of the output: ${enum}."`
+	Output string `name:"output" env:"HEADCOURSE_OUTPUT" default:"table" enum:"table,json" help:"Output format: ${enum}."`
 }
 
 // client returns a client for the daemon.
--- a/command/counters.go
+++ b/command/counters.go
@@ -12,8 +12,8 @@
 type CountersCommand struct {
 	Daemon string `name:"daemon" env:"HEADCOURSE_DAEMON" default:"127.0.0.1:8081" help:"IP:port for operators of the daemon."`
 	Key    string `name:"key" env:"HEADCOURSE_KEY" help:"The operator's key; prefer the variable."`
-	Output string `name:"output" env:"HEADCOURSE_OUTPUT" default:"table" enum:"table,json" help:"Form of the output: ${enum}."`
-	List   bool   `name:"list" help:"List every reason that is counted, with what it means."`
+	Output string `name:"output" env:"HEADCOURSE_OUTPUT" default:"table" enum:"table,json" help:"Output format: ${enum}."`
+	List   bool   `name:"list" help:"List every counted reason with its meaning."`
 }
 
 // Run prints the daemon's counters, or with --list the reasons that are counted.
--- a/command/entry.go
+++ b/command/entry.go
@@ -17,9 +17,9 @@
 // EntryCommand runs a daemon on an entry VM of the platform until SIGTERM or
 // SIGINT.
 type EntryCommand struct {
-	Settings string `name:"settings" help:"Path of the settings file. Default: where the platform says."`
+	Settings string `name:"settings" help:"Path of the settings file. Default: the path that the platform passes to the process."`
 	Metrics  int    `name:"metrics-port" env:"HEADCOURSE_METRICS_PORT" default:"0" help:"Port on which metrics are served, on the VM's address; 0: none."`
-	LogLevel string `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged: ${enum}."`
+	LogLevel string `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Minimum log level: ${enum}."`
 }
 
 const (
--- a/command/plan.go
+++ b/command/plan.go
@@ -11,25 +11,25 @@
 // PlanCommand proposes plans for intents, and shows and changes existing plans.
 // The fields before List match the kinds of intent in plan.Kinds.
 type PlanCommand struct {
-	Reconcile     ReconcileIntent     `cmd:"" help:"Plan to create, change and dissolve groups until the fleet is as declared."`
+	Reconcile     ReconcileIntent     `cmd:"" help:"Plan to create, change and dissolve groups so that the fleet matches the declaration."`
 	DrainSite     DrainSiteIntent     `cmd:"" help:"Plan to move every group out of a site and close its zones."`
 	DrainZone     DrainZoneIntent     `cmd:"" help:"Plan to move every group out of a zone and close it."`
-	OpenZone      OpenZoneIntent      `cmd:"" help:"Plan to let a closed zone have groups again."`
+	OpenZone      OpenZoneIntent      `cmd:"" help:"Plan to open a closed zone for groups again."`
 	RetireVM      RetireVMIntent      `cmd:"" name:"retire-vm" help:"Plan to take a VM out of use."`
 	MoveModel     MoveModelIntent     `cmd:"" help:"Plan to move a model's groups from one zone to another."`
-	DissolveGroup DissolveGroupIntent `cmd:"" help:"Plan to end one group and free its VMs."`
+	DissolveGroup DissolveGroupIntent `cmd:"" help:"Plan to dissolve a group and free its VMs."`
 
 	List    PlanListCommand    `cmd:"" help:"List all plans."`
 	Show    PlanShowCommand    `cmd:"" help:"Show a plan's steps."`
-	Pause   PlanPauseCommand   `cmd:"" help:"Pause a confirmed plan after the steps under way."`
-	Resume  PlanResumeCommand  `cmd:"" help:"Go on with a paused plan."`
-	Abandon PlanAbandonCommand `cmd:"" help:"Give a plan up; the fleet stays whole."`
+	Pause   PlanPauseCommand   `cmd:"" help:"Pause a confirmed plan after its steps in progress."`
+	Resume  PlanResumeCommand  `cmd:"" help:"Resume a paused plan."`
+	Abandon PlanAbandonCommand `cmd:"" help:"Abandon a plan; groups that still serve are kept."`
 }
 
 // intentCommand holds the flags of the commands that propose a plan.
 type intentCommand struct {
 	Connection `embed:""`
-	AllowFewer bool `name:"allow-fewer" help:"Let groups for which there is no room go without replacement."`
+	AllowFewer bool `name:"allow-fewer" help:"Drain groups without replacement if there are not enough free VMs."`
 }
 
 // propose asks the daemon to build a plan for an intent, and prints the plan.
@@ -136,8 +136,8 @@
 type MoveModelIntent struct {
 	intentCommand `embed:""`
 	Model         string `arg:"" help:"The model."`
-	From          string `arg:"" help:"The zone to leave."`
-	To            string `arg:"" help:"The zone to go to."`
+	From          string `arg:"" help:"The zone to move the groups from."`
+	To            string `arg:"" help:"The zone to move the groups to."`
 }
 
 // Run proposes the plan and prints it.
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -11,20 +11,20 @@
 // Settings configures a daemon. Each field is set by a flag or an environment
 // variable; kong reads their names, defaults and help texts from the tags.
 type Settings struct {
-	ID            string        `name:"id" env:"HEADCOURSE_ID" help:"Name of this daemon, the start of its id. Default: the peer address."`
+	ID            string        `name:"id" env:"HEADCOURSE_ID" help:"Name of this daemon, the first part of its id. Default: the peer address."`
 	Zone          string        `name:"zone" env:"HEADCOURSE_ZONE" required:"" help:"Availability zone of this VM."`
 	Callers       string        `name:"callers" env:"HEADCOURSE_CALLERS" default:"127.0.0.1:8080" help:"IP:port for callers."`
 	Operators     string        `name:"operators" env:"HEADCOURSE_OPERATORS" default:"127.0.0.1:8081" help:"IP:port for operators."`
 	Peers         string        `name:"peers" env:"HEADCOURSE_PEERS" default:"127.0.0.1:8082" help:"IP:port for other daemons; they must be able to reach it."`
 	Table         string        `name:"table" env:"HEADCOURSE_TABLE" required:"" help:"IP:port of the platform's table service."`
 	VMList        string        `name:"vm-list" env:"HEADCOURSE_VM_LIST" required:"" help:"IP:port of the platform's VM list."`
-	Seeds         []string      `name:"seeds" env:"HEADCOURSE_SEEDS" help:"IP:port of other daemons' peer addresses, to learn from while the store is down."`
-	PeerKey       string        `name:"peer-key" env:"HEADCOURSE_PEER_KEY" required:"" help:"Secret that daemons know each other by; prefer the variable."`
+	Seeds         []string      `name:"seeds" env:"HEADCOURSE_SEEDS" help:"IP:port of other daemons' peer addresses, to read from while the store is unavailable."`
+	PeerKey       string        `name:"peer-key" env:"HEADCOURSE_PEER_KEY" required:"" help:"Shared secret that authenticates daemons to each other; prefer the variable."`
 	BootstrapHash string        `name:"bootstrap-hash" env:"HEADCOURSE_BOOTSTRAP_HASH" help:"SHA-256 hash of the key of an operator who may apply the first declaration."`
-	DrainTime     time.Duration `name:"drain-time" env:"HEADCOURSE_DRAIN_TIME" default:"2m" help:"Longest time that a stopping daemon waits for answers in flight."`
-	UnreadyTime   time.Duration `name:"unready-time" env:"HEADCOURSE_UNREADY_TIME" default:"3s" help:"How long a stopping daemon still takes requests after it told the balancer."`
-	IdleTime      time.Duration `name:"idle-time" env:"HEADCOURSE_IDLE_TIME" default:"30s" help:"Longest silence of a backend server within one answer."`
-	LogLevel      string        `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged: ${enum}."`
+	DrainTime     time.Duration `name:"drain-time" env:"HEADCOURSE_DRAIN_TIME" default:"2m" help:"Maximum time that a stopping daemon waits for answers in flight."`
+	UnreadyTime   time.Duration `name:"unready-time" env:"HEADCOURSE_UNREADY_TIME" default:"3s" help:"How long a stopping daemon accepts requests after it has reported unready to the load balancer."`
+	IdleTime      time.Duration `name:"idle-time" env:"HEADCOURSE_IDLE_TIME" default:"30s" help:"Maximum time without data from a backend server within one answer."`
+	LogLevel      string        `name:"log-level" env:"HEADCOURSE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Minimum log level: ${enum}."`
 }
 
 // minPeerKeyLength is the minimum length of a peer key in bytes.
--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -19,8 +19,8 @@
 	Journal string `default:"journal" help:"Folder of the bench's journal."`
 	Before  string `required:"" help:"Purpose of the runs to compare with, as the journal has it."`
 	After   string `required:"" help:"Purpose of the runs that are compared."`
-	Site    string `help:"Site whose runs are compared; all sites where none is named."`
-	As      string `default:"text" enum:"text,csv,svg" help:"What is written: text, csv, or svg, a plot of worth before and after."`
+	Site    string `help:"Site whose runs are compared; all sites by default."`
+	As      string `default:"text" enum:"text,csv,svg" help:"Output format: text, csv, or svg, a plot of worth before and after."`
 }
 
 // Run writes the pairs. As text it adds a summary with a verdict for each site.
--- a/labcommand/demo.go
+++ b/labcommand/demo.go
@@ -10,11 +10,11 @@
 
 // DemoCommand runs the demo.
 type DemoCommand struct {
-	Deployment []string      `name:"deployment" help:"Deployments to play; all where none is named."`
+	Deployment []string      `name:"deployment" help:"Deployments to play; all by default."`
 	Rate       float64       `name:"rate" default:"60" help:"Callers' requests a second."`
 	Duration   time.Duration `name:"duration" default:"55s" help:"How long callers send."`
 	Seed       uint64        `name:"seed" default:"1" help:"Seed of the load."`
-	LogLevel   string        `name:"log-level" default:"error" help:"Least level that daemons log: debug, info, warn, error."`
+	LogLevel   string        `name:"log-level" default:"error" help:"Minimum log level of daemons: debug, info, warn, error."`
 }
 
 // Run runs the demo of each deployment, one after the other, and stops at the
--- a/labcommand/fleet.go
+++ b/labcommand/fleet.go
@@ -13,7 +13,7 @@
 
 // FleetCommand summarises the logs of a fleet's daemons.
 type FleetCommand struct {
-	Log string `arg:"" help:"File with lines of daemons: a time in seconds, the daemon's name, and what it wrote."`
+	Log string `arg:"" help:"File with log lines of daemons: a time in seconds, the daemon's name, and the line."`
 }
 
 // Run reads the logs and writes the tables of their summary.
--- a/labcommand/labcommand.go
+++ b/labcommand/labcommand.go
@@ -18,15 +18,15 @@
 	Demo     DemoCommand     `cmd:"" help:"Play both deployments in one process, with failures, and check every answer."`
 	Platform PlatformCommand `cmd:"" help:"Run the stand-ins of one deployment, for daemons in other processes."`
 	Measures MeasuresCommand `cmd:"" help:"Compare group downtime and stranded accelerators with baselines, in virtual time."`
-	Slopes   SlopesCommand   `cmd:"" help:"Measure what control costs a daemon at rest, before a platform in another process."`
-	Relay    RelayCommand    `cmd:"" help:"Measure what a daemon adds to streams, against a direct connection."`
+	Slopes   SlopesCommand   `cmd:"" help:"Measure the resources that control uses in an idle daemon, with a platform in another process."`
+	Relay    RelayCommand    `cmd:"" help:"Measure the latency that a daemon adds to streams, compared with a direct connection."`
 	Plot     PlotCommand     `cmd:"" help:"Draw columns of a measurement as SVG."`
-	Days     DaysCommand     `cmd:"" help:"Write what the standard days of a site were worth, from the bench's journal."`
+	Days     DaysCommand     `cmd:"" help:"Write the worth of the standard days of a site, from the bench's journal."`
 	Compare  CompareCommand  `cmd:"" help:"Compare runs of the same days and seeds that were made for two purposes, from the bench's journal."`
-	Fleet    FleetCommand    `cmd:"" help:"Add up what the daemons of a fleet wrote: calls to the store, and how soon changes reached them."`
+	Fleet    FleetCommand    `cmd:"" help:"Summarise the logs of a fleet's daemons: calls to the store, and when changes reached them."`
 	Routes   RoutesCommand   `cmd:"" help:"Compare routing policies on the same load, in virtual time."`
 	Load     LoadCommand     `cmd:"" help:"Send callers' load to daemons and check every answer."`
-	Soak     SoakCommand     `cmd:"" help:"Play random faults against daemons that soak/run starts, and check every answer."`
+	Soak     SoakCommand     `cmd:"" help:"Inject random faults into daemons that soak/run starts, and check every answer."`
 }
 
 // Streams are the output streams of a command.
--- a/labcommand/load.go
+++ b/labcommand/load.go
@@ -15,13 +15,13 @@
 type LoadCommand struct {
 	Deployment string        `name:"deployment" default:"caudal-andino" help:"Deployment whose organisations send."`
 	Daemons    []string      `name:"daemons" default:"127.0.0.1:8080" help:"IP:port for callers of the daemons."`
-	Rate       float64       `name:"rate" default:"50" help:"Requests a second, whatever the answers."`
+	Rate       float64       `name:"rate" default:"50" help:"Requests a second, independent of the answers."`
 	Duration   time.Duration `name:"duration" default:"10s" help:"How long to send."`
 	Seed       uint64        `name:"seed" default:"1" help:"Seed of the load."`
 	Tokens     int           `name:"tokens" default:"24" help:"Tokens of each answer."`
 	Deadline   time.Duration `name:"deadline" default:"20s" help:"Deadline of each request."`
-	Plain      float64       `name:"plain" default:"0.2" help:"Part of the requests that read from the plain service."`
-	Charges    float64       `name:"charges" default:"0.1" help:"Part of the requests that may not be repeated."`
+	Plain      float64       `name:"plain" default:"0.2" help:"Fraction of the requests that read from the plain service."`
+	Charges    float64       `name:"charges" default:"0.1" help:"Fraction of the requests that may not be repeated."`
 }
 
 // Run sends the load and prints counts of outcomes and reasons, and latencies. It
--- a/labcommand/platform.go
+++ b/labcommand/platform.go
@@ -17,16 +17,16 @@
 
 // PlatformCommand runs the stand-ins of the platform for one deployment.
 type PlatformCommand struct {
-	Deployment  string        `name:"deployment" default:"caudal-andino" help:"Deployment whose VMs are there."`
-	Scale       int           `name:"scale" default:"1" help:"Multiplies fabric domains."`
+	Deployment  string        `name:"deployment" default:"caudal-andino" help:"Deployment whose VMs are listed."`
+	Scale       int           `name:"scale" default:"1" help:"Factor of the number of fabric domains."`
 	Host        string        `name:"host" default:"127.0.0.1" help:"IP number to listen on."`
 	Port        int           `name:"port" default:"9000" help:"Port of the table service; the VM list and the VMs follow."`
-	LoadTime    time.Duration `name:"load-time" default:"1500ms" help:"Time that an engine loads a model."`
+	LoadTime    time.Duration `name:"load-time" default:"1500ms" help:"Time for which an engine loads a model."`
 	FirstToken  time.Duration `name:"first-token" default:"60ms" help:"Time to an answer's first token."`
 	EachToken   time.Duration `name:"each-token" default:"15ms" help:"Time between tokens."`
-	Slots       int           `name:"slots" default:"32" help:"Requests that a group runs at once."`
-	ServiceTime time.Duration `name:"service-time" default:"5ms" help:"Time that plain services take."`
-	ListLag     time.Duration `name:"list-lag" default:"1s" help:"How late the VM list shows changes."`
+	Slots       int           `name:"slots" default:"32" help:"Maximum number of requests that a group runs at once."`
+	ServiceTime time.Duration `name:"service-time" default:"5ms" help:"Service time of plain services."`
+	ListLag     time.Duration `name:"list-lag" default:"1s" help:"Delay of changes in the VM list."`
 	Loads       float64       `name:"loads-per-second" default:"20" help:"Rate of the weight store."`
 }
 
--- a/labcommand/relay.go
+++ b/labcommand/relay.go
@@ -11,7 +11,7 @@
 // RelayCommand measures the latency and processor time that a daemon adds to
 // streams.
 type RelayCommand struct {
-	Rate      float64       `name:"rate" default:"40" help:"Streams begun a second."`
+	Rate      float64       `name:"rate" default:"40" help:"Streams started a second."`
 	Tokens    int           `name:"tokens" default:"100" help:"Events of each stream."`
 	EachToken time.Duration `name:"each-token" default:"10ms" help:"Time between two events."`
 	Duration  time.Duration `name:"duration" default:"8s" help:"Time of each turn."`
--- a/labcommand/routes.go
+++ b/labcommand/routes.go
@@ -16,7 +16,7 @@
 	Seeds    []uint64      `name:"seeds" default:"1,2,3" help:"Seeds of the load."`
 	Duration time.Duration `name:"duration" default:"10m" help:"Virtual time."`
 	Topics   int           `name:"topics" default:"60" help:"Different prompt prefixes."`
-	Skew     float64       `name:"skew" default:"1.0" help:"Exponent of how uneven the prefixes are used."`
+	Skew     float64       `name:"skew" default:"1.0" help:"Exponent of the Zipf distribution of prefixes."`
 	Lag      time.Duration `name:"lag" default:"1s" help:"Age of reported loads."`
 	Deadline time.Duration `name:"deadline" default:"1100ms" help:"Deadline of the first token."`
 }
--- a/labcommand/soak.go
+++ b/labcommand/soak.go
@@ -11,10 +11,10 @@
 
 // SoakCommand injects random faults into daemons that soak/run starts.
 type SoakCommand struct {
-	Seed    uint64        `name:"seed" default:"1" help:"Seed of all choices."`
-	Length  time.Duration `name:"length" default:"20s" help:"How long faults come."`
-	Daemons int           `name:"daemons" default:"4" help:"How many daemons there are."`
-	Faults  int           `name:"faults" default:"0" help:"How many rows of the table of faults are drawn from; 0: all."`
+	Seed    uint64        `name:"seed" default:"1" help:"Seed of the random faults."`
+	Length  time.Duration `name:"length" default:"20s" help:"How long faults are injected."`
+	Daemons int           `name:"daemons" default:"4" help:"Number of daemons."`
+	Faults  int           `name:"faults" default:"0" help:"Number of rows of the fault table to draw from; 0: all."`
 	Dir     string        `name:"dir" required:"" help:"Folder for settings files and process ids, shared with the script that runs the daemons."`
 }
 
