--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -75,9 +75,9 @@
 			}
 		}
 		after := s.platform.Crashes(path)
-		s.logf("%d servers ended under %s, then %d more", before, path, after-before)
+		s.logf("%d servers crashed under %s, then %d more", before, path, after-before)
 		if after-before > maxCrashesAfterThreshold {
-			failures = append(failures, fmt.Sprintf("%s ended %d servers after %d had ended under it", path, after-before, before))
+			failures = append(failures, fmt.Sprintf("%d servers crashed under %s after %d had crashed under it", after-before, path, before))
 		}
 	}
 	// The checks that follow set directives on servers, and a restart would drop these.
--- a/lab/soak/limits.go
+++ b/lab/soak/limits.go
@@ -99,10 +99,10 @@
 		server.ClearLimit()
 	}
 	after := s.platform.DirectiveCounts()
-	s.logf("%d servers named %.2f a second, the first %s: %d requests of daemons that had been told", len(chosen), limit, chosen[0].ID(), after.LimitedRequests-before.LimitedRequests)
+	s.logf("%d servers announced a limit of %.2f requests a second, the first is %s: %d requests of daemons that had received the limit", len(chosen), limit, chosen[0].ID(), after.LimitedRequests-before.LimitedRequests)
 	failures := s.awaitServing("the end of limits")
 	if after.LimitsReceived == before.LimitsReceived {
-		failures = append(failures, "no daemon was told of a limit")
+		failures = append(failures, "no daemon received a limit")
 	}
 	return failures
 }
--- a/lab/soak/restores.go
+++ b/lab/soak/restores.go
@@ -80,7 +80,7 @@
 func (s *soak) restore(index int, options standin.RestoreOptions) {
 	s.platform.Store.Restore(s.snapshots.at(index), options)
 	s.platform.Store.SetFault(standin.NoFault)
-	s.logf("store restored from copy %d, rewritten within %s, its clock kept: %t", index, options.MaxRewriteDelay, options.KeepClock)
+	s.logf("store restored from copy %d, rows rewritten within %s, clock kept: %t", index, options.MaxRewriteDelay, options.KeepClock)
 }
 
 // checkRestore rotates the keys and at once restores the store from its oldest snapshot,
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -131,8 +131,8 @@
 	clients.Wait()
 	s.logf("%s", s.outcomes.String())
 	counts := s.platform.DirectiveCounts()
-	s.logf("%d pauses asked, %d requests in them after what was under way; %d leaves said", counts.PausesRequested, counts.RequestsInPause, counts.DrainsAnnounced)
-	s.logf("%d daemons told of a limit, %d requests of theirs to servers that had one", counts.LimitsReceived, counts.LimitedRequests)
+	s.logf("%d pauses requested, %d requests sent in them beyond those in flight; %d drains announced", counts.PausesRequested, counts.RequestsInPause, counts.DrainsAnnounced)
+	s.logf("%d daemons received a limit, and sent %d requests to servers with one", counts.LimitsReceived, counts.LimitedRequests)
 	return append(failures, s.platform.Violations()...), nil
 }
 
