--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -137,7 +137,7 @@
 	return s.failedTrial > 0 && s.failedTrial >= s.lastTrial
 }
 
-// decide returns whether the request may be sent.
+// decide reports whether the request may be sent.
 func (s *suspect) decide(digest Digest, now time.Time) Decision {
 	if len(s.crashes) < minCrashesForTrial {
 		return Decision{}
@@ -314,7 +314,7 @@
 	return rows
 }
 
-// Decide returns whether a request may be sent. It must be called right before the send.
+// Decide reports whether a request may be sent. It must be called right before the send.
 func (l *Ledger) Decide(digest Digest) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -219,7 +219,7 @@
 	d.crashLedger.Reconcile(crashes, trials)
 }
 
-// isCrashRow returns whether a row of reportTable reports a crash, isTrialRow whether it
+// isCrashRow reports whether a row of reportTable reports a crash, isTrialRow whether it
 // reports a trial.
 func isCrashRow(row rowstore.Row) bool {
 	return strings.HasPrefix(row.Key, crashPrefix)
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// isInitialListRead returns whether a table is the daemon list and has not been read yet.
+// isInitialListRead reports whether a table is the daemon list and has not been read yet.
 func (d *Daemon) isInitialListRead(table string) bool {
 	return table == neighbours.Table && !d.listLoaded.isSet()
 }
@@ -299,7 +299,7 @@
 	return list.Position(d.settings.Name)
 }
 
-// isFirstRelay returns whether this daemon watches the store on behalf of all relays.
+// isFirstRelay reports whether this daemon watches the store on behalf of all relays.
 func (d *Daemon) isFirstRelay() bool {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
@@ -314,7 +314,7 @@
 	return d.directory.list.ContenderCount(d.settings.Name)
 }
 
-// isRelay returns whether other daemons read tables from this one.
+// isRelay reports whether other daemons read tables from this one.
 func (d *Daemon) isRelay() bool {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
@@ -328,7 +328,7 @@
 	return max(1, d.directory.list.Len())
 }
 
-// isRegistered returns whether the list contains this daemon's current entry.
+// isRegistered reports whether the list contains this daemon's current entry.
 func (d *Daemon) isRegistered() bool {
 	d.directory.mutex.Lock()
 	defer d.directory.mutex.Unlock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -262,7 +262,7 @@
 		Reader:          &d.tableCache,
 		Aggregator:      &d.demandTotals,
 		OnInvalidDemand: d.logRejectedDemand,
-		Enlist:          d.registerDaemon,
+		Register:        d.registerDaemon,
 	})
 	return errors.Wrap(err, "start daemon")
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// isSuccess returns whether an answer is successful and complete.
+// isSuccess reports whether an answer is successful and complete.
 func isSuccess(answer standin.Answer) bool {
 	return answer.Status == http.StatusOK && answer.Err == nil
 }
--- a/entry/followers.go
+++ b/entry/followers.go
@@ -261,7 +261,7 @@
 	return server, true
 }
 
-// readsStoreDirectly returns whether this daemon watches the store itself, as the leader and
+// readsStoreDirectly reports whether this daemon watches the store itself, as the leader and
 // the first relay do. Only these log changes that all daemons see. The log line of a request
 // has the version of the servers' table that its daemon used.
 func (d *Daemon) readsStoreDirectly() bool {
--- a/entry/idle.go
+++ b/entry/idle.go
@@ -5,7 +5,7 @@
 // Before the first client of a newly started system sends a request, no client waits for an
 // answer. Model loads are not limited then, and changes are collected for longer.
 
-// isIdle returns whether no client has sent a request since the first start of the whole system,
+// isIdle reports whether no client has sent a request since the first start of the whole system,
 // neither to this daemon nor, by the reported demand, to another one.
 func (d *Daemon) isIdle() bool {
 	current := d.view.Load().Config
@@ -19,7 +19,7 @@
 	return true
 }
 
-// hasDemand returns whether any daemon reports requests for a model.
+// hasDemand reports whether any daemon reports requests for a model.
 func (d *Daemon) hasDemand(current *config.Config) bool {
 	for _, service := range current.Services {
 		if service.Engine == nil {
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -26,7 +26,7 @@
 // limitPrefix is the prefix of the keys of limit rows. Group names contain no slash.
 const limitPrefix = "limit/"
 
-// isLimitRow returns whether a row of reportTable reports a limit.
+// isLimitRow reports whether a row of reportTable reports a limit.
 func isLimitRow(row rowstore.Row) bool {
 	return strings.HasPrefix(row.Key, limitPrefix)
 }
--- a/entry/onceevent.go
+++ b/entry/onceevent.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// isSet returns whether the event has happened.
+// isSet reports whether the event has happened.
 func (e onceEvent) isSet() bool {
 	select {
 	case <-e.done:
--- a/entry/restores.go
+++ b/entry/restores.go
@@ -59,7 +59,7 @@
 	return table
 }
 
-// hasCurrentConfig returns whether rows contain a configuration that is at least as new as the
+// hasCurrentConfig reports whether rows contain a configuration that is at least as new as the
 // one in force.
 func (d *Daemon) hasCurrentConfig(rows []rowstore.Row) bool {
 	for _, row := range rows {
--- a/entry/stallchecks.go
+++ b/entry/stallchecks.go
@@ -86,7 +86,7 @@
 	d.writeStall(ctx, head, worstFault)
 }
 
-// hasGroupEnded returns whether the group of a head ended while its members were probed.
+// hasGroupEnded reports whether the group of a head ended while its members were probed.
 func (d *Daemon) hasGroupEnded(head fleet.Server) bool {
 	known, ok := d.view.Load().Fleet.ServerOrRemoved(head.ID)
 	return !ok || !known.Membership.Matches(head.Membership.Group, head.Membership.Epoch)
@@ -98,12 +98,12 @@
 	probe    assembly.ProbeResult
 }
 
-// isFault returns whether there is a fault.
+// isFault reports whether there is a fault.
 func (f memberFault) isFault() bool {
 	return f.serverID != ""
 }
 
-// isUnresponsive returns whether the member did not answer.
+// isUnresponsive reports whether the member did not answer.
 func (f memberFault) isUnresponsive() bool {
 	return f.isFault() && f.probe.Status != assembly.Answered
 }
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -85,14 +85,14 @@
 	delete(s.stalls, group)
 }
 
-// contains returns whether a stall of a group's current epoch has been reported.
+// contains reports whether a stall of a group's current epoch has been reported.
 func (s *reportedStalls) contains(membership fleet.Membership) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.stalls[membership.Group].Epoch == membership.Epoch
 }
 
-// isUnresponsive returns whether a member of the group is reported as unresponsive.
+// isUnresponsive reports whether a member of the group is reported as unresponsive.
 func (s *reportedStalls) isUnresponsive(membership fleet.Membership) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,13 +100,13 @@
 	return ok && reported.Epoch == membership.Epoch && reported.UnresponsiveMember != ""
 }
 
-// IsDegraded returns whether any daemon has reported that requests stall or are slow at a
+// IsDegraded reports whether any daemon has reported that requests stall or are slow at a
 // server's group.
 func (d *Daemon) IsDegraded(server fleet.Server) bool {
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.contains(server.Membership)
 }
 
-// HasUnresponsiveMember returns whether any daemon has reported that requests stall at a
+// HasUnresponsiveMember reports whether any daemon has reported that requests stall at a
 // server's group because a member does not answer.
 func (d *Daemon) HasUnresponsiveMember(server fleet.Server) bool {
 	return server.Membership.State != fleet.NoGroup && d.reportedStalls.isUnresponsive(server.Membership)
--- a/entry/view.go
+++ b/entry/view.go
@@ -20,14 +20,14 @@
 	return age
 }
 
-// MayAcceptKeys returns whether keys of the view may be accepted. It is also correct after the
+// MayAcceptKeys reports whether keys of the view may be accepted. It is also correct after the
 // daemon was suspended or cut off from the store.
 func (d *Daemon) MayAcceptKeys() bool {
 	age, isKnown := d.configFreshness.ViewAge()
 	return isKnown && d.revocation().MayAccept(age)
 }
 
-// IsViewCurrent returns whether the view contains everything that has been in force for longer
+// IsViewCurrent reports whether the view contains everything that has been in force for longer
 // than the bound, so that unknown keys and routes may be rejected.
 func (d *Daemon) IsViewCurrent() bool {
 	age, isKnown := d.configFreshness.ViewAge()
@@ -42,7 +42,7 @@
 	}
 }
 
-// isReady returns whether the load balancer should send clients here: the configuration, the
+// isReady reports whether the load balancer should send clients here: the configuration, the
 // servers and the reports about them are loaded, and the view is current. A daemon that is cut
 // off from the store keeps serving its existing connections while keys may be accepted, but
 // others serve new ones better. If all daemons are cut off, the load balancer uses all of them.
@@ -54,7 +54,7 @@
 	return isReady
 }
 
-// hasView returns whether the configuration and the servers are loaded.
+// hasView reports whether the configuration and the servers are loaded.
 func (d *Daemon) hasView() bool {
 	return d.view.Load().Config != nil && d.serversLoaded.Load()
 }
@@ -64,7 +64,7 @@
 // counts as in contact 3 s after its start, and has usually read the reports by then.
 const maxReportWait = 1500 * time.Millisecond
 
-// hasReports returns whether the reports about servers are loaded, or the wait for them is
+// hasReports reports whether the reports about servers are loaded, or the wait for them is
 // over.
 func (d *Daemon) hasReports() bool {
 	return d.reportsLoaded.Load() || d.viewLoaded.since() > maxReportWait
--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -61,7 +61,7 @@
 // Register has the called daemon write the calling daemon's entry into the list in the store,
 // batched with other entries.
 func (c *Client) Register(ctx context.Context, entry []byte) error {
-	_, err := c.call(ctx, callEnlist, callParams{
+	_, err := c.call(ctx, callRegister, callParams{
 		From:  c.Self,
 		Entry: entry,
 	})
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -300,7 +300,7 @@
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
 		Reader:  &rowstore.TableCache{},
-		Enlist: func(_ context.Context, name string, entry []byte) error {
+		Register: func(_ context.Context, name string, entry []byte) error {
 			if len(entry) == 0 {
 				return rowstore.ErrRefused
 			}
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -4,7 +4,7 @@
 // There are three calls. "read" returns a snapshot of a table. "feed" returns its changes since a
 // version as soon as there are any, or nothing after a timeout. Both answer from the daemon's table
 // cache and return its age by the store's clock. A feed also reports the demand of the calling
-// daemon and returns the total demand of all daemons (core/demand). "enlist" lists a daemon in the
+// daemon and returns the total demand of all daemons (core/demand). "enlist" registers a daemon in the
 // store together with others.
 package relay
 
@@ -25,9 +25,9 @@
 
 // Method names of the calls.
 const (
-	callRead   = "read"
-	callFeed   = "feed"
-	callEnlist = "enlist"
+	callRead     = "read"
+	callFeed     = "feed"
+	callRegister = "enlist"
 )
 
 // Codes of RPC errors.
@@ -90,7 +90,7 @@
 	aggregator *demand.Aggregator
 	// onInvalidDemand, if set, is called if another daemon reports invalid demand.
 	onInvalidDemand func(from string, err error)
-	enlist          func(ctx context.Context, name string, entry []byte) error
+	register        func(ctx context.Context, name string, entry []byte) error
 	valueCompressor valueCompressor
 	rowCompressor   rowCompressor
 }
@@ -105,8 +105,8 @@
 	Aggregator *demand.Aggregator
 	// OnInvalidDemand, if set, is called if another daemon reports invalid demand.
 	OnInvalidDemand func(from string, err error)
-	// Register lists another daemon in the store; nil means that such calls are rejected.
-	Enlist func(ctx context.Context, name string, entry []byte) error
+	// Register registers another daemon in the store; nil means that such calls are rejected.
+	Register func(ctx context.Context, name string, entry []byte) error
 }
 
 // Listen starts a Server.
@@ -115,7 +115,7 @@
 		reader:          options.Reader,
 		aggregator:      options.Aggregator,
 		onInvalidDemand: options.OnInvalidDemand,
-		enlist:          options.Enlist,
+		register:        options.Register,
 	}
 	listener, err := rpc.Listen(options.Address, server.serveConn)
 	if err != nil {
@@ -152,8 +152,8 @@
 		return s.handleRead(ctx, params)
 	case callFeed:
 		return s.handleFeed(ctx, params)
-	case callEnlist:
-		return s.handleEnlist(ctx, params)
+	case callRegister:
+		return s.handleRegister(ctx, params)
 	default:
 		return nil, &jsonrpc2.Error{
 			Code:    jsonrpc2.CodeMethodNotFound,
@@ -189,15 +189,15 @@
 	return encoded, err
 }
 
-// handleEnlist lists a daemon in the store.
-func (s *Server) handleEnlist(ctx context.Context, params callParams) (any, error) {
-	if s.enlist == nil || params.From == "" {
+// handleRegister registers a daemon in the store.
+func (s *Server) handleRegister(ctx context.Context, params callParams) (any, error) {
+	if s.register == nil || params.From == "" {
 		return nil, &jsonrpc2.Error{
 			Code:    jsonrpc2.CodeInvalidParams,
 			Message: "no daemon is listed here, or it has no name",
 		}
 	}
-	if err := s.enlist(ctx, params.From, params.Entry); err != nil {
+	if err := s.register(ctx, params.From, params.Entry); err != nil {
 		return nil, encodeError(err)
 	}
 	return callResult{}, nil
