--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -34,8 +34,8 @@
 type LeaveSchedule struct {
 	// Bound counts from the acknowledgement by the store; 0 means at once.
 	Bound time.Duration
-	// Position is this daemon's position in the order in which daemons leave, from 0 for the first
-	// to 1 for the last.
+	// Position is where between the first daemon (0) and the last one (1) this daemon leaves. Each
+	// daemon draws it at random.
 	Position float64
 }
 
@@ -56,7 +56,7 @@
 }
 
 // With returns the zones with one more. A zone that is already evacuated keeps its LeaveAt if
-// that is earlier, because the operator did not request the evacuation later than that.
+// that is earlier: a row that is read again or was written again does not extend the time.
 func (z Zones) With(name string, next Evacuation) Zones {
 	if previous, ok := z.byName[name]; ok {
 		next.LeaveAt = earlier(previous.LeaveAt, next.LeaveAt)
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -15,12 +15,12 @@
 // Daemons leave one after the other, and the last one leaves well before the bound.
 func TestDaemonsLeaveZoneGraduallyWithinBound(t *testing.T) {
 	lastOpenAt := time.Now()
-	leaveAt := func(draw float64) time.Time {
-		bound := evacuation.LeaveSchedule{
+	leaveAt := func(position float64) time.Time {
+		schedule := evacuation.LeaveSchedule{
 			Bound:    within,
-			Position: draw,
+			Position: position,
 		}
-		return bound.LeaveAt(lastOpenAt)
+		return schedule.LeaveAt(lastOpenAt)
 	}
 	qt.Assert(t, leaveAt(0).After(lastOpenAt), qt.IsTrue)
 	qt.Assert(t, leaveAt(1).Sub(leaveAt(0)) >= time.Second, qt.IsTrue)
@@ -31,13 +31,13 @@
 // For a starting daemon the start of an evacuation is unknown, and a bound of 0 leaves no
 // time.
 func TestZoneIsLeftAtOnceIfLastOpenTimeIsUnknown(t *testing.T) {
-	bound := evacuation.LeaveSchedule{
+	schedule := evacuation.LeaveSchedule{
 		Bound:    within,
 		Position: 1,
 	}
 	var zones evacuation.Zones
 	zones = zones.With("a", evacuation.Evacuation{
-		LeaveAt: bound.LeaveAt(time.Time{}),
+		LeaveAt: schedule.LeaveAt(time.Time{}),
 	})
 	qt.Assert(t, zones.HasLeft("a", time.Now()), qt.IsTrue)
 	now := time.Now()
@@ -48,8 +48,8 @@
 	qt.Assert(t, zones.HasLeft("c", now), qt.IsFalse)
 }
 
-// Guards against a longer time until the zone is left if a daemon reads a removed and
-// rewritten row as one write.
+// Guards against a longer time until the zone is left if a row is removed and written again and
+// the daemon observes only the second write.
 func TestRewrittenEvacuationDoesNotExtendTime(t *testing.T) {
 	now := time.Now()
 	first := evacuation.Zones{}.With("a", evacuation.Evacuation{
