--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -5,8 +5,8 @@
 // the store or from a peer that is ahead or behind. So a row in a catalog never goes back. Deleted
 // rows are kept as tombstones for the same reason.
 //
-// For example, a daemon polls the store and reads group/redactor-7 at commit 41. A peer that was
-// cut off offers it at commit 38. The row stays at 41.
+// For example, a daemon polls the store and reads fleet/group/redactor-7 at commit 41. A peer that
+// was cut off offers it at commit 38. The row stays at 41.
 package catalog
 
 import (
@@ -62,7 +62,9 @@
 	return found
 }
 
-// WithRows returns the catalog with rows added, and the rows that changed it.
+// WithRows returns the catalog with rows added, and those of them that are newer than the catalog's
+// rows. If several of these have the same key, all are returned and the newest one is added. Rows
+// without Prefix are ignored.
 func (c Catalog) WithRows(rows []table.Row) (Catalog, []table.Row) {
 	var changed []table.Row
 	for _, row := range rows {
@@ -88,7 +90,8 @@
 	}, changed
 }
 
-// WithReadVersion returns the catalog with the store read up to a commit number.
+// WithReadVersion returns the catalog with the store read up to a commit number, or further if it
+// already was.
 func (c Catalog) WithReadVersion(version uint64) Catalog {
 	c.readVersion = max(c.readVersion, version)
 	return c
