--- a/core/table/table.go
+++ b/core/table/table.go
@@ -2,11 +2,12 @@
 // versions, and transactions that are applied as a whole or not at all.
 //
 // If the answer to a write is lost, its outcome is unknown. ResolvingStore wraps a Store so that
-// every transaction also writes a marker row, whose key contains the transaction's ID. When an
-// answer is lost, ResolvingStore tries to write that marker itself. If it succeeds, the original
-// transaction can no longer commit; if it is refused because the marker exists, the transaction has
-// committed. For example, a transaction "a1" that writes group/redactor-7 also writes write/a1. A
-// caller that finds write/a1 knows that the other row was written as well.
+// every transaction also writes a marker row, whose key contains the transaction's ID, on condition
+// that the marker does not exist. When an answer is lost, ResolvingStore reads the marker, whose
+// value states the outcome. If there is none, it writes the marker itself, with the value
+// "abandoned"; after that the original transaction can no longer commit. For example, a transaction
+// "a1" that writes fleet/group/redactor-7 also writes write/a1. A caller that finds write/a1, not
+// abandoned, knows that the other row was written as well.
 package table
 
 import (
@@ -102,15 +103,16 @@
 }
 
 // ScanRequest requests the rows under a prefix that changed after a version, in ascending order of
-// version, including deleted rows.
+// version, including deleted rows. Limit is the maximum number of rows, 0 for no limit; it is
+// exceeded to return all rows of the last commit.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  uint64 `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// ScanResult holds the rows found. Version is the version that the table had reached when it
-// answered. HasMore is set if the limit cut off rows.
+// ScanResult holds the rows found. Version is the version after which the next scan continues: that
+// of the table, or that of the last row if the limit cut off rows. HasMore is set in that case.
 type ScanResult struct {
 	Rows    []Row  `json:"rows"`
 	Version uint64 `json:"version"`
@@ -128,8 +130,9 @@
 // Resolving lost answers
 
 // ResolvingStore wraps a Store and resolves the outcome of a commit whose answer was lost. The
-// marker of a transaction with a known outcome is no longer needed, and is deleted together with a
-// later transaction.
+// marker of a transaction that is known to have committed is no longer needed, and is deleted
+// together with a later transaction. Other markers remain until Sweep deletes them: the marker of
+// an abandoned transaction prevents it from committing if it arrives later.
 type ResolvingStore struct {
 	Store
 
@@ -140,7 +143,7 @@
 // maxMarkersPerCommit limits how many markers are deleted with one transaction.
 const maxMarkersPerCommit = 16
 
-// takeUsedMarkers returns markers to delete with the next transaction.
+// takeUsedMarkers removes and returns markers to delete with the next transaction.
 func (s *ResolvingStore) takeUsedMarkers() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -208,8 +211,9 @@
 	return 0, errors.Wrapf(ErrUnknown, "resolve outcome of %q at the table service", marker)
 }
 
-// ResolveOnce reads the marker and writes it if it is absent. It returns ErrUnknown if the outcome
-// remains unknown.
+// ResolveOnce reads the marker, and writes it as abandoned if it is absent. It returns the version
+// of a committed transaction and ErrAbandoned for an abandoned one. Any other error, such as
+// ErrUnknown, means that the outcome remains unknown.
 func (s *ResolvingStore) ResolveOnce(ctx context.Context, marker string) (uint64, error) {
 	row, err := s.Read(ctx, marker)
 	if err != nil {
@@ -244,7 +248,8 @@
 	At    time.Time `json:"at"`
 }
 
-// readMarker returns the outcome of a transaction from its marker row.
+// readMarker returns the outcome of a transaction from its marker row: its version, or
+// ErrAbandoned.
 func readMarker(row Row) (uint64, error) {
 	var value markerValue
 	if err := row.Decode(&value); err != nil {
@@ -272,8 +277,8 @@
 )
 
 // Sweep deletes rows under a prefix for which isOld returns true, the oldest first, on condition
-// that they did not change. It scans at most maxRowsPerSweep rows per call and returns the number
-// of deleted rows.
+// that they did not change. It scans the oldest maxRowsPerSweep rows and returns the number of
+// deleted rows. If the transaction fails, that is the number of rows that it would have deleted.
 func Sweep(ctx context.Context, store Store, prefix string, isOld func(Row) bool) (int, error) {
 	found, err := store.Scan(ctx, ScanRequest{
 		Prefix: prefix,
@@ -299,7 +304,8 @@
 	return len(deletion.Writes), errors.Wrapf(err, "sweep %q", prefix)
 }
 
-// IsExpiredMarker reports whether a row is a marker older than MarkerRetention.
+// IsExpiredMarker reports whether a row under MarkerPrefix is older than MarkerRetention. It is
+// false for a row that cannot be decoded.
 func IsExpiredMarker(row Row) bool {
 	var value markerValue
 	return row.Decode(&value) == nil && time.Since(value.At) > MarkerRetention
