--- a/core/presence/presence.go
+++ b/core/presence/presence.go
@@ -1,10 +1,10 @@
 // Package presence decides whether a serving group may receive requests.
 //
-// Presence is an observation with an age, never a flag. A watcher probes every member of a group,
-// and the evidence is as old as the start of its oldest probe. Daemons pass on evidence with its
-// age, and the receiver adds the whole time since it sent its request. So neither clock differences
-// nor a delayed message can make old evidence look fresh. Evidence older than MaxAge does not
-// count.
+// Presence is an observation with an age, never a flag. A watcher probes every member of a group.
+// Evidence that the group is whole is as old as the start of its oldest probe; evidence that it is
+// not is as old as the newest finding. Daemons pass on evidence with its age, and the receiver adds
+// the whole time since it sent its request. So neither clock differences nor a delayed message can
+// make old evidence look fresh. Evidence older than MaxAge does not count.
 package presence
 
 import (
@@ -15,7 +15,8 @@
 const MaxAge = 2500 * time.Millisecond
 
 // Evidence records whether at time ObservedAt every member of Group was present, loaded and of
-// Generation. InFlight and Slots are the load that the group's first member reported.
+// Generation. InFlight and Slots are the requests in flight and the slots that the group's first
+// member reported.
 type Evidence struct {
 	Group      string
 	Generation uint64
