--- a/core/contact/contact.go
+++ b/core/contact/contact.go
@@ -67,7 +67,7 @@
 	return c
 }
 
-// Report returns the newest report of a daemon.
+// Report returns the newest report of a daemon, and false if there is none.
 func (c Contact) Report(daemon string) (Report, bool) {
 	report, ok := c.reports[daemon]
 	return report, ok
@@ -82,7 +82,8 @@
 	return all
 }
 
-// LastStoreRead returns the start time of the last successful read of the store.
+// LastStoreRead returns the start time of the last successful read of the store; zero if there was
+// none.
 func (c Contact) LastStoreRead() time.Time {
 	return c.lastStoreRead
 }
@@ -97,7 +98,8 @@
 	return until
 }
 
-// majorityReportedAt returns the latest time since which a majority of the roster has reported.
+// majorityReportedAt returns the latest time since which a majority of the roster has reported, or
+// the zero time if fewer have. The daemon self, if it is in the roster, counts as reporting now.
 func (c Contact) majorityReportedAt(self string, roster []string, now time.Time) time.Time {
 	majority := len(roster)/2 + 1
 	if len(roster) == 0 {
