--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -116,9 +116,9 @@
 }
 
 // Sources returns the daemons that one daemon pulls from. In a small roster these are all others,
-// each for its own observations. In a large one a relay pulls the observations of every daemon of
-// its zone, and all reports from the relays of other zones. Every other daemon pulls all reports
-// from the relays of its own zone.
+// each for its own observations. In a large one a relay pulls all reports from the other relays of
+// all zones, and the observations of each other daemon of its zone. A daemon that is no relay pulls
+// all reports from the relays of its own zone.
 func (r Roster) Sources(self Daemon) []Source {
 	isSmall := len(r) <= MaxFullMeshSize
 	relays := r.relays()
