--- a/core/neighbours/neighbours.go
+++ b/core/neighbours/neighbours.go
@@ -28,18 +28,19 @@
 const Table = "daemons"
 
 const (
-	// MinRelays is the minimum number of daemons that follow the store for the others: one may be
-	// unresponsive, another one cut off, and the third still serves.
+	// MinRelays is the minimum number of relays: one may be unresponsive, another one cut off, and
+	// the third still serves. A list with fewer daemons has fewer relays.
 	MinRelays = 3
-	// daemonsPerRelay is how many daemons of a zone one relay serves. Serving few daemons takes
-	// little of the processor of the relay's VM, but each relay adds calls to the store.
+	// daemonsPerRelay is the maximum number of daemons of a zone for each of its relays. Serving
+	// few daemons takes little of the processor of the relay's VM, but each relay adds calls to the
+	// store.
 	daemonsPerRelay = 32
 	// MaxStandbys is the maximum number of standbys. If the store refuses each of eight daemons
 	// with a probability of one third, it refuses all of them in one of 6,500 outages.
 	MaxStandbys = 8
-	// maxRelaysCalled is the maximum number of relays that a daemon calls before the standbys. With
-	// thousands of daemons there are tens of relays, and a relay that is cut off costs a call,
-	// since only the call shows that it is.
+	// maxRelaysCalled is the maximum number of relays that a daemon that is no relay calls before
+	// the standbys. With thousands of daemons there are tens of relays, and a relay that is cut off
+	// costs a call, since only the call shows that it is.
 	maxRelaysCalled = 6
 )
 
@@ -76,7 +77,7 @@
 // check returns an error if a decoded daemon is invalid.
 func (d Daemon) check() error {
 	if _, err := netip.ParseAddrPort(d.Address); err != nil || d.Name == "" {
-		return errors.Errorf("decode daemon %q: address %.80q is not IP:port", d.Name, d.Address)
+		return errors.Errorf("decode daemon %q: the name is empty or address %.80q is not IP:port", d.Name, d.Address)
 	}
 	if !(d.Capacity >= 0) {
 		return errors.Errorf("decode daemon %q: strength %v is not 0 or more", d.Name, d.Capacity)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// List is the set of known daemons, sorted by capacity. The zero value is empty.
+// List is the set of known daemons, those with the highest capacity first. The zero value is empty.
 type List struct {
 	daemons []Daemon
 }
@@ -108,8 +109,7 @@
 	return len(l.daemons)
 }
 
-// IsRelay reports whether a daemon follows the store for others. A daemon that is not listed yet
-// does not.
+// IsRelay reports whether a daemon is a relay. A daemon that is not listed yet is none.
 func (l List) IsRelay(name string) bool {
 	return slices.ContainsFunc(l.relays(), func(d Daemon) bool {
 		return d.Name == name
@@ -221,8 +221,8 @@
 }
 
 // relaysAndStandbys returns the relays and the standbys. The relays are the daemons with the
-// highest capacity of each zone, one for every daemonsPerRelay daemons, and further daemons if
-// these are fewer than MinRelays.
+// highest capacity of each zone, one for every daemonsPerRelay daemons or part of them, and further
+// daemons if these are fewer than MinRelays.
 func (l List) relaysAndStandbys() (relays, standbys []Daemon) {
 	daemonsInZone := map[string]int{}
 	for _, daemon := range l.daemons {
@@ -244,14 +244,16 @@
 	return relays, others[:min(MaxStandbys, len(others))]
 }
 
-// maxEarlierRelays is how many of the relays before it a relay calls. If the first relay has
-// stopped for good or is cut off, the next relay follows the store in its place, rather than
-// all relays.
+// maxEarlierRelays is the maximum number of relays that a relay calls: the first ones of those
+// before it. If the first relay has stopped for good or is cut off, the next relay follows the
+// store in its place, rather than all relays.
 const maxEarlierRelays = 3
 
-// RelaysFor returns the relays that a daemon of a zone calls, in call order, those of its zone
-// first. A relay calls the relays before it, and the first relay follows the store itself. When
-// three relays followed the store, two of three calls to it returned the same changes.
+// RelaysFor returns the relays that a daemon of a zone calls, in call order: at most
+// maxRelaysCalled, those of its zone first. A relay calls at most maxEarlierRelays of the relays
+// before it, of any zone, in the order of the list. The first relay calls none and follows the
+// store itself. When three relays followed the store, two of three calls to it returned the same
+// changes.
 func (l List) RelaysFor(name, zone string) []Daemon {
 	order := slices.Clone(l.relays())
 	position := slices.IndexFunc(order, func(d Daemon) bool {
@@ -286,9 +288,10 @@
 	return order
 }
 
-// FallbacksFor returns the daemons that call a relay or a standby and that the store may serve in
-// its place: for a relay the next relays and the standbys, for a standby the standbys after it.
-// Other daemons have none.
+// FallbacksFor returns the daemons that a relay or a standby calls if the store fails for it,
+// because the store may serve them: for a relay at most maxEarlierRelays next relays and the
+// standbys, for a standby the standbys after it. They may call this daemon themselves. Other
+// daemons have no fallbacks.
 func (l List) FallbacksFor(name string) []Daemon {
 	relays, standbys := l.relaysAndStandbys()
 	isSelf := func(d Daemon) bool {
