--- a/core/rowstore/backoff.go
+++ b/core/rowstore/backoff.go
@@ -23,7 +23,7 @@
 type relayBackoffs map[string]backoff
 
 // backoff is the state of a failed relay: the end of its back-off, and the number of consecutive
-// failures.
+// failures, at most maxBackoffDoublings. An answer without a copy resets that number.
 type backoff struct {
 	until    time.Time
 	failures int
--- a/core/rowstore/batcher.go
+++ b/core/rowstore/batcher.go
@@ -10,7 +10,8 @@
 
 // Batcher combines rows that are written at about the same time into few transactions, such as the
 // rows by which all daemons register when the whole system starts. The rows are written without
-// conditions; of two rows with the same key the later one is written. Use NewBatcher.
+// conditions; of two rows of one transaction with the same key the later one is written. Use
+// NewBatcher.
 type Batcher struct {
 	store   Store
 	maxRows int
--- a/core/rowstore/chain.go
+++ b/core/rowstore/chain.go
@@ -15,8 +15,8 @@
 	// counts as a failure of the store. A shorter call shows only that unresponsive relays used up
 	// its time.
 	minStoreWait = 300 * time.Millisecond
-	// maxRelayWait limits the wait of a feed at a relay, so that a crashed relay is detected
-	// early.
+	// maxRelayWait limits the wait of a feed at a relay for tables without a maximum age, so that a
+	// crashed relay is detected early.
 	maxRelayWait = time.Second
 	// relayReadTimeout is the first timeout for reading a table from relays. A daemon that has just
 	// started serves no requests until it has read its tables. Other daemons may start at the same
@@ -35,11 +35,11 @@
 
 // ReaderChain reads tables from the first relay that has a fresh copy, and from the store if no
 // relay has one or this daemon is the first relay. Standbys are called if relays answer that they
-// have no copy. A failed relay costs one short timeout. The store is always the last resort, so
-// relays only save calls and never make a read fail. If the store fails for this daemon, the chain
-// calls the fallbacks, which have a copy if the store serves one of them. Copies that come from
-// fallbacks are not served to other daemons (IsFromFallback); otherwise two daemons would follow
-// each other. Use NewReaderChain.
+// have no copy. A failed relay costs one short timeout. The store is always the last resort, and is
+// called only if the limiter admits the call. If the store fails for this daemon, the chain calls
+// the fallbacks, which have a copy if the store serves one of them. Copies that come from fallbacks
+// are not served to other daemons (IsFromFallback); otherwise two daemons would follow each other.
+// Use NewReaderChain.
 type ReaderChain struct {
 	// BypassesRelays, if set, selects tables whose changes are followed at the store itself,
 	// without relays, to see them as early as possible; relays are used while the store fails. Set
@@ -64,7 +64,8 @@
 	mutex    sync.Mutex
 	peers    Peers
 	backoffs relayBackoffs
-	// isFromFallback is set if the last answer came from a fallback.
+	// isFromFallback is set if the last call ended at a fallback. A failed call to the store does not
+	// change it.
 	isFromFallback bool
 	// limiter decides when the store itself may be called.
 	limiter storeLimiter
@@ -85,7 +86,7 @@
 	Relays []Relay
 	// Standbys are called if relays answer that they have no copy.
 	Standbys []Relay
-	// Fallbacks are daemons that call this one. They are called if the store fails for this daemon.
+	// Fallbacks are called if the store fails for this daemon. They may call this daemon themselves.
 	Fallbacks []Relay
 }
 
@@ -107,14 +108,14 @@
 	c.peers = peers
 }
 
-// IsFromFallback reports whether this daemon's copies come from daemons that call it.
+// IsFromFallback reports whether this daemon's copies come from a fallback, which may call it.
 func (c *ReaderChain) IsFromFallback() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.isFromFallback
 }
 
-// recordSource records whether the last answer came from a fallback.
+// recordSource records whether the last call ended at a fallback, with or without an answer.
 func (c *ReaderChain) recordSource(isFallback bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,7 +137,8 @@
 }
 
 // availableStandbys returns the standbys that are not backed off, or none unless a relay has
-// answered recently that it has no copy. Unresponsive relays have used up the time of a call.
+// answered recently that it has no copy. If the relays were unresponsive instead, they have used up
+// the time of the call.
 func (c *ReaderChain) availableStandbys() []Relay {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -206,9 +208,9 @@
 	}
 }
 
-// relayReadLimit returns the share of a read's time that one relay may take to send a table, so
-// that a relay that has begun to send is not cut off early. After a timeout a Follower gives the
-// next read more time.
+// relayReadLimit returns how long the relays of a read may take to send a table: half of the time
+// that is left, so that a relay that has begun to send is not cut off early. After a timeout a
+// Follower gives the next read more time.
 func relayReadLimit(ctx context.Context) time.Duration {
 	const parts = 2
 	deadline, ok := ctx.Deadline()
@@ -237,7 +239,7 @@
 	})
 }
 
-// HasRelays reports whether the chain has any daemon to call before the store.
+// HasRelays reports whether the chain has relays; standbys and fallbacks do not count.
 func (c *ReaderChain) HasRelays() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -356,7 +358,8 @@
 }
 
 // callRelays calls daemons in turn, each with a timeout. It fails with errNoPeerAnswered if none
-// answers with a fresh copy.
+// answers with a fresh copy, with ErrCompacted if one of them does, and with ErrOutcomeUnknown if
+// ctx ends during a call.
 func (c *ReaderChain) callRelays(ctx context.Context, table string, relays []Relay, timeout time.Duration, call readerCall) (Result, error) {
 	for _, relay := range relays {
 		sent := c.clock.Now()
@@ -387,7 +390,7 @@
 		if c.relaysLackCopies() {
 			return Result{}, errWaitForRelays
 		}
-		return Result{}, errors.Wrap(ErrRefused, "no relay answers and the store failed recently")
+		return Result{}, errors.Wrap(ErrRefused, "no relay has a fresh copy and the store failed recently")
 	}
 	began := time.Now()
 	result, err := call(ctx, c.store)
--- a/core/rowstore/follow.go
+++ b/core/rowstore/follow.go
@@ -17,8 +17,8 @@
 	// takes longer than the first timeout would never be read.
 	baseReadTimeout = 1500 * time.Millisecond
 	maxReadTimeout  = 12 * time.Second
-	// retryPause is the pause after a failed call. It limits a VM to about three calls a second to
-	// a store that refuses them.
+	// retryPause is the pause after a failed call or a rejected answer. It limits a Follower to
+	// about three calls a second to a store that refuses them.
 	retryPause = 300 * time.Millisecond
 )
 
@@ -38,9 +38,10 @@
 	// rows.
 	OnSnapshot func(rows []Row, revision Revision, asOf time.Time)
 	OnChanges  func(rows []Row, revision Revision, asOf time.Time)
-	// OnRestoredSnapshot, if set, is called instead of OnSnapshot in a new era, in which rows may
-	// be older than those known before. RewriteWait, if set, returns how long the owners of rows
-	// take to write what the restored store lacks; after that time the table is read once more.
+	// OnRestoredSnapshot, if set, is called instead of OnSnapshot for the first read in a new era
+	// and for reads within RewriteWait after it, since rows may be older than those known before.
+	// RewriteWait, if set, returns how long the owners of rows take to write what the restored
+	// store lacks; after that time the table is read once more, and OnSnapshot receives it.
 	OnRestoredSnapshot func(rows []Row, revision Revision, asOf time.Time)
 	RewriteWait        func() time.Duration
 	// MergeSnapshot, if set, returns the result that replaces a snapshot, since a restored
@@ -48,12 +49,14 @@
 	MergeSnapshot func(Result) Result
 	// TableCache, if set, receives every accepted result, so that other daemons can follow it.
 	TableCache *TableCache
-	// OnEraChange, if set, is called before OnSnapshot when the table was read in a new era.
+	// OnEraChange, if set, is called before OnSnapshot or OnRestoredSnapshot when the table was read
+	// again in a new era.
 	OnEraChange func(previous, next Revision)
 	// OnRejected, if set, receives each rejected answer and the known revision.
 	OnRejected func(answer Result, known Revision)
-	// OnFailure receives the error of each failed call. OnRecovery is called at the first success
-	// after failures, with the time since the first failure.
+	// OnFailure, if set, receives the error of each failed call except ErrCompacted. OnRecovery, if
+	// set, is called at the first success after failures, with the time since the first failed call
+	// was sent.
 	OnFailure  func(err error)
 	OnRecovery func(downtime time.Duration)
 	Clock      *Freshness
--- a/core/rowstore/freshness.go
+++ b/core/rowstore/freshness.go
@@ -63,7 +63,7 @@
 }
 
 // LocalTime returns a local time at or slightly before the one at which the store's clock showed
-// storeTime in an era. It returns the zero time if no call has proved anything about that era.
+// storeTime in an era. It returns the zero time if that is not the newest era with a proof.
 func (f *Freshness) LocalTime(era int64, storeTime time.Duration) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -73,14 +73,15 @@
 	return f.clockZero.Add(storeTime)
 }
 
-// Era returns the newest era with a proof.
+// Era returns the newest era with a proof; 0 if there is none.
 func (f *Freshness) Era() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.era
 }
 
-// EraEnded returns a channel that is closed when an era newer than era is known.
+// EraEnded returns a channel that is closed when an era newer than era is known. The very first
+// proof does not close a channel that was returned before it.
 func (f *Freshness) EraEnded(era int64) <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -95,9 +96,10 @@
 	return f.eraEnded
 }
 
-// MaxStoreTime returns an upper bound of the store's clock now in an era, and false if there is no
-// proof for it. Another daemon that receives this bound in an answer can date answers without a
-// call to the store of its own, because the store's clock showed no more when it sent its call.
+// MaxStoreTime returns an upper bound of the store's clock now in an era, and false if that is not
+// the newest era with a proof. Another daemon that receives this bound in an answer can date answers
+// without a call to the store of its own, because the store's clock showed no more when it sent its
+// call.
 func (f *Freshness) MaxStoreTime(era int64) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/core/rowstore/restart_test.go
+++ b/core/rowstore/restart_test.go
@@ -114,7 +114,7 @@
 	tableCaches map[string]*rowstore.TableCache
 	began       time.Time
 	mutex       sync.Mutex
-	// readTimes are the times that each daemon took to read the table.
+	// readTimes are the times from the restart to each read of the table.
 	readTimes []time.Duration
 }
 
--- a/core/rowstore/roundrobin.go
+++ b/core/rowstore/roundrobin.go
@@ -34,9 +34,10 @@
 	})
 }
 
-// callInTurn calls each reader in turn, repeatedly, until ctx ends. If any of them answered
-// that it has no copy, that is the returned error, because the error of a call that ctx cut
-// short is less specific.
+// callInTurn calls each reader in turn, repeatedly, until one answers or fails with ErrCompacted, a
+// call ends after timeout, or ctx ends. If any of them answered that it has no copy, that is the
+// returned error, because the error of a call that ctx cut short is less specific. Without readers
+// it fails with ErrRefused.
 func (r roundRobin) callInTurn(ctx context.Context, call func(from Reader) (Result, error)) (Result, error) {
 	lastErr := errors.Wrap(ErrRefused, "no reader to call")
 	began := time.Now()
--- a/core/rowstore/rowstore.go
+++ b/core/rowstore/rowstore.go
@@ -5,9 +5,10 @@
 // orders them by Revision, never by version alone, and reads its tables again in a new era. The
 // conditions of a write are valid only in the era in which their versions were read.
 //
-// A write has three outcomes. ErrRefused and *Conflict mean that nothing was written.
-// ErrOutcomeUnknown means that the write may have been applied, or may still be applied if its
-// conditions hold; the caller must read the rows again before it acts on them.
+// A failed write has one of two outcomes. ErrRefused and *Conflict mean that nothing was written.
+// ErrOutcomeUnknown and ErrRestored mean that the write may have been applied; after
+// ErrOutcomeUnknown it may also be applied later if its conditions hold. The caller must read the
+// rows again before it acts on them.
 //
 // A daemon reads and follows tables with a Follower, through a ReaderChain. The ReaderChain calls
 // the daemon's relays first, then the standbys, then the fallbacks if the store failed recently,
--- a/core/rowstore/seeded.go
+++ b/core/rowstore/seeded.go
@@ -8,7 +8,7 @@
 // SeededReader reads the table of the daemons, from which a starting daemon learns about the
 // others. If each daemon read the whole table from the store, the data sent by the store would grow
 // with the square of their number. Instead a daemon reads the first rows from the store, which name
-// some daemons that have the table, and reads the rest from these. It implements Reader.
+// some daemons that have the table, and reads the table from these. It implements Reader.
 type SeededReader struct {
 	// ReaderChain reads the table once other daemons are known.
 	ReaderChain *ReaderChain
--- a/core/rowstore/seeded_test.go
+++ b/core/rowstore/seeded_test.go
@@ -70,8 +70,8 @@
 	store       *listStore
 	list        neighbours.List
 	tableCaches map[string]*rowstore.TableCache
-	// unresponsive are daemons that do not start again.
-	unresponsive map[string]bool
+	// withoutCopy are daemons that never have a copy for others.
+	withoutCopy map[string]bool
 }
 
 // newStartingFleet returns a registered fleet in three zones, and its daemons. The table also holds
@@ -80,9 +80,9 @@
 	t.Helper()
 	var daemons []neighbours.Daemon
 	f := &startingFleet{
-		store:        &listStore{},
-		tableCaches:  map[string]*rowstore.TableCache{},
-		unresponsive: map[string]bool{},
+		store:       &listStore{},
+		tableCaches: map[string]*rowstore.TableCache{},
+		withoutCopy: map[string]bool{},
 	}
 	for i := range count {
 		daemons = append(daemons, neighbours.Daemon{
@@ -153,10 +153,10 @@
 	return relays[:min(4, len(relays))]
 }
 
-// relay returns a daemon as a relay, which never has a copy if the daemon is unresponsive.
+// relay returns a daemon as a relay.
 func (f *startingFleet) relay(name string) rowstore.Relay {
 	tableCache := f.tableCaches[name]
-	if f.unresponsive[name] {
+	if f.withoutCopy[name] {
 		// No copy is ever applied to this table cache.
 		tableCache = &rowstore.TableCache{}
 	}
@@ -217,13 +217,13 @@
 	}
 }
 
-// Guards against a start that fails if all seeds are unresponsive: it costs their timeout, and then
-// the store is read.
-func TestStartWithUnresponsiveSeedsReadsDaemonListFromStore(t *testing.T) {
+// Guards against a start that fails if no seed has a copy: the relays are tried for
+// relayReadTimeout, and then the store is read.
+func TestStartReadsDaemonListFromStoreIfNoSeedHasCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, daemons := newStartingFleet(t, 360, true)
 		for _, relay := range f.list.Relays() {
-			f.unresponsive[relay.Name] = true
+			f.withoutCopy[relay.Name] = true
 		}
 		longestRead := f.startAll(t, daemons)
 		qt.Assert(t, longestRead < time.Second, qt.IsTrue, qt.Commentf("%s", longestRead))
--- a/core/rowstore/storelimiter.go
+++ b/core/rowstore/storelimiter.go
@@ -9,24 +9,24 @@
 	// failureWindow is how long a failed call to the store limits the following ones. Every
 	// call is billed, even a refused one, and a daemon follows many tables.
 	failureWindow = 3 * time.Second
-	// ageBoundedInterval and otherInterval are the times between two calls during that window, for
-	// tables with a maximum age and for the others.
+	// ageBoundedInterval and otherInterval are the minimum times between two calls during that
+	// window, for tables with a maximum age or with priority, and for the others.
 	ageBoundedInterval = 400 * time.Millisecond
 	otherInterval      = 1500 * time.Millisecond
 	// relayedFactor multiplies the interval for daemons that have relays, none of which answers.
 	relayedFactor = 6
 	// sharedInterval is the time between two calls of all daemons together whose relays report
 	// that they have no copy. The relays call the store themselves, and the answer to a call
-	// of another daemon serves only that daemon. Pauses that each daemon applies by itself add
-	// up with hundreds of daemons.
+	// of another daemon serves only that daemon. With a fixed pause per daemon, the calls of
+	// hundreds of daemons would add up.
 	sharedInterval = 200 * time.Millisecond
 	// noCopyWindow is how long a relay's answer that it has no copy is valid.
 	noCopyWindow = 2 * time.Second
-	// Up to maxImmediateContenders daemons each call the store once, immediately, when their
-	// relays report no copy, since only the relays may be cut off. More daemons spread their
-	// first call over firstTrySpread, so that they do not call at the same moment. The spread
-	// is short, because a copy may be as old as 0.6 of the time within which a configuration
-	// must be in force.
+	// Up to maxImmediateContenders daemons call the store immediately when their relays report
+	// no copy, since only the relays may be cut off, and pause after a call that fails. More
+	// daemons spread their first call over firstTrySpread, so that they do not call at the same
+	// moment. The spread is short, because a copy may be as old as 0.6 of the time within which
+	// a configuration must be in force.
 	maxImmediateContenders = 16
 	firstTrySpread         = 200 * time.Millisecond
 	// manyRelays is the number of relays and standbys from which on practically never all are
@@ -45,7 +45,8 @@
 	// noCopyAt is when a relay last answered that it has no copy. For noCopyWindow after that, the
 	// store may be called from nextTryAt on (zero: not drawn yet) until a call fails; isAdmitting
 	// is set meanwhile. A feed that waits for changes has not failed, so calls for other tables
-	// need not wait for its end. retryInterval is the time from a failed call to the next one.
+	// need not wait for its end. retryInterval is the time from a failed call to the next one while
+	// relays have no copy.
 	noCopyAt      time.Time
 	nextTryAt     time.Time
 	retryInterval time.Duration
@@ -54,7 +55,7 @@
 
 // storeCall describes a call to the store and the daemon that makes it.
 type storeCall struct {
-	// isAgeBounded is set if copies of the table have a maximum age.
+	// isAgeBounded is set if copies of the table have a maximum age or the table has priority.
 	isAgeBounded bool
 	// relays and standbys are the numbers of those that the daemon has. contenders is how many
 	// daemons call the store in the same way as this one if relays and standbys have no copy.
@@ -63,7 +64,7 @@
 	contenders int
 }
 
-// interval returns the time between two calls of a daemon while the store fails.
+// interval returns the minimum time between two calls of a daemon while the store fails.
 func (s storeCall) interval() time.Duration {
 	interval := otherInterval
 	if s.isAgeBounded {
--- a/core/rowstore/table_cache.go
+++ b/core/rowstore/table_cache.go
@@ -165,6 +165,7 @@
 }
 
 // Feed returns the rows that changed since a revision as soon as there is one, or none after wait.
+// It fails with the errors of changesSince, and with ErrOutcomeUnknown if ctx ends first.
 func (t *TableCache) Feed(ctx context.Context, table string, since Revision, wait time.Duration) (Result, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -187,8 +188,9 @@
 	}
 }
 
-// changesSince returns the changes since a revision, and a channel that is closed at the next
-// change. It fails with ErrNoCopy if the caller's era is newer than the copy's.
+// changesSince returns the changes since a revision, and a channel that is closed at the next call
+// of Apply. It fails with ErrNoCopy if there is no copy, the copy may not be served, or the caller's
+// era is newer than the copy's; and with ErrCompacted if the caller must read the table again.
 func (t *TableCache) changesSince(table string, since Revision) (Result, <-chan struct{}, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -223,7 +225,7 @@
 	return result, cached.changed, nil
 }
 
-// emptyResult returns a result with the state of a copy, without rows.
+// emptyResult returns a result with the state of a copy, without rows. The mutex must be held.
 func (t *TableCache) emptyResult(cached *tableCopy) Result {
 	result := Result{
 		Era:       cached.era,
