--- a/core/assembly/adopt.go
+++ b/core/assembly/adopt.go
@@ -59,7 +59,7 @@
 
 // completeMembers returns the members of a head's group by rank, and whether the group is
 // complete: as many servers as the model requires report membership, each with its own
-// rank.
+// rank, and all but the head are ready.
 func completeMembers(head fleet.Server, input Input) ([]fleet.Server, bool) {
 	model, isKnown := input.Config.Service(head.Service).Engine.Model(head.Models[0])
 	if !isKnown {
--- a/core/assembly/allocate.go
+++ b/core/assembly/allocate.go
@@ -83,7 +83,7 @@
 }
 
 // exchange replaces a number of groups of one model by one group of another; gain is how
-// many more requests a second are served in time.
+// many fewer requests a second are missed (missedPerSecond).
 type exchange struct {
 	from    config.Model
 	to      config.Model
@@ -116,7 +116,7 @@
 	return best
 }
 
-// serverBudget returns how many servers groups would use if all were of one model.
+// serverBudget returns how many servers the groups would use if all were of this model.
 func (s *serviceState) serverBudget(model config.Model) float64 {
 	return groupedFraction * float64(s.totalServers) * (1 + extraFractionPerMember*float64(model.GroupSize))
 }
--- a/core/assembly/assembly.go
+++ b/core/assembly/assembly.go
@@ -5,26 +5,28 @@
 // group's epoch, so epochs increase across daemons, restarts, outages, and restores of the
 // store from older copies. Then every member is ordered to join. The head is ordered to
 // open only when every member itself reports that it is ready under that name and epoch.
-// Decisions follow what servers report, never the answer to an order: an answer may be
-// lost, and an order may be carried out seconds later.
+// Decisions follow what servers report, since an answer to an order may be lost, and an
+// order may be carried out seconds later. Of the answers, only those that state a result
+// count: a head that accepts the order to leave, and a server that refuses an order.
 //
-// A group ends at its head. Members are reused only when the head is known to have stopped
-// serving: it reports so, its process has ended, or it has not responded for longer than
-// a group may stall before it breaks. If none of the members has been observed for a long
-// time, only the record is removed.
+// A group ends at its head. Its record is removed, and its members are reused, only when the
+// head is out: its entry shows that it has left, or it has accepted the order to leave. If
+// the head does not answer or has no entry, the other members must have left instead, or the
+// group must have lacked a member for longer than it may stall before it breaks. If none of
+// the members has been observed for a long time, only the record is removed.
 //
 // A group is suspected when daemons report stalled or slow requests there: its members are
 // probed. It ends if a member is unresponsive, or if a member is slow and a spare can replace
 // it.
 //
-// Each step decides in this order: which groups keep serving, form or must end (check,
-// suspect, overdue); how ending groups end safely (finish); how much callers request
-// (demand), how many groups that needs and of which model (need, allocate); the current
-// state of each service (service_state); which groups form (form) or end for other models
-// (convert); which groups serve without a record after a restore of the store (adopt); and
-// which weights servers load in the meantime (warm, stage, second_model). probe holds probe
-// results, recent_models what the store has about loaded models, restart the detection of
-// restarted servers, and plan the result of a step.
+// Each step decides in this order: which servers have restarted (restart); which groups keep
+// serving, form or must end (check, suspect, overdue); how ending groups end safely (finish);
+// which groups serve without a record after a restore of the store (adopt); how much callers
+// request (demand) and the current state of each service (service_state); how many groups
+// that needs and of which model (need, allocate); which groups form (form) or end for other
+// models (convert); and which weights servers load in the meantime (warm, stage,
+// second_model). probe holds probe results, recent_models what the store has about loaded
+// models, and plan the result of a step.
 //
 // The number of groups of a model follows the demand that all daemons measure. Free servers
 // are ready for more than one model: each was once in a group of one, which lets it rejoin
@@ -57,8 +59,8 @@
 	Name string `json:"name"`
 	// Era is the store's era in which the record was written.
 	Era int64 `json:"era,omitempty"`
-	// Epoch is set only for a group that is older than its record. Otherwise the epoch
-	// follows from the era and the version of the record's row.
+	// Epoch is stored only for a group that is older than its record. Otherwise it follows
+	// from the era and the version of the record's row (WithVersion).
 	Epoch   int64  `json:"epoch,omitempty"`
 	Service string `json:"service"`
 	Model   string `json:"model"`
@@ -90,7 +92,8 @@
 	return record.WithVersion(version), nil
 }
 
-// WithVersion returns the record with the epoch that follows from the version of its row.
+// WithVersion returns the record with the epoch that follows from the version of its row,
+// unless the record has an epoch.
 func (r Record) WithVersion(version int64) Record {
 	if r.Epoch == 0 {
 		r.Epoch = rowstore.Revision{
@@ -176,7 +179,8 @@
 	// StallTimeout is how long a group that lacks a member stalls before its head breaks.
 	StallTimeout time.Duration
 	// LoadWindow and LoadLimitFactor limit how many loads may start: LoadWindow is the period
-	// over which loads are counted, LoadLimitFactor a factor on the rate.
+	// over which loads are counted, LoadLimitFactor a factor on the rate; less than 1 counts
+	// as 1.
 	LoadWindow      time.Duration
 	LoadLimitFactor float64
 	// DemandOf, if set, returns the demand for a model, and whether it is known.
--- a/core/assembly/check.go
+++ b/core/assembly/check.go
@@ -121,15 +121,15 @@
 	return sequentialLoads*model.LoadTime + formTimeoutMargin
 }
 
-// joinTimeoutMargin is how much longer than its load a member with staged weights may take
-// to report that it is ready. It covers three orders, of which the platform may lose two,
-// and the update of the member's entry.
+// joinTimeoutMargin is how much longer than the load of staged weights a member may take to
+// report that it has joined. It covers three orders, of which the platform may lose two, and
+// the update of the member's entry.
 const joinTimeoutMargin = 2 * time.Second
 
 // overdueMember returns a member that has not reported in time that it joined a forming
-// group, if its weights were staged and a free server can replace it; otherwise an empty
-// string. Such a member may have lost only its connection to the store, so it answers
-// probes but reports nothing: eleven servers once waited 11 s for one.
+// group, if it does not load from the weight store and a free server can replace it;
+// otherwise an empty string. Such a member may have lost only its connection to the store, so
+// it answers probes but reports nothing: eleven servers once waited 11 s for one.
 func (c *Controller) overdueMember(g *group, input Input, plan *Plan) string {
 	if g.wasOpen || g.record.IsWarmUp {
 		return ""
@@ -185,17 +185,17 @@
 		return "", false
 	}
 	if isHead {
-		return "the head's entry is gone", true
+		return "the head has no entry", true
 	}
 	server, ok := input.Fleet.ServerOrRemoved(id)
 	if !ok {
-		return "member " + id + " is gone", false
+		return "member " + id + " has had no entry recently", false
 	}
 	if !c.hasAnsweredRecently(id) {
 		c.probe(server, plan)
 	}
 	if isUnresponsive, isKnown := c.isUnresponsive(id); isKnown && isUnresponsive {
-		return "member " + id + " is gone and does not answer", false
+		return "member " + id + " has no entry and does not answer", false
 	}
 	return "", false
 }
--- a/core/assembly/controller.go
+++ b/core/assembly/controller.go
@@ -39,7 +39,7 @@
 	// excludedUntil is until when servers that did not join in time are not used, by
 	// server.
 	excludedUntil map[string]time.Time
-	// serverStarts holds the start time of the last observed start, by server.
+	// serverStarts holds the StartedAtMs of the last observed start, by server.
 	serverStarts map[string]int64
 }
 
@@ -49,8 +49,8 @@
 	epoch int64
 }
 
-// closedGroup is the head of an ended group. wasHeadObservedOut is true once the head's own
-// entry has shown that it left.
+// closedGroup is the head of an ended group. wasHeadObservedOut is true once the head has
+// been observed outside the group or without an entry.
 type closedGroup struct {
 	headID             string
 	wasHeadObservedOut bool
@@ -73,7 +73,8 @@
 }
 
 // LoadRecords replaces the groups by the records in the store. What is known about servers is
-// kept; the state of earlier orders is observed from the servers again.
+// kept, and so is the state of a group that is already known with the same epoch. The state of
+// other groups is observed from the servers.
 func (c *Controller) LoadRecords(records []Record) {
 	groups := map[string]*group{}
 	for _, record := range records {
--- a/core/assembly/convert.go
+++ b/core/assembly/convert.go
@@ -34,8 +34,8 @@
 	domainsPerConversion = 8
 )
 
-// conversion ends groups in one domain whose servers are needed for another model. The zero
-// value is no conversion.
+// conversion ends groups in one domain whose servers are needed for a group of a model: groups
+// of other models, and slow groups of any model. The zero value is no conversion.
 type conversion struct {
 	service string
 	domain  string
@@ -46,14 +46,15 @@
 	expiresAt    time.Time
 }
 
-// isUnderWay reports whether groups of the conversion still end or their servers are
-// reserved for its model.
+// isUnderWay reports whether the conversion has not expired: groups of it may still end, and
+// the free servers of its domain are reserved for its model.
 func (v conversion) isUnderWay() bool {
 	return time.Now().Before(v.expiresAt)
 }
 
-// mayStartConversion reports whether one more conversion may start. Conversions that end
-// only slow groups take no working group from any model, and do not count.
+// mayStartConversion reports whether one more conversion that ends working groups may start.
+// Conversions that end only slow groups take no working group from any model, and do not
+// count.
 func (c *Controller) mayStartConversion(state *serviceState) bool {
 	underWay := 0
 	for _, running := range c.conversions {
@@ -131,7 +132,8 @@
 	return true
 }
 
-// pruneConversions removes the conversions of a service whose groups have ended.
+// pruneConversions removes the conversions of a service whose groups have ended, and expired
+// conversions of any service.
 func (c *Controller) pruneConversions(state *serviceState) {
 	maps.DeleteFunc(c.conversions, func(_ string, v conversion) bool {
 		return !v.isUnderWay() || (v.service == state.service.Name && !c.isEnding(v))
@@ -178,8 +180,8 @@
 	return found
 }
 
-// mayEndFor reports whether a group may end for a group of another model. A slow group may
-// always end, because its callers are served late.
+// mayEndFor reports whether a group may end for a new group of a model. A slow group may
+// always end, because its callers are served late; others must be of another model.
 func (c *Controller) mayEndFor(g *group, state *serviceState, model config.Model, ended map[string]int) bool {
 	if c.isSlow(g) {
 		return true
--- a/core/assembly/finish.go
+++ b/core/assembly/finish.go
@@ -23,7 +23,7 @@
 )
 
 // finishEnding completes the end of a group: the head is closed and leaves, and the record
-// is removed once the head is known not to serve.
+// is removed once withdrawHead permits it.
 func (c *Controller) finishEnding(g *group, input Input, plan *Plan) {
 	if g.isRemovalPending {
 		return
@@ -37,7 +37,8 @@
 	planRecentModels(g.record, input, plan)
 }
 
-// withdrawHead makes the head leave its group and reports whether it is known to have left.
+// withdrawHead makes the head leave its group and reports whether the group's record may be
+// removed: the head is known to have left, or it is lost and withdrawLostHead permits it.
 func (c *Controller) withdrawHead(g *group, input Input, plan *Plan) bool {
 	id := g.record.Members[0]
 	head, ok := input.Fleet.Server(id)
@@ -71,7 +72,8 @@
 // it has stopped listening and finishes its work for up to 10 s, which looks like a crash
 // if its entry could not show it. Therefore both the head and the members are ordered to
 // leave: without members the head stalls, and has broken after the stall time whether it is
-// running or not.
+// running or not. The record may be removed once the members have left (withdrawMembers), the
+// group has lacked a member for longer than the stall time, or it is abandoned.
 func (c *Controller) withdrawLostHead(g *group, id string, input Input, plan *Plan) bool {
 	if server, ok := input.Fleet.ServerOrRemoved(id); ok {
 		c.probe(server, plan)
@@ -106,9 +108,10 @@
 }
 
 // withdrawMembers orders the other members of a group to leave, and records since when the
-// group is certain to lack a member. It reports whether at least one member has left and no
-// present member is still in the group, so that none can be in two groups. A member without
-// an entry may come back and still be in the group; it leaves before it is reused.
+// group is certain to lack a member; a group of one counts as such immediately. It reports
+// whether at least one member has left and no member that has an entry and responds is still
+// in the group, so that none can be in two groups. A member without an entry may come back
+// and still be in the group; it leaves before it is reused.
 func (c *Controller) withdrawMembers(g *group, input Input, plan *Plan) bool {
 	leftCount, presentCount := 0, 0
 	for _, id := range g.record.Members[1:] {
--- a/core/assembly/form.go
+++ b/core/assembly/form.go
@@ -22,7 +22,7 @@
 	// its first window, because it has no record of the loads that its predecessor has just
 	// started. Each leader reserves as many for two successors.
 	takeoverFraction = 1.0 / 6
-	// settleTime is how long no new server must have appeared for the fleet to be
+	// settleTime is how long the number of servers must not have changed for the fleet to be
 	// considered complete at the start: servers write their first entries within one
 	// heartbeat.
 	settleTime = 350 * time.Millisecond
@@ -85,7 +85,8 @@
 }
 
 // formGroup plans a group of a model in the domain where it forms soonest, and reports
-// whether it did.
+// whether it did. After the startup phase a group forms only of servers that need no load
+// from the weight store and have answered a probe recently.
 func (c *Controller) formGroup(state *serviceState, model config.Model, input Input, plan *Plan) bool {
 	var best []fleet.Server
 	bestLoads, bestGroups := math.MaxInt, math.MaxInt
@@ -103,9 +104,9 @@
 		return false
 	}
 	if !input.IsStartupPhase && !c.haveAllAnswered(best, plan) {
-		// The servers have been probed and stay reserved for this group until they answer.
-		// Without the reservation a group of another model took half of the servers of a
-		// lost group, which came back by a conversion 2 s later.
+		// The servers have been probed. Until they answer, each step reserves them for this
+		// group. Without the reservation a group of another model took half of the servers
+		// of a lost group, which came back by a conversion 2 s later.
 		state.reserve(model, best)
 		return false
 	}
@@ -197,8 +198,9 @@
 	}
 }
 
-// mayLoad reports whether this many loads may start now. Loads before the first request do
-// not count, according to the platform's documentation.
+// mayLoad reports whether this many loads may start now. Loads in the startup phase are not
+// limited: according to the platform's documentation, loads before the first request do not
+// count.
 func (c *Controller) mayLoad(loads int, engine *config.Engine, input Input) bool {
 	if loads == 0 || input.IsStartupPhase {
 		return true
@@ -223,8 +225,8 @@
 	return limit - successors*takeoverLimit
 }
 
-// pendingLoads counts the loads of groups whose records are being written; their orders
-// follow.
+// pendingLoads returns the maximum number of loads of groups whose records are being written,
+// one for each member; their orders follow.
 func (c *Controller) pendingLoads() int {
 	count := 0
 	for _, record := range c.pendingRecords {
--- a/core/assembly/form_test.go
+++ b/core/assembly/form_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// Loads before the first request are not counted. Applying the limit to them would leave a
-// fleet with a slow weight store half empty when clients arrive.
+// Loads before the first request are not limited. Limiting them would leave a fleet with a
+// slow weight store half empty when clients arrive.
 func TestAllServersLoadBeforeFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimFleet(24)
--- a/core/assembly/group.go
+++ b/core/assembly/group.go
@@ -66,7 +66,8 @@
 	g.endingSince = time.Now()
 }
 
-// planOrder adds an order to a member to the plan unless the same order was given recently.
+// planOrder adds an order to a member to the plan unless the last order to it was of the same
+// kind and was given within orderRetryInterval.
 func (g *group) planOrder(server fleet.Server, kind OrderKind, isImmediate bool, reason string, plan *Plan) {
 	last, ok := g.lastOrders[server.ID]
 	if ok && last.kind == kind && time.Since(last.sentAt) < orderRetryInterval {
--- a/core/assembly/need.go
+++ b/core/assembly/need.go
@@ -11,8 +11,8 @@
 
 const (
 	// memberUnavailability is the fraction of the time that a group is unavailable for each
-	// of its members. If two of 160 servers are lost every three seconds, a group is back
-	// 2 s after the loss of a member; in addition, losses come together.
+	// of its members. It assumes that two of 160 servers are lost every three seconds and
+	// that a group is back 2 s after the loss of a member; in addition, losses come together.
 	memberUnavailability = 0.012
 	// maxGroupUnavailability limits the unavailability of groups of very many members.
 	maxGroupUnavailability = 0.4
@@ -43,7 +43,8 @@
 }
 
 // missedPerSecond returns the expected number of a model's requests a second that are not
-// served in time with this many groups, some of which are unavailable at random.
+// served in time with this many groups, some of which are unavailable at random. Requests
+// that are not served at all count twice, as in lateWeight.
 func (s *serviceState) missedPerSecond(model config.Model, groups int) float64 {
 	unavailability := min(maxGroupUnavailability, memberUnavailability*float64(model.GroupSize))
 	probability := math.Pow(1-unavailability, float64(groups))
@@ -55,9 +56,8 @@
 	return expected * s.requestsPerSecond(model)
 }
 
-// gainPerServer returns how many more requests a second are served in time, for each server
-// of one more group. If a few more groups together gain more for each server, it returns
-// that gain.
+// gainPerServer returns how many fewer requests a second are missed, for each server of one
+// more group. If a few more groups together gain more for each server, it returns that gain.
 func (s *serviceState) gainPerServer(model config.Model, groups int) float64 {
 	const maxAdded = 4
 	best := 0.0
@@ -123,9 +123,9 @@
 
 // serviceLevel returns the service level of a model with this many groups. Below 1 it is
 // the fraction of its requests that the groups keep up with; from 1 to 2 it is the progress
-// towards serving them in time. It is not the fraction of the needed groups: with a tenth
-// fewer groups than needed, requests may be slightly late, or the groups may not keep up at
-// all.
+// towards serving them in time; above 2 there are more groups than needed. It is not the
+// fraction of the needed groups: with a tenth fewer groups than needed, requests may be
+// slightly late, or the groups may not keep up at all.
 func (s *serviceState) serviceLevel(model config.Model, count int) float64 {
 	groups := float64(count)
 	minGroups := s.minGroups(model)
--- a/core/assembly/overdue.go
+++ b/core/assembly/overdue.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// overdueExclusion is how long a server that did not join a group in time is not used. A
-// server that is disconnected from the store loses its entry after three heartbeats, and is
-// usable again once its entry is back.
+// overdueExclusion is how long a server that did not join a group in time is not used. After
+// three heartbeats a server that is disconnected from the store has no entry, and is not used
+// for that reason until its entry is back.
 const overdueExclusion = 5 * time.Second
 
 // excludeOverdue excludes a server that did not join a group in time from other groups for
--- a/core/assembly/restart.go
+++ b/core/assembly/restart.go
@@ -33,10 +33,11 @@
 	}
 }
 
-// handleRestart discards what was observed of a server's former start, and ends the groups
-// that it was ordered to join. The new start has not observed newer epochs and may carry out
-// an order to the former one. So a group never continues with it under the same epoch, and a
-// group whose head restarted keeps its members until they have left.
+// handleRestart discards what was observed of a server's former start, and ends the open
+// groups that it was in and the groups that it was ordered to join. The new start has not
+// observed newer epochs and may carry out an order to the former one. So a group never
+// continues with it under the same epoch, and a group whose head restarted keeps its members
+// until they have left.
 func (c *Controller) handleRestart(server fleet.Server, plan *Plan) {
 	delete(c.probeStates, server.ID)
 	delete(c.stageOrders, server.ID)
--- a/core/assembly/second_model.go
+++ b/core/assembly/second_model.go
@@ -14,8 +14,8 @@
 // Each join replaces the staged weights by those of the group's model, and the other model
 // is staged again.
 
-// stageSecondModels stages a second model on the hosts that have only staged what their
-// server has loaded. Loads are slow and few run at once, so the domains with the fewest
+// stageSecondModels stages a second model on the hosts that can hold one
+// (canStageSecondModel). Loads are slow and few run at once, so the domains with the fewest
 // servers that could change to a model come first. After the loss of one member all others
 // of its group load again; in the order of names, one domain had twelve servers with a
 // second model and the next none.
--- a/core/assembly/service_state.go
+++ b/core/assembly/service_state.go
@@ -13,7 +13,8 @@
 	service     *config.Service
 	freeServers map[string][]fleet.Server
 	domains     []string
-	// liveGroups counts the groups of each model, liveInDomain does so by domain.
+	// liveGroups counts the groups of each model that are to serve, including those whose
+	// records are being written; liveInDomain does so by domain.
 	liveGroups   map[string]int
 	liveInDomain map[string]map[string]int
 	// openGroups are the open groups by domain, in the order of their names.
@@ -84,7 +85,7 @@
 		}
 		head, _ := input.Fleet.Server(record.Members[0])
 		if input.EvacuatedZones.Contains(head.Zone) {
-			// The group gets no requests, and is kept until the evacuation is cancelled.
+			// The group will get no requests, and is kept until the evacuation is cancelled.
 			return
 		}
 		if record.IsWarmUp {
@@ -228,7 +229,8 @@
 }
 
 // isFree reports whether a server without a record may join a group: it is in no group that
-// could still serve, its last probes did not fail, and it is not slow.
+// could still serve, its last probes did not fail, it is not slow, and it is not excluded
+// (excludeOverdue). A server whose probes failed or that is slow is probed again.
 func (c *Controller) isFree(server fleet.Server, plan *Plan) bool {
 	if time.Now().Before(c.excludedUntil[server.ID]) {
 		return false
--- a/core/assembly/sim_test.go
+++ b/core/assembly/sim_test.go
@@ -47,8 +47,7 @@
 	probeCount int
 	// clearedCounts counts how often the suspicion of a group was cleared.
 	clearedCounts map[string]int
-	// demand is the demand for each model, in requests of 100 tokens; the demand for a
-	// missing model is not known.
+	// demand is the demand for each model; the demand for a missing model is not known.
 	demand map[string]usage.Rate
 	// zoneOfDomain is the zone of each domain, evacuated the evacuated zones. A join there
 	// is a violation.
@@ -328,7 +327,7 @@
 }
 
 // setDemandPerGroup sets the demand for a model so that each group that serves now has
-// heldPerGroup requests in flight.
+// inFlightPerGroup requests in flight.
 func (s *simFleet) setDemandPerGroup(model string, inFlightPerGroup int) {
 	s.setDemand(model, float64(inFlightPerGroup*s.countServing(model)))
 }
--- a/core/assembly/stage.go
+++ b/core/assembly/stage.go
@@ -18,8 +18,9 @@
 	stageRetryInterval = 3 * time.Second
 )
 
-// stageWeights stages weights on the hosts of free servers, so that a repair needs no load
-// from the weight store: first for models that lack groups, then for spares.
+// stageWeights stages weights on hosts, so that a repair needs no load from the weight store:
+// on the hosts of free servers first for models that lack groups, then for spares; after that
+// second models, on the hosts of all servers.
 func (c *Controller) stageWeights(state *serviceState, input Input, plan *Plan) {
 	for _, model := range state.service.Engine.Models {
 		if state.liveGroups[model.Name] >= state.targetGroups(model) {
@@ -67,7 +68,8 @@
 	return ok
 }
 
-// hasOrLoads reports whether a server has a model's weights, or is loading them.
+// hasOrLoads reports whether a server has a model's weights, or is loading them. A server with
+// a pending stage order counts only for the model of that order.
 func (c *Controller) hasOrLoads(server fleet.Server, model string) bool {
 	if c.isStaging(server) {
 		return c.stageOrders[server.ID].model == model
--- a/core/assembly/suspect.go
+++ b/core/assembly/suspect.go
@@ -49,12 +49,13 @@
 	// unresponsiveMember and slowMember each name such a member, or are empty.
 	unresponsiveMember string
 	slowMember         string
-	// isComplete is true if there are recent probe results of all members.
+	// isComplete is true if all members that have an entry have recent probe results from
+	// after the suspicion.
 	isComplete bool
 }
 
 // examineMembers examines the members of a group up to the first unresponsive one, and
-// probes those without recent results.
+// probes those without recent results. Members without an entry are skipped.
 func (c *Controller) examineMembers(g *group, input Input, plan *Plan) memberFindings {
 	findings := memberFindings{
 		isComplete: true,
--- a/core/assembly/warm.go
+++ b/core/assembly/warm.go
@@ -12,9 +12,9 @@
 // group of its own once, which never opens, and leaves. Then it can replace a member of
 // either model, and a group of the first model is down 1.4 s less.
 
-// warmUp makes free servers that have joined no group since their start join a warm-up
-// group. Before the first request, when loads are quick, servers without weights load this
-// way.
+// warmUp makes free servers that have joined no group since their start and have staged
+// weights join a warm-up group, unless a model lacks groups. In the startup phase, when loads
+// are quick, it does so in any case, and servers without weights load this way.
 func (c *Controller) warmUp(state *serviceState, input Input, plan *Plan) {
 	if _, isBelowTarget := state.neediestModel(true); isBelowTarget && !input.IsStartupPhase {
 		return
