--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -3,9 +3,10 @@
 // Each organisation has a queue. When a group has capacity, the organisation with the least
 // service relative to its share goes first (start-time fair queueing), so a large organisation
 // cannot starve a small one. Within an organisation, the higher priority goes first, then the
-// earlier request. Queues and requests in flight are limited for each organisation. A request
-// that exceeds a limit is rejected at once, one that waits too long at its deadline, each with
-// the time after which to retry.
+// earlier request. The request rate, the queue and the requests in flight are limited for each
+// organisation. A request beyond the rate or the queue limit is rejected at once; one beyond the
+// limit of requests in flight waits, and is rejected when its context ends. RetryAfter returns the
+// time after which to retry.
 package admission
 
 import (
@@ -44,7 +45,8 @@
 type account struct {
 	inFlight int
 	queued   int
-	// virtualTime is the number of started requests divided by the organisation's share.
+	// virtualTime increases by 1 divided by the organisation's share with each started request.
+	// When an idle organisation becomes active, it is raised to minVirtualTime.
 	virtualTime float64
 	limiter     *rate.Limiter
 }
@@ -105,7 +107,8 @@
 	return w, nil
 }
 
-// accountOf returns the organisation's account and updates its rate to the declared one.
+// accountOf returns the organisation's account and updates its rate to this daemon's part of the
+// declared one. The mutex must be held.
 func (q *Queue) accountOf(request Request) *account {
 	if q.organisations == nil {
 		q.organisations = map[string]*account{}
