--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -9,10 +9,10 @@
 // the servers evenly, so the sum over all daemons is even, with nine daemons as with
 // thousands. Random tie-breaking prevents daemons from choosing in lockstep.
 //
-// Observed failures and silence decide whether a server is used at all. A group that lost a
-// member accepts requests and answers none; the first sign of it is that all its streams are
-// silent. The daemon then ejects the server for a while and lets a single request through from
-// time to time, to detect recovery. A server that other daemons report as degraded ranks after
+// A server with observed failures or silence is ejected for a while: it ranks after all others. A
+// group that lost a member accepts requests and answers none; the first sign of it is that all its
+// streams are silent. After the ejection the server gets requests again. If it fails again, the
+// next ejection lasts twice as long. A server that other daemons report as degraded ranks after
 // healthy ones. These are all preferences. In contrast, a paused or draining server
 // (core/directive) is never a candidate.
 package balancer
@@ -24,9 +24,9 @@
 )
 
 const (
-	// minEjectionTime is the ejection time after the first failure. Each further failure
-	// doubles it, up to maxEjectionTime. A group that lost a member breaks after 5 s and is
-	// replaced long before that.
+	// minEjectionTime is the duration of the first ejection. Each further ejection without a
+	// success in between lasts twice as long, up to maxEjectionTime. A group that lost a member
+	// breaks after 5 s and is replaced long before that.
 	minEjectionTime = 400 * time.Millisecond
 	maxEjectionTime = 6 * time.Second
 	// toleratedFailures is the number of consecutive common failures that do not eject a
@@ -83,8 +83,8 @@
 	failures     int
 	ejectedUntil time.Time
 	ejectionTime time.Duration
-	// isSilent reports that the server was ejected for silence. Such an ejection ends when the
-	// server sends an event. silentSince is when it began.
+	// isSilent reports that the server was ejected for silence and has not answered or sent an
+	// event since, which ends such an ejection early. silentSince is when the ejection began.
 	isSilent    bool
 	silentSince time.Time
 }
@@ -253,7 +253,8 @@
 }
 
 // Eject ejects a server with requests in flight that has been silent for unusually long. The
-// ejection ends when the server sends an event.
+// ejection ends early when the server answers or sends an event. A server that is already ejected
+// stays ejected as before.
 func (t *Tracker) Eject(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -268,7 +269,8 @@
 	server.ejectedUntil = now.Add(server.ejectionTime)
 }
 
-// SilenceDuration returns the time since the last answer or event of a server.
+// SilenceDuration returns the time since the last answer or event of a server. It exceeds any
+// threshold if none was recorded.
 func (t *Tracker) SilenceDuration(id string) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/core/balancer/model_test.go
+++ b/core/balancer/model_test.go
@@ -17,8 +17,7 @@
 // for about a second. The result is the fraction of requests that reach a head without a free
 // place, since these are late. Sizes and rates are those of a deployment of 295 daemons and 65
 // groups: five zones of 13 heads with 22 places each, and 830 requests a second. A third of a
-// zone's daemons gets a third more of the callers. Other fleet sizes have the same load for
-// each head.
+// zone's daemons gets half of the callers. Other fleet sizes have the same load for each head.
 
 const (
 	// modelZoneRate is in requests a second. A request takes modelMinServiceTime plus an
--- a/core/balancer/preference.go
+++ b/core/balancer/preference.go
@@ -9,7 +9,8 @@
 )
 
 // Preference orders candidates by the daemon's zone and by the demand of each zone, before the
-// daemon's own requests count. It is immutable. The zero value prefers no server.
+// daemon's own requests count. It is immutable. The zero value has no zone and no subset: zones are
+// drawn in proportion to their capacity.
 type Preference struct {
 	// Zone is the daemon's availability zone. Position is its position among the daemons
 	// there.
@@ -52,8 +53,9 @@
 	for i, candidate := range candidates {
 		candidate.tier = p.tierOf(candidate, zone, isInSubset)
 		if candidate.tier == tierOtherZone && len(chosen) == len(ids) {
-			// A daemon that uses all servers of a zone sees a good part of their load. It
-			// leaves the zone by its own requests sooner than by the demand of all zones.
+			// A daemon that uses all servers of a zone sees a good part of their load. Its own
+			// requests in flight show sooner than the demand of all zones that requests should
+			// leave the zone.
 			candidate.tier = tierSubset
 			candidate.isCrossZone = true
 		}
@@ -71,7 +73,7 @@
 	case zone != "" && candidate.Zone != zone:
 		return tierOtherZone
 	case isInSubset[candidate.ID] || candidate.IsDegraded:
-		// IsDegraded alone ranks the server after all others.
+		// IsDegraded alone ranks the server after all healthy ones.
 		return tierSubset
 	default:
 		return tierZone
