--- a/core/control/control_test.go
+++ b/core/control/control_test.go
@@ -138,8 +138,8 @@
 		leaving := f.VMList[record.Members[1].VM]
 		leaving.State = vm.Leaving
 		f.VMList[leaving.ID] = leaving
-		leader := f.Servers[record.Members[0].VM]
-		leader.RequestEnds = []time.Time{time.Now().Add(5 * time.Second)}
+		head := f.Servers[record.Members[0].VM]
+		head.RequestEnds = []time.Time{time.Now().Add(5 * time.Second)}
 		f.Run(3 * time.Second)
 		qt.Assert(t, f.MinServingGroups(), qt.Equals, 5)
 		// The request in flight ends before the group is formed again.
--- a/core/control/controller.go
+++ b/core/control/controller.go
@@ -49,8 +49,8 @@
 type Actions struct {
 	Commits []Commit
 	Orders  []OutgoingOrder
-	// NeedsRefresh requests a read of the store now, because a known row was found to be
-	// stale.
+	// NeedsRefresh requests a read of the store now, because a commit failed and known rows
+	// may be stale.
 	NeedsRefresh bool
 }
 
@@ -93,8 +93,8 @@
 	fleetReader  plan.Reader
 	isFleetStale bool
 	roster       roster.Roster
-	// liveDaemons are the daemons whose reports are recent. watchCache caches by name
-	// whether this daemon is one of their watchers.
+	// liveDaemons are the daemons whose reports are recent, and this one. watchCache caches by
+	// evidence name whether this daemon is a watcher.
 	liveDaemons roster.Roster
 	watchCache  map[string]bool
 
@@ -205,7 +205,7 @@
 	c.addRows(rows)
 }
 
-// ApplyReports adds reports of which rows daemons hold, and evidence of groups.
+// ApplyReports adds reports of which configuration daemons hold, and evidence of groups and VMs.
 func (c *Controller) ApplyReports(reports []contact.Report, evidence []presence.Evidence) {
 	c.recordNegativeEvidence(evidence)
 	c.contact = c.contact.WithReports(reports...)
@@ -340,7 +340,8 @@
 	}
 	fleet, err := c.fleetReader.FleetState(c.rows, listed)
 	if err != nil {
-		// A row that cannot be decoded is left to a daemon that can decode it.
+		// The previous state stays in force. A row that cannot be decoded is left to a daemon
+		// that can decode it.
 		return
 	}
 	c.fleet = fleet
@@ -410,12 +411,12 @@
 	return c.roster
 }
 
-// Contact returns when the store and other daemons were last in contact.
+// Contact returns the time of the last read of the store and the newest reports of daemons.
 func (c *Controller) Contact() contact.Contact {
 	return c.contact
 }
 
-// Evidence returns the newest evidence of every group.
+// Evidence returns the newest evidence of every group and VM.
 func (c *Controller) Evidence() presence.EvidenceSet {
 	c.deriveEvidence()
 	return c.evidence
--- a/core/control/groups.go
+++ b/core/control/groups.go
@@ -199,7 +199,7 @@
 	c.commitGroup(actions, held, record, record.WithMembers(members, choice.Zone, choice.Domain, c.fleet.MaxGeneration(members)))
 }
 
-// repairGroup applies the cheapest remedy for lost members.
+// repairGroup applies the repairer's remedy for lost members.
 func (c *Controller) repairGroup(actions *Actions, held lease.Lease, record group.Record, lost []int, now time.Time) {
 	model, ok := c.fleet.Configuration.Declaration.Model(record.Model)
 	if !ok {
@@ -273,7 +273,8 @@
 	return replaced
 }
 
-// dissolveGroup frees the VMs of a drained group, or forms the group that replaces it.
+// dissolveGroup frees the VMs of a drained group and deletes its row. If the group has a Next
+// record, it becomes that instead: waiting if Next has no members, or else loading.
 func (c *Controller) dissolveGroup(actions *Actions, held lease.Lease, record group.Record) {
 	if record.Next != nil && len(record.Next.Members) == 0 {
 		next := record.WithoutMembers()
--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -110,7 +110,8 @@
 // ----------------------------------------------------------------------------
 // Leases
 
-// stepLeases renews held leases, drops lost ones and takes over free ones.
+// stepLeases renews held leases, drops lost ones, takes over free ones, and hands over those for
+// which another daemon ranks first.
 func (c *Controller) stepLeases(actions *Actions, now time.Time) {
 	c.syncHeldLeases()
 	if c.isLeaving {
@@ -163,8 +164,8 @@
 	holder  string
 }
 
-// holderOf returns the holder of a shard according to its row, or "" if there is none. Each
-// version of a row is decoded once.
+// holderOf returns the holder of a shard according to its row, or "" if there is none or the row
+// cannot be decoded. Each version of a row is decoded once.
 func (c *Controller) holderOf(shard int, row table.Row) string {
 	if cached := c.grantCache[shard]; cached.version == row.Version {
 		return cached.holder
--- a/core/control/plans.go
+++ b/core/control/plans.go
@@ -13,9 +13,9 @@
 
 const planCommitPrefix = "plan "
 
-// stepPlans carries out the next step of every plan whose shard this daemon holds. Progress
-// is derived from the groups and not stored, so that another daemon can continue a plan at
-// any point.
+// stepPlans carries out the next step of every plan whose shard this daemon holds. Only the
+// stage is stored. Progress within it is derived from the fleet state, so that another daemon
+// can continue a plan at any point.
 func (c *Controller) stepPlans(actions *Actions) {
 	for _, held := range c.UsableLeases() {
 		for _, current := range c.fleet.Plans {
@@ -103,7 +103,7 @@
 	return change, false, ""
 }
 
-// retireVM marks a VM's claim as retired once no group has the VM.
+// retireVM marks a VM's claim as retired. It fails if a group has the VM.
 func (c *Controller) retireVM(step plan.Step) (change table.Transaction, isDone bool, reason string) {
 	claim := c.fleet.Claims[step.VM]
 	if claim.Retired {
--- a/core/control/watch.go
+++ b/core/control/watch.go
@@ -54,7 +54,7 @@
 	return targets
 }
 
-// OwnEvidence returns the newest evidence from this daemon's own probes.
+// OwnEvidence returns the newest evidence from this daemon's own probes that other daemons need.
 func (c *Controller) OwnEvidence() []presence.Evidence {
 	c.deriveEvidence()
 	evidence := make([]presence.Evidence, 0, len(c.ownEvidence))
@@ -66,7 +66,8 @@
 	return evidence
 }
 
-// AllEvidence returns the newest evidence from own probes and from reports.
+// AllEvidence returns the newest evidence from own probes and from reports that other daemons
+// need.
 func (c *Controller) AllEvidence() []presence.Evidence {
 	return slices.DeleteFunc(c.Evidence().All(), func(entry presence.Evidence) bool {
 		return !c.isWorthReporting(entry)
@@ -95,7 +96,8 @@
 	}
 }
 
-// unresponsiveAfter is how long a free VM may be unresponsive and still be chosen.
+// unresponsiveAfter is how long a VM without a group may be unresponsive before evidence shows
+// that it is not whole. A free VM is then no longer chosen.
 const unresponsiveAfter = 10 * time.Second
 
 // markUnresponsive derives which free VMs are known not to answer. A VM without evidence is
