--- a/core/declaration/declaration.go
+++ b/core/declaration/declaration.go
@@ -6,7 +6,7 @@
 // creates a numbered revision. Each problem is reported with its file, line and
 // field, for example:
 //
-//	caudal-andino.yaml:14: models[0].vms_per_replica: must be 1 to 64
+//	caudal-andino.yaml:14: models[0].vms_per_replica: must be 1 to 64, not 80
 package declaration
 
 import (
@@ -97,7 +97,7 @@
 // Duration is a length of time written with its unit, such as 1.5s or 2m.
 type Duration string
 
-// Or returns the duration, or fallback if none was declared.
+// Or returns the duration, or fallback if it is empty or invalid.
 func (d Duration) Or(fallback time.Duration) time.Duration {
 	parsed, err := time.ParseDuration(string(d))
 	if err != nil {
--- a/core/declaration/diff.go
+++ b/core/declaration/diff.go
@@ -7,9 +7,9 @@
 )
 
 // Diff returns the fields in which two declarations differ, in the order of
-// their paths, each as "path: old → new". Paths contain the names of list entries
-// instead of indexes, so that an added organisation does not change the paths of
-// the others.
+// their paths, each as "path: old → new", "path: added new" or "path: removed old".
+// Paths contain the names of list entries instead of indexes, so that an added
+// organisation does not change the paths of the others.
 func Diff(from, to Declaration) []string {
 	oldLeaves, newLeaves := map[string]string{}, map[string]string{}
 	flatten("", toJSONValue(from), oldLeaves)
--- a/core/declaration/parse.go
+++ b/core/declaration/parse.go
@@ -21,7 +21,9 @@
 }
 
 // Parse decodes the files as one declaration and checks it. Each top-level field
-// may be in one file only. The error lists every problem with its file and line.
+// may be in one file only. The error lists the first problem of each file that cannot
+// be decoded, or if there is none, all problems that Check finds. It gives the file and
+// the line, except for a top-level field that is in none of the files.
 func Parse(files []File) (Declaration, error) {
 	var merged Declaration
 	fileOfField := map[string]File{}
