--- a/core/demand/aggregator.go
+++ b/core/demand/aggregator.go
@@ -160,8 +160,8 @@
 	return a.subtreeReport("").Demand
 }
 
-// TokenRates returns the token rates of a kind in all zones, and whether anything is known
-// about the demand at other daemons.
+// TokenRates returns the sum of the token rates of a kind over all zones, and whether anything
+// is known about the demand at other daemons.
 func (a *Aggregator) TokenRates(kind Kind) (rate usage.Rate, isKnown bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/core/demand/meter.go
+++ b/core/demand/meter.go
@@ -16,7 +16,7 @@
 // together do not make a rate.
 const minWindowAge = 500 * time.Millisecond
 
-// maxKinds limits the kinds that a meter stores.
+// maxKinds limits the kinds that a meter stores; a new kind beyond it clears the map.
 const maxKinds = 256
 
 // Meter measures the demand at one daemon. The zero value has measured nothing. It is safe
