--- a/core/eventstream/eventstream.go
+++ b/core/eventstream/eventstream.go
@@ -33,7 +33,7 @@
 }
 
 // Next returns the next complete event, or false if the buffer has none. The event
-// is valid until the next call of Write.
+// is valid until the next call of Next or Write.
 func (s *Splitter) Next() (Event, bool) {
 	end := eventLength(s.pending[s.offset:])
 	if end < 0 {
