--- a/core/fleet/grace.go
+++ b/core/fleet/grace.go
@@ -49,8 +49,8 @@
 	return min(removalGrace, time.Duration(removalGraceFraction*float64(g.DrainBound)))
 }
 
-// afterOutage returns the maximum grace of entries removed soon after the end of an
-// outage, which may be those of servers that have just left.
+// afterOutage returns the maximum grace of entries removed more than backlogTime after the
+// end of an outage, which may be those of servers that have just left.
 func (g Grace) afterOutage() time.Duration {
 	return max(g.afterRemoval(), time.Duration(lateGraceFraction*float64(g.DrainBound)))
 }
