--- a/core/group/decide.go
+++ b/core/group/decide.go
@@ -13,12 +13,12 @@
 	// RefusedLostTimeout replaces LostTimeout if the member's VM refuses connections. Its
 	// process has ended and lost its state, so waiting longer gains nothing.
 	RefusedLostTimeout = 1500 * time.Millisecond
-	// MinDrainTime is the minimum time before the members of a draining group are unloaded,
-	// so that every daemon observes that it is draining, if its backend servers check
-	// generations.
+	// MinDrainTime is the minimum time before the members of a draining group are unloaded, if
+	// all their backend servers check orders. It lets every daemon observe that the group is
+	// draining.
 	MinDrainTime = 3 * time.Second
-	// MinDrainTimeUnchecked replaces MinDrainTime if the backend servers do not check
-	// generations. After this time no daemon that may still serve considers the group serving.
+	// MinDrainTimeUnchecked replaces MinDrainTime if a backend server does not check orders.
+	// After this time no daemon that may still serve considers the group serving.
 	MinDrainTimeUnchecked = 10 * time.Second
 )
 
@@ -27,8 +27,9 @@
 	// IsFresh means that the member answered a recent probe with State.
 	IsFresh bool
 	State   order.ServerState
-	// UnresponsiveFor is the time since the member's last answer. IsRefused means that its VM
-	// refuses connections.
+	// UnresponsiveFor is the time since the member's last answer, or since its first probe if it
+	// has not answered. Time before the group's record and the controller's lease were observed
+	// does not count. IsRefused means that the VM refuses connections.
 	UnresponsiveFor time.Duration
 	IsRefused       bool
 	// IsListed is false if the VM list no longer has the VM.
@@ -58,7 +59,7 @@
 	Relocate Action = "vacate"
 	// SendUnload orders the members in Decision.Members to unload.
 	SendUnload Action = "send_unload"
-	// Dissolve frees the VMs and deletes the group.
+	// Dissolve frees the VMs and deletes the group, or lets it become Record.Next.
 	Dissolve Action = "dissolve"
 )
 
@@ -157,7 +158,7 @@
 }
 
 // decideDraining unloads the members once no request is in flight, and dissolves the group
-// once every member that answers has unloaded.
+// once every member has unloaded, is lost or is no longer listed.
 func (r Record) decideDraining(views []MemberView, phaseFor time.Duration) Decision {
 	drainDelay := MinDrainTime
 	if !r.ChecksOrders() {
