--- a/core/leader/leader.go
+++ b/core/leader/leader.go
@@ -49,8 +49,8 @@
 	// Term is how long a lease is valid after its last rewrite. It bounds how long groups
 	// are not repaired after the leader crashes.
 	Term = 2500 * time.Millisecond
-	// renewInterval is the time between two rewrites of the lease row. It allows two lost
-	// rewrites within a term.
+	// renewInterval is the time between two rewrites of the lease row. A failed rewrite is
+	// repeated at the next check, a quarter of the interval later, until the lease expires.
 	renewInterval = 800 * time.Millisecond
 	// pollInterval is the time between two checks of the observed lease row.
 	pollInterval = 50 * time.Millisecond
@@ -96,13 +96,15 @@
 	// OnChange is called with the reason when this daemon gains or loses the lease.
 	OnChange func(isLeader bool, lease rowstore.Revision, reason string)
 	// IsStoreUnavailable, if set, reports whether the store is unreachable. The lease is not
-	// attempted then; otherwise all daemons would retry throughout an outage.
+	// attempted then, unless the row names this daemon; otherwise all daemons would retry
+	// throughout an outage.
 	IsStoreUnavailable func() bool
 
 	mutex sync.Mutex
-	// observed is the latest observed revision of the row and observedAt the time of that
-	// observation; version 0 means that there is no row. holder is the daemon in the row.
-	// hasSnapshot is set once the whole table was observed.
+	// observed is the latest observed revision of the row; version 0 means that there is no row.
+	// observedAt is when it was observed, or a later time from which the wait for the lease
+	// counts. holder is the daemon in the row. hasSnapshot is set once the whole table was
+	// observed.
 	observed    rowstore.Revision
 	observedAt  time.Time
 	holder      string
@@ -201,8 +203,8 @@
 }
 
 // mayAcquire reports whether this daemon may attempt to acquire the lease now: the lease is
-// free, was this daemon's own before a restart, or was not rewritten for a term. It returns
-// the revision of the row on which the attempt is conditional.
+// free, was not rewritten for a term, or its row names this daemon, as after a restart. It
+// returns the revision of the row on which the attempt is conditional.
 func (e *Elector) mayAcquire() (rowstore.Revision, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -358,7 +358,7 @@
 }
 
 // A store may apply a write seconds later. Such a write must fail once its writer has
-// received ErrUnknown, since the version of the lease row has changed.
+// received ErrOutcomeUnknown and rewritten the lease row, whose version has then changed.
 func TestDelayedCommitIsNotApplied(t *testing.T) {
 	runWithFakeClock(t, func(ctx context.Context, t *testing.T) {
 		c := newCluster("a")
--- a/core/leader/lease.go
+++ b/core/leader/lease.go
@@ -102,10 +102,11 @@
 }
 
 // Commit applies a change under the lease and renews the lease in the same transaction. It
-// returns the revision of the changed rows. ErrLost means that the lease is lost and that
-// the change was not applied and will not be, unless the store was restored meanwhile.
-// rowstore.ErrOutcomeUnknown means that the change may have been applied but can no longer be
-// applied later.
+// returns the revision of the changed rows. ErrLost means that the lease is lost. The change
+// will not be applied later, and was not applied before unless its answer was lost; neither is
+// certain if the store was restored meanwhile. rowstore.ErrOutcomeUnknown means that the change
+// may have been applied. If fencing it failed too, it can still be applied until the next
+// successful Commit.
 func (l *Lease) Commit(ctx context.Context, writes, removes []rowstore.Row) (rowstore.Revision, error) {
 	l.commitMutex.Lock()
 	defer l.commitMutex.Unlock()
@@ -168,8 +169,10 @@
 	})
 }
 
-// fencePending ensures that a change whose answer was lost can no longer be applied: it
-// rewrites the lease row, on whose version the change is conditional.
+// fencePending tries to ensure that a change whose answer was lost can no longer be applied: it
+// rewrites the lease row, on whose version the change is conditional. It returns ErrLost if
+// another start holds the lease or the era has ended, and rowstore.ErrOutcomeUnknown otherwise,
+// whether or not the rewrite succeeded.
 func (l *Lease) fencePending(ctx context.Context) error {
 	revision, stored, err := readLease(ctx, l.store)
 	if err != nil {
@@ -188,7 +191,8 @@
 	committed, err := l.commitOnce(ctx, nil, nil)
 	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
-		// The pending change was applied in between; the next call observes it.
+		// The lease row changed in between, usually by the pending change. The next Commit is
+		// conditional on the former version, conflicts, and marks the lease as lost.
 		return errors.Wrap(rowstore.ErrOutcomeUnknown, "fence pending change")
 	}
 	if err == nil {
