--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -2,7 +2,7 @@
 // until when.
 //
 // Control work is divided into a fixed number of shards. The lease row of a shard changes
-// only when the lease is granted to another daemon, so its version serves as the epoch and
+// only when the lease is granted or released, so its version serves as the epoch and
 // fencing token: every write of the holder is conditional on it, and a holder that was
 // paused past its lease cannot change anything. A daemon renews all its leases by one
 // renewal row, so the store's load does not grow with the number of shards. Another daemon
