--- a/core/locality/locality.go
+++ b/core/locality/locality.go
@@ -30,8 +30,8 @@
 }
 
 // Divide returns how the requests of ownZone are divided over the zones. The fractions add up
-// to 1. The result is empty if there is no capacity. If the demand is unknown, requests stay in
-// their zone if it has any capacity.
+// to 1. The result is empty if there is no capacity, or if ownZone has none and no other zone has
+// spare capacity. If the demand is unknown, requests stay in their zone if it has any capacity.
 func Divide(ownZone string, zones []Zone) []Share {
 	capacity, demand := totals(zones)
 	if capacity <= 0 {
@@ -66,8 +66,9 @@
 	return capacity, demand
 }
 
-// localFraction returns the fraction of a zone's requests that stay there. It is 1 unless the
-// zone's fraction of the demand exceeds its fraction of the capacity.
+// localFraction returns the fraction of a zone's requests that stay there. It is 0 if the zone has
+// no capacity. Otherwise it is 1 unless the zone's fraction of the demand exceeds its fraction of
+// the capacity.
 func localFraction(ownZone string, zones []Zone, capacity, demand float64) float64 {
 	for _, zone := range zones {
 		if zone.Name != ownZone {
