--- a/core/placement/baselines.go
+++ b/core/placement/baselines.go
@@ -8,7 +8,7 @@
 // to the first domain with enough free VMs, regardless of the weights.
 type FirstFit struct{}
 
-// Repair returns the first remedy that fits.
+// Repair returns the first remedy that fits, or Wait if none does.
 func (FirstFit) Repair(loss Loss, domains []Domain, _ declaration.Weights) (Remedy, Choice) {
 	ordered := sortedDomains(domains)
 	if spares := freeVMsOf(ordered, loss.Domain); loss.RemainingMembers > 0 && len(spares) >= loss.LostMembers {
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -6,10 +6,10 @@
 // and too few to form a group are stranded. Cost weighs both by the operator's declared
 // weights, and every choice minimises it. The same input always gives the same choice.
 //
-// For example, with 4 VMs per group and two domains with 5 and 8 free VMs, an operator who
-// gives weight to downtime gets the domain with 5, since one spare remains beside the
-// group. An operator who gives weight to stranded accelerators gets the same domain, since
-// the other one can still hold two groups.
+// For example, with 4 VMs per group and two domains with 4 and 5 free VMs, an operator who
+// gives weight to downtime gets the domain with 5, since one spare remains beside the group.
+// Groups of one size strand the same number of VMs wherever they are placed, so the weight of
+// stranded accelerators matters mainly if groups of several sizes are placed together.
 package placement
 
 import (
@@ -19,7 +19,7 @@
 	"headcourse/core/vm"
 )
 
-// Domain is a fabric domain with its free VMs, ordered by id.
+// Domain is a fabric domain with its free VMs, in the order in which they are used.
 type Domain struct {
 	Name    string
 	Zone    string
--- a/core/placement/repair.go
+++ b/core/placement/repair.go
@@ -21,7 +21,8 @@
 	GiveUp Remedy = "give_up"
 )
 
-// maxLostSeconds is how long a group waits for lost members if no VMs can replace them.
+// maxLostSeconds is how long a group waits for lost members. After that time it gives up its VMs
+// if waiting is still the cheapest remedy, as it always is if no VMs can replace the lost members.
 const maxLostSeconds = 60.0
 
 // Loss describes a group that lost members.
