--- a/core/plan/build.go
+++ b/core/plan/build.go
@@ -19,8 +19,9 @@
 // ErrNoFreeVMs means that a plan needs more free VMs than there are.
 var ErrNoFreeVMs = errors.New("no room")
 
-// Build returns the plan that carries out an intent on this fleet. It changes nothing. The
-// caller passes the plan's id and the operator's name.
+// Build returns the plan that carries out an intent on this fleet. It writes nothing to the
+// store, but sets the zones that the plan closes in fleet.ClosedZones. The caller passes the
+// plan's id and the operator's name.
 func Build(id, operator string, intent Intent, fleet FleetState) (Plan, error) {
 	info, ok := kindsByName[intent.Kind]
 	if !ok {
@@ -160,8 +161,8 @@
 }
 
 // replaceAll plans replacements in batches. As long as there are free VMs, the new group is
-// formed before the old one is drained, and the VMs that a batch frees are used for the
-// next batch. Otherwise a group is formed again on its own VMs.
+// formed before the old one is drained, and the VMs that a batch frees in place are used for
+// the next batch. Otherwise see replaceWithoutFreeVMs.
 func (b *builder) replaceAll(pending []replacement) error {
 	for _, item := range pending {
 		if err := b.requireGroup(item.old); err != nil {
@@ -211,7 +212,9 @@
 	return retry, nil
 }
 
-// replaceWithoutFreeVMs plans for a group that no free VMs can replace.
+// replaceWithoutFreeVMs plans for a group that no free VMs can replace. It is formed again on its
+// own VMs if that is allowed, or else drained without replacement if the intent allows fewer
+// groups. Otherwise the plan fails with ErrNoFreeVMs.
 func (b *builder) replaceWithoutFreeVMs(item replacement) error {
 	if item.inPlace && len(item.old.Members) == item.model.VMsPerReplica {
 		b.reform(item.old, item.model, item.old.Members)
