--- a/core/quarantine/eviction.go
+++ b/core/quarantine/eviction.go
@@ -76,13 +76,13 @@
 func (l *Ledger) Reconcile(crashes []Crash, trials []Digest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	type endKey struct {
+	type crashKey struct {
 		digest Digest
 		start  string
 	}
-	isStored, hasStoredTrial := map[endKey]bool{}, map[Digest]bool{}
+	isStored, hasStoredTrial := map[crashKey]bool{}, map[Digest]bool{}
 	for _, crash := range crashes {
-		isStored[endKey{
+		isStored[crashKey{
 			digest: crash.Digest,
 			start:  crash.Start,
 		}] = true
@@ -92,7 +92,7 @@
 	}
 	for digest, s := range l.suspects {
 		for _, start := range s.storedRows(digest).Starts {
-			if !isStored[endKey{
+			if !isStored[crashKey{
 				digest: digest,
 				start:  start,
 			}] {
--- a/core/quarantine/recent_digests.go
+++ b/core/quarantine/recent_digests.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// minAnswerRetention is the shortest time for which an answer clears a request; the longest
-	// is twice that. Servers that fail together crash within minutes, so it must span minutes.
+	// minAnswerRetention is the shortest time for which an answer clears a request, unless a half
+	// is full sooner; the longest is about twice that. Servers that fail together crash within
+	// minutes, so it must span minutes.
 	minAnswerRetention = 10 * time.Minute
 	// maxDigestsPerHalf is the limit of each half; two full halves take 0.6 MB of heap. A
 	// daemon of the design size with 40 requests a second fills one half in 200 s.
