--- a/core/request/request.go
+++ b/core/request/request.go
@@ -56,7 +56,7 @@
 func (r *Request) Cost() float64 {
 	const (
 		promptTokenCost = 0.1
-		// baseCost is the cost of a request of unknown size.
+		// baseCost is added for every request, and is the whole cost of one of unknown size.
 		baseCost = 20
 	)
 	return baseCost + promptTokenCost*float64(r.PromptTokens) + float64(r.MaxTokens)
