--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -39,8 +39,8 @@
 // burst.
 type Budget struct {
 	mutex sync.Mutex
-	// share, burst and window are the arguments of SetLimits. Zero means the defaults, and no
-	// window.
+	// share, burst and window are the arguments of SetLimits. The defaults apply if share and burst
+	// are both 0. With a window of 0 there is no window.
 	share  float64
 	burst  float64
 	window time.Duration
@@ -143,9 +143,9 @@
 // zero value has the defaults of Budget. It is safe for concurrent use.
 //
 // Each budget rounds its balance at random, by an offset that is drawn once: up with a probability
-// equal to its fraction. So the mean over many daemons is the sum of their parts, with a deviation
-// of at most the square root of the number of daemons. Rounding each part down would leave nothing
-// of the sum.
+// equal to its fraction. So many daemons together have on average the sum of their parts, with a
+// deviation of at most the square root of the number of daemons. Rounding each part down would
+// leave nothing of the sum.
 type Budgets struct {
 	mutex  sync.Mutex
 	byName map[string]*Budget
