--- a/core/plan/confirm.go
+++ b/core/plan/confirm.go
@@ -12,7 +12,7 @@
 )
 
 // ErrPreconditionsChanged means that a precondition of the plan no longer holds.
-var ErrPreconditionsChanged = errors.New("the plan's ground moved")
+var ErrPreconditionsChanged = errors.New("the plan's preconditions changed")
 
 // Confirm returns the transaction that confirms a proposed plan on this fleet. The
 // transaction reserves the free VMs that the plan uses and marks the groups and zones that
