--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -43,9 +43,9 @@
 	if p.Total <= 0 {
 		return servers
 	}
-	const half = 2
+	const minSubsetsPerRound = 2
 	size := max(minSize, int(math.Ceil(float64(capacity)/float64(p.Total))))
-	if half*size > servers {
+	if minSubsetsPerRound*size > servers {
 		return servers
 	}
 	return size
