--- a/core/control/leases.go
+++ b/core/control/leases.go
@@ -34,8 +34,8 @@
 	handOverInterval = 2 * time.Second
 )
 
-// stepRoster joins or leaves the roster and removes daemons that have been out of contact for
-// DaemonRemovalTimeout.
+// stepRoster joins or leaves the roster. If this daemon holds the lease on shard 0, it also
+// removes daemons that have been out of contact for DaemonRemovalTimeout.
 func (c *Controller) stepRoster(actions *Actions, now time.Time) {
 	key := roster.Key(c.self.ID)
 	row := c.rows.Row(key)
@@ -138,9 +138,9 @@
 	}
 }
 
-// syncHeldLeases compares the held leases with their rows. A row may name this daemon
-// although the answer to its grant was lost or late. Such a lease is adopted with a zero
-// expiry, so that it is not used before a renewal has succeeded.
+// syncHeldLeases compares the held leases with their rows. A lease whose row names this daemon
+// is adopted, also if the answer to its grant was lost or late. Its expiry is zero at first, so
+// that it is not used before a renewal has succeeded.
 func (c *Controller) syncHeldLeases() {
 	for shard := range lease.ShardCount {
 		row := c.rows.Row(lease.Key(shard))
@@ -181,7 +181,8 @@
 	return grant.Holder
 }
 
-// requestRenewal requests one renewal of all leases, conditional on holding each of them.
+// requestRenewal requests one renewal of all leases that are not being released, if one is due.
+// It is conditional on holding each of them.
 func (c *Controller) requestRenewal(actions *Actions, now time.Time) {
 	isDue, count := false, 0
 	for _, held := range c.heldLeases {
