--- a/core/fleet/grace.go
+++ b/core/fleet/grace.go
@@ -19,8 +19,8 @@
 	backlogTime       = 200 * time.Millisecond
 	lateGraceFraction = 0.8
 	// minExpiryHeartbeats is the duration, in heartbeat intervals, of the shortest outage
-	// during which an entry can expire. An entry expires after three missed heartbeats,
-	// which takes little more than two intervals.
+	// after which entries count as possibly expired. An entry expires after three missed
+	// heartbeats, which takes little more than two intervals; the value leaves a margin.
 	minExpiryHeartbeats = 1.6
 	// rewriteHeartbeats is the number of heartbeat intervals after a restore of the store
 	// within which all running servers have rewritten their entries and the entries of all
@@ -55,8 +55,8 @@
 	return max(g.afterRemoval(), time.Duration(lateGraceFraction*float64(g.DrainBound)))
 }
 
-// minExpiryOutage returns the duration of the shortest outage during which entries can
-// expire.
+// minExpiryOutage returns the duration of the shortest outage after which entries count as
+// possibly expired.
 func (g Grace) minExpiryOutage() time.Duration {
 	if g.HeartbeatInterval == 0 {
 		return defaultExpiryOutage
