--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -4,7 +4,8 @@
 // later failure. If the domain has a spare VM beside its groups, a lost member is repaired
 // by loading one group again; otherwise the whole group must move. VMs that are left over
 // and too few to form a group are stranded. Cost weighs both by the operator's declared
-// weights, and every choice minimises it. The same input always gives the same choice.
+// weights. It decides between placements of as many groups in equally preferred zones. The same
+// input always gives the same choice.
 //
 // For example, with 4 VMs per group and two domains with 4 and 5 free VMs, an operator who
 // gives weight to downtime gets the domain with 5, since one spare remains beside the group.
