--- a/entry/coldstarts.go
+++ b/entry/coldstarts.go
@@ -7,7 +7,8 @@
 )
 
 // A cold server accepts a reduced rate of requests from all daemons together. No answer names
-// this limit; it follows from the server's entry and the configuration.
+// this limit: a server's entry or answer only marks it as cold, and the configuration defines
+// the rate.
 
 // coldLimit returns the request limit of a cold server of a service. ok is false if the
 // configuration defines none.
@@ -22,7 +23,7 @@
 	return ratelimit.NewColdLimit(found.ColdStart.RequestsPerSecond, d.settings.ColdExcess, d.settings.ColdExtraRequests), true
 }
 
-// applyColdLimit limits a server whose entry marks it as cold.
+// applyColdLimit limits a server whose entry or answer marks it as cold.
 func (d *Daemon) applyColdLimit(current *config.Config, server fleet.Server) {
 	if server.ColdFor <= 0 {
 		return
--- a/entry/control.go
+++ b/entry/control.go
@@ -148,8 +148,9 @@
 }
 
 // step runs the controller once and carries out its decisions. It does nothing unless the lease
-// is held and the records are known, nor while server entries may come from an older copy of
-// the store: a server that looks free in it may be a member of a serving group.
+// is held, the records are known, and the server entries were read in the lease's era. It also
+// does nothing while these entries may come from an older copy of the store: a server that looks
+// free in it may be a member of a serving group.
 func (t *term) step(ctx context.Context) {
 	if !t.lease.IsValid() || !t.daemon.serversLoaded.Load() || !t.lease.IsPastRestore(t.daemon.rewriteWindow()) {
 		return
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -204,7 +204,8 @@
 	}
 }
 
-// retainCrashes forgets all crashes and trials that a snapshot of the table does not contain.
+// retainCrashes forgets the crashes and trials that were read from the table and that a snapshot
+// of it does not contain.
 func (d *Daemon) retainCrashes(rows []rowstore.Row) {
 	var crashes []quarantine.Crash
 	var trials []quarantine.Digest
--- a/entry/crashes_test.go
+++ b/entry/crashes_test.go
@@ -69,7 +69,7 @@
 			}
 			// All daemons refuse the request, including one that starts now.
 			s.daemons = append(s.daemons, s.startDaemon("front-d"))
-			ended := s.standin.Crashes(path)
+			crashes := s.standin.Crashes(path)
 			for i := range s.daemons {
 				for range 4 {
 					// A starting daemon may reject requests until it has a view, but sends
@@ -79,7 +79,7 @@
 					}, isNotSent)
 				}
 			}
-			qt.Assert(t, s.standin.Crashes(path), qt.Equals, ended)
+			qt.Assert(t, s.standin.Crashes(path), qt.Equals, crashes)
 			// Other requests are served once servers are back, and none is quarantined.
 			isNotQuarantined := func(answer standin.Answer) bool {
 				qt.Assert(t, answer.Reason, qt.Not(qt.Equals), "crashes_servers")
--- a/entry/daemons.go
+++ b/entry/daemons.go
@@ -238,8 +238,8 @@
 	return relays
 }
 
-// logRelays logs this daemon's relays if they have changed. Changes elsewhere in the list do
-// not affect it.
+// logRelays logs the first maxRegistrars of this daemon's relays if the relays have changed.
+// Changes elsewhere in the list do not affect it.
 func (d *Daemon) logRelays(relays []rowstore.Relay, burst float64) {
 	directory := &d.directory
 	names := make([]string, len(relays))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -124,7 +124,7 @@
 	configRow atomic.Pointer[rowstore.Row]
 	configEra atomic.Int64
 	// storeOutage is the last period in which the configuration or the servers could not be
-	// watched.
+	// watched, or the daemon list could not be read for the first time.
 	storeOutage atomic.Pointer[fleet.Outage]
 	// stalledHeads are group heads with stalled requests that wait for a check. reportedStalls
 	// are the stalls that daemons have reported.
@@ -298,14 +298,14 @@
 	return d.readiness.address
 }
 
-// ReadCounts returns how many table reads the store answered directly, and how many other
-// daemons relayed.
+// ReadCounts returns how many calls for tables were sent to the store, including failed ones, and
+// how many were answered by other daemons.
 func (d *Daemon) ReadCounts() (direct, relayed int64) {
 	return d.tableReader.CallCounts()
 }
 
 // Reload logs that the settings were read again. Settings do not change while the daemon runs,
-// so it warns of changed addresses.
+// so it warns of a changed address of the clients' listener or of the store.
 func (d *Daemon) Reload(nodeSettings settings.Settings) {
 	d.log.Info("daemon: settings reloaded", zap.String("name", nodeSettings.Name))
 	if nodeSettings.ClientAddress != d.settings.ClientAddress || nodeSettings.StoreAddress != d.settings.StoreAddress {
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -57,17 +57,18 @@
 }
 
 // evacuationDeadline returns the time from which a newly evacuated zone gets no requests. It
-// counts from the last time the configuration's table was known to be current.
+// counts from the last time the configuration's table was known to be current; without such a
+// time, the zone gets no requests from now on.
 func (d *Daemon) evacuationDeadline() time.Time {
-	bound := evacuation.LeaveSchedule{
+	schedule := evacuation.LeaveSchedule{
 		Bound:    d.settings.EvacuationBound,
 		Position: rand.Float64(),
 	}
 	age, isKnown := d.configFreshness.ViewAge()
 	if !isKnown {
-		return bound.LeaveAt(time.Time{})
+		return schedule.LeaveAt(time.Time{})
 	}
-	return bound.LeaveAt(d.bootClock.Now().Add(-age))
+	return schedule.LeaveAt(d.bootClock.Now().Add(-age))
 }
 
 // prepareReopenedZones assumes that servers of zones that are no longer evacuated are cold.
@@ -80,7 +81,7 @@
 	}
 }
 
-// logEvacuations logs each zone that is newly evacuated or reopened.
+// logEvacuations logs each zone that is newly evacuated or reopened, and sets the gauge.
 func (d *Daemon) logEvacuations(former, next evacuation.Zones) {
 	metrics.GetOrRegisterGauge(evacuatedZonesGauge, d.registry).Update(int64(len(next.Names())))
 	for _, zone := range next.Names() {
--- a/entry/followers.go
+++ b/entry/followers.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// recordRestart records that a server started again under its ID. Its recorded paces, failures
-// and timeouts belong to the former start.
+// recordRestart records that a server started again under its ID. The latencies, failures and
+// ejections that the gateway has recorded belong to the former start.
 func (d *Daemon) recordRestart(former fleet.View, server fleet.Server) {
 	previous, wasKnown := former.ServerOrRemoved(server.ID)
 	if !wasKnown || previous.StartedAtMs == server.StartedAtMs {
@@ -268,8 +268,8 @@
 	return d.isLeader.Load() || d.isFirstRelay()
 }
 
-// logServerChanges logs each server that was added, removed, or changed in a way that affects
-// routing.
+// logServerChanges logs each server that was added or removed, that started to drain or staged
+// other weights, or whose membership as the head of a group changed.
 func (d *Daemon) logServerChanges(former fleet.View, changes []fleet.Change) {
 	for _, change := range changes {
 		previous, wasPresent := former.Server(change.ID)
--- a/entry/idle.go
+++ b/entry/idle.go
@@ -6,7 +6,8 @@
 // answer. Model loads are not limited then, and changes are collected for longer.
 
 // isIdle reports whether no client has sent a request since the first start of the whole system,
-// neither to this daemon nor, by the reported demand, to another one.
+// neither to this daemon nor, by the reported demand, to another one. It is false before the
+// configuration is read, and if this daemon was started later.
 func (d *Daemon) isIdle() bool {
 	current := d.view.Load().Config
 	if !d.settings.IsFirstStart || d.hasTraffic.Load() || current == nil {
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -36,8 +36,8 @@
 	return strings.TrimPrefix(row.Key, limitPrefix)
 }
 
-// ObserveLimit reports a limit to the other daemons unless it has been reported already. It does
-// not block.
+// ObserveLimit reports a limit, or the end of one, to the other daemons unless it has been
+// reported already. It does not block.
 func (d *Daemon) ObserveLimit(server fleet.Server, limit ratelimit.Limit) {
 	start := server.StartID()
 	if !limit.IsSet {
@@ -109,7 +109,7 @@
 	d.serverLimits.ApplyReport(start, limit)
 }
 
-// logReportedLimit logs a limit that another daemon reported.
+// logReportedLimit logs a limit, or the end of one, that another daemon reported.
 func (d *Daemon) logReportedLimit(start string, limit ratelimit.Limit, version int64) {
 	mayLog, suppressed := d.limitLogThrottle.Allow(reportTable)
 	if !mayLog {
@@ -144,8 +144,8 @@
 	}
 }
 
-// removeStaleLimits removes the limit rows of servers that no longer exist. Only the leader
-// does this.
+// removeStaleLimits forgets the times of old reports. The leader also removes the limit rows of
+// servers that no longer exist.
 func (d *Daemon) removeStaleLimits() {
 	d.limitReports.Sweep()
 	if !d.isLeader.Load() {
--- a/entry/listreader.go
+++ b/entry/listreader.go
@@ -19,7 +19,7 @@
 	maxSeedRelays = 4
 )
 
-// listReader reads and watches the daemon list.
+// listReader returns the reader of the daemon list.
 func (d *Daemon) listReader() rowstore.Reader {
 	return rowstore.SeededReader{
 		ReaderChain: d.tableReader,
--- a/entry/loglines_test.go
+++ b/entry/loglines_test.go
@@ -10,7 +10,7 @@
 // logged every change of every server.
 func TestServerChangesAreLoggedOnlyByDaemonsReadingTheStore(t *testing.T) {
 	s := newSite(t, 5)
-	const followers = 2
+	const storeReaders = 2
 	byDaemon := map[string]bool{}
 	for _, entry := range s.logs.All() {
 		if entry.Message == "servers: head changed" {
@@ -19,5 +19,5 @@
 	}
 	// These are the first relay and the leader. The leader may have changed once during the
 	// start.
-	qt.Assert(t, len(byDaemon) >= 1 && len(byDaemon) <= followers+1, qt.IsTrue, qt.Commentf("%v", byDaemon))
+	qt.Assert(t, len(byDaemon) >= 1 && len(byDaemon) <= storeReaders+1, qt.IsTrue, qt.Commentf("%v", byDaemon))
 }
--- a/entry/records.go
+++ b/entry/records.go
@@ -62,7 +62,9 @@
 	}
 }
 
-// readRecords reads the records of all groups.
+// readRecords reads the records of all groups and the recently loaded models. It returns false
+// if a read failed, if the records are not of the lease's era, or if the last attempt is less
+// than readRetryInterval ago.
 func (t *term) readRecords(ctx context.Context) bool {
 	if time.Since(t.lastReadAttempt) < readRetryInterval {
 		return false
@@ -96,7 +98,8 @@
 	return true
 }
 
-// readRecentModels reads which models servers loaded most recently.
+// readRecentModels reads which models servers loaded most recently, and returns whether the store
+// has answered.
 func (t *term) readRecentModels(ctx context.Context) bool {
 	result, err := t.daemon.store.Read(ctx, assembly.RecentModelsTable)
 	if err != nil {
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -19,9 +19,9 @@
 	registerCheckInterval = 5 * time.Second
 )
 
-// firstStartJitter spreads the registration of daemons at the first start of the whole system.
-// Later daemons find others in the list, read tables through them and are registered by them.
-// No client has to be served for several seconds yet.
+// firstStartJitter spreads the first reads of the daemon list, and with them the registrations,
+// at the first start of the whole system. Later daemons find others in the list, read tables
+// through them and are registered by them. No client has to be served for several seconds yet.
 const firstStartJitter = 800 * time.Millisecond
 
 // withFirstStartJitter delays a task randomly at the first start of the whole system.
--- a/entry/restore_test.go
+++ b/entry/restore_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// withHeartbeat returns an edit of settings that sets the time within which servers write their
-// entries again.
+// withHeartbeat returns an edit of settings that sets the servers' heartbeat interval. Daemons
+// expect all entries to be written again within three intervals.
 func withHeartbeat(interval time.Duration) func(*settings.Settings) {
 	return func(nodeSettings *settings.Settings) {
 		nodeSettings.HeartbeatInterval = interval
--- a/entry/restores.go
+++ b/entry/restores.go
@@ -13,7 +13,8 @@
 
 // The store may be restored from an older copy. What this daemon read before the restore is
 // newer. It stays in force until operators, servers and daemons have had time to write again
-// what the copy lacks. Only then do the tables apply as they are.
+// what the copy lacks. Only then do the tables apply as they are. The configuration stays in
+// force until a newer one is read, however long that takes.
 
 // recentReportTTL is how long committed reports are kept. It exceeds the age of a restored
 // copy.
@@ -85,7 +86,8 @@
 	committedAt time.Time
 }
 
-// add records a report that the store has committed.
+// add records a report that the store has committed, unless reportQueueCapacity reports are
+// recorded already.
 func (r *recentReports) add(committed report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/entry/stalls.go
+++ b/entry/stalls.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// recordReportError records a failed call for the table. Before its first read no request can
-// be served, since any request may be quarantined.
+// recordReportError records a failed call for the table. Before its first read any request may
+// be quarantined, so requests wait for that read, but not after it has failed.
 func (d *Daemon) recordReportError(err error) {
 	if !d.reportsLoaded.Load() {
 		d.readFailed.set()
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// drainNoticeTime is how long a stopping daemon still accepts requests. The load balancer
-	// probes once a second and stops sending requests after the second failed probe.
+	// drainNoticeTime is how long a stopping daemon still accepts requests, unless half of the
+	// time to stop is shorter. The load balancer probes once a second and stops sending requests
+	// after the second failed probe.
 	drainNoticeTime = 2600 * time.Millisecond
 	// stopMargin is reserved at the end of the time to stop.
 	stopMargin = 700 * time.Millisecond
--- a/entry/view.go
+++ b/entry/view.go
@@ -14,7 +14,8 @@
 	return *d.view.Load()
 }
 
-// MaxViewAge returns the maximum age of the view of the configuration.
+// MaxViewAge returns the maximum age of the view of the configuration, or 0 before the
+// configuration is read.
 func (d *Daemon) MaxViewAge() time.Duration {
 	age, _ := d.configFreshness.ViewAge()
 	return age
@@ -75,8 +76,8 @@
 	return d.initialised.done
 }
 
-// ViewUnreadable is closed when the configuration, the servers, or a table needed before them
-// could not be read.
+// ViewUnreadable is closed when a call for the configuration or the servers, or for the first
+// read of the daemon list or the reports, has failed.
 func (d *Daemon) ViewUnreadable() <-chan struct{} {
 	return d.readFailed.done
 }
