--- a/io/gateway/attempt.go
+++ b/io/gateway/attempt.go
@@ -289,7 +289,8 @@
 	}
 }
 
-// reportOutcome reports the server's success or failure to the tracker.
+// reportOutcome reports the server's success or failure to the tracker, and starts a check for a
+// crash if the server closed the connection.
 func (j *job) reportOutcome(server fleet.Server, result attemptResult) {
 	tracker := &j.server.tracker
 	switch result.reason {
--- a/io/gateway/directives.go
+++ b/io/gateway/directives.go
@@ -99,8 +99,8 @@
 // unavailability is why all servers of a service and model, or one of them, receive no
 // requests.
 type unavailability struct {
-	// reason is ReasonPaused, ReasonLimited or ReasonEvacuated, or ReasonNone if a server is
-	// available.
+	// reason is ReasonServersPaused, ReasonServersLimited or ReasonZoneEvacuated. It is ReasonNone
+	// if a server is available, or if there is none that does not drain.
 	reason request.Reason
 	// remaining is the time until the server accepts requests from this daemon again; 0 if
 	// unknown.
--- a/io/gateway/gateway.go
+++ b/io/gateway/gateway.go
@@ -2,9 +2,10 @@
 // server's complete answer to the client.
 //
 // The status of a failed request depends on whether a server may have run it. The gateway
-// answers 503 ("not run") only if no byte of the request can have been run by any server, or if
-// every server that received it reported that it did not run it. All other failures are 502 or
-// 504.
+// answers 503 ("not run") only if no server can have run any part of the request, or if every
+// server that received it reported that it did not run it. If the last attempt ended with a
+// server's own 5xx answer, the client gets that answer. Other requests that were sent, and failed
+// before their answer began, are answered 502 or 504.
 // A request is retried only if it was not run or its route allows it to run more than once, and
 // only within the retry budget that all daemons share.
 //
@@ -42,8 +43,9 @@
 	"headcourse/io/tcp"
 )
 
-// Codec converts between HTTP messages and requests and answers. SetRequestID writes the request
-// ID into an answer that the gateway itself generates.
+// Codec converts between HTTP messages and requests and answers. ReadRequest returns a request
+// also with an error. SetRequestID writes the request ID into an answer that the gateway itself
+// generates.
 type Codec interface {
 	ReadRequest(ctx *fasthttp.RequestCtx) (*request.Request, error)
 	WriteHead(r *request.Request, attempt request.Attempt) []byte
@@ -63,12 +65,11 @@
 // Source provides the view and receives observations about servers and requests.
 type Source interface {
 	View() View
-	// ViewReady is closed when the configuration and the servers have been read for the first
-	// time.
+	// ViewReady is closed when the view can serve requests for the first time.
 	ViewReady() <-chan struct{}
-	// ViewUnreadable is closed when that first read has failed.
+	// ViewUnreadable is closed when a table that the view depends on could not be read.
 	ViewUnreadable() <-chan struct{}
-	// SinceViewReady is the time since the first read; 0 before it.
+	// SinceViewReady is the time since ViewReady was closed; 0 before.
 	SinceViewReady() time.Duration
 	// MaxViewAge is the maximum age of the configuration and keys in the view. MayAcceptKeys
 	// reports whether the view is recent enough to accept keys. IsViewCurrent reports whether it
@@ -80,9 +81,10 @@
 	DaemonCount() int
 	// Preference returns the balancing preference for requests of a kind.
 	Preference(kind demand.Kind) balancer.Preference
-	// IsDegraded reports whether other daemons observed that a server has stalled or is slow.
+	// IsDegraded reports whether any daemon has reported that requests stall or are slow at a
+	// server's group.
 	IsDegraded(server fleet.Server) bool
-	// HasUnresponsiveMember reports whether other daemons observed that a member of the server's
+	// HasUnresponsiveMember reports whether any daemon has reported that a member of the server's
 	// group does not answer.
 	HasUnresponsiveMember(server fleet.Server) bool
 	// LimitPosition returns this daemon's position among those that may share a server's rate
@@ -160,8 +162,8 @@
 	// clientIdleTimeout is longer than any idle limit that the operator configures, so a client
 	// within that limit is never disconnected.
 	clientIdleTimeout = 3 * time.Minute
-	// sweepInterval is the interval between removals of old backend connections, trackers and
-	// directives.
+	// sweepInterval is the interval between removals of old backend connections, tracker states,
+	// directives and limits.
 	sweepInterval = 2 * time.Second
 )
 
@@ -286,7 +288,8 @@
 	s.conns.CloseAll()
 }
 
-// sweep periodically removes old backend connections, trackers and directives until ctx ends.
+// sweep periodically removes old backend connections, tracker states, directives and limits until
+// ctx ends.
 func (s *Server) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/io/gateway/handle.go
+++ b/io/gateway/handle.go
@@ -16,9 +16,9 @@
 // answer that is ready is delivered even if it is late.
 const writeGrace = 2 * time.Second
 
-// setWriteDeadline makes the connection of a client that does not read its answer fail at the
-// deadline. Until then the backend stream is blocked once the connection's buffers are full, so
-// memory does not grow.
+// setWriteDeadline makes the connection of a client that does not read its answer fail writeGrace
+// after the client's timeout. Until then the backend stream is blocked once the connection's
+// buffers are full, so memory does not grow.
 func setWriteDeadline(ctx *fasthttp.RequestCtx, wait time.Duration) {
 	// SetWriteDeadline fails only on a closed connection.
 	_ = ctx.Conn().SetWriteDeadline(time.Now().Add(wait + writeGrace))
--- a/io/gateway/job.go
+++ b/io/gateway/job.go
@@ -18,7 +18,7 @@
 	// maxAttempts bounds the servers that are tried for one request, including those that
 	// refuse it.
 	maxAttempts = 3
-	// noPriority means that the server sets the priority.
+	// noPriority means that no priority is sent, so the backend server sets it.
 	noPriority = -1
 	// minTimeLeft is the minimum time that must remain before the deadline for another attempt.
 	minTimeLeft = 5 * time.Millisecond
@@ -39,7 +39,7 @@
 	// one if the client retries.
 	firstAttemptAt time.Time
 	// acceptedAt is when the request was accepted; deadline is when its client stops waiting.
-	// Both are by the server's clock.
+	// Both are by the gateway's clock.
 	acceptedAt time.Time
 	deadline   time.Time
 	// yields is set if the request gives way to others of its class because not all can be in
@@ -47,8 +47,9 @@
 	yields          bool
 	stopClientWatch func()
 
-	// excluded holds the servers that were tried already. attempts counts them, and
-	// possibleRuns counts the attempts after which the server may have run the request.
+	// excluded holds the servers that were tried already and, in a trial, those that crashed
+	// under the request. attempts counts the attempts, and possibleRuns those after which the
+	// server may have run the request.
 	excluded     map[string]bool
 	attempts     int
 	possibleRuns int
@@ -89,7 +90,7 @@
 
 	// lastSentAt is the time of the last attempt.
 	lastSentAt time.Time
-	// limitSentAt is the time of the last attempt by the server's clock, which rate limits use.
+	// limitSentAt is the time of the last attempt by the clock of the rate limiter.
 	limitSentAt time.Time
 	// The other fields measure a stream's events as the client receives them.
 	lastEventAt      time.Time
--- a/io/gateway/priority.go
+++ b/io/gateway/priority.go
@@ -42,9 +42,10 @@
 }
 
 // recordTimeliness records for overload detection whether the request's answer, which starts
-// now, is in time. Requests that yield or that were late on arrival are not counted. It is
-// called once: at the first event, or at the end if there was none and the goal has passed. A
-// request that failed quickly was neither in time nor late.
+// now, is in time. Only streams are counted, and of these neither the ones that yield nor those
+// that were late on arrival. It is called at most once: at the first event, or at the end if
+// there was none and the goal has passed. A request that failed quickly was neither in time nor
+// late.
 func (j *job) recordTimeliness() {
 	wasLate := !j.isInTime(j.request.ReceivedAt)
 	if j.yields || wasLate || j.route.Kind != config.Stream {
--- a/io/gateway/quarantine.go
+++ b/io/gateway/quarantine.go
@@ -18,7 +18,7 @@
 )
 
 // Counters of crashes under requests, of suspected crashes that a check refuted, and of
-// contents that were quarantined.
+// contents that were quarantined, each of them once for each failed trial.
 const (
 	countCrashes        = "quarantine_ends_noted"
 	countCrashesRefuted = "quarantine_ends_refuted"
--- a/io/gateway/retryafter.go
+++ b/io/gateway/retryafter.go
@@ -11,7 +11,8 @@
 // so the delay must be long enough for that retry to succeed, but a client does not wait longer
 // than a fraction of its timeout.
 const (
-	// slotRetryDelay applies when all groups are busy: a group frees a slot every 30 to 80 ms.
+	// slotRetryDelay applies to all other refusals, most of them because all groups are busy: a
+	// group frees a slot every 30 to 80 ms.
 	slotRetryDelay = 250 * time.Millisecond
 	// groupRetryDelay applies when no server is available: a group forms again within 0.6 s to
 	// 2 s, also outside an evacuated zone, and the entries of servers are back within 2 s of
@@ -67,9 +68,9 @@
 	return time.Duration((minDelayFactor + delayFactorSpread*rand.Float64()) * float64(delay)).Round(time.Millisecond)
 }
 
-// retryAfterPause returns the Retry-After delay when all servers are paused for the remaining
-// time. It is never shorter than that, since each earlier request would break the pause that
-// the servers requested.
+// retryAfterPause returns the Retry-After delay when all servers are paused or at their rate limit
+// for the remaining time. It is never shorter than that, since each earlier request would break
+// the pause that the servers requested, or exceed their limit.
 func retryAfterPause(remaining time.Duration) time.Duration {
 	jitter := minPauseJitter + time.Duration(pauseJitterFraction*float64(remaining))
 	return (remaining + time.Duration(rand.Float64()*float64(jitter))).Round(time.Millisecond)
--- a/io/gateway/selection.go
+++ b/io/gateway/selection.go
@@ -12,7 +12,7 @@
 	"headcourse/core/usage"
 )
 
-// hasUntriedServer reports whether an available server has not been tried for this request yet.
+// hasUntriedServer reports whether an available server is not excluded from further attempts.
 func (j *job) hasUntriedServer() bool {
 	for _, server := range j.server.availableServers(j.service, j.request.Model) {
 		if !j.excluded[server.ID] {
@@ -96,9 +96,9 @@
 }
 
 // candidates returns the available servers in the form that the balancer takes.
-func (j *job) candidates(serving []fleet.Server) []balancer.Candidate {
-	candidates := make([]balancer.Candidate, len(serving))
-	for i, server := range serving {
+func (j *job) candidates(available []fleet.Server) []balancer.Candidate {
+	candidates := make([]balancer.Candidate, len(available))
+	for i, server := range available {
 		candidates[i] = balancer.Candidate{
 			ID:            server.ID,
 			Capacity:      server.Capacity,
--- a/io/gateway/slow_reader_test.go
+++ b/io/gateway/slow_reader_test.go
@@ -59,7 +59,7 @@
 // Clients that request a long stream and never read it must not fill the daemon's memory or
 // occupy the server: unread data stays at the server, and both connections are closed when the
 // client's timeout passes. The answers begin when all requests are at the server, since they
-// slow the machine so much that the timeout of a late request could pass before it arrives.
+// slow the VM so much that the timeout of a late request could pass before it arrives.
 func TestNonReadingClientsAreDisconnectedAtDeadline(t *testing.T) {
 	const clients, timeoutMs = 100, 5000
 	stream := endlessStream{
@@ -84,8 +84,8 @@
 	qt.Assert(t, stream.written.Load() < clients*maxBytesPerClient, qt.IsTrue, qt.Commentf("%d bytes taken", stream.written.Load()))
 }
 
-// A client that reads slowly, but within its timeout, gets the whole answer.
-func TestSlowClientWithinDeadlineGetsWholeAnswer(t *testing.T) {
+// A client that reads its answer after its timeout, but within writeGrace, gets the whole answer.
+func TestSlowClientWithinWriteGraceGetsWholeAnswer(t *testing.T) {
 	servers := startBackends(t, 1, func(w http.ResponseWriter, r *http.Request) {
 		answerOK(w, r)
 	})
--- a/io/gateway/viewwait.go
+++ b/io/gateway/viewwait.go
@@ -11,8 +11,8 @@
 
 // waitForView delays a request that arrives before the daemon has read its first view. After a
 // restart of all daemons the read takes some tenths of a second, which costs the client less
-// than a refusal. If the store is unreadable, the delay is unknown, so the request is refused
-// at once.
+// than a refusal. If the store is unreadable, the delay is unknown, so the request does not
+// wait: without a configuration it is refused at once.
 func (j *job) waitForView() {
 	ready := j.server.source.ViewReady()
 	select {
