--- a/io/backend/backend.go
+++ b/io/backend/backend.go
@@ -57,7 +57,8 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// reusableUntil is the time after which the server may close the idle connection.
+	// reusableUntil is keepAliveMargin before the server may close the idle connection; zero for a
+	// connection that was never idle.
 	reusableUntil time.Time
 }
 
@@ -125,10 +126,10 @@
 	return netConn, nil
 }
 
-// IsDown reports whether the server at an address is down: it refuses the connection or
-// closes it at once, as a proxy in front of a stopped server does. A running server that only
-// broke off an answer keeps the connection open. The call takes up to closeProbeTime, or the
-// time to connect.
+// IsDown reports whether the server at an address is down: connecting to it fails, or it closes
+// the connection at once, as a proxy in front of a stopped server does. A running server that
+// only broke off an answer keeps the connection open. The call takes the time to connect and, if
+// that succeeds, closeProbeTime.
 func (c *Client) IsDown(address string) bool {
 	netConn, err := c.dial(address)
 	if err != nil {
@@ -176,7 +177,8 @@
 	return last
 }
 
-// pushIdle adds a connection to the pool for the server's keep-alive time; 0 means the default.
+// pushIdle adds a connection to the pool. It is reusable until keepAliveMargin before the end of
+// the server's keep-alive time; 0 means the default time.
 func (c *Client) pushIdle(server string, released *conn, keepAlive time.Duration) {
 	if keepAlive == 0 {
 		keepAlive = defaultKeepAlive
--- a/io/backend/exchange.go
+++ b/io/backend/exchange.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// Release returns the connection of an exchange for which nothing was written to the pool.
+// Release returns the connection to the pool if nothing was written to it. It must not be called
+// after Send.
 func (e *Exchange) Release() {
 	e.once.Do(func() {
 		if e.conn.reusableUntil.IsZero() {
@@ -161,8 +162,8 @@
 }
 
 // Finish returns the connection to the pool after a complete answer, for keepFor (0: the
-// default). isReusable is false if the server asked to close the connection or sent an answer
-// to another request.
+// default), or closes it if it cannot be reused. isReusable is false if the server asked to close
+// the connection or sent an answer to another request.
 func (e *Exchange) Finish(isReusable bool, keepFor time.Duration) {
 	e.once.Do(func() {
 		if !isReusable || !e.isComplete || e.endsAtClose || !e.isBodyWritten() || e.conn.reader.Buffered() > 0 {
@@ -191,7 +192,8 @@
 	}
 }
 
-// Abort closes the connection, so that the server stops its work.
+// Abort closes the connection, so that the server stops its work. It has no effect after Finish or
+// Release.
 func (e *Exchange) Abort() {
 	e.once.Do(func() {
 		e.aborted.Store(true)
