--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -95,8 +95,8 @@
 }
 
 // TestConcurrentRequestsShareNoData guards against reused buffers: it sends many
-// different requests at the same time over few connections, and checks that no answer
-// contains data of another request.
+// different requests at the same time, and checks that no answer contains data of another
+// request.
 func TestConcurrentRequestsShareNoData(t *testing.T) {
 	running := startEngine(t, 0)
 	plain, err := plainservice.Start("server-1", "127.0.0.1:0", time.Millisecond)
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -43,7 +43,7 @@
 const (
 	// relayBufferSize is in bytes.
 	relayBufferSize = 4096
-	// maxResumes is how often one stream may be resumed.
+	// maxResumes is the maximum number of attempts to resume one stream.
 	maxResumes = 3
 	// resumeDelay is the time between two attempts to resume a stream.
 	resumeDelay = 200 * time.Millisecond
@@ -178,7 +178,8 @@
 	return true
 }
 
-// recordEvent appends an event to the answer to be stored, if the job has a claimed key.
+// recordEvent appends an event to the answer to be stored, if the job has a claimed key
+// and the answer does not exceed idempotency.MaxStoredBody yet.
 func (r *relay) recordEvent(event []byte) {
 	if r.job.claim != nil && len(r.recorded) <= idempotency.MaxStoredBody {
 		r.recorded = append(r.recorded, event...)
@@ -206,7 +207,8 @@
 	r.fail(cause)
 }
 
-// fail ends the stream. If events were forwarded already, it ends with an error event.
+// fail ends the stream. If an event with a position was accepted, it ends with an error
+// event.
 func (r *relay) fail(cause error) {
 	r.failure = &outcome.Failure{
 		Outcome: outcome.Unknown,
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// mayRetry reports whether a failed job may be retried: it was not run or is
-// repeatable, it has attempts left, and the retry budget is not spent. It counts
-// the retry.
+// mayRetry reports whether a failed job may be retried: another backend server may
+// answer it, it was not run or is repeatable, it has attempts and time left, and the
+// retry budget is not spent. It counts the retry, and cancels work that may still run.
 func (s *Server) mayRetry(j *job, failure *outcome.Failure) bool {
 	switch failure.Reason {
 	case outcome.ReasonBackendConnectFailed, outcome.ReasonEngineRefused, outcome.ReasonEngineBusy, outcome.ReasonConnectionLost:
@@ -312,7 +312,7 @@
 }
 
 // pickBackend assigns a job to a backend server with a free slot. It returns false if
-// there is none.
+// there is none, or if this daemon may no longer use its snapshot.
 func (s *Server) pickBackend(j *job) bool {
 	if j.service != "" {
 		return s.pickServer(j)
@@ -357,7 +357,8 @@
 // at one server of a plain service.
 const maxInFlightPerServer = 256
 
-// pickServer assigns a job to the less loaded of two randomly chosen servers.
+// pickServer assigns a job to the less loaded of two randomly chosen servers. It returns
+// false if that one is full, or if none is live.
 func (s *Server) pickServer(j *job) bool {
 	servers := s.source.Snapshot().LiveServers(j.service, time.Now())
 	if len(servers) == 0 {
