--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -137,15 +137,15 @@
 		return nil, err
 	}
 	stream := jsonrpc2.NewBufferedStream(raw, jsonrpc2.VarintObjectCodec{})
-	c.conn = jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, jsonrpc2.SetLogger(logline.Discard{}))
+	c.conn = jsonrpc2.NewConn(context.Background(), stream, ignoringHandler{}, jsonrpc2.SetLogger(logline.Discard{}))
 	return c.conn, nil
 }
 
-// rejectCalls ignores calls from the called daemon.
-type rejectCalls struct{}
+// ignoringHandler ignores calls from the called daemon, which sends none.
+type ignoringHandler struct{}
 
 // Handle ignores a call.
-func (rejectCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (ignoringHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
 // discard closes a connection, which is not reused.
 func (c *Client) discard(conn *jsonrpc2.Conn) {
--- a/io/relay/compress.go
+++ b/io/relay/compress.go
@@ -17,7 +17,8 @@
 // daemons.
 const minCompressBytes = 4 << 10
 
-// maxDecompressedBytes bounds a decompressed value; rows of the store are smaller.
+// maxDecompressedBytes bounds a decompressed value, or the rows that were compressed together; rows
+// of the store are smaller.
 const maxDecompressedBytes = 64 << 20
 
 // valueCompressor compresses values and caches the result, so that each is compressed once for
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -295,7 +295,7 @@
 	qt.Assert(t, aggregator.WorkRateByZone(demand.Kind{}), qt.IsNil)
 }
 
-func TestDaemonIsEnlistedThroughRelay(t *testing.T) {
+func TestDaemonIsRegisteredThroughRelay(t *testing.T) {
 	listed := make(chan string, 1)
 	server, err := relay.Listen(relay.Options{
 		Address: "127.0.0.1:0",
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -3,9 +3,9 @@
 //
 // There are three calls. "read" returns a snapshot of a table. "feed" returns its changes since a
 // version as soon as there are any, or nothing after a timeout. Both answer from the daemon's table
-// cache and return its age by the store's clock. A feed also reports the demand of the calling
-// daemon and returns the total demand of all daemons (core/demand). "enlist" registers a daemon in the
-// store together with others.
+// cache and return the time of the store's clock at which it was current. A feed may also report
+// the demand of the calling daemon, and then returns the total demand of all daemons (core/demand).
+// "enlist" registers a daemon in the store together with others.
 package relay
 
 import (
@@ -49,10 +49,10 @@
 	// WaitMS is how long a feed may wait for changes, in milliseconds.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	// From is the calling daemon. Asked is the demand at it and at the daemons that follow
-	// tables through it. Both are empty if no report is due.
+	// tables through it. Both are empty in a feed if no report is due.
 	From  string        `json:"from,omitempty"`
 	Asked []demandEntry `json:"asked,omitempty"`
-	// Depth is the number of daemons through which the demand in Asked was reported.
+	// Depth is the largest number of daemons through which demand in Asked was reported.
 	Depth int `json:"depth,omitempty"`
 	// Entry is the entry under which the calling daemon is to be listed.
 	Entry []byte `json:"entry,omitempty"`
