--- a/io/peer/codec.go
+++ b/io/peer/codec.go
@@ -81,7 +81,8 @@
 	return number, true
 }
 
-// encodeAge returns the age in units of ageResolution, rounded up.
+// encodeAge returns the age in units of ageResolution, rounded up to the next larger unit:
+// an age of 0 is encoded as 1.
 func encodeAge(observedAt, now time.Time) uint64 {
 	return uint64(max(0, now.Sub(observedAt))/ageResolution) + 1
 }
@@ -118,7 +119,7 @@
 }
 
 // observationTime returns the time of an observation: its age before the time at which
-// the request was sent.
+// the request was sent. An age above an hour counts as an hour.
 func observationTime(requestedAt time.Time, age uint64) time.Time {
 	return requestedAt.Add(-time.Duration(min(age, uint64(time.Hour/ageResolution))) * ageResolution)
 }
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -63,8 +63,8 @@
 }
 
 // pullReply is the wire form of type PullAnswer. Reports and Evidence are encoded as
-// described at ageResolution. Names contains, by number, the names that the session
-// uses for the first time.
+// described in codec.go. Names contains, by number, the names that the session uses for
+// the first time.
 type pullReply struct {
 	Incarnation string         `json:"incarnation"`
 	Position    int            `json:"position"`
