--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -32,10 +32,11 @@
 
 const (
 	connectTimeout = time.Second
-	// probeTimeout limits a probe; it is far below presence.MaxAge.
+	// probeTimeout limits connecting, and each read and write of a probe, an order or a
+	// cancellation. It is far below presence.MaxAge.
 	probeTimeout = 600 * time.Millisecond
 	// bufferedTimeout limits the wait for an answer that is not streamed. It is longer
-	// than any caller's deadline.
+	// than the default deadline of callers; a declared deadline may exceed it.
 	bufferedTimeout = 15 * time.Minute
 )
 
@@ -61,8 +62,8 @@
 // ----------------------------------------------------------------------------
 // Control
 
-// Probe returns the state of a backend server. isRefused is set if its VM refused the
-// connection, so that nothing listens at the address.
+// Probe returns the state of a backend server. isRefused is set if connecting failed
+// other than by a timeout, mostly because nothing listens at the address.
 func (c *Client) Probe(address string) (state order.ServerState, isRefused bool, err error) {
 	status, answer, err := c.control.CallJSON(address, "/state", nil)
 	if err != nil {
