--- a/io/http1/http1.go
+++ b/io/http1/http1.go
@@ -22,7 +22,8 @@
 	Peer string
 	// MayHaveBeenSent is set if part of the request may have reached the peer.
 	MayHaveBeenSent bool
-	// Refused is set if the peer refused the connection, so that nothing listens on its port.
+	// Refused is set if connecting failed other than by a timeout, mostly because nothing listens
+	// on the peer's port.
 	Refused bool
 	Cause   error
 }
