--- a/io/tablestore/tablestore.go
+++ b/io/tablestore/tablestore.go
@@ -21,10 +21,10 @@
 	http    *http1.Client
 }
 
-// The timeouts are well below the term of a lease.
+// The timeouts are well below the term of a lease. ioTimeout bounds each read and each write.
 const (
 	connectTimeout = 500 * time.Millisecond
-	idleTimeout    = 2 * time.Second
+	ioTimeout      = 2 * time.Second
 )
 
 // New returns a client for the service at IP:port.
@@ -33,7 +33,7 @@
 		address: address,
 		http: &http1.Client{
 			ConnectTimeout: connectTimeout,
-			IOTimeout:      idleTimeout,
+			IOTimeout:      ioTimeout,
 		},
 	}
 }
@@ -43,9 +43,10 @@
 	Version uint64 `json:"version"`
 }
 
-// Commit commits a transaction. The error is table.ErrUnavailable if the connection
-// failed or the service refused the commit, and table.ErrUnknown if the exchange failed
-// after something was sent.
+// Commit commits a transaction. The error is table.ErrConflict if a condition does not
+// hold, table.ErrUnavailable if the connection failed or the service refused the commit,
+// and table.ErrUnknown if the exchange failed after something was sent or the answer has
+// another status.
 func (c *Client) Commit(_ context.Context, transaction table.Transaction) (uint64, error) {
 	body, err := json.Marshal(transaction)
 	if err != nil {
