--- a/io/exposition/exposition.go
+++ b/io/exposition/exposition.go
@@ -1,5 +1,5 @@
-// Package exposition records durations in uniform histograms, writes all metrics of a registry
-// in the Prometheus text format and serves them over HTTP.
+// Package exposition records durations in histograms, writes the counters, gauges and histograms
+// of a registry in the Prometheus text format and serves them over HTTP.
 //
 // Names in the registry have the form "family.label": the family becomes the metric's name, and
 // what follows the first dot becomes the value of its label "kind". Histograms are written as
@@ -29,7 +29,7 @@
 // quantiles are the quantiles written of each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Write writes all metrics of a registry, ordered by name.
+// Write writes the counters, gauges and histograms of a registry, ordered by name.
 func Write(out io.Writer, registry metrics.Registry) error {
 	byName := map[string]any{}
 	registry.Each(func(name string, metric any) {
