--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -66,7 +66,8 @@
 	return w.dropped.Load()
 }
 
-// Close writes the queued lines, for at most timeout. Later lines are dropped.
+// Close writes the queued lines, for at most timeout. Later lines are not written, and most of
+// them are not counted as dropped.
 func (w *Writer) Close(timeout time.Duration) {
 	w.once.Do(func() {
 		close(w.closing)
