--- a/io/rpc/rpc.go
+++ b/io/rpc/rpc.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// accept accepts connections until the listener is closed.
+// accept accepts connections until the listener is closed or fails.
 func (l *Listener) accept() {
 	for {
 		raw, err := l.listener.Accept()
