--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -171,7 +171,8 @@
 	d.Stop()
 }
 
-// hasLeft reports whether the roster no longer lists the daemon.
+// hasLeft reports whether the roster no longer lists the daemon. It returns false if
+// the daemon has stopped.
 func (d *Daemon) hasLeft() bool {
 	left := false
 	d.runInControl(func(c *control.Controller) {
@@ -223,7 +224,8 @@
 	}
 }
 
-// FleetState returns the controller's view of the fleet.
+// FleetState returns the controller's view of the fleet, or an empty one if the
+// daemon has stopped.
 func (d *Daemon) FleetState() plan.FleetState {
 	var fleetState plan.FleetState
 	d.runInControl(func(c *control.Controller) {
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -34,7 +34,7 @@
 
 // Limits of the periodic tasks.
 const (
-	// scanRowLimit is the maximum number of rows that one scan of the store returns.
+	// scanRowLimit is the row limit in each scan request to the store.
 	scanRowLimit = 2000
 	// pullRowLimit is the maximum number of rows that one peer pull returns.
 	pullRowLimit = 2000
@@ -166,9 +166,9 @@
 			d.commit(ctx, commit)
 		})
 	}
-	for _, send := range actions.Orders {
+	for _, outgoing := range actions.Orders {
 		d.goroutines.Go(func() {
-			d.sendOrder(send)
+			d.sendOrder(outgoing)
 		})
 	}
 }
@@ -188,13 +188,13 @@
 
 // sendOrder sends an order if the lease under which it was decided remains valid
 // long enough for the order to arrive.
-func (d *Daemon) sendOrder(send control.OutgoingOrder) {
-	if err := send.Lease.Check(lease.OrderMargin); err != nil {
-		d.log.Warn("control: order not sent", zap.String("vm", send.VM), zap.Error(err))
+func (d *Daemon) sendOrder(outgoing control.OutgoingOrder) {
+	if err := outgoing.Lease.Check(lease.OrderMargin); err != nil {
+		d.log.Warn("control: order not sent", zap.String("vm", outgoing.VM), zap.Error(err))
 		return
 	}
-	if err := d.engines.Order(send.Address, send.Order); err != nil {
-		d.log.Warn("control: order failed", zap.String("vm", send.VM), zap.Error(err))
+	if err := d.engines.Order(outgoing.Address, outgoing.Order); err != nil {
+		d.log.Warn("control: order failed", zap.String("vm", outgoing.VM), zap.Error(err))
 	}
 }
 
@@ -230,8 +230,9 @@
 		select {
 		case <-time.After(jittered(storePollInterval)):
 		case <-d.refreshRequests:
-			// A conflicting commit requests a refresh. The delay lets the
-			// conflicting row become visible and limits the rate of reads.
+			// Failed commits and operators' requests cause refresh requests. The
+			// delay lets a conflicting row become visible and limits the rate of
+			// reads.
 			time.Sleep(jittered(maxStepInterval))
 		case <-ctx.Done():
 		}
@@ -420,7 +421,8 @@
 	return answer, nil
 }
 
-// Roster returns the controller's current roster.
+// Roster returns the controller's current roster, or an empty one if the daemon has
+// stopped.
 func (d *Daemon) Roster() roster.Roster {
 	var current roster.Roster
 	d.runInControl(func(c *control.Controller) {
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -66,8 +66,9 @@
 	return n.operators.Address()
 }
 
-// leaveTimeout bounds Daemon.Leave. It exceeds lease.Term because a lease is
-// released only after its term has ended.
+// leaveTimeout bounds Daemon.Leave. A lease is released only after the last order
+// under it has expired, which is lease.Term from now at the latest. The rest of the
+// timeout is for the commits that release the leases and leave the roster.
 const leaveTimeout = lease.Term + 4*time.Second
 
 // Stop drains and stops the daemon: it reports unready to the load balancer at
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -114,7 +114,8 @@
 }
 
 // awaitAccepted waits until a majority of the daemons hold this daemon's
-// configuration, for acceptanceTimeout at most.
+// configuration, for acceptanceTimeout at most, and returns the state at the end of
+// the wait.
 func (s *OperatorService) awaitAccepted(ctx context.Context, revision uint64) operator.ApplyReply {
 	waitCtx, cancel := context.WithTimeout(ctx, acceptanceTimeout)
 	defer cancel()
