--- a/command/plan.go
+++ b/command/plan.go
@@ -23,7 +23,7 @@
 	Show    PlanShowCommand    `cmd:"" help:"Show a plan's steps."`
 	Pause   PlanPauseCommand   `cmd:"" help:"Pause a confirmed plan after its steps in progress."`
 	Resume  PlanResumeCommand  `cmd:"" help:"Resume a paused plan."`
-	Abandon PlanAbandonCommand `cmd:"" help:"Abandon a plan; groups that still serve are kept."`
+	Abandon PlanAbandonCommand `cmd:"" help:"Abandon a plan; groups that it has not drained yet keep serving."`
 }
 
 // intentCommand holds the flags of the commands that propose a plan.
@@ -46,7 +46,7 @@
 func (c Connection) printPlan(streams *Streams, reply operator.PlanReply) error {
 	return c.print(streams.Out, reply, func(table io.Writer) {
 		p := reply.Plan
-		_, _ = fmt.Fprintf(table, "plan %s: %s\nstate: %s %s\nstands on revision %d\n", p.ID, p.Intent, p.State, p.Reason, p.Revision)
+		_, _ = fmt.Fprintf(table, "plan %s: %s\nstate: %s %s\nbuilt for revision %d\n", p.ID, p.Intent, p.State, p.Reason, p.Revision)
 		writeRow(table, "STAGE", "STEP", "NEEDS", "DOWNTIME S", "STRANDED S")
 		for _, step := range p.Steps {
 			writeRow(table, step.Stage, step, step.Needs, step.DowntimeSeconds, step.StrandedSeconds)
--- a/command/status.go
+++ b/command/status.go
@@ -10,7 +10,8 @@
 	Connection `embed:""`
 }
 
-// Run prints a table of daemons with their leases, and one of zones.
+// Run prints a table of daemons with the number of leases that each holds, and a
+// table of zones.
 func (s *StatusCommand) Run(streams *Streams) error {
 	status, err := s.client().Status()
 	if err != nil {
--- a/labcommand/compare.go
+++ b/labcommand/compare.go
@@ -20,7 +20,7 @@
 	Before  string `required:"" help:"Purpose of the runs to compare with, as the journal has it."`
 	After   string `required:"" help:"Purpose of the runs that are compared."`
 	Site    string `help:"Site whose runs are compared; all sites by default."`
-	As      string `default:"text" enum:"text,csv,svg" help:"Output format: text, csv, or svg, a plot of worth before and after."`
+	As      string `default:"text" enum:"text,csv,svg" help:"Output format: text, csv, or svg, a plot of the net values before and after."`
 }
 
 // Run writes the pairs. As text it adds a summary with a verdict for each site.
@@ -162,5 +162,5 @@
 			y: pair.After,
 		})
 	}
-	return writePlot(out, "worth before", "worth after", points)
+	return writePlot(out, "net value before", "net value after", points)
 }
--- a/labcommand/labcommand.go
+++ b/labcommand/labcommand.go
@@ -21,7 +21,7 @@
 	Slopes   SlopesCommand   `cmd:"" help:"Measure the resources that control uses in an idle daemon, with a platform in another process."`
 	Relay    RelayCommand    `cmd:"" help:"Measure the latency that a daemon adds to streams, compared with a direct connection."`
 	Plot     PlotCommand     `cmd:"" help:"Draw columns of a measurement as SVG."`
-	Days     DaysCommand     `cmd:"" help:"Write the worth of the standard days of a site, from the bench's journal."`
+	Days     DaysCommand     `cmd:"" help:"Write the net value of the standard days of a site, from the bench's journal."`
 	Compare  CompareCommand  `cmd:"" help:"Compare runs of the same days and seeds that were made for two purposes, from the bench's journal."`
 	Fleet    FleetCommand    `cmd:"" help:"Summarise the logs of a fleet's daemons: calls to the store, and when changes reached them."`
 	Routes   RoutesCommand   `cmd:"" help:"Compare routing policies on the same load, in virtual time."`
--- a/labcommand/measures.go
+++ b/labcommand/measures.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if len(violations) > 0 {
-		return errors.Errorf("promises broken: %v", violations)
+		return errors.Errorf("guarantees violated: %v", violations)
 	}
 	return nil
 }
--- a/labcommand/routes.go
+++ b/labcommand/routes.go
@@ -17,7 +17,7 @@
 	Duration time.Duration `name:"duration" default:"10m" help:"Virtual time."`
 	Topics   int           `name:"topics" default:"60" help:"Different prompt prefixes."`
 	Skew     float64       `name:"skew" default:"1.0" help:"Exponent of the Zipf distribution of prefixes."`
-	Lag      time.Duration `name:"lag" default:"1s" help:"Age of reported loads."`
+	Lag      time.Duration `name:"lag" default:"1s" help:"Maximum age of reported loads."`
 	Deadline time.Duration `name:"deadline" default:"1100ms" help:"Deadline of the first token."`
 }
 
--- a/labcommand/soak.go
+++ b/labcommand/soak.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if len(violations) > 0 {
-		return errors.Errorf("seed %d: %d promises broken", c.Seed, len(violations))
+		return errors.Errorf("seed %d: %d guarantees violated", c.Seed, len(violations))
 	}
 	return nil
 }
