--- a/tools/literalcheck/main.go
+++ b/tools/literalcheck/main.go
@@ -3,8 +3,8 @@
 //
 //	literalcheck DIR...
 //
-// It prints each violation with its position. The exit code is 0 for none, 1 for
-// some, and 2 if a file cannot be parsed.
+// It prints the first violation of each literal with its position. The exit code is
+// 0 for none, 1 for some, and 2 if a file cannot be parsed.
 //
 // It uses syntax only, without type information. A literal of a named type counts
 // as a struct literal unless a type of that name, in any of the folders, is
@@ -77,7 +77,8 @@
 	return true
 }
 
-// reportViolations prints every violation and returns how many there are.
+// reportViolations prints the first violation of each literal and returns how many
+// it printed.
 func (c *literalChecker) reportViolations() int {
 	violations := 0
 	for _, syntaxTree := range c.syntaxTrees {
@@ -132,8 +133,9 @@
 	return violations
 }
 
-// checkStruct checks a struct literal and returns 1 at its first violation. A
-// field on the line of the opening brace is one.
+// checkStruct checks a struct literal. It prints the first violation and returns 1,
+// or returns 0 if there is none. A field on the line of the opening brace is a
+// violation.
 func (c *literalChecker) checkStruct(literal *ast.CompositeLit) int {
 	occupiedLines := map[int]bool{c.fileSet.Position(literal.Lbrace).Line: true}
 	for _, element := range literal.Elts {
