--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -86,8 +86,8 @@
 	return answer
 }
 
-// check records a violation if the answer belongs to another request, or if a request was
-// rejected as not executed although it ran.
+// check records a violation if the answer belongs to another request, or if a request that may
+// not be repeated was rejected with 503 although it ran.
 func (c *Client) check(answer Answer, id, path string) {
 	if answer.Status != http.StatusOK || answer.Err != nil {
 		if answer.Status == http.StatusServiceUnavailable && c.Platform.Runs(answer.ID) > 0 && strings.HasPrefix(path, PathUnsafe) {
--- a/lab/standin/crash.go
+++ b/lab/standin/crash.go
@@ -23,8 +23,8 @@
 }
 
 // crash ends the server that runs the request and restarts it after restartDelay. Crashes for
-// one path alternate between a new ID and the old ID; the old ID is used again before its
-// entry expires.
+// one path alternate between a replacement with a new ID and a restart under the old ID, before
+// its entry expires. A server that was killed before crashDelay has passed is not restarted.
 func (p *Platform) crash(s *Server, r *http.Request) {
 	time.Sleep(crashDelay)
 	if s.wasKilled() {
--- a/lab/standin/directives.go
+++ b/lab/standin/directives.go
@@ -150,7 +150,7 @@
 func (s *Server) DrainInAnswersOnly() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.isDraining = true
+	s.announcesDraining = true
 	time.AfterFunc(drainTime+drainingGrace, s.Kill)
 }
 
@@ -182,9 +182,9 @@
 func (s *Server) addDirectives(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
-		isDraining := s.isDraining
+		announcesDraining := s.announcesDraining
 		s.mutex.Unlock()
-		if isDraining {
+		if announcesDraining {
 			w.Header().Set(wire.HeaderLeaving, "1")
 		}
 		isLimited := s.addLimit(w)
@@ -194,7 +194,7 @@
 			// answer.
 			return
 		}
-		if isDraining {
+		if announcesDraining {
 			s.platform.directives.recordDraining(s.id, r.Header.Get(headerDaemon))
 		}
 		if isLimited {
@@ -213,8 +213,9 @@
 	}
 }
 
-// checkDirectives records a violation if a request arrives in a pause that the server
-// requested from the daemon, or after the server announced to the daemon that it is draining.
+// checkDirectives records a violation if more than maxRequestsInPause requests arrive in a
+// pause that the server requested from the daemon, or if a request was sent more than
+// drainingGrace after the server announced to the daemon that it is draining.
 func (p *Platform) checkDirectives(s *Server, r *http.Request) {
 	daemon := r.Header.Get(headerDaemon)
 	now := time.Now()
--- a/lab/standin/evacuation.go
+++ b/lab/standin/evacuation.go
@@ -33,8 +33,8 @@
 	isViolated map[string]bool
 }
 
-// Evacuate evacuates a zone. After the deadline every request to the zone is a violation; a
-// deadline of 0 turns the check off.
+// Evacuate evacuates a zone. The first request to the zone after the deadline is recorded as a
+// violation. A deadline of 0 sets no deadline, and leaves an earlier one in force.
 func (p *Platform) Evacuate(zone string, deadline time.Duration) {
 	p.Store.putFromPlatform(wire.TableConfig, wire.KeyEvacuate+zone, []byte("{}"))
 	p.evacuations.mutex.Lock()
--- a/lab/standin/limits.go
+++ b/lab/standin/limits.go
@@ -22,8 +22,8 @@
 	limitGrace      = 500 * time.Millisecond
 )
 
-// limitRecord holds the limits that a server announced and the requests that arrived since.
-// The zero value is a server without a limit.
+// limitRecord holds the limits that a server announced and the requests that arrived in the
+// last limitWindow. replaceLimit creates it.
 type limitRecord struct {
 	// values are the limits in the order in which they were announced.
 	values      []limitValue
--- a/lab/standin/platform.go
+++ b/lab/standin/platform.go
@@ -238,7 +238,8 @@
 	p.Store.putFromPlatform(wire.TableConfig, wire.KeyConfig, []byte(value))
 }
 
-// Servers returns the running servers of a service, ordered by ID.
+// Servers returns the servers of a service that were not killed, ordered by ID. Servers that
+// are stopped until a restart are included.
 func (p *Platform) Servers(service string) []*Server {
 	return slices.DeleteFunc(p.allServers(service), (*Server).wasKilled)
 }
@@ -279,7 +280,8 @@
 	return heads
 }
 
-// Members returns the members of a head's group.
+// Members returns the members of the group that the server joined last, also after it left the
+// group.
 func (p *Platform) Members(head *Server) []*Server {
 	head.mutex.Lock()
 	ids := head.members
@@ -293,7 +295,8 @@
 	return members
 }
 
-// isComplete reports whether all members of a head's group are running and still in the group.
+// isComplete reports whether all other members of a head's group are still in the group and
+// none of them was killed. It returns false if the head is in no group.
 func (p *Platform) isComplete(head *Server) bool {
 	head.mutex.Lock()
 	group := head.state.Group
@@ -380,8 +383,9 @@
 	}
 }
 
-// recordRun counts a run of a request. It records a violation if a request that may not be
-// repeated ran before, still has the caller's key, or names an unknown organisation.
+// recordRun counts a run of a request. It records a violation if the request may not be
+// repeated but ran before, if it still has the caller's key, or if it names an unknown
+// organisation.
 func (p *Platform) recordRun(s *Server, r *http.Request, id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -34,8 +34,8 @@
 	pace        float64
 	// retryAfter is the pause that the server requests with each rejection; 0 means none.
 	retryAfter time.Duration
-	// isDraining makes all answers announce that the server is draining.
-	isDraining bool
+	// announcesDraining makes all answers announce that the server is draining.
+	announcesDraining bool
 	// limit is the limit that all answers announce, in requests per second; nil means none.
 	limit *float64
 	cold  coldState
@@ -53,7 +53,7 @@
 
 // Normal answers normally; Failing answers 500; Rejecting rejects requests as not executed;
 // Truncating closes the connection in the middle of an answer; ExtraAnswer sends a second
-// answer that belongs to no request after each answer.
+// answer that belongs to no request after each answer that is not a stream.
 const (
 	Normal Behaviour = iota
 	Failing
@@ -128,8 +128,9 @@
 }
 
 // Restart makes the server crash and start again under its ID, before its entry expires. The
-// server loses its models, its group, its limit and its announcement that it is draining; its
-// host keeps the staged weights.
+// server loses its models, its group and its limit, and its answers no longer announce that it
+// is draining; a draining state in its entry stays. Its host keeps the staged weights. A killed
+// server is not restarted.
 func (s *Server) Restart() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -145,7 +146,7 @@
 	s.state.Group = nil
 	s.members = nil
 	s.latestEpoch = 0
-	s.isDraining = false
+	s.announcesDraining = false
 	s.limit = nil
 	s.platform.directives.removeServer(s.id)
 	s.startServing(listener)
@@ -182,7 +183,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.state.State = wire.StateDraining
-	s.isDraining = true
+	s.announcesDraining = true
 	s.writeEntry()
 }
 
@@ -201,7 +202,7 @@
 	time.AfterFunc(drainTime, s.Kill)
 }
 
-// Stop ends the server's process; its entry stays.
+// Stop ends the server's process; its entry stays. Restart starts it again.
 func (s *Server) Stop() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -28,9 +28,9 @@
 type Fault int
 
 // NoFault answers normally. Unavailable answers 503. Unresponsive accepts calls and never
-// answers. LosingAnswers commits writes but does not answer them. DelayingCommits never
-// answers either, and commits pending writes when the fault ends, if their conditions hold
-// then.
+// answers. LosingAnswers commits writes but does not answer them. DelayingCommits answers
+// neither reads nor writes, and commits pending writes when the fault ends, if their
+// conditions hold then.
 const (
 	NoFault Fault = iota
 	Unavailable
@@ -57,7 +57,8 @@
 	rows       map[rowKey]wire.Row
 	history    []wire.Row
 	// era counts the restores from older copies; version orders the changes within one era.
-	// minFeedVersion is the oldest version after which the history is complete.
+	// minFeedVersion is the oldest version from which a feed may continue; feeds from older
+	// ones are answered with 410.
 	era            int64
 	version        int64
 	minFeedVersion int64
@@ -121,6 +122,7 @@
 }
 
 // DropHistory drops the history, so that clients of the feed must read their tables again.
+// Feeds are refused until the next write, also from the current version.
 func (s *Store) DropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -159,7 +161,8 @@
 	s.notifyWaiters()
 }
 
-// StopAnsweringTable makes the store leave reads and feeds of one table unanswered.
+// StopAnsweringTable makes the store leave reads and new feeds of one table unanswered; an
+// empty name ends this. Feeds that wait already are still answered.
 func (s *Store) StopAnsweringTable(table string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
