--- a/lab/soak/clients.go
+++ b/lab/soak/clients.go
@@ -30,7 +30,8 @@
 	revokedAt map[string]time.Time
 }
 
-// pick returns the key in force or, if wantRevoked, the one that was revoked last.
+// pick returns the key in force or, if wantRevoked is set and a key was revoked, the one that
+// was revoked last.
 func (k *keyring) pick(wantRevoked bool) string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -43,8 +44,8 @@
 	return k.current
 }
 
-// rotate returns a new key for the organisation. The caller must call acknowledge when the
-// store has the key.
+// rotate makes a new key the one in force and returns it. The caller must call acknowledge when
+// the store has the key; from then on the former key counts as revoked.
 func (k *keyring) rotate() (newKey string, acknowledge func()) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -115,7 +116,8 @@
 			outcome = "broken"
 		}
 		if answer.Reason == "crashes_servers" {
-			// Counted separately: the request ran on a server that another request crashed.
+			// Counted separately: the daemon holds the request, because one with the same
+			// content ran on a server that another request crashed.
 			outcome = "held beside a crash"
 		}
 		s.outcomes.add(outcome)
--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -57,8 +57,9 @@
 }
 
 // checkCrashingRequests sends each request that crashed crashThreshold servers to every daemon
-// again, and returns those that are still forwarded to servers. A daemon that is killed may
-// lose its report of a crash, so the users' rule and this check allow a few more crashes.
+// again, and returns a failure for each that crashes more than maxCrashesAfterThreshold further
+// servers. A daemon that is killed may lose its report of a crash, so the users' rule and this
+// check allow a few more crashes.
 func (s *soak) checkCrashingRequests() []string {
 	s.crashingSenders.Wait()
 	time.Sleep(crashReportTime)
--- a/lab/soak/directives.go
+++ b/lab/soak/directives.go
@@ -11,7 +11,8 @@
 
 // Times for which a daemon is exempt from the checks of directives that it received before:
 // killExemption lasts until a killed daemon has ended, stopExemption until a daemon has shut
-// down.
+// down. killExemption also applies to all daemons when the connections to a server are
+// blackholed.
 const (
 	killExemption = 1500 * time.Millisecond
 	stopExemption = 6 * time.Second
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -112,7 +112,7 @@
 		begin: sendCrashingRequests,
 	},
 	{
-		name:  "servers name limits",
+		name:  "servers announce limits",
 		begin: setLimits,
 	},
 	{
@@ -141,6 +141,7 @@
 }
 
 // injectFaults injects random faults until a time. Faults overlap, and each ends by itself.
+// Then it waits for maxFaultDuration; limits and restores may be pending even after that.
 func (s *soak) injectFaults(until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(s.randomDuration(minFaultGap, maxFaultGap))
@@ -309,7 +310,8 @@
 	return nil
 }
 
-// killMember kills a member of an open group, and starts an empty server in its domain.
+// killMember starts an empty server in the domain of a member of an open group, and kills the
+// member.
 func killMember(s *soak) func() {
 	if member := s.randomMember(); member != nil {
 		s.replaceServer(member, (*standin.Server).Kill)
@@ -317,7 +319,8 @@
 	return nil
 }
 
-// randomMember returns a random member of an open group, or nil if there is none.
+// randomMember returns a random member of an open group of a random model, or nil if that model
+// has none.
 func (s *soak) randomMember() *standin.Server {
 	model := []string{standin.ModelLarge, standin.ModelSmall}[s.random.IntN(2)]
 	heads := s.platform.Heads(model)
@@ -340,14 +343,15 @@
 	return nil
 }
 
-// replacePlainServer makes a plain server leave, and starts a replacement.
+// replacePlainServer starts a replacement for a plain server, and makes the server leave.
 func replacePlainServer(s *soak) func() {
 	servers := s.platform.Servers(standin.ServicePlain)
 	s.replaceServer(servers[s.random.IntN(len(servers))], (*standin.Server).Leave)
 	return nil
 }
 
-// replaceServer starts an empty server like the former one, and then ends the former one.
+// replaceServer starts an empty server like the former one, and then ends the former one. If
+// the new server does not start, the former one stays.
 func (s *soak) replaceServer(former *standin.Server, end func(*standin.Server)) {
 	if err := s.platform.StartReplacement(former); err != nil {
 		s.logf("server not started: %v", err)
--- a/lab/soak/limits.go
+++ b/lab/soak/limits.go
@@ -65,7 +65,7 @@
 	return minLimit * math.Pow(maxLimit/minLimit, s.random.Float64())
 }
 
-// randomServers returns one, half or all of the servers of a random service.
+// randomServers returns one, half (rounded up) or all of the servers of a random service.
 func (s *soak) randomServers() []*standin.Server {
 	service := []string{standin.ServicePlain, standin.ServiceModel}[s.random.IntN(2)]
 	servers := s.platform.Servers(service)
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -40,8 +40,7 @@
 
 // Times of a soak, and its number of clients.
 const (
-	// servingTimeout limits the wait until every daemon serves, at the start and after the
-	// faults.
+	// servingTimeout limits the wait until one daemon serves one kind of request.
 	servingTimeout = 60 * time.Second
 	// clientInterval is the time between two requests of a client.
 	clientInterval = 15 * time.Millisecond
@@ -81,7 +80,8 @@
 	snapshots       snapshots
 }
 
-// RunSeed runs a soak and returns the violations and failures that it found.
+// RunSeed runs a soak and returns the violations and failures that it found. If the daemons do
+// not serve at the start, it returns only these failures.
 func RunSeed(options Options) ([]string, error) {
 	s := &soak{
 		options:       options,
@@ -132,7 +132,7 @@
 	s.logf("%s", s.outcomes.String())
 	counts := s.platform.DirectiveCounts()
 	s.logf("%d pauses requested, %d requests sent in them beyond those in flight; %d drains announced", counts.PausesRequested, counts.RequestsInPause, counts.DrainsAnnounced)
-	s.logf("%d daemons received a limit, and sent %d requests to servers with one", counts.LimitsReceived, counts.LimitedRequests)
+	s.logf("%d pairs of a server and a daemon that received a limit from it, with %d requests", counts.LimitsReceived, counts.LimitedRequests)
 	return append(failures, s.platform.Violations()...), nil
 }
 
