--- a/lab/fleet/daemon.go
+++ b/lab/fleet/daemon.go
@@ -20,7 +20,7 @@
 		},
 	}
 	f.sendOrders(daemon)
-	f.settlePending(daemon, store)
+	f.resolvePending(daemon, store)
 	f.poll(daemon, store, now)
 	f.pullFromPeers(daemon)
 	f.probe(daemon, now)
@@ -51,32 +51,33 @@
 	return f.lastTransaction
 }
 
-// maxSettleAttempts is the number of attempts to determine the outcome of a commit before a
+// maxResolveAttempts is the number of attempts to determine the outcome of a commit before a
 // daemon gives up.
-const maxSettleAttempts = 24
+const maxResolveAttempts = 24
 
-// settlePending determines the outcome of commits whose answers were lost.
-func (f *Fleet) settlePending(daemon *SimulatedDaemon, store *table.ResolvingStore) {
-	var unsettled []pendingCommit
+// resolvePending determines the outcome of commits whose answers were lost.
+func (f *Fleet) resolvePending(daemon *SimulatedDaemon, store *table.ResolvingStore) {
+	var unresolved []pendingCommit
 	for _, pending := range daemon.pendingCommits {
 		version, err := store.ResolveOnce(context.Background(), pending.marker)
 		pending.attempts++
-		if !table.IsOutcomeKnown(err) && pending.attempts < maxSettleAttempts {
-			unsettled = append(unsettled, pending)
+		if !table.IsOutcomeKnown(err) && pending.attempts < maxResolveAttempts {
+			unresolved = append(unresolved, pending)
 			continue
 		}
 		daemon.Controller.RecordCommit(pending.commit, version, err)
 	}
-	daemon.pendingCommits = unsettled
+	daemon.pendingCommits = unresolved
 }
 
 // sendOrders sends the orders of the previous step. It drops an order if the lease under which
-// it was decided no longer holds, because the daemon can have been paused in between.
+// it was decided is no longer valid for lease.OrderMargin, because the daemon can have been
+// paused in between.
 func (f *Fleet) sendOrders(daemon *SimulatedDaemon) {
-	for _, send := range daemon.queuedOrders {
-		if send.Lease.Check(lease.OrderMargin) == nil {
+	for _, outgoing := range daemon.queuedOrders {
+		if outgoing.Lease.Check(lease.OrderMargin) == nil {
 			f.ordersInFlight = append(f.ordersInFlight, orderInFlight{
-				send:      send,
+				outgoing:  outgoing,
 				arrivesAt: time.Now().Add(f.DrawDelay(maxOrderDelay)),
 			})
 		}
@@ -84,7 +85,8 @@
 	daemon.queuedOrders = nil
 }
 
-// poll reads the changed rows and the VM list if the poll interval has passed.
+// poll reads the changed rows and the VM list if the poll interval has passed. It does not read
+// the VM list if the store fails.
 func (f *Fleet) poll(daemon *SimulatedDaemon, store *table.ResolvingStore, now time.Time) {
 	if now.Sub(daemon.polledAt) < 2500*time.Millisecond {
 		return
@@ -134,7 +136,8 @@
 	}
 }
 
-// RedeliverExchange redelivers a past exchange to the daemon that received it.
+// RedeliverExchange redelivers to a daemon the past exchange that index selects. It does nothing
+// if another daemon received that exchange.
 func (f *Fleet) RedeliverExchange(daemon *SimulatedDaemon, index int) {
 	past := f.pastExchanges[index%len(f.pastExchanges)]
 	if past.receiver != daemon {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -71,7 +71,7 @@
 
 // orderInFlight is an order that has not reached its server yet.
 type orderInFlight struct {
-	send      control.OutgoingOrder
+	outgoing  control.OutgoingOrder
 	arrivesAt time.Time
 }
 
@@ -292,9 +292,9 @@
 			inFlight = append(inFlight, arriving)
 			continue
 		}
-		if target := f.Servers[arriving.send.VM]; target.isAnswering() {
-			f.checkOrder(target, arriving.send.Order)
-			target.applyOrder(arriving.send.Order)
+		if target := f.Servers[arriving.outgoing.VM]; target.isAnswering() {
+			f.checkOrder(target, arriving.outgoing.Order)
+			target.applyOrder(arriving.outgoing.Order)
 		}
 	}
 	f.ordersInFlight = inFlight
--- a/lab/fleet/operators.go
+++ b/lab/fleet/operators.go
@@ -97,8 +97,9 @@
 	return err
 }
 
-// StartWithGroups declares two groups in each of the three zones and runs the fleet until the
-// plan that creates them is done.
+// StartWithGroups declares two groups in each of the three zones and confirms a plan that
+// creates them. It returns an error if the plan is not done after a minute of simulated time,
+// or if the oracle found a violation.
 func (f *Fleet) StartWithGroups() error {
 	f.Run(5 * time.Second)
 	if err := f.Apply(f.Daemons[0], NewDeclaration(map[string]int{"z0": 2, "z1": 2, "z2": 2}, "1")); err != nil {
@@ -120,7 +121,7 @@
 		return err
 	}
 	if found.State != plan.Done || len(f.Violations) > 0 {
-		return errors.Errorf("plan is %s at stage %d: %s; broken: %v", found.State, found.Stage, found.Reason, f.Violations)
+		return errors.Errorf("plan is %s at stage %d: %s; violations: %v", found.State, found.Stage, found.Reason, f.Violations)
 	}
 	return nil
 }
--- a/lab/fleet/oracle.go
+++ b/lab/fleet/oracle.go
@@ -87,7 +87,7 @@
 }
 
 // checkPlans checks that no two active plans change one group, zone or VM. A plan is active if
-// it is confirmed or paused.
+// it is confirmed or paused. Steps that form a group are not checked.
 func (f *Fleet) checkPlans(rows map[string]table.Row) {
 	changedBy := map[string]string{}
 	for key, row := range rows {
@@ -190,7 +190,8 @@
 	}
 }
 
-// MinServingGroups returns the lowest number of groups that any running daemon would route to.
+// MinServingGroups returns the lowest number of groups that any running daemon would route to,
+// or -1 if all daemons are paused.
 func (f *Fleet) MinServingGroups() int {
 	fewest := -1
 	for _, daemon := range f.Daemons {
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// applyOrder applies an order as the stand-in engine does.
+// applyOrder applies an order as the stand-in engine does. An order that the server rejects
+// has no effect.
 func (s *Server) applyOrder(o order.Order) {
 	if s.VM.ChecksOrders && !s.fence.Accepts(o) {
 		return
