--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,7 @@
 // Package load sends callers' requests in an open loop: the rate does not depend on the
 // answers. It measures latency from the intended start of a request, and checks that every
-// answer is complete, belongs to its request and has the outcome that it reports.
+// answer is complete and belongs to its request. Whether a reported outcome is true can be
+// checked with the ledgers of the backend servers, as package demo does.
 package load
 
 import (
@@ -59,7 +60,8 @@
 	Mismatched Verdict = "foreign"
 	// Truncated means that the answer ended without an error but was incomplete.
 	Truncated Verdict = "cut"
-	// Disconnected means that the connection failed in a way that the caller could detect.
+	// Disconnected means that the request failed in a way that the caller could detect, such as
+	// a lost connection.
 	Disconnected Verdict = "broken"
 	// Unreachable means that no daemon could be reached and nothing was sent.
 	Unreachable Verdict = "unreached"
@@ -99,8 +101,8 @@
 	return count
 }
 
-// Reason summarises the requests that failed for one reason, with the earliest and the latest
-// intended start.
+// Reason summarises the requests that failed with one verdict for one reason, with the earliest
+// and the latest intended start. Name is the verdict and the reason.
 type Reason struct {
 	Name          string
 	Count         int
@@ -237,7 +239,8 @@
 	fasthttp.ReleaseResponse(e.response)
 }
 
-// send sends a request to a daemon. It returns an outcome if the request failed.
+// send sends a request to a daemon. It returns an outcome if no response was received, and nil
+// otherwise. The caller releases the exchange in both cases.
 func (r *runner) send(method, path, key string, body []byte, headers [][2]string) (exchange, *Outcome) {
 	sent := exchange{
 		request:  fasthttp.AcquireRequest(),
@@ -284,7 +287,8 @@
 	} `json:"error"`
 }
 
-// errorOutcome returns the outcome that an error response reports.
+// errorOutcome returns the outcome that an error response reports. A response that reports
+// neither not_run nor unknown counts as truncated.
 func errorOutcome(body []byte, requestID string) Outcome {
 	var parsed errorBody
 	outcome := Outcome{
