--- a/lab/demo/scenario.go
+++ b/lab/demo/scenario.go
@@ -69,7 +69,8 @@
 	return s.waitForServing(s.declaredGroupCount(), 60*time.Second)
 }
 
-// killMember kills one VM of a serving group and waits until the group is repaired.
+// killMember kills a member of the first group by name, waits until all declared groups serve,
+// and restarts the VM without its state.
 func (s *session) killMember() error {
 	snapshot := s.nodes[0].Daemon().Snapshot()
 	names := make([]string, 0, len(snapshot.Groups))
@@ -133,7 +134,7 @@
 	time.Sleep(outageDuration)
 	s.platform.TableFaults.Set(fault.Faults{})
 	_, serving := s.countServing()
-	s.printf("table service back; %d groups served meanwhile", serving)
+	s.printf("table service back; %d groups serve", serving)
 }
 
 // ----------------------------------------------------------------------------
@@ -183,7 +184,7 @@
 }
 
 // reportOutcomes compares the outcomes reported to callers with the ledgers of the backend
-// servers and prints the totals.
+// servers and prints the totals. It returns ErrGuaranteeViolated if they violate a guarantee.
 func (s *session) reportOutcomes(report *load.Report, totals measures) error {
 	engineRuns, serviceRuns := s.platform.EngineRuns(), s.platform.ServiceRuns()
 	falseNotRun, duplicated, lost := 0, 0, 0
@@ -204,7 +205,7 @@
 	for _, reason := range report.Reasons() {
 		s.printf("        %-40s %4d  from %.1f s to %.1f s of the load", reason.Name, reason.Count, reason.EarliestStart.Seconds(), reason.LatestStart.Seconds())
 	}
-	s.printf("    promises: lost %d, doubled %d, foreign %d, cut %d, told not run but ran %d", lost, duplicated, report.Count(load.Mismatched), report.Count(load.Truncated), falseNotRun)
+	s.printf("    guarantees: lost %d, duplicated %d, foreign %d, cut %d, reported as not run but ran %d", lost, duplicated, report.Count(load.Mismatched), report.Count(load.Truncated), falseNotRun)
 	s.printf("    group downtime %.1f group seconds; stranded %.1f accelerators on average", totals.groupDowntimeSeconds, totals.strandedAcceleratorSeconds/totals.elapsedSeconds)
 	s.printf("    first token %d / %d / %d ms at 50 / 95 / 99%%; between tokens %d ms at 95%%", report.FirstEvent.ValueAtQuantile(50)/1000, report.FirstEvent.ValueAtQuantile(95)/1000, report.FirstEvent.ValueAtQuantile(99)/1000, report.EventGap.ValueAtQuantile(95)/1000)
 	if falseNotRun+duplicated+lost+report.Count(load.Mismatched)+report.Count(load.Truncated) > 0 {
