--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -49,7 +49,8 @@
 	fence   order.Fence
 	current order.Order
 	loaded  bool
-	// complete is false while another member is missing from the group.
+	// complete is false while another member is missing from the group. Only the first member
+	// checks this.
 	complete    bool
 	cancel      context.CancelFunc
 	runs        map[string]*run
@@ -83,7 +84,7 @@
 	return &e.faults
 }
 
-// Kill simulates a crash: it closes all connections and discards the state.
+// Kill simulates a crash: it closes all connections and discards the state, but not the ledger.
 func (e *Engine) Kill() {
 	e.server.Kill()
 	e.mutex.Lock()
--- a/lab/engine/run.go
+++ b/lab/engine/run.go
@@ -18,7 +18,7 @@
 // streamsPath is the prefix of paths that resume (GET) or cancel (DELETE) a stream.
 const streamsPath = "/v1/streams/"
 
-// endedRunRetention is how long an ended stream can be resumed.
+// endedRunRetention is how long an ended stream can be resumed at least.
 const endedRunRetention = 20 * time.Second
 
 // Completion is the part of a request body that the stand-in reads.
@@ -203,7 +203,8 @@
 	e.mutex.Unlock()
 }
 
-// answerUnstreamed waits for the end of a run and answers with the whole completion.
+// answerUnstreamed waits for the end of a run and answers with the whole completion. It closes
+// the connection without an answer if the run is aborted.
 func (e *Engine) answerUnstreamed(ctx *fasthttp.RequestCtx, active *run, request Completion) {
 	position := 0
 	for {
