--- a/lab/tablestore/flaky.go
+++ b/lab/tablestore/flaky.go
@@ -6,8 +6,9 @@
 	"headcourse/core/table"
 )
 
-// Flaky is a table that randomly rejects operations, loses answers and delays commits. A
-// delayed commit is applied only when DeliverDelayed is called, which Commit does at random.
+// Flaky is a table that randomly rejects commits and reads of rows, loses answers to commits and
+// delays commits. Scans never fail. A delayed commit is applied only when DeliverDelayed is
+// called, which Commit does at random.
 type Flaky struct {
 	*Memory
 	// Draw returns a number from 0 to below n, for the named purpose.
--- a/lab/tablestore/tablestore.go
+++ b/lab/tablestore/tablestore.go
@@ -1,7 +1,7 @@
 // Package tablestore is the stand-in for the platform's table service.
 //
 // Memory holds the rows and implements table.Store directly, for tests without sockets.
-// Handler serves it as JSON over HTTP. Both count reads and writes, on which the capacity
+// Handler serves it as JSON over HTTP. Memory counts reads and commits, on which the capacity
 // figures are based.
 package tablestore
 
@@ -106,7 +106,8 @@
 	delete(m.rows, key)
 }
 
-// Read returns a row. A row that was never written has version 0.
+// Read returns a row. A row that does not exist has version 0. A tombstone is returned with its
+// version and Deleted set.
 func (m *Memory) Read(_ context.Context, key string) (table.Row, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -121,7 +122,8 @@
 	return row, nil
 }
 
-// Scan returns rows that changed after a version.
+// Scan returns rows that changed after a version, in the order of their versions. The result may
+// exceed the limit, because it never ends within the rows of one commit.
 func (m *Memory) Scan(_ context.Context, request table.ScanRequest) (table.ScanResult, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
