--- a/lab/proxy/proxy.go
+++ b/lab/proxy/proxy.go
@@ -73,8 +73,8 @@
 	return p.listener.Addr().String()
 }
 
-// SetFault changes the fault from now on. Connections that lost bytes are reset when the fault
-// ends, since a byte stream with a gap is corrupt.
+// SetFault changes the fault from now on. All connections are reset when a fault that drops
+// bytes ends, since a byte stream with a gap is corrupt.
 func (p *Proxy) SetFault(fault Fault) {
 	p.mutex.Lock()
 	former := p.fault
