--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -54,7 +54,8 @@
 	PropagationSeconds float64
 }
 
-// Measure starts daemons and measures them while they are idle.
+// Measure starts daemons, measures them while they are idle, and then measures how long a change
+// takes to reach all of them.
 func Measure(settings Settings) (Measurement, error) {
 	measurement := Measurement{
 		Daemons: settings.Daemons,
@@ -118,8 +119,8 @@
 // every daemon.
 const stateTimeout = 3 * time.Minute
 
-// formGroups declares the deployment and waits until all its groups are serving in the state
-// of the last daemon.
+// formGroups declares the deployment, confirms a plan if groups are missing, and waits until all
+// groups of its first model are serving in the state of the last daemon.
 func formGroups(settings Settings, daemons []*daemon.Daemon) error {
 	ctx, cancel := storeContext()
 	defer cancel()
