--- a/lab/fuzz/fuzz.go
+++ b/lab/fuzz/fuzz.go
@@ -42,7 +42,7 @@
 	return value
 }
 
-// setFlag sets a flag of package rapid, if the package is linked in.
+// setFlag sets a flag of package rapid, if the flag exists.
 func setFlag(name, value string) {
 	if flag.Lookup(name) != nil {
 		if err := flag.Set(name, value); err != nil {
--- a/lab/measures/measures.go
+++ b/lab/measures/measures.go
@@ -307,7 +307,8 @@
 	s.returnAt[id] = time.Now().Add(duration)
 }
 
-// pause makes a VM's server stop answering for a duration without losing its state.
+// pause makes a VM's server stop answering for a duration without losing its state. A crashed
+// server stays as it is.
 func (s *simulation) pause(id string, duration time.Duration) {
 	if !s.fleet.Servers[id].Crashed {
 		s.fleet.Servers[id].Paused = true
--- a/lab/relaybench/relaybench.go
+++ b/lab/relaybench/relaybench.go
@@ -44,6 +44,7 @@
 
 // Measurement holds the results of one path.
 type Measurement struct {
+	// Events counts the events of the complete streams.
 	Events            int
 	Streams           int
 	IncompleteStreams int
--- a/lab/server/server.go
+++ b/lab/server/server.go
@@ -50,7 +50,7 @@
 	s.conns = nil
 }
 
-// Restart listens again on the same address.
+// Restart listens again on the same address. It does nothing if the server is listening.
 func (s *Server) Restart() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// CPUSeconds returns the processor time of the process in seconds, user and system.
+// CPUSeconds returns the processor time of the process in seconds, user and system, or 0 if it
+// cannot be read.
 func CPUSeconds() float64 {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) != nil {
--- a/lab/vmlist/vmlist.go
+++ b/lab/vmlist/vmlist.go
@@ -13,7 +13,7 @@
 	"headcourse/core/vm"
 )
 
-// pendingChange replaces or removes an entry when visibleAt is reached.
+// pendingChange replaces or removes an entry from visibleAt on.
 type pendingChange struct {
 	entry     vm.VM
 	isRemoval bool
@@ -40,7 +40,7 @@
 	}
 }
 
-// SetState changes the state of a VM after the delay.
+// SetState changes the state of a VM after the delay. It does nothing if the VM is not listed.
 func (l *List) SetState(id string, state vm.State) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/lab/weightstore/weightstore.go
+++ b/lab/weightstore/weightstore.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Fetch waits until the weights of one load are read.
+// Fetch waits until the weights of one load are read. It returns an error if ctx ends before.
 func (s *Store) Fetch(ctx context.Context) error {
 	return s.limiter.Wait(ctx)
 }
