--- a/command/command.go
+++ b/command/command.go
@@ -121,7 +121,7 @@
 		return ExitUsage
 	case errors.Is(err, ErrNotAccepted):
 		return ExitNotAccepted
-	case errors.Is(err, table.ErrUnknown), errors.Is(err, operator.ErrNoAnswer):
+	case errors.Is(err, table.ErrUnknown), errors.Is(err, operator.ErrOutcomeUnknown):
 		return ExitOutcomeUnknown
 	default:
 		return ExitFailed
--- a/command/plan.go
+++ b/command/plan.go
@@ -11,13 +11,13 @@
 // PlanCommand proposes plans for intents, and shows and changes existing plans.
 // The fields before List match the kinds of intent in plan.Kinds.
 type PlanCommand struct {
-	Reconcile     ReconcileIntent     `cmd:"" help:"Plan to create, change and dissolve groups so that the fleet matches the declaration."`
-	DrainSite     DrainSiteIntent     `cmd:"" help:"Plan to move every group out of a site and close its zones."`
-	DrainZone     DrainZoneIntent     `cmd:"" help:"Plan to move every group out of a zone and close it."`
-	OpenZone      OpenZoneIntent      `cmd:"" help:"Plan to open a closed zone for groups again."`
-	RetireVM      RetireVMIntent      `cmd:"" name:"retire-vm" help:"Plan to take a VM out of use."`
-	MoveModel     MoveModelIntent     `cmd:"" help:"Plan to move a model's groups from one zone to another."`
-	DissolveGroup DissolveGroupIntent `cmd:"" help:"Plan to dissolve a group and free its VMs."`
+	Reconcile     ReconcileCommand     `cmd:"" help:"Plan to create, change and dissolve groups so that the fleet matches the declaration."`
+	DrainSite     DrainSiteCommand     `cmd:"" help:"Plan to move every group out of a site and close its zones."`
+	DrainZone     DrainZoneCommand     `cmd:"" help:"Plan to move every group out of a zone and close it."`
+	OpenZone      OpenZoneCommand      `cmd:"" help:"Plan to open a closed zone for groups again."`
+	RetireVM      RetireVMCommand      `cmd:"" name:"retire-vm" help:"Plan to take a VM out of use."`
+	MoveModel     MoveModelCommand     `cmd:"" help:"Plan to move a model's groups from one zone to another."`
+	DissolveGroup DissolveGroupCommand `cmd:"" help:"Plan to dissolve a group and free its VMs."`
 
 	List    PlanListCommand    `cmd:"" help:"List all plans."`
 	Show    PlanShowCommand    `cmd:"" help:"Show a plan's steps."`
@@ -61,79 +61,79 @@
 	})
 }
 
-// ReconcileIntent proposes a plan that makes the fleet match the declaration.
-type ReconcileIntent struct {
+// ReconcileCommand proposes a plan that makes the fleet match the declaration.
+type ReconcileCommand struct {
 	intentCommand `embed:""`
 }
 
 // Run proposes the plan and prints it.
-func (r *ReconcileIntent) Run(streams *Streams) error {
+func (r *ReconcileCommand) Run(streams *Streams) error {
 	return r.propose(streams, plan.Intent{
 		Kind: plan.Reconcile,
 	})
 }
 
-// DrainSiteIntent proposes a plan that moves all groups out of a site and closes
+// DrainSiteCommand proposes a plan that moves all groups out of a site and closes
 // its zones.
-type DrainSiteIntent struct {
+type DrainSiteCommand struct {
 	intentCommand `embed:""`
 	Site          string `arg:"" help:"The site."`
 }
 
 // Run proposes the plan and prints it.
-func (d *DrainSiteIntent) Run(streams *Streams) error {
+func (d *DrainSiteCommand) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind: plan.DrainSite,
 		Site: d.Site,
 	})
 }
 
-// DrainZoneIntent proposes a plan that moves all groups out of a zone and closes
+// DrainZoneCommand proposes a plan that moves all groups out of a zone and closes
 // it.
-type DrainZoneIntent struct {
+type DrainZoneCommand struct {
 	intentCommand `embed:""`
 	Zone          string `arg:"" help:"The zone."`
 }
 
 // Run proposes the plan and prints it.
-func (d *DrainZoneIntent) Run(streams *Streams) error {
+func (d *DrainZoneCommand) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind: plan.DrainZone,
 		Zone: d.Zone,
 	})
 }
 
-// OpenZoneIntent proposes a plan that opens a closed zone for groups again.
-type OpenZoneIntent struct {
+// OpenZoneCommand proposes a plan that opens a closed zone for groups again.
+type OpenZoneCommand struct {
 	intentCommand `embed:""`
 	Zone          string `arg:"" help:"The zone."`
 }
 
 // Run proposes the plan and prints it.
-func (o *OpenZoneIntent) Run(streams *Streams) error {
+func (o *OpenZoneCommand) Run(streams *Streams) error {
 	return o.propose(streams, plan.Intent{
 		Kind: plan.ReopenZone,
 		Zone: o.Zone,
 	})
 }
 
-// RetireVMIntent proposes a plan that takes a VM out of use.
-type RetireVMIntent struct {
+// RetireVMCommand proposes a plan that takes a VM out of use.
+type RetireVMCommand struct {
 	intentCommand `embed:""`
 	VM            string `arg:"" help:"The VM's id."`
 }
 
 // Run proposes the plan and prints it.
-func (r *RetireVMIntent) Run(streams *Streams) error {
+func (r *RetireVMCommand) Run(streams *Streams) error {
 	return r.propose(streams, plan.Intent{
 		Kind: plan.RetireVMIntent,
 		VM:   r.VM,
 	})
 }
 
-// MoveModelIntent proposes a plan that moves the groups of a model from one zone
+// MoveModelCommand proposes a plan that moves the groups of a model from one zone
 // to another.
-type MoveModelIntent struct {
+type MoveModelCommand struct {
 	intentCommand `embed:""`
 	Model         string `arg:"" help:"The model."`
 	From          string `arg:"" help:"The zone to move the groups from."`
@@ -141,7 +141,7 @@
 }
 
 // Run proposes the plan and prints it.
-func (m *MoveModelIntent) Run(streams *Streams) error {
+func (m *MoveModelCommand) Run(streams *Streams) error {
 	return m.propose(streams, plan.Intent{
 		Kind:  plan.MoveModel,
 		Model: m.Model,
@@ -150,14 +150,14 @@
 	})
 }
 
-// DissolveGroupIntent proposes a plan that dissolves a group and frees its VMs.
-type DissolveGroupIntent struct {
+// DissolveGroupCommand proposes a plan that dissolves a group and frees its VMs.
+type DissolveGroupCommand struct {
 	intentCommand `embed:""`
 	Group         string `arg:"" help:"The group."`
 }
 
 // Run proposes the plan and prints it.
-func (d *DissolveGroupIntent) Run(streams *Streams) error {
+func (d *DissolveGroupCommand) Run(streams *Streams) error {
 	return d.propose(streams, plan.Intent{
 		Kind:  plan.DissolveGroup,
 		Group: d.Group,
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -67,8 +67,8 @@
 	Next *Record `json:"next,omitempty"`
 }
 
-// LeaderAddress returns the address of the first member, which takes the group's requests.
-func (r Record) LeaderAddress() string {
+// HeadAddress returns the address of the first member, which takes the group's requests.
+func (r Record) HeadAddress() string {
 	if len(r.Members) == 0 {
 		return ""
 	}
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -55,8 +55,8 @@
 	s.estimates[model] = known
 }
 
-// PerRequest returns the mean request size of a model, or fallback if there are too few samples.
-func (s *SizeEstimator) PerRequest(model string, fallback Size) Size {
+// MeanSize returns the mean request size of a model, or fallback if there are too few samples.
+func (s *SizeEstimator) MeanSize(model string, fallback Size) Size {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known := s.estimates[model]; known.count >= minSamples {
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -15,7 +15,7 @@
 		Prompt: 1000,
 		Answer: 100,
 	}
-	qt.Assert(t, sizes.PerRequest("large", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.MeanSize("large", fallback), qt.Equals, fallback)
 	for range 400 {
 		sizes.Record("large", usage.Size{
 			Prompt: 2000,
@@ -26,11 +26,11 @@
 			Answer: 120,
 		})
 	}
-	mean := sizes.PerRequest("large", fallback)
+	mean := sizes.MeanSize("large", fallback)
 	qt.Assert(t, mean.Prompt > 1450 && mean.Prompt < 1550, qt.IsTrue, qt.Commentf("%v", mean))
 	qt.Assert(t, mean.Answer > 65 && mean.Answer < 75, qt.IsTrue, qt.Commentf("%v", mean))
 	// Each model has an estimate of its own.
-	qt.Assert(t, sizes.PerRequest("small", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.MeanSize("small", fallback), qt.Equals, fallback)
 }
 
 func TestNewModelClearsAFullMap(t *testing.T) {
@@ -46,8 +46,8 @@
 		})
 	}
 	// The last model is known, and the first one was discarded.
-	qt.Assert(t, sizes.PerRequest("9999", usage.Size{}).Prompt, qt.Equals, 1.0)
-	qt.Assert(t, sizes.PerRequest("0", usage.Size{}).Prompt, qt.Equals, 0.0)
+	qt.Assert(t, sizes.MeanSize("9999", usage.Size{}).Prompt, qt.Equals, 1.0)
+	qt.Assert(t, sizes.MeanSize("0", usage.Size{}).Prompt, qt.Equals, 0.0)
 }
 
 // Guards against a first request that sets the mean. A daemon among 295 gets a request for the
@@ -63,13 +63,13 @@
 		Prompt: 40,
 		Answer: 8,
 	})
-	qt.Assert(t, sizes.PerRequest("large", fallback), qt.Equals, fallback)
+	qt.Assert(t, sizes.MeanSize("large", fallback), qt.Equals, fallback)
 	for range 9 {
 		sizes.Record("large", usage.Size{
 			Prompt: 1540,
 			Answer: 158,
 		})
 	}
-	mean := sizes.PerRequest("large", fallback)
+	mean := sizes.MeanSize("large", fallback)
 	qt.Assert(t, mean.Answer > 130 && mean.Answer < 150, qt.IsTrue, qt.Commentf("%v", mean))
 }
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -121,7 +121,7 @@
 	for _, server := range s.standin.Servers(standin.ServicePlain) {
 		encoded, err := ratelimit.NewLimit(0).Encode("front-z")
 		qt.Assert(t, err, qt.IsNil)
-		s.standin.Store.Write("told", fmt.Sprintf("limit/%s", server.Start()), encoded)
+		s.standin.Store.Write("told", fmt.Sprintf("limit/%s", server.StartID()), encoded)
 	}
 	s.daemons = append(s.daemons, s.startDaemon("front-c"))
 	answer := s.await(func() standin.Answer {
@@ -148,7 +148,7 @@
 	})
 	encoded, err := ratelimit.NewLimit(limit).Encode("front-z")
 	qt.Assert(t, err, qt.IsNil)
-	s.standin.Store.Write("told", "limit/"+server.Start(), encoded)
+	s.standin.Store.Write("told", "limit/"+server.StartID(), encoded)
 	s.awaitTrue(func() bool {
 		get(s.client(0, standin.KeyCuenca))
 		return s.limitRows() == 0
--- a/io/caller/serve.go
+++ b/io/caller/serve.go
@@ -340,7 +340,7 @@
 		if record.Name == picked.Group {
 			j.request.Group = record.Name
 			j.request.Generation = record.Generation
-			s.assign(j, record.Name, record.LeaderAddress())
+			s.assign(j, record.Name, record.HeadAddress())
 		}
 	}
 	return true
--- a/io/gateway/selection.go
+++ b/io/gateway/selection.go
@@ -91,7 +91,7 @@
 	}
 	return usage.PerRequest(usage.Size{
 		Prompt: float64(j.request.PromptTokens),
-		Answer: j.server.sizes.PerRequest(j.request.Model, service.Engine.MeanRequestSize).Answer,
+		Answer: j.server.sizes.MeanSize(j.request.Model, service.Engine.MeanRequestSize).Answer,
 	}, j.route.LatencyGoal)
 }
 
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -19,9 +19,9 @@
 	http    *http1.Client
 }
 
-// ErrNoAnswer marks errors after which it is unknown whether the daemon has executed
+// ErrOutcomeUnknown marks errors after which it is unknown whether the daemon has executed
 // the request.
-var ErrNoAnswer = errors.New("no answer from the daemon")
+var ErrOutcomeUnknown = errors.New("no answer from the daemon")
 
 // NewClient returns a client for the daemon at IP:port.
 func NewClient(address, key string) *Client {
@@ -56,7 +56,7 @@
 	if err := c.http.Do(c.address, request, response, true, false); err != nil {
 		var httpErr *http1.Error
 		if errors.As(err, &httpErr) && httpErr.MayHaveBeenSent {
-			return errors.Wrap(ErrNoAnswer, err.Error())
+			return errors.Wrap(ErrOutcomeUnknown, err.Error())
 		}
 		return err
 	}
@@ -73,7 +73,7 @@
 		reply.Error = "status " + fasthttp.StatusMessage(response.StatusCode())
 	}
 	if reply.Unknown {
-		return errors.Wrap(ErrNoAnswer, reply.Error)
+		return errors.Wrap(ErrOutcomeUnknown, reply.Error)
 	}
 	if response.StatusCode() == fasthttp.StatusServiceUnavailable {
 		return errors.New(reply.Error)
--- a/lab/measures/measures.go
+++ b/lab/measures/measures.go
@@ -76,10 +76,10 @@
 	Violations []string
 }
 
-// Compare runs every policy with all weights and seeds in parallel and passes the results to
+// CompareAndExit runs every policy with all weights and seeds in parallel and passes the results to
 // report. It then ends the process, because the paused clock requires the main function of
 // package testing. The exit code is 1 if report returns an error.
-func Compare(settings Settings, operators []OperatorWeights, report func([]Result) error) {
+func CompareAndExit(settings Settings, operators []OperatorWeights, report func([]Result) error) {
 	testing.Init()
 	if err := flag.CommandLine.Parse(nil); err != nil {
 		panic(err)
--- a/lab/relaybench/relaybench.go
+++ b/lab/relaybench/relaybench.go
@@ -60,11 +60,11 @@
 
 // Bench is a running engine with a daemon. Use Start.
 type Bench struct {
-	platform      *platform.Platform
-	node          *daemon.Node
-	group         string
-	leaderAddress string
-	generation    uint64
+	platform    *platform.Platform
+	node        *daemon.Node
+	group       string
+	headAddress string
+	generation  uint64
 }
 
 const (
@@ -127,7 +127,7 @@
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		for _, record := range b.node.Daemon().Snapshot().ServingGroups("redactor", time.Now()) {
-			b.group, b.leaderAddress, b.generation = record.Name, record.LeaderAddress(), record.Generation
+			b.group, b.headAddress, b.generation = record.Name, record.HeadAddress(), record.Generation
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -179,7 +179,7 @@
 
 // MeasureDirect measures the direct path to the engine.
 func (b *Bench) MeasureDirect(settings Settings) Measurement {
-	return b.measure(settings, b.leaderAddress, [][2]string{
+	return b.measure(settings, b.headAddress, [][2]string{
 		{"X-Group", b.group},
 		{"X-Generation", fmt.Sprint(b.generation)},
 	})
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -158,9 +158,9 @@
 	return s.id
 }
 
-// Start returns the identifier of the server's current start: its ID and the time of its
+// StartID returns the identifier of the server's current start: its ID and the time of its
 // birth. The identifier differs from those of all other starts under the same ID.
-func (s *Server) Start() string {
+func (s *Server) StartID() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.id + "@" + strconv.FormatInt(s.state.Born, 10)
--- a/labcommand/measures.go
+++ b/labcommand/measures.go
@@ -21,7 +21,7 @@
 }
 
 // Run prints a row for each combination of operator weights, policy and seed. It
-// fails if the oracle saw a violated guarantee. measures.Compare ends the process,
+// fails if the oracle saw a violated guarantee. measures.CompareAndExit ends the process,
 // with exit code 1 on failure, so that Run does not return after it.
 func (m *MeasuresCommand) Run(streams *Streams) error {
 	var operators []measures.OperatorWeights
@@ -35,7 +35,7 @@
 			Weights:  deployment.Declaration.Weights,
 		})
 	}
-	measures.Compare(measures.Settings{
+	measures.CompareAndExit(measures.Settings{
 		Hours:    m.Hours,
 		Seeds:    m.Seeds,
 		LoadTime: m.LoadTime,
