--- a/lab/soak/crashing.go
+++ b/lab/soak/crashing.go
@@ -78,7 +78,7 @@
 		after := s.platform.Crashes(path)
 		s.logf("%d servers crashed under %s, then %d more", before, path, after-before)
 		if after-before > maxCrashesAfterThreshold {
-			failures = append(failures, fmt.Sprintf("%d servers crashed under %s after %d had crashed under it", after-before, path, before))
+			failures = append(failures, fmt.Sprintf("%s crashed %d servers after %d had crashed under it", path, after-before, before))
 		}
 	}
 	// The checks that follow set directives on servers, and a restart would drop these.
